--- /dev/null
+++ b/lab/balancer_driver.py
@@ -0,0 +1,170 @@
+"""Random legal events for one balancer, with outcomes for what it sends, in virtual time."""
+
+from __future__ import annotations
+
+import heapq
+import random
+from itertools import count
+
+from nickelbridge import interface as balancer_api
+from nickelbridge.logic import Balancer
+
+
+class BalancerDriver:
+    """Random legal events for one `Balancer`: requests, outcomes, timers, lists and reconfigurations."""
+
+    def __init__(self, seed: int) -> None:
+        self._rng = random.Random(f"balancer {seed}")
+        self._now = 1_000.0
+        self._order = count()
+        self._due: list[tuple[float, int, balancer_api.Event]] = []
+        self._attempts: dict[str, int] = {}
+        self._ids = count()
+        self._settings = self._drawn_settings()
+        self._balancer = Balancer(self._settings, seed)
+        self._give(balancer_api.Started())
+        self._give(balancer_api.ServerList(balancer_api.ListKind.FULL, 1, self._entries(8)))
+
+    def _drawn_settings(self) -> balancer_api.Settings:
+        repeats, groups = list(balancer_api.Repeat), list(balancer_api.Group)
+        classes = [
+            balancer_api.RequestClass(
+                f"class-{number}",
+                self._rng.choice((50.0, 200.0, 1_000.0)),
+                self._rng.choice((2_000.0, 5_000.0)),
+                self._rng.uniform(0.5, 4.0),
+                0.3,
+                repeats[number % 3],
+                groups[self._rng.randrange(3)],
+                3_000.0,
+                number == 3,
+            )
+            for number in range(4)
+        ]
+        tenants = [balancer_api.Tenant(f"tenant-{n}", 0.3, self._rng.choice((0.0, 30.0))) for n in range(3)]
+        return balancer_api.Settings(
+            classes,
+            tenants,
+            nodes=self._rng.choice((1, 4)),
+            zone="zone-0",
+            max_attempts=self._rng.choice((2, 3)),
+            follow_list=True,
+            max_retry_after_ms=1_000.0,
+            start_capacity=0.25,
+            ramp_time_ms=8_000.0,
+            overload_factor=3.0,
+            tick_ms=self._rng.choice((0.0, 5.0)),
+            repeat_ratio=self._rng.choice((None, 0.3)),
+            extra_floor=5.0,
+            resend_span_ms=10_000.0,
+        )
+
+    def _entries(self, size: int) -> list[balancer_api.ServerEntry]:
+        healths = list(balancer_api.Health)
+        return [
+            balancer_api.ServerEntry(
+                number,
+                f"zone-{number % 2}",
+                "kind",
+                number % 3,
+                healths[0] if self._rng.random() < 0.9 else self._rng.choice(healths),
+                self._rng.choice((1.0, 1.0, 0.5)),
+                self._now if self._rng.random() < 0.2 else None,
+            )
+            for number in range(size)
+        ]
+
+    def run(self, events: int) -> None:
+        """Give so many events from outside, and all that the balancer's own actions lead to meanwhile."""
+        for _ in range(events):
+            self._pass(self._rng.expovariate(1.0 / self._rng.choice((2.0, 20.0, 60.0))))
+            self._give_one()
+        self._pass(10_000.0)
+
+    def _pass(self, for_ms: float) -> None:
+        until = self._now + for_ms
+        while self._due and self._due[0][0] <= until:
+            self._now, _, event = heapq.heappop(self._due)
+            self._give(event)
+        self._now = until
+
+    def _later(self, delay_ms: float, event: balancer_api.Event) -> None:
+        heapq.heappush(self._due, (self._now + delay_ms, next(self._order), event))
+
+    def _give_one(self) -> None:
+        draw = self._rng.random()
+        if draw < 0.80:
+            self._request()
+        elif draw < 0.84 and self._attempts:
+            self._give(balancer_api.ClientGone(self._rng.choice(list(self._attempts))))
+        else:
+            self._give(self._news())
+
+    def _request(self) -> None:
+        rng, number = self._rng, next(self._ids)
+        cls, whole = rng.choice(self._settings.classes), rng.random() < 0.85
+        tenant = rng.choice((None, "tenant-0", "tenant-1", "tenant-2"))
+        key = rng.randrange(50) if cls.affine else None
+        ttl_ms = rng.uniform(100.0, cls.deadline_ms)
+        identity = f"request-{number}"
+        self._attempts[identity] = 0
+        event = balancer_api.Request(identity, cls.name, ttl_ms, tenant, rng.random() < 0.1, whole, None, key)
+        if not whole:
+            self._later(rng.uniform(1.0, 100.0), balancer_api.RequestWhole(identity))
+        self._give(event)
+
+    def _news(self) -> balancer_api.Event:
+        rng = self._rng
+        kinds = list(balancer_api.ListKind)
+        match rng.randrange(8):
+            case 0:
+                return balancer_api.ServerList(kinds[1], 2, self._entries(rng.randint(2, 10)))
+            case 1:
+                return balancer_api.ServerList(kinds[0], 3, self._entries(3))
+            case 2:
+                return balancer_api.ServerList(kinds[3], 0, [])
+            case 3:
+                verdicts = [
+                    balancer_api.Verdict(n, rng.random() < 0.5, frozenset(), rng.uniform(1.0, 3.0))
+                    for n in rng.sample(range(8), 2)
+                ]
+                return balancer_api.Hearsay(verdicts)
+            case 4:
+                return balancer_api.Parts({"tenant-1": rng.uniform(1.0, 20.0)}, rng.random())
+            case 5:
+                return balancer_api.Cohort(frozenset(rng.sample(range(8), 2)), rng.choice((0.05, 0.5, 1.0)))
+            case 6:
+                changed = self._drawn_settings()
+                changed.classes = self._settings.classes  # a request's class is looked up by its name
+                return balancer_api.Reconfigured(changed)
+            case _:
+                return balancer_api.Sharing(rng.randint(1, 2))
+
+    def _give(self, event: balancer_api.Event) -> None:
+        for action in list(self._balancer.handle(event, self._now)):
+            match action:
+                case balancer_api.SetTimer():
+                    self._later(action.delay_ms, balancer_api.TimerFired(action.token))
+                case balancer_api.Send():
+                    self._send(action.id, action.server, action.timeout_ms)
+                case balancer_api.Fail() | balancer_api.Refuse():
+                    self._attempts.pop(action.id, None)
+
+    def _send(self, identity: str, server: int, timeout_ms: float) -> None:
+        rng, attempt = self._rng, self._attempts.get(identity, 0)
+        self._attempts[identity] = attempt + 1
+        results = list(balancer_api.Result)
+        result = rng.choices(results, (60, 8, 8, 2, 4, 4, 1, 1))[0]
+        duration_ms = rng.expovariate(1.0 / (20.0 * (1.0 + server)))
+        if duration_ms >= timeout_ms:
+            duration_ms, result = timeout_ms, results[3]
+        served = result is results[0]
+        report = {"queue": float(rng.randrange(3))} if rng.random() < 0.2 else None
+        if served and rng.random() < 0.15:
+            started_ms = duration_ms / 2.0
+            self._later(started_ms, balancer_api.StreamStarted(identity, attempt, server, started_ms, report))
+        repeatable = served or rng.random() < 0.95
+        event = balancer_api.AttemptEnded(
+            identity, attempt, server, result, duration_ms, served, report, repeatable
+        )
+        self._later(duration_ms, event)
--- /dev/null
+++ b/lab/behaviour.py
@@ -0,0 +1,135 @@
+"""Digests of what the simulated worlds do: a net under changes that must not change behaviour.
+
+Run as `python -m lab.behaviour [--seeds N] [--jobs J] [--group G] [--subset] [--check FILE] [--write FILE]`.
+Each run, of a group and a seed (or a scenario's name), is hashed into a short hex digest: every delay that is
+scheduled, with its simulated time, and every action, message and record, in order. As the delays show the
+draws of the random sources, one draw more or less changes nearly all that follows. `lab.observation` says
+what is watched and how it is hashed, `lab.behaviour_runs` what is played.
+"""
+
+from __future__ import annotations
+
+import argparse
+import json
+import multiprocessing
+import sys
+import time
+from collections.abc import Callable, Sequence
+from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass
+from pathlib import Path
+
+from lab import behaviour_runs as runs
+from lab.observation import Recorder, observing
+from lab.scenario import SHIPPED
+
+Digests = dict[str, dict[str, str]]  # by group and run
+
+
+@dataclass(frozen=True, slots=True)
+class Group:
+    """Runs of one kind; `subset` of them are checked in every build."""
+
+    play: Callable[[str, Recorder], None]
+    runs: tuple[str, ...]
+    subset: tuple[str, ...]
+
+
+def _seeds(first: int, size: int) -> tuple[str, ...]:
+    return tuple(str(seed) for seed in range(first, first + size))
+
+
+LARGE_SCENARIOS = ("fleet200",)  # minutes each: left out
+SCENARIOS = tuple(sorted(path.stem for path in SHIPPED.glob("*.toml") if path.stem not in LARGE_SCENARIOS))
+GROUPS: dict[str, Group] = {
+    "control": Group(runs.play_control, _seeds(3_000, 300), ("3003", "3004")),
+    "quotas": Group(runs.play_quotas, _seeds(0, 36), ("0", "2")),
+    "scenarios": Group(runs.play_scenario, SCENARIOS, ("calm",)),
+    "members": Group(runs.play_members, _seeds(0, 24), ("0",)),
+    "cells": Group(runs.play_cells, _seeds(0, 8), ("0",)),
+    "leases": Group(runs.play_leases, _seeds(0, 24), ("0", "1")),
+    "shared": Group(runs.play_shared, _seeds(0, 24), ("0", "1")),
+    "explorer": Group(runs.play_explorer, tuple(runs.EXPLORED), ("ledger", "voters")),
+    "balancer": Group(runs.play_balancer, _seeds(0, 200), _seeds(0, 10)),
+    "controller": Group(runs.play_controller, _seeds(0, 100), _seeds(0, 20)),
+}
+
+
+def digest_of(group: str, run: str) -> str:
+    """Play one run in this process, observed; its digest."""
+    recorder = Recorder()
+    with observing(recorder):
+        GROUPS[group].play(run, recorder)
+    return recorder.digest()
+
+
+def _timed(task: tuple[str, str]) -> tuple[str, float]:
+    began = time.perf_counter()
+    return digest_of(*task), time.perf_counter() - began
+
+
+def record(tasks: Sequence[tuple[str, str]], jobs: int) -> Digests:
+    """The digests of these runs, over so many processes; each group's time goes to standard error."""
+    if jobs > 1:
+        # Each worker is a fresh interpreter, with a hash seed of its own.
+        with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
+            results = list(pool.map(_timed, tasks))
+    else:
+        results = [_timed(task) for task in tasks]
+    digests: Digests = {}
+    seconds: dict[str, float] = {}
+    for (group, run), (digest, took_s) in zip(tasks, results, strict=True):
+        digests.setdefault(group, {})[run] = digest
+        seconds[group] = seconds.get(group, 0.0) + took_s
+    for group, took_s in seconds.items():
+        print(f"{group}: {len(digests[group])} runs, {took_s:.1f} s of one core", file=sys.stderr)
+    return digests
+
+
+def differences(recorded: Digests, found: Digests) -> list[str]:
+    """The runs whose digests differ from the recorded ones, or that are not recorded."""
+    different = []
+    for group, digests_of in found.items():
+        for run, digest in digests_of.items():
+            before = recorded.get(group, {}).get(run)
+            if before != digest:
+                what = "not recorded" if before is None else f"{before} recorded"
+                different.append(f"{group} {run}: {what}, {digest} found")
+    return different
+
+
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Print, check or write digests; 1 where some differ from the file's."""
+    parser = argparse.ArgumentParser(
+        prog="python -m lab.behaviour", description=(__doc__ or "").split("\n")[0]
+    )
+    parser.add_argument("--seeds", type=int, help="of each group, at most")
+    parser.add_argument("--jobs", type=int, default=1)
+    parser.add_argument("--group", action="append", choices=tuple(GROUPS), help="these groups alone")
+    parser.add_argument("--subset", action="store_true", help="the runs that every build checks alone")
+    parser.add_argument("--check", type=Path, help="compare with the digests in this file")
+    parser.add_argument("--write", type=Path, help="add the digests to this file")
+    options = parser.parse_args(arguments)
+    tasks = [
+        (name, run)
+        for name in options.group or GROUPS
+        for run in (GROUPS[name].subset if options.subset else GROUPS[name].runs)[: options.seeds]
+    ]
+    found = record(tasks, options.jobs)
+    if options.write is not None:
+        digests: Digests = json.loads(options.write.read_text()) if options.write.exists() else {}
+        for group, digests_of in found.items():
+            known = digests.get(group, {}) | digests_of
+            digests[group] = {run: known[run] for run in GROUPS[group].runs if run in known}
+        options.write.write_text(json.dumps(digests, indent=1) + "\n", encoding="utf-8")
+    if options.check is not None:
+        different = differences(json.loads(options.check.read_text(encoding="utf-8")), found)
+        print(*different, f"{len(tasks)} runs, {len(different)} differ", sep="\n")
+        return 1 if different else 0
+    if options.write is None:
+        print(json.dumps(found, indent=1))
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
