--- a/dunlinloft/__init__.py
+++ b/dunlinloft/__init__.py
@@ -1,1 +1,1 @@
-"""The command line over the node and its lab."""
+"""A router fleet for a language model: its programs, its pure parts, and the command line."""
--- /dev/null
+++ b/dunlinloft/balancer/__init__.py
@@ -0,0 +1,1 @@
+"""A load balancer's decisions for services that call services."""
--- a/nickelbridge/averages.py
+++ b/dunlinloft/balancer/averages.py
@@ -1,4 +1,4 @@
-"""Averages of what was observed; what follows from them is decided in `nickelbridge.logic`."""
+"""Averages of what was observed; what follows from them is decided in `dunlinloft.balancer.logic`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from nickelbridge import interface as api
+from dunlinloft.balancer import interface as api
 
 
 class Rate:
--- a/nickelbridge/interface.py
+++ b/dunlinloft/balancer/interface.py
@@ -1,7 +1,7 @@
 """What a node and the decision module say to each other: settings, events and actions.
 
 Times are milliseconds on one monotonic clock of the node's choosing. Ids are the node's own and
-come back unchanged. Nothing here decides anything; every decision is in `nickelbridge.logic`.
+come back unchanged. Nothing here decides anything; every decision is in `dunlinloft.balancer.logic`.
 """
 
 from __future__ import annotations
--- a/nickelbridge/logic.py
+++ b/dunlinloft/balancer/logic.py
@@ -1,4 +1,4 @@
-"""Every decision of nickelbridge. Its settings, events and actions are in nickelbridge/interface.py.
+"""Every decision of the load balancer; settings, events and actions: dunlinloft/balancer/interface.py.
 
 Retries are admitted with the probability that RTDC's PI loop allows (Hong, Huang and Yan, section V.B);
 first sends follow a smooth weighted rotation. docs/design.md says what is kept, changed and why."""
@@ -12,11 +12,11 @@
 from dataclasses import replace
 from typing import Protocol, TypeVar
 
-from nickelbridge import affine, subset
-from nickelbridge import interface as api
-from nickelbridge.averages import ClassRecord, Rate, SlidingCount
-from nickelbridge.bucket import Bucket
-from nickelbridge.interface import Group, Health, ListKind, Repeat, Result
+from dunlinloft.balancer import affine, subset
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.averages import ClassRecord, Rate, SlidingCount
+from dunlinloft.balancer.bucket import Bucket
+from dunlinloft.balancer.interface import Group, Health, ListKind, Repeat, Result
 
 TARGET_SHARE = 0.4  # tau0, the target round trip delay, as a share of the aim of what was answered;
 # by Little's law it sets the window of first sends too: a smaller one refuses what meets the target,
--- a/nickelbridge/settings.py
+++ b/dunlinloft/balancer/settings.py
@@ -8,7 +8,7 @@
 import math
 from typing import Any, TypeVar
 
-from nickelbridge import interface as api
+from dunlinloft.balancer import interface as api
 
 Json = dict[str, Any]
 
--- a/nickelbridge/wirehost.py
+++ b/dunlinloft/balancer/wirehost.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import TextIO
 
-from nickelbridge import interface as api
-from nickelbridge.logic import Balancer
-from nickelbridge.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.logic import Balancer
+from dunlinloft.balancer.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
 
 HEALTH = {
     "in_service": api.Health.IN_SERVICE,
--- a/dunlinloft/check.py
+++ b/dunlinloft/check.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from nickelbridge.settings import Malformed
+from dunlinloft.balancer.settings import Malformed
 from orchidferry.config import parse_config, parse_directory, path_in
 
 MOST = 200  # problems; a file with more is no configuration
--- a/dunlinloft/coordination/placement.py
+++ b/dunlinloft/coordination/placement.py
@@ -18,9 +18,9 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
 
+from dunlinloft.balancer.logic import Rotation
 from dunlinloft.coordination.stream import ServerRecord
-from fleet.rendezvous import rank
-from nickelbridge.logic import Rotation
+from dunlinloft.fleet.rendezvous import rank
 
 LONG_TOKENS = 1_024  # of a prompt, from which it holds up what runs beside it
 HELD_UP_SHARE = 0.15  # of its unread tokens that a long prompt counts for each short one that it holds up
--- a/dunlinloft/coordination/quotas.py
+++ b/dunlinloft/coordination/quotas.py
@@ -22,7 +22,7 @@
 from dunlinloft.coordination.nodes import Nodes
 from dunlinloft.coordination.quota_shares import MOST_X, TenantShares
 from dunlinloft.coordination.recent_use import Use
-from fleet.rendezvous import rank
+from dunlinloft.fleet.rendezvous import rank
 
 HANDOVER_MS = 750.0  # a new owner waits so long; the old one stops `LEASE_MS` after it was last confirmed
 EXTRA_SHARE = 0.1  # of what a window may exceed the rate by, that a bucket holds beside the burst
--- a/dunlinloft/dataplane/budget.py
+++ b/dunlinloft/dataplane/budget.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from nickelbridge.averages import SlidingCount
-from nickelbridge.logic import DelayController
+from dunlinloft.balancer.averages import SlidingCount
+from dunlinloft.balancer.logic import DelayController
 
 RATIO_SHARE = 0.8  # of the budget's ratio that is used
 ALLOWANCE_SHARE = 0.6  # of its allowance, divided evenly among the nodes
--- a/dunlinloft/dataplane/control.py
+++ b/dunlinloft/dataplane/control.py
@@ -23,9 +23,9 @@
     ToNode,
     Version,
 )
+from dunlinloft.fleet.rendezvous import rank
 from dunlinloft.transport import lines
 from dunlinloft.transport.clock import now_ms
-from fleet.rendezvous import rank
 
 STREAMS_MOST = 9  # replicas subscribed to, chosen by rendezvous hashing where there are more
 CONFIGURATION_STREAMS = 2  # of them send configurations, the others tell versions
--- a/dunlinloft/dataplane/routing.py
+++ b/dunlinloft/dataplane/routing.py
@@ -5,8 +5,8 @@
 import random
 from dataclasses import dataclass
 
+from dunlinloft.balancer.logic import Rotation
 from dunlinloft.configuration import Backend, Configuration, Route, Service, Tenant
-from nickelbridge.logic import Rotation
 
 
 @dataclass(slots=True, eq=False)
--- a/dunlinloft/dataplane/servers.py
+++ b/dunlinloft/dataplane/servers.py
@@ -8,10 +8,10 @@
 
 from boltons.cacheutils import LRU
 
+from dunlinloft.balancer.logic import DelayController, Rotation
 from dunlinloft.coordination.digests import RangeDigests, range_of
 from dunlinloft.coordination.stream import ServerNews, ServerRecord
-from fleet.rendezvous import rank
-from nickelbridge.logic import DelayController, Rotation
+from dunlinloft.fleet.rendezvous import rank
 
 AVOID_MS = 400.0  # a server that failed is kept away from so long, doubling with each failure in a row
 AVOID_DOUBLINGS = 4
--- a/fleet/cells/core.py
+++ b/dunlinloft/fleet/cells/core.py
@@ -12,15 +12,15 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from fleet import interface as api
-from fleet.cells.cut import MOST_DEPTH, Cut, newer, path
-from fleet.cells.messages import MOST_ADDRESSES, Find, Found, Report, Summary
-from fleet.cells.pointers import Pointers
-from fleet.cells.totals import Totals
-from fleet.cells.words import MOST_TEXT, SERVICE, greatest_word, hearsay, load_and_program
-from fleet.membership.core import SPREAD_FULL, Membership
-from fleet.membership.view import Member
-from fleet.messages import ALIVE, Fact, Gossip, Head, Message, Record, State
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.cells.cut import MOST_DEPTH, Cut, newer, path
+from dunlinloft.fleet.cells.messages import MOST_ADDRESSES, Find, Found, Report, Summary
+from dunlinloft.fleet.cells.pointers import Pointers
+from dunlinloft.fleet.cells.totals import Totals
+from dunlinloft.fleet.cells.words import MOST_TEXT, SERVICE, greatest_word, hearsay, load_and_program
+from dunlinloft.fleet.membership.core import SPREAD_FULL, Membership
+from dunlinloft.fleet.membership.view import Member
+from dunlinloft.fleet.messages import ALIVE, Fact, Gossip, Head, Message, Record, State
 
 TICK_MS = 1_000.0  # how often it is looked at what the cell needs
 FIND_MS = 10_000.0  # how often the directory is asked, with jitter
--- a/fleet/cells/directory.py
+++ b/dunlinloft/fleet/cells/directory.py
@@ -1,8 +1,8 @@
 """One process of the directory: what cells report, how its processes tell each other, and its answers.
 
 Any process answers for all cells. Reports travel among the processes as records of a store, each with a
-bound on its age (`fleet.shared.store`); a report's own age is bounded by the process's own stamp, which it
-gives with an answer and gets back with the report. Nothing outlives the process.
+bound on its age (`fleet.shared_state.store`); a report's own age is bounded by the process's own stamp,
+which it gives with an answer and gets back with the report. Nothing outlives the process.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 import msgspec
 
-from fleet import interface as api
-from fleet.cells.cut import Cut
-from fleet.cells.index import MOST_CELLS, Index, sound
-from fleet.cells.messages import Find, Found, Report, Summary
-from fleet.cells.totals import BOUND_MS
-from fleet.shared import messages as shared
-from fleet.shared.messages import SUMMARY, Content, Entry, Pour
-from fleet.shared.spread import Partner, Spread
-from fleet.shared.store import Store
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.cells.cut import Cut
+from dunlinloft.fleet.cells.index import MOST_CELLS, Index, sound
+from dunlinloft.fleet.cells.messages import Find, Found, Report, Summary
+from dunlinloft.fleet.cells.totals import BOUND_MS
+from dunlinloft.fleet.shared_state import messages as shared
+from dunlinloft.fleet.shared_state.messages import SUMMARY, Content, Entry, Pour
+from dunlinloft.fleet.shared_state.spread import Partner, Spread
+from dunlinloft.fleet.shared_state.store import Store
 
 MOST_POURS = 32  # datagrams that answer one question of another process
 LEARNING_MS = BOUND_MS + 5_000.0  # a new process may not know of all cells for so long
--- a/fleet/cells/index.py
+++ b/dunlinloft/fleet/cells/index.py
@@ -10,9 +10,9 @@
 
 from dataclasses import dataclass, field
 
-from fleet.cells.cut import Cut, path
-from fleet.cells.messages import MOST_ADDRESSES, Find, Summary
-from fleet.cells.totals import BOUND_MS
+from dunlinloft.fleet.cells.cut import Cut, path
+from dunlinloft.fleet.cells.messages import MOST_ADDRESSES, Find, Summary
+from dunlinloft.fleet.cells.totals import BOUND_MS
 
 SETTLE_MS = 15_000.0  # since cells last changed, before a service's sum counts as whole
 FORGET_MS = 2 * 3_600_000.0  # a cell that nobody reported for so long has ended; regions come back sooner
--- a/fleet/cells/messages.py
+++ b/dunlinloft/fleet/cells/messages.py
@@ -1,4 +1,4 @@
-"""What members and the directory say to each other; `fleet.cells.wire` puts it into bytes.
+"""What members and the directory say to each other; `dunlinloft.fleet.cells.wire` puts it into bytes.
 
 Written as arrays, so a later version may add fields at the end, which an older one skips.
 """
--- a/fleet/cells/pointers.py
+++ b/dunlinloft/fleet/cells/pointers.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from fleet.cells.cut import shared_bits
+from dunlinloft.fleet.cells.cut import shared_bits
 
 MOST_POINTERS, MOST_ALONE = 3, 2  # addresses for each number of bits, and of those that see nobody there
 
--- a/fleet/cells/totals.py
+++ b/dunlinloft/fleet/cells/totals.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from fleet.cells.cut import Cut
-from fleet.cells.messages import Found
-from fleet.census import HOLD_MS, Census
+from dunlinloft.fleet.cells.cut import Cut
+from dunlinloft.fleet.cells.messages import Found
+from dunlinloft.fleet.census import HOLD_MS, Census
 
 BOUND_MS = 30_000.0  # what the directory says may be so old
 DRIFT = 0.02  # rates of two clocks differ by so much at most
--- a/fleet/cells/wire.py
+++ b/dunlinloft/fleet/cells/wire.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from fleet.cells.cut import Cut
-from fleet.cells.messages import Message as CellMessage
-from fleet.interface import Said
-from fleet.messages import Message, State
-from fleet.wire import MOST_DATAGRAM, MOST_STATE, Refused, fit, fit_state, parse
+from dunlinloft.fleet.cells.cut import Cut
+from dunlinloft.fleet.cells.messages import Message as CellMessage
+from dunlinloft.fleet.interface import Said
+from dunlinloft.fleet.messages import Message, State
+from dunlinloft.fleet.wire import MOST_DATAGRAM, MOST_STATE, Refused, fit, fit_state, parse
 
-CELLED, DIRECTORY = 2, 3  # versions; a flat fleet's is `fleet.messages.VERSION`
+CELLED, DIRECTORY = 2, 3  # versions; a flat fleet's is `dunlinloft.fleet.messages.VERSION`
 _CUT = struct.Struct(">IBI")
 
 _message = msgspec.msgpack.Decoder(Message)
--- a/fleet/cells/words.py
+++ b/dunlinloft/fleet/cells/words.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable
 
-from fleet.cells.messages import Found
-from fleet.messages import Fact
+from dunlinloft.fleet.cells.messages import Found
+from dunlinloft.fleet.messages import Fact
 
 SERVICE = "service_members"  # the fact by which members tell their cell how many the service has
 MOST_SERVICE = 1e6  # members of a service: a greater word is not believed
--- a/fleet/interface.py
+++ b/dunlinloft/fleet/interface.py
@@ -8,9 +8,9 @@
 
 from dataclasses import dataclass, field
 
-from fleet.cells import messages as cells
-from fleet.cells.cut import Cut
-from fleet.messages import Fact, Message, State
+from dunlinloft.fleet.cells import messages as cells
+from dunlinloft.fleet.cells.cut import Cut
+from dunlinloft.fleet.messages import Fact, Message, State
 
 Said = Message | cells.Message
 
--- a/fleet/duties/candidate.py
+++ b/dunlinloft/fleet/leases/candidate.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Callable
 
-from fleet.duties.messages import (
+from dunlinloft.fleet.leases.messages import (
     NONE,
     Accepted,
     Action,
--- a/fleet/duties/core.py
+++ b/dunlinloft/fleet/leases/core.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from functools import partial
 
-from fleet import rendezvous
-from fleet.duties.candidate import DRIFT, TERM_MS, Candidate
-from fleet.duties.ledger import DUTY as LEDGER
-from fleet.duties.ledger import Keeper, Ledger
-from fleet.duties.messages import (
+from dunlinloft.fleet import rendezvous
+from dunlinloft.fleet.leases.candidate import DRIFT, TERM_MS, Candidate
+from dunlinloft.fleet.leases.ledger import DUTY as LEDGER
+from dunlinloft.fleet.leases.ledger import Keeper, Ledger
+from dunlinloft.fleet.leases.messages import (
     Accepted,
     Action,
     Adopt,
@@ -50,8 +50,8 @@
     Voters,
     Work,
 )
-from fleet.duties.voter import Voter
-from fleet.duties.voters import ROW, Change, Row, changed, read_row
+from dunlinloft.fleet.leases.voter import Voter
+from dunlinloft.fleet.leases.voters import ROW, Change, Row, changed, read_row
 
 LOOK_MS = 400.0  # how often it is looked at whether to stand
 STAND_MS = 60.0  # the next in preference stands so much later: as a rule one tries at a time
--- a/fleet/duties/ledger.py
+++ b/dunlinloft/fleet/leases/ledger.py
@@ -15,7 +15,7 @@
 
 from msgspec.structs import replace
 
-from fleet.duties.messages import (
+from dunlinloft.fleet.leases.messages import (
     Action,
     LedgerPage,
     LedgerRead,
--- a/fleet/duties/voter.py
+++ b/dunlinloft/fleet/leases/voter.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Sequence
 
-from fleet.duties.messages import (
+from dunlinloft.fleet.leases.messages import (
     NONE,
     Accepted,
     Ballot,
--- a/fleet/duties/voters.py
+++ b/dunlinloft/fleet/leases/voters.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from fleet.duties.messages import Adopt, Adopted, Tell, Voters, majority
+from dunlinloft.fleet.leases.messages import Adopt, Adopted, Tell, Voters, majority
 
 ROW = "voters"  # its key in the ledger
 LEAST, MOST = 3, 7
--- a/fleet/membership/core.py
+++ b/dunlinloft/fleet/membership/core.py
@@ -9,14 +9,14 @@
 import random
 from typing import Any
 
-from fleet import interface as api
-from fleet.membership import probing
-from fleet.membership.gossip import FULL, News
-from fleet.membership.health import Health
-from fleet.membership.probing import Prober
-from fleet.membership.suspicion import CONFIRMERS, wait_ms
-from fleet.membership.view import MOST_ACCUSERS, Member, View, bits
-from fleet.messages import (
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.membership import probing
+from dunlinloft.fleet.membership.gossip import FULL, News
+from dunlinloft.fleet.membership.health import Health
+from dunlinloft.fleet.membership.probing import Prober
+from dunlinloft.fleet.membership.suspicion import CONFIRMERS, wait_ms
+from dunlinloft.fleet.membership.view import MOST_ACCUSERS, Member, View, bits
+from dunlinloft.fleet.messages import (
     ALIVE,
     DEAD,
     LEFT,
--- a/fleet/membership/gossip.py
+++ b/dunlinloft/fleet/membership/gossip.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Callable
 
-from fleet.messages import Record
+from dunlinloft.fleet.messages import Record
 
 TIMES = 4  # for each power of ten of members
 ROOM = 1150  # bytes of a datagram that records may take
--- a/fleet/membership/probing.py
+++ b/dunlinloft/fleet/membership/probing.py
@@ -9,12 +9,12 @@
 
 from typing import TYPE_CHECKING
 
-from fleet import interface as api
-from fleet.membership.view import Member
-from fleet.messages import ALIVE, Ack, Ask, Nack, Ping
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.membership.view import Member
+from dunlinloft.fleet.messages import ALIVE, Ack, Ask, Nack, Ping
 
 if TYPE_CHECKING:
-    from fleet.membership.core import Membership
+    from dunlinloft.fleet.membership.core import Membership
 
 PERIOD_MS = 250.0
 ASKED = 3  # others that are asked to ask
--- a/fleet/membership/view.py
+++ b/dunlinloft/fleet/membership/view.py
@@ -9,8 +9,8 @@
 import random
 from collections.abc import Iterable
 
-from fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, Fact, Record
-from fleet.rendezvous import rank
+from dunlinloft.fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, Fact, Record
+from dunlinloft.fleet.rendezvous import rank
 
 MOST_ACCUSERS = 4  # that are kept and told; more would change nothing
 MOST_BURIED = 4096  # records of the dead and the left; beyond that the oldest go
--- a/fleet/messages.py
+++ b/dunlinloft/fleet/messages.py
@@ -1,4 +1,4 @@
-"""What members tell each other, as typed values. `fleet.wire` puts them into bytes.
+"""What members tell each other, as typed values. `dunlinloft.fleet.wire` puts them into bytes.
 
 Each is written as an array, so a later version may add fields at the end, which an older one skips.
 """
@@ -7,8 +7,8 @@
 
 from msgspec import Struct
 
-from fleet.duties import messages as duties
-from fleet.shared import messages as shared
+from dunlinloft.fleet.leases import messages as duties
+from dunlinloft.fleet.shared_state import messages as shared
 
 VERSION = 1
 Fact = str | float | bool
--- a/fleet/releases/member.py
+++ b/dunlinloft/fleet/releases/member.py
@@ -4,7 +4,7 @@
 
 import bisect
 
-from fleet.releases.messages import EIGHTHS, NONE, Count, Order, Tally, no_count
+from dunlinloft.fleet.releases.messages import EIGHTHS, NONE, Count, Order, Tally, no_count
 
 MOST_COUNTS = 20  # of a tally, classes times zones, so that it fits a datagram
 STEP = 0.03  # of a quantile, by which a time moves it at most
--- a/fleet/releases/steward.py
+++ b/dunlinloft/fleet/releases/steward.py
@@ -14,8 +14,8 @@
 from msgspec import to_builtins
 from msgspec.structs import replace
 
-from fleet.releases.judge import Evidence, Judge, Stratum, Times
-from fleet.releases.messages import (
+from dunlinloft.fleet.releases.judge import Evidence, Judge, Stratum, Times
+from dunlinloft.fleet.releases.messages import (
     BACK,
     BAKING,
     DONE,
--- a/fleet/shared/affinity.py
+++ b/dunlinloft/fleet/shared_state/affinity.py
@@ -14,8 +14,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from fleet.shared.messages import Bindings
-from fleet.shared.store import DRIFT
+from dunlinloft.fleet.shared_state.messages import Bindings
+from dunlinloft.fleet.shared_state.store import DRIFT
 
 FRESH_MS = 3_000.0  # pulses of more than half of those that count, no older: else it may be cut off
 OUT_MS, BACK_MS = 800.0, 3_000.0  # a group has to be out, and fit again, for so long
--- a/fleet/shared/core.py
+++ b/dunlinloft/fleet/shared_state/core.py
@@ -10,12 +10,12 @@
 import zlib
 from collections.abc import Iterator
 
-from fleet.releases.member import Follower
-from fleet.releases.messages import NONE, Order, Tally
-from fleet.shared import limits, verdicts
-from fleet.shared.affinity import FRESH_MS, Affinity, Place, Voices
-from fleet.shared.limits import Limits, retry_share
-from fleet.shared.messages import (
+from dunlinloft.fleet.releases.member import Follower
+from dunlinloft.fleet.releases.messages import NONE, Order, Tally
+from dunlinloft.fleet.shared_state import limits, verdicts
+from dunlinloft.fleet.shared_state.affinity import FRESH_MS, Affinity, Place, Voices
+from dunlinloft.fleet.shared_state.limits import Limits, retry_share
+from dunlinloft.fleet.shared_state.messages import (
     BINDINGS,
     FINDINGS,
     ORDERS,
@@ -43,10 +43,10 @@
     Warn,
     encode,
 )
-from fleet.shared.spread import Spread
-from fleet.shared.store import DRIFT, Store
-from fleet.shared.verdicts import Pool
-from fleet.shared.witness import Witness
+from dunlinloft.fleet.shared_state.spread import Spread
+from dunlinloft.fleet.shared_state.store import DRIFT, Store
+from dunlinloft.fleet.shared_state.verdicts import Pool
+from dunlinloft.fleet.shared_state.witness import Witness
 
 VERDICTS, LIMITS, AFFINITY, RELEASES = "verdicts", "limits", "affinity", "releases"
 PARTS = (VERDICTS, LIMITS, AFFINITY, RELEASES)
--- a/fleet/shared/limits.py
+++ b/dunlinloft/fleet/shared_state/limits.py
@@ -19,7 +19,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from fleet.shared.messages import Pulse
+from dunlinloft.fleet.shared_state.messages import Pulse
 
 BOUND_MS = 2_000.0  # a demand that may be older counts as an even part
 SPREAD_MS = 1_200.0  # within which what was told has come to all, in a fleet that is whole
--- a/fleet/shared/messages.py
+++ b/dunlinloft/fleet/shared_state/messages.py
@@ -11,9 +11,9 @@
 import msgspec
 from msgspec import Struct
 
-from fleet.cells.messages import Summary
-from fleet.releases.member import Server
-from fleet.releases.messages import Order, Tally
+from dunlinloft.fleet.cells.messages import Summary
+from dunlinloft.fleet.releases.member import Server
+from dunlinloft.fleet.releases.messages import Order, Tally
 
 FINDINGS, PULSE, BINDINGS, ORDERS, RELEASE, TALLY, SUMMARY = 1, 2, 3, 4, 5, 6, 7
 KINDS = {
--- a/fleet/shared/spread.py
+++ b/dunlinloft/fleet/shared_state/spread.py
@@ -9,9 +9,9 @@
 
 import random
 
-from fleet.rendezvous import rank
-from fleet.shared.messages import Entry, Message, Pour, Pull, Tell
-from fleet.shared.store import DRIFT, Store
+from dunlinloft.fleet.rendezvous import rank
+from dunlinloft.fleet.shared_state.messages import Entry, Message, Pour, Pull, Tell
+from dunlinloft.fleet.shared_state.store import DRIFT, Store
 
 PULL_MS = 200.0  # each partner is asked so often
 ROOM = 1150  # bytes of a datagram that records may take
--- a/fleet/shared/store.py
+++ b/dunlinloft/fleet/shared_state/store.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from fleet.shared.messages import (
+from dunlinloft.fleet.shared_state.messages import (
     BINDINGS,
     FINDINGS,
     KINDS,
--- a/fleet/shared/verdicts.py
+++ b/dunlinloft/fleet/shared_state/verdicts.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from fleet.shared.messages import Cell, Findings, Verdict
-from fleet.shared.witness import ANY, BAD, FLOOR, MOST_ODDS, ODDS_MS
+from dunlinloft.fleet.shared_state.messages import Cell, Findings, Verdict
+from dunlinloft.fleet.shared_state.witness import ANY, BAD, FLOOR, MOST_ODDS, ODDS_MS
 
 BOUND_MS = 2_500.0  # findings that may be older than this count for nothing
 AVOID, KEEP = 7.0, 2.0  # pooled log odds from which a server is avoided, and below which it no longer is
--- a/fleet/shared/witness.py
+++ b/dunlinloft/fleet/shared_state/witness.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Iterator
 
-from fleet.shared.messages import Cell, Findings
+from dunlinloft.fleet.shared_state.messages import Cell, Findings
 
 BAD, FLOOR = 0.5, 0.01  # the share of failures to look for; the least that peers are taken for
 MOST_ODDS = 6.0  # of one cell: one process alone convinces nobody
--- a/fleet/wire.py
+++ b/dunlinloft/fleet/wire.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from fleet.messages import VERSION, Message, State
+from dunlinloft.fleet.messages import VERSION, Message, State
 
 T = TypeVar("T")
 
--- a/lab/capacity/chain.py
+++ b/lab/capacity/chain.py
@@ -15,11 +15,11 @@
 from itertools import count
 from typing import Any
 
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.interface import ListKind, Result
+from dunlinloft.balancer.logic import Balancer
 from lab.capacity import sizes
 from lab.capacity.model import Experiment, Figure
-from nickelbridge import interface as api
-from nickelbridge.interface import ListKind, Result
-from nickelbridge.logic import Balancer
 
 RATE_S = 100.0  # requests a second at the top
 SERVERS = 4  # of each tier
--- a/lab/capacity/control.py
+++ b/lab/capacity/control.py
@@ -5,14 +5,14 @@
 from functools import partial
 from typing import Any
 
-from fleet.duties.ledger import DUTY, Reading, page_after
-from fleet.duties.messages import LedgerPage, LedgerRow, Message
-from fleet.messages import About, Head
-from fleet.releases.member import MOST_COUNTS
-from fleet.releases.messages import Count, Order, Plan, Tally
-from fleet.releases.steward import LOOK_MS, Steward, Telling
-from fleet.shared.messages import encode
-from fleet.wire import Wire
+from dunlinloft.fleet.leases.ledger import DUTY, Reading, page_after
+from dunlinloft.fleet.leases.messages import LedgerPage, LedgerRow, Message
+from dunlinloft.fleet.messages import About, Head
+from dunlinloft.fleet.releases.member import MOST_COUNTS
+from dunlinloft.fleet.releases.messages import Count, Order, Plan, Tally
+from dunlinloft.fleet.releases.steward import LOOK_MS, Steward, Telling
+from dunlinloft.fleet.shared_state.messages import encode
+from dunlinloft.fleet.wire import Wire
 from lab.capacity import sizes
 from lab.capacity.model import TIMED, Experiment, Figure
 from lab.capacity.tools import best_ms, held_bytes
--- a/lab/capacity/lists.py
+++ b/lab/capacity/lists.py
@@ -6,13 +6,13 @@
 import time
 from typing import Any
 
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.interface import ListKind, Result
+from dunlinloft.balancer.logic import Balancer
+from dunlinloft.balancer.settings import read_settings
 from lab.capacity import sizes
 from lab.capacity.model import TIMED, Experiment, Figure
 from lab.capacity.tools import best_ms, held_bytes, mean_us
-from nickelbridge import interface as api
-from nickelbridge.interface import ListKind, Result
-from nickelbridge.logic import Balancer
-from nickelbridge.settings import read_settings
 from orchidferry.config import Address, Listing, read_listing
 
 REQUESTS, OUT = 400, 8  # that are timed; that are out meanwhile, as 365 a second of 20 ms each are
--- a/lab/capacity/membership.py
+++ b/lab/capacity/membership.py
@@ -9,17 +9,17 @@
 
 import msgspec
 
-from fleet import interface as fleet_api
-from fleet.membership.core import Membership
-from fleet.membership.gossip import News
-from fleet.messages import Head, Ping, State
-from fleet.wire import Wire
+from dunlinloft.balancer.logic import Balancer
+from dunlinloft.fleet import interface as fleet_api
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.membership.gossip import News
+from dunlinloft.fleet.messages import Head, Ping, State
+from dunlinloft.fleet.wire import Wire
 from lab.capacity import sizes
 from lab.capacity.model import TIMED, Experiment, Figure
 from lab.capacity.tools import StillLoop, best_ms, held_bytes, mean_us, peak_bytes, rss_bytes
 from lab.members import settled
 from lab.virtual.fleet import Fleet
-from nickelbridge.logic import Balancer
 from orchidferry.config import FleetConfig, parse_config
 from orchidferry.duties import SEEN_S
 from orchidferry.peers import Own, Peers
--- a/lab/capacity/shared.py
+++ b/lab/capacity/shared.py
@@ -8,14 +8,14 @@
 from functools import partial
 from typing import Any
 
-from fleet.messages import About, Head
-from fleet.releases.member import Follower
-from fleet.releases.messages import Order, Tally
-from fleet.releases.steward import FRESH_MS, LOOK_MS
-from fleet.shared import messages as shared
-from fleet.shared.core import LIMITS, RELEASES, Shared
-from fleet.shared.limits import BOUND_MS
-from fleet.wire import Wire
+from dunlinloft.fleet.messages import About, Head
+from dunlinloft.fleet.releases.member import Follower
+from dunlinloft.fleet.releases.messages import Order, Tally
+from dunlinloft.fleet.releases.steward import FRESH_MS, LOOK_MS
+from dunlinloft.fleet.shared_state import messages as shared
+from dunlinloft.fleet.shared_state.core import LIMITS, RELEASES, Shared
+from dunlinloft.fleet.shared_state.limits import BOUND_MS
+from dunlinloft.fleet.wire import Wire
 from lab.capacity import sizes
 from lab.capacity.control import full_tally
 from lab.capacity.model import TIMED, Experiment, Figure
--- a/lab/capacity/sizes.py
+++ b/lab/capacity/sizes.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from fleet.messages import ALIVE, Record
+from dunlinloft.fleet.messages import ALIVE, Record
 from lab.plan import Plan
 from lab.scenario import Scenario, Tenant
 from lab.settings import settings as settings_of
--- a/lab/cells.py
+++ b/lab/cells.py
@@ -21,8 +21,8 @@
 import numpy as np
 from msgspec import Struct
 
-from fleet.cells.totals import BOUND_MS
-from fleet.membership.core import Membership
+from dunlinloft.fleet.cells.totals import BOUND_MS
+from dunlinloft.fleet.membership.core import Membership
 from lab.fit import line
 from lab.virtual.askers import Askers
 from lab.virtual.cell_oracle import amiss, cells
--- a/lab/explore/duties.py
+++ b/lab/explore/duties.py
@@ -10,10 +10,10 @@
 from functools import partial
 from typing import Any, Self
 
-from fleet.duties.candidate import END, IDLE, RENEW, STOP_MS, Candidate
-from fleet.duties.guard import Guard
-from fleet.duties.messages import Accepted, Ballot, Promise, Recall, Recalled, Start, Stop, Tell
-from fleet.duties.voter import Voter
+from dunlinloft.fleet.leases.candidate import END, IDLE, RENEW, STOP_MS, Candidate
+from dunlinloft.fleet.leases.guard import Guard
+from dunlinloft.fleet.leases.messages import Accepted, Ballot, Promise, Recall, Recalled, Start, Stop, Tell
+from dunlinloft.fleet.leases.voter import Voter
 from lab.explore.copying import EVEN, clone, mark
 from lab.explore.net import Explored, Net, Told
 from lab.explore.search import Move
--- a/lab/explore/ledger.py
+++ b/lab/explore/ledger.py
@@ -10,8 +10,8 @@
 from itertools import permutations
 from typing import Any
 
-from fleet.duties.ledger import OPEN, Keeper, Ledger
-from fleet.duties.messages import (
+from dunlinloft.fleet.leases.ledger import OPEN, Keeper, Ledger
+from dunlinloft.fleet.leases.messages import (
     LedgerPage,
     LedgerRead,
     LedgerStored,
--- a/lab/explore/membership.py
+++ b/lab/explore/membership.py
@@ -6,9 +6,9 @@
 
 from __future__ import annotations
 
-from fleet import interface as api
-from fleet.membership.core import Membership
-from fleet.messages import DEAD, LEFT
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.messages import DEAD, LEFT
 from lab.explore.copying import EVEN, mark
 from lab.explore.net import Explored, Net, Told
 from lab.explore.search import Move
--- a/lab/explore/voters.py
+++ b/lab/explore/voters.py
@@ -8,9 +8,9 @@
 
 from typing import Any
 
-from fleet.duties.core import Duties
-from fleet.duties.messages import Adopt, Adopted, Heard, Recalled, Tell, Voters
-from fleet.duties.voters import RESTING, Change
+from dunlinloft.fleet.leases.core import Duties
+from dunlinloft.fleet.leases.messages import Adopt, Adopted, Heard, Recalled, Tell, Voters
+from dunlinloft.fleet.leases.voters import RESTING, Change
 from lab.explore.copying import EVEN, mark
 from lab.explore.net import Explored, Told
 from lab.explore.search import Move
--- a/lab/members.py
+++ b/lab/members.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from fleet.membership.core import Membership
+from dunlinloft.fleet.membership.core import Membership
 from lab.virtual.fleet import Fleet
 from lab.virtual.plain import PlainPing
 from lab.virtual.scene import Broken
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from fleet import interface as api
+from dunlinloft.fleet import interface as api
 from lab.scale import talk
 from orchidferry.config import Config, parse_config
 from orchidferry.peers import Own, Peers
--- a/lab/scale/virtual.py
+++ b/lab/scale/virtual.py
@@ -15,9 +15,9 @@
 import numpy as np
 import uvloop
 
-from fleet import interface as api
-from fleet.membership.core import Membership
-from fleet.messages import State
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.messages import State
 from lab.day import rare_collections
 from lab.scale import talk
 from lab.virtual.fleet import Fleet
--- a/lab/virtual/askers.py
+++ b/lab/virtual/askers.py
@@ -8,11 +8,11 @@
 
 import random
 
-from fleet import interface as api
-from fleet.cells.cut import Cut
-from fleet.cells.messages import Find, Found, Report, Summary
-from fleet.cells.wire import DirectoryWire
-from fleet.membership.core import Membership
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.cells.cut import Cut
+from dunlinloft.fleet.cells.messages import Find, Found, Report, Summary
+from dunlinloft.fleet.cells.wire import DirectoryWire
+from dunlinloft.fleet.membership.core import Membership
 from lab.virtual.cell_processes import FLEET, Guide
 from lab.virtual.cells import CellFleet
 from lab.virtual.meeting import Meeting, Process
--- a/lab/virtual/cell_meeting.py
+++ b/lab/virtual/cell_meeting.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from fleet import interface as api
-from fleet.cells.directory import Said
-from fleet.cells.messages import Find, Report
-from fleet.messages import About, State
-from fleet.shared import messages as shared
-from fleet.wire import MOST_DATAGRAM, Refused
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.cells.directory import Said
+from dunlinloft.fleet.cells.messages import Find, Report
+from dunlinloft.fleet.messages import About, State
+from dunlinloft.fleet.shared_state import messages as shared
+from dunlinloft.fleet.wire import MOST_DATAGRAM, Refused
 from lab.lines import Ill
 from lab.names import Names
 from lab.scenario import Network, Nodes, Scenario
--- a/lab/virtual/cell_oracle.py
+++ b/lab/virtual/cell_oracle.py
@@ -4,10 +4,10 @@
 
 from collections import defaultdict
 
-from fleet.cells.core import CellMembership
-from fleet.cells.cut import Cut, path
-from fleet.cells.index import Sums
-from fleet.cells.messages import Find
+from dunlinloft.fleet.cells.core import CellMembership
+from dunlinloft.fleet.cells.cut import Cut, path
+from dunlinloft.fleet.cells.index import Sums
+from dunlinloft.fleet.cells.messages import Find
 from lab.virtual.cell_processes import Guide, Member
 from lab.virtual.cells import CellFleet
 
--- a/lab/virtual/cell_processes.py
+++ b/lab/virtual/cell_processes.py
@@ -4,16 +4,16 @@
 
 import math
 
-from fleet import interface as api
-from fleet.cells.core import CellMembership
-from fleet.cells.cut import Cut
-from fleet.cells.directory import Directory
-from fleet.cells.totals import CellCensus
-from fleet.cells.wire import CellWire, DirectoryWire
-from fleet.census import Census
-from fleet.membership.core import Membership
-from fleet.messages import Message, State
-from fleet.wire import Wire
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.cells.core import CellMembership
+from dunlinloft.fleet.cells.cut import Cut
+from dunlinloft.fleet.cells.directory import Directory
+from dunlinloft.fleet.cells.totals import CellCensus
+from dunlinloft.fleet.cells.wire import CellWire, DirectoryWire
+from dunlinloft.fleet.census import Census
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.messages import Message, State
+from dunlinloft.fleet.wire import Wire
 from lab.lines import Line, Lines
 from lab.names import Names
 from lab.virtual.fleet import Fleet
--- a/lab/virtual/cells.py
+++ b/lab/virtual/cells.py
@@ -10,15 +10,15 @@
 
 import random
 
-from fleet import interface as api
-from fleet.cells.core import CellMembership, Place
-from fleet.cells.cut import Cut, path
-from fleet.cells.directory import Directory, Seen
-from fleet.cells.totals import CellCensus
-from fleet.cells.wire import CellWire
-from fleet.census import Census
-from fleet.membership.core import Membership
-from fleet.messages import Fact
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.cells.core import CellMembership, Place
+from dunlinloft.fleet.cells.cut import Cut, path
+from dunlinloft.fleet.cells.directory import Directory, Seen
+from dunlinloft.fleet.cells.totals import CellCensus
+from dunlinloft.fleet.cells.wire import CellWire
+from dunlinloft.fleet.census import Census
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.messages import Fact
 from lab.virtual.cell_meeting import CellMeeting
 from lab.virtual.cell_processes import FLEET, Guide, Hosted, Member
 from lab.virtual.fleet import WALL_MS
--- a/lab/virtual/duties.py
+++ b/lab/virtual/duties.py
@@ -12,10 +12,10 @@
 from itertools import count
 from typing import Any
 
-from fleet.duties.core import Duties
-from fleet.duties.guard import Guard
-from fleet.duties.ledger import DUTY as LEDGER
-from fleet.duties.messages import (
+from dunlinloft.fleet.leases.core import Duties
+from dunlinloft.fleet.leases.guard import Guard
+from dunlinloft.fleet.leases.ledger import DUTY as LEDGER
+from dunlinloft.fleet.leases.messages import (
     ChangeVoters,
     Elected,
     Enter,
@@ -33,7 +33,7 @@
     Tell,
     Voters,
 )
-from fleet.duties.voters import ROW
+from dunlinloft.fleet.leases.voters import ROW
 from lab.virtual import scene
 from lab.virtual.scene import Broken
 
--- a/lab/virtual/fleet.py
+++ b/lab/virtual/fleet.py
@@ -13,9 +13,9 @@
 from itertools import count
 from typing import Any
 
-from fleet import interface as api
-from fleet.membership.core import Membership
-from fleet.messages import Fact
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.messages import Fact
 from lab.lines import Ill, Lines
 from lab.names import Names
 from lab.scenario import Network, Nodes, Scenario
--- a/lab/virtual/host.py
+++ b/lab/virtual/host.py
@@ -10,6 +10,7 @@
 from itertools import count
 from typing import TYPE_CHECKING, Any
 
+from dunlinloft.balancer import interface as api
 from lab import records
 from lab.callers import Done, Order
 from lab.names import CALLERS
@@ -19,7 +20,6 @@
 from lab.servers import Job
 from lab.virtual.node import ANSWER_BYTES, REQUEST_BYTES, Attempt, VirtualNode
 from lab.world import CONNECT_MS, World, release_query
-from nickelbridge import interface as api
 from orchidferry.config import server_id
 
 if TYPE_CHECKING:
--- a/lab/virtual/meeting.py
+++ b/lab/virtual/meeting.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from fleet import interface as api
-from fleet.membership.core import Membership
-from fleet.messages import About, Message, State, size_of
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.messages import About, Message, State, size_of
 from lab.lines import Lines
 from lab.servers import Clock
 
--- a/lab/virtual/member.py
+++ b/lab/virtual/member.py
@@ -6,18 +6,18 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from fleet import interface as api
-from fleet.census import Census
-from fleet.duties import messages as duties
-from fleet.duties.ledger import DUTY as LEDGER
-from fleet.membership.core import Membership
-from fleet.messages import About, Fact
-from fleet.releases.steward import LOOK_MS
-from fleet.shared import messages as shared
-from fleet.shared.core import AFFINITY, RELEASES, Shared, mark
+from dunlinloft.balancer import interface as node_api
+from dunlinloft.balancer.interface import Result
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.census import Census
+from dunlinloft.fleet.leases import messages as duties
+from dunlinloft.fleet.leases.ledger import DUTY as LEDGER
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.messages import About, Fact
+from dunlinloft.fleet.releases.steward import LOOK_MS
+from dunlinloft.fleet.shared_state import messages as shared
+from dunlinloft.fleet.shared_state.core import AFFINITY, RELEASES, Shared, mark
 from lab.virtual.meeting import Meeting, Process
-from nickelbridge import interface as node_api
-from nickelbridge.interface import Result
 from orchidferry.config import key_id
 from orchidferry.duties import DutyHost
 from orchidferry.peers import COUNT_S, of_tier
--- a/lab/virtual/node.py
+++ b/lab/virtual/node.py
@@ -11,17 +11,17 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from fleet import interface as fleet_api
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.interface import Result
+from dunlinloft.balancer.logic import Balancer
+from dunlinloft.balancer.settings import read_settings
+from dunlinloft.fleet import interface as fleet_api
 from lab import records
 from lab.callers import Done, Order
 from lab.records import UNREACHED
 from lab.registry import ACTIVE, LEFT, Entry, told
 from lab.servers import Job, Server
 from lab.settings import settings
-from nickelbridge import interface as api
-from nickelbridge.interface import Result
-from nickelbridge.logic import Balancer
-from nickelbridge.settings import read_settings
 from orchidferry.__main__ import ACCEPT_ON_S
 from orchidferry.config import STATUSES, start_mark
 from orchidferry.node import KNOWN_AGAIN_S, MARGIN_MS
--- a/lab/virtual/plain.py
+++ b/lab/virtual/plain.py
@@ -7,9 +7,9 @@
 
 from collections import defaultdict
 
-from fleet.membership.core import Membership
-from fleet.membership.view import Member
-from fleet.messages import DEAD, Message, Ping, Record
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.membership.view import Member
+from dunlinloft.fleet.messages import DEAD, Message, Ping, Record
 
 EVERY_MS = 1_000.0
 LOSSES = 3
--- a/lab/virtual/shared.py
+++ b/lab/virtual/shared.py
@@ -11,10 +11,10 @@
 from collections import Counter, defaultdict
 from typing import Any
 
-from fleet.census import Census
-from fleet.shared.affinity import Place
-from fleet.shared.core import PARTS, Shared
-from fleet.shared.messages import Fired, Heard, Known, Message, Part, Seen, SetTimer, Tell
+from dunlinloft.fleet.census import Census
+from dunlinloft.fleet.shared_state.affinity import Place
+from dunlinloft.fleet.shared_state.core import PARTS, Shared
+from dunlinloft.fleet.shared_state.messages import Fired, Heard, Known, Message, Part, Seen, SetTimer, Tell
 from lab.virtual import scene
 from lab.virtual.scene import Broken
 
--- a/nickelbridge/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""nickelbridge: a load balancer's decisions for services that call services."""
--- a/orchidferry/__init__.py
+++ b/orchidferry/__init__.py
@@ -1,3 +1,3 @@
-"""orchidferry: a load-balancing node on real sockets, round the decisions of nickelbridge."""
+"""orchidferry: a load-balancing node on real sockets, round the decisions of `dunlinloft.balancer`."""
 
 VERSION = "0.1.0"  # of the program, as in pyproject.toml
--- a/orchidferry/cells.py
+++ b/orchidferry/cells.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from fleet.cells.core import CellMembership, Place
-from fleet.cells.cut import path
-from fleet.cells.totals import BOUND_MS, CellCensus
-from fleet.cells.wire import CellWire
-from fleet.messages import Fact
+from dunlinloft.fleet.cells.core import CellMembership, Place
+from dunlinloft.fleet.cells.cut import path
+from dunlinloft.fleet.cells.totals import BOUND_MS, CellCensus
+from dunlinloft.fleet.cells.wire import CellWire
+from dunlinloft.fleet.messages import Fact
 from orchidferry import logs
 from orchidferry.config import CellsConfig, FleetConfig, now_ms
 
--- a/orchidferry/config.py
+++ b/orchidferry/config.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from nickelbridge import interface as api
-from nickelbridge.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
 from orchidferry import logs
 
 Address = tuple[str, int]
--- a/orchidferry/directory.py
+++ b/orchidferry/directory.py
@@ -16,16 +16,16 @@
 
 import uvloop
 
-from fleet import interface as api
-from fleet.cells import directory as cells
-from fleet.cells.index import Cell, Service
-from fleet.cells.messages import Found
-from fleet.cells.messages import Message as CellMessage
-from fleet.cells.totals import BOUND_MS
-from fleet.cells.wire import DirectoryWire
-from fleet.messages import About, Message
-from fleet.shared import messages as shared
-from fleet.wire import Refused
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.cells import directory as cells
+from dunlinloft.fleet.cells.index import Cell, Service
+from dunlinloft.fleet.cells.messages import Found
+from dunlinloft.fleet.cells.messages import Message as CellMessage
+from dunlinloft.fleet.cells.totals import BOUND_MS
+from dunlinloft.fleet.cells.wire import DirectoryWire
+from dunlinloft.fleet.messages import About, Message
+from dunlinloft.fleet.shared_state import messages as shared
+from dunlinloft.fleet.wire import Refused
 from orchidferry import logs
 from orchidferry.config import BadConfig, DirectoryConfig, now_ms, read_directory
 from orchidferry.management import AdminEndpoint
--- a/orchidferry/discovery.py
+++ b/orchidferry/discovery.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from nickelbridge.settings import Malformed
+from dunlinloft.balancer.settings import Malformed
 from orchidferry.config import Address, Listing, read_listing
 
 WATCH_MS = 1_000  # how long discovery may keep a watch open: one that falls silent is noticed no sooner
--- a/orchidferry/duties.py
+++ b/orchidferry/duties.py
@@ -15,16 +15,16 @@
 from typing import Any, Protocol
 from urllib.parse import parse_qs
 
-from fleet import interface as api
-from fleet.duties import messages as duties
-from fleet.duties.core import Duties
-from fleet.duties.guard import Guard
-from fleet.duties.ledger import DUTY as LEDGER
-from fleet.duties.ledger import OPEN, Ledger
-from fleet.duties.watch import DUTY as WATCH
-from fleet.duties.watch import Watch
-from fleet.membership.core import Membership
-from fleet.messages import About, Ack, Fact, Message
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.leases import messages as duties
+from dunlinloft.fleet.leases.core import Duties
+from dunlinloft.fleet.leases.guard import Guard
+from dunlinloft.fleet.leases.ledger import DUTY as LEDGER
+from dunlinloft.fleet.leases.ledger import OPEN, Ledger
+from dunlinloft.fleet.leases.watch import DUTY as WATCH
+from dunlinloft.fleet.leases.watch import Watch
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.messages import About, Ack, Fact, Message
 from orchidferry import logs
 from orchidferry.config import now_ms
 
--- a/orchidferry/node.py
+++ b/orchidferry/node.py
@@ -13,9 +13,9 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from nickelbridge import interface as api
-from nickelbridge.interface import Result
-from nickelbridge.logic import Balancer
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.interface import Result
+from dunlinloft.balancer.logic import Balancer
 from orchidferry import logs
 from orchidferry.bodies import Memory
 from orchidferry.config import Address, Config, FleetConfig, Listing, key_id, now_ms
--- a/orchidferry/peers.py
+++ b/orchidferry/peers.py
@@ -13,20 +13,20 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, cast
 
-from fleet import interface as api
-from fleet.cells.cut import Cut
-from fleet.cells.messages import Message as CellMessage
-from fleet.census import Census
-from fleet.duties import messages as duties
-from fleet.duties.ledger import DUTY as LEDGER
-from fleet.membership.core import Membership
-from fleet.messages import STATUSES, About, Ack, Fact, Message, Ping, State
-from fleet.releases.steward import LOOK_MS
-from fleet.shared import messages as shared
-from fleet.shared.core import RELEASES
-from fleet.wire import MOST_STATE, Refused, Wire
-from nickelbridge.interface import Event, Settings
-from nickelbridge.logic import Balancer
+from dunlinloft.balancer.interface import Event, Settings
+from dunlinloft.balancer.logic import Balancer
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.cells.cut import Cut
+from dunlinloft.fleet.cells.messages import Message as CellMessage
+from dunlinloft.fleet.census import Census
+from dunlinloft.fleet.leases import messages as duties
+from dunlinloft.fleet.leases.ledger import DUTY as LEDGER
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.messages import STATUSES, About, Ack, Fact, Message, Ping, State
+from dunlinloft.fleet.releases.steward import LOOK_MS
+from dunlinloft.fleet.shared_state import messages as shared
+from dunlinloft.fleet.shared_state.core import RELEASES
+from dunlinloft.fleet.wire import MOST_STATE, Refused, Wire
 from orchidferry import VERSION, logs
 from orchidferry.config import Address, Config, FleetConfig, address, now_ms
 from orchidferry.duties import DutyHost
@@ -34,7 +34,7 @@
 from orchidferry.shared import SharedHost
 
 if TYPE_CHECKING:
-    from fleet.cells.totals import CellCensus
+    from dunlinloft.fleet.cells.totals import CellCensus
     from orchidferry.cells import CellHost
 
 SOCKETS = 28  # of the node's limit: two of its own, and what follows
--- a/orchidferry/releases.py
+++ b/orchidferry/releases.py
@@ -7,11 +7,11 @@
 from typing import Any
 from urllib.parse import parse_qs
 
-from fleet.duties.ledger import Ledger
-from fleet.releases.messages import ENDED, ROW, NotSo, Order, Plan, Tally, read_plan, read_wanted
-from fleet.releases.steward import FRESH_MS, Steward, Telling
-from fleet.shared.core import Shared
-from fleet.shared.messages import TALLY, Steer
+from dunlinloft.fleet.leases.ledger import Ledger
+from dunlinloft.fleet.releases.messages import ENDED, ROW, NotSo, Order, Plan, Tally, read_plan, read_wanted
+from dunlinloft.fleet.releases.steward import FRESH_MS, Steward, Telling
+from dunlinloft.fleet.shared_state.core import Shared
+from dunlinloft.fleet.shared_state.messages import TALLY, Steer
 from orchidferry.config import server_id
 from orchidferry.duties import Entries
 
--- a/orchidferry/shared.py
+++ b/orchidferry/shared.py
@@ -11,16 +11,16 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from fleet.cells.totals import CellCensus
-from fleet.census import Census
-from fleet.membership.core import Membership
-from fleet.messages import About, Message
-from fleet.releases.member import Server
-from fleet.shared import messages as shared
-from fleet.shared.core import AFFINITY, LIMITS, PARTS, RELEASES, Shared, mark
-from nickelbridge import interface as api
-from nickelbridge.interface import Result
-from nickelbridge.logic import Balancer
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.interface import Result
+from dunlinloft.balancer.logic import Balancer
+from dunlinloft.fleet.cells.totals import CellCensus
+from dunlinloft.fleet.census import Census
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.messages import About, Message
+from dunlinloft.fleet.releases.member import Server
+from dunlinloft.fleet.shared_state import messages as shared
+from dunlinloft.fleet.shared_state.core import AFFINITY, LIMITS, PARTS, RELEASES, Shared, mark
 from orchidferry import logs
 from orchidferry.config import FleetConfig, Listing, now_ms
 
--- a/orchidferry/upstream.py
+++ b/orchidferry/upstream.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from nickelbridge.interface import Result
+from dunlinloft.balancer.interface import Result
 from orchidferry.bodies import MAX_BODY, PIECE, WHOLE, Body, Memory
 from orchidferry.config import Address, now_ms
 from orchidferry.sockets import descriptor, shows
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass, field
 
-from nickelbridge import interface as api
-from nickelbridge.interface import Group, Health, ListKind, Repeat, Result
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.interface import Group, Health, ListKind, Repeat, Result
 
 
 class Broken(AssertionError):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from nickelbridge import interface as api
-from nickelbridge.logic import Balancer
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.logic import Balancer
 
 SAFE = api.RequestClass("safe", 1000.0, 3000.0, 1.0, repeat=api.Repeat.SAFE)
 KEYED = api.RequestClass("keyed", 1000.0, 3000.0, 2.0, 0.0, api.Repeat.KEYED, api.Group.CELL, 2000.0)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from nickelbridge import interface as api
+from dunlinloft.balancer import interface as api
 from orchidferry import frontend
 from orchidferry.bodies import PIECE, WHOLE, Body, Memory
 from orchidferry.config import Address
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -14,7 +14,7 @@
 
 from dunlinloft.capacitycli import EXPERIMENTS
 from dunlinloft.cli import main
-from fleet.wire import MOST_STATE, Wire
+from dunlinloft.fleet.wire import MOST_STATE, Wire
 from lab.capacity import added, chain, membership, model, shared, sizes
 from lab.capacity.model import Experiment, Figure, Plan, Sample, fit, read_report, run
 from lab.fit import line
--- a/tests/test_cell_directory.py
+++ b/tests/test_cell_directory.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from fleet.cells.cut import Cut
-from fleet.cells.directory import Directory, Replica, Said, Seen
-from fleet.cells.messages import Report, Summary
-from fleet.shared.messages import Heard, Pour, Pull
-from fleet.shared.spread import Spread
+from dunlinloft.fleet.cells.cut import Cut
+from dunlinloft.fleet.cells.directory import Directory, Replica, Said, Seen
+from dunlinloft.fleet.cells.messages import Report, Summary
+from dunlinloft.fleet.shared_state.messages import Heard, Pour, Pull
+from dunlinloft.fleet.shared_state.spread import Spread
 from lab.virtual.askers import Askers
 
 
--- a/tests/test_cell_faults.py
+++ b/tests/test_cell_faults.py
@@ -7,20 +7,20 @@
 
 import pytest
 
-from fleet.cells import core as core_module
-from fleet.cells import cut as cut_module
-from fleet.cells import index as index_module
-from fleet.cells import totals as totals_module
-from fleet.cells.core import CellMembership
-from fleet.cells.cut import Cut, path
-from fleet.cells.directory import Directory
-from fleet.cells.index import Cell, Index, Sums, tally
-from fleet.cells.messages import Find, Found, Report
-from fleet.cells.pointers import Pointers
-from fleet.cells.totals import WHOLE, CellCensus, Totals
-from fleet.cells.wire import CellWire
-from fleet.membership.core import Membership
-from fleet.messages import DEAD, Record
+from dunlinloft.fleet.cells import core as core_module
+from dunlinloft.fleet.cells import cut as cut_module
+from dunlinloft.fleet.cells import index as index_module
+from dunlinloft.fleet.cells import totals as totals_module
+from dunlinloft.fleet.cells.core import CellMembership
+from dunlinloft.fleet.cells.cut import Cut, path
+from dunlinloft.fleet.cells.directory import Directory
+from dunlinloft.fleet.cells.index import Cell, Index, Sums, tally
+from dunlinloft.fleet.cells.messages import Find, Found, Report
+from dunlinloft.fleet.cells.pointers import Pointers
+from dunlinloft.fleet.cells.totals import WHOLE, CellCensus, Totals
+from dunlinloft.fleet.cells.wire import CellWire
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.messages import DEAD, Record
 from tests import test_cell_laws as laws
 from tests import test_cells as hard
 
--- a/tests/test_cell_laws.py
+++ b/tests/test_cell_laws.py
@@ -10,17 +10,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fleet.cells import index as index_module
-from fleet.cells.cut import MOST_DEPTH, PATH_BITS, Cut, newer, path, shared_bits
-from fleet.cells.directory import Directory, Said
-from fleet.cells.index import FORGET_MS, MOST_VOICES, SETTLE_MS, Cell, Index, Voice, covers, tally
-from fleet.cells.messages import Find, Found, Report, Summary
-from fleet.cells.pointers import MOST_POINTERS, Pointers
-from fleet.cells.totals import BOUND_MS, CellCensus, Totals
-from fleet.census import HOLD_MS
-from fleet.interface import Post
-from fleet.membership.view import View
-from fleet.messages import Record
+from dunlinloft.fleet.cells import index as index_module
+from dunlinloft.fleet.cells.cut import MOST_DEPTH, PATH_BITS, Cut, newer, path, shared_bits
+from dunlinloft.fleet.cells.directory import Directory, Said
+from dunlinloft.fleet.cells.index import FORGET_MS, MOST_VOICES, SETTLE_MS, Cell, Index, Voice, covers, tally
+from dunlinloft.fleet.cells.messages import Find, Found, Report, Summary
+from dunlinloft.fleet.cells.pointers import MOST_POINTERS, Pointers
+from dunlinloft.fleet.cells.totals import BOUND_MS, CellCensus, Totals
+from dunlinloft.fleet.census import HOLD_MS
+from dunlinloft.fleet.interface import Post
+from dunlinloft.fleet.membership.view import View
+from dunlinloft.fleet.messages import Record
 
 LEAVES = 6  # bits that these tests look at
 PATHS = st.integers(0, (1 << LEAVES) - 1).map(lambda leaf: leaf << (PATH_BITS - LEAVES))
--- a/tests/test_cell_random.py
+++ b/tests/test_cell_random.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from fleet import interface as api
+from dunlinloft.fleet import interface as api
 from lab.lines import Ill
 from lab.virtual.cell_oracle import Watch, by_service, quiet, sums
 from lab.virtual.cells import CellFleet
--- a/tests/test_cell_wire.py
+++ b/tests/test_cell_wire.py
@@ -10,17 +10,17 @@
 import msgspec
 import pytest
 
-from fleet import interface as api
-from fleet import wire
-from fleet.cells.core import CellMembership, Place
-from fleet.cells.cut import MOST_DEPTH, MOST_EPOCH, Cut
-from fleet.cells.directory import Directory, Said
-from fleet.cells.index import sound
-from fleet.cells.messages import Find, Found, Report, Summary
-from fleet.cells.wire import CellWire, DirectoryWire
-from fleet.cells.words import SERVICE
-from fleet.messages import ALIVE, Ack, Gossip, Head, Ping, Record, State
-from fleet.wire import MOST_DATAGRAM, Refused, Wire
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet import wire
+from dunlinloft.fleet.cells.core import CellMembership, Place
+from dunlinloft.fleet.cells.cut import MOST_DEPTH, MOST_EPOCH, Cut
+from dunlinloft.fleet.cells.directory import Directory, Said
+from dunlinloft.fleet.cells.index import sound
+from dunlinloft.fleet.cells.messages import Find, Found, Report, Summary
+from dunlinloft.fleet.cells.wire import CellWire, DirectoryWire
+from dunlinloft.fleet.cells.words import SERVICE
+from dunlinloft.fleet.messages import ALIVE, Ack, Gossip, Head, Ping, Record, State
+from dunlinloft.fleet.wire import MOST_DATAGRAM, Refused, Wire
 
 LONG = "x" * 64
 CUT = Cut(3, 2, 1)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from fleet.cells.core import CellMembership
-from fleet.cells.cut import Cut, path
-from fleet.cells.directory import LEARNING_MS
-from fleet.cells.totals import BOUND_MS
-from fleet.census import HOLD_MS
-from fleet.membership.core import Membership
+from dunlinloft.fleet.cells.core import CellMembership
+from dunlinloft.fleet.cells.cut import Cut, path
+from dunlinloft.fleet.cells.directory import LEARNING_MS
+from dunlinloft.fleet.cells.totals import BOUND_MS
+from dunlinloft.fleet.census import HOLD_MS
+from dunlinloft.fleet.membership.core import Membership
 from lab.virtual.cell_oracle import Watch, amiss, cells, parted, quiet, sums, told_right
 from lab.virtual.cells import CellFleet
 
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -17,7 +17,7 @@
 
 from dunlinloft.cellscli import cell_text, cells_table
 from dunlinloft.check import check_file
-from fleet.cells.cut import path
+from dunlinloft.fleet.cells.cut import path
 from lab.processes.block import Block, text
 from orchidferry.config import BadConfig, CellsConfig, DirectoryConfig, FleetConfig, read_directory
 from orchidferry.directory import DirectoryHost
@@ -238,8 +238,9 @@
     assert made.fleet is not None and made.fleet.cells is None and settings()
     code = (
         "import sys, orchidferry.peers; "
-        "print(sorted(set(sys.modules) & {'orchidferry.cells', 'fleet.cells.core', 'fleet.cells.wire', "
-        "'fleet.cells.index', 'fleet.cells.directory'}))"
+        "print(sorted(set(sys.modules) & {'orchidferry.cells', 'dunlinloft.fleet.cells.core', "
+        "'dunlinloft.fleet.cells.wire', "
+        "'dunlinloft.fleet.cells.index', 'dunlinloft.fleet.cells.directory'}))"
     )
     found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
     assert found.stdout.strip() == "[]"
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from nickelbridge.logic import ADDED, PHASE_MARGIN, START, TARGET_SHARE, DelayController
+from dunlinloft.balancer.logic import ADDED, PHASE_MARGIN, START, TARGET_SHARE, DelayController
 
 
 def steady(controller: DelayController, delay_ms: float, count: int, gap_ms: float = 100.0) -> float:
--- a/tests/test_dataplane_parts.py
+++ b/tests/test_dataplane_parts.py
@@ -9,6 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from dunlinloft.balancer.logic import DelayController
 from dunlinloft.configuration import Backend, Configuration, Route, Service, Tenant
 from dunlinloft.coordination.digests import RANGES, RangeDigests, range_of
 from dunlinloft.coordination.stream import ServerNews, ServerRecord
@@ -19,7 +20,6 @@
 from dunlinloft.dataplane.servers import ANSWERED_MS, ServerNeeds, ServerTable, ServicePool
 from dunlinloft.dataplane.upstream import stated_idle_s
 from dunlinloft.dataplane.verdict import Verdict, verdict_of_answer, verdict_of_break
-from nickelbridge.logic import DelayController
 
 
 def _route(name: str, prefix: str, host: str = "a.example") -> Route:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -9,11 +9,11 @@
 import pytest
 from msgspec.structs import replace
 
-from fleet.duties.candidate import Candidate
-from fleet.duties.core import Duties, order
-from fleet.duties.ledger import DUTY as LEDGER
-from fleet.duties.ledger import MOST_ROWS, Ledger
-from fleet.duties.messages import (
+from dunlinloft.fleet.leases.candidate import Candidate
+from dunlinloft.fleet.leases.core import Duties, order
+from dunlinloft.fleet.leases.ledger import DUTY as LEDGER
+from dunlinloft.fleet.leases.ledger import MOST_ROWS, Ledger
+from dunlinloft.fleet.leases.messages import (
     Accepted,
     Action,
     ChangeVoters,
@@ -26,8 +26,8 @@
     Seen,
     Settled,
 )
-from fleet.duties.voter import Voter
-from fleet.duties.voters import IDLE, Change
+from dunlinloft.fleet.leases.voter import Voter
+from dunlinloft.fleet.leases.voters import IDLE, Change
 from lab.virtual.duties import LATE_SEEN_MS, Process, World
 from lab.virtual.scene import Broken
 
@@ -269,7 +269,7 @@
 def test_a_planted_fault_is_caught(
     what: str, where: str, broken: type, seen: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("fleet.duties.core." + where, broken)
+    monkeypatch.setattr("dunlinloft.fleet.leases.core." + where, broken)
     assert seen in breaks(50, harsh=seen == TWO)
 
 
@@ -315,7 +315,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     restart_voters_under_a_lease()
-    monkeypatch.setattr("fleet.duties.core.Voter", Amnesiac)
+    monkeypatch.setattr("dunlinloft.fleet.leases.core.Voter", Amnesiac)
     with pytest.raises(Broken, match=TWO):
         restart_voters_under_a_lease()
 
@@ -513,7 +513,9 @@
 
 
 def two_at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr("fleet.duties.core.changed", lambda voters, add, remove, here: ("m2", "m3", "m4"))
+    patch.setattr(
+        "dunlinloft.fleet.leases.core.changed", lambda voters, add, remove, here: ("m2", "m3", "m4")
+    )
 
 
 def any_epoch(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from fleet.duties.candidate import Candidate
-from fleet.duties.guard import Guard
-from fleet.duties.ledger import Ledger
-from fleet.duties.messages import Adopted, Tell
-from fleet.duties.voter import Voter
-from fleet.duties.voters import RESTING, TELLING, Change
+from dunlinloft.fleet.leases.candidate import Candidate
+from dunlinloft.fleet.leases.guard import Guard
+from dunlinloft.fleet.leases.ledger import Ledger
+from dunlinloft.fleet.leases.messages import Adopted, Tell
+from dunlinloft.fleet.leases.voter import Voter
+from dunlinloft.fleet.leases.voters import RESTING, TELLING, Change
 from lab.explore import duties as duties_system
 from lab.explore.duties import Duties
 from lab.explore.ledger import LedgerSystem
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from nickelbridge import interface as api
+from dunlinloft.balancer import interface as api
 from orchidferry import frontend
 from orchidferry.handover import Siblings, handed_socket
 from tests.helpers import Node
--- a/tests/test_lab_oracle.py
+++ b/tests/test_lab_oracle.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from dunlinloft.balancer import interface as api
 from lab import records
 from lab.callers import Done, Order
 from lab.day import Witness, play_virtual
@@ -17,7 +18,6 @@
 from lab.scenario import Scenario, load, parse
 from lab.virtual.host import VirtualHost
 from lab.virtual.node import Attempt, VirtualNode
-from nickelbridge import interface as api
 
 DAY = """
 name = "planted"
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-LOGIC = (ROOT / "nickelbridge" / "logic.py").read_text().splitlines()
+LOGIC = (ROOT / "dunlinloft" / "balancer" / "logic.py").read_text().splitlines()
 
 
 def test_the_module_keeps_its_lines_and_columns() -> None:
@@ -13,7 +13,7 @@
 
 
 def test_the_module_names_its_interface_at_the_top() -> None:
-    assert "nickelbridge/interface.py" in LOGIC[0]
+    assert "dunlinloft/balancer/interface.py" in LOGIC[0]
 
 
 def test_the_readme_quick_start_runs() -> None:
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from nickelbridge import affine, logic
-from nickelbridge import interface as api
-from nickelbridge.averages import SlidingCount
-from nickelbridge.interface import Result
+from dunlinloft.balancer import affine, logic
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.averages import SlidingCount
+from dunlinloft.balancer.interface import Result
 from tests.helpers import KEYED, SAFE, UNSAFE, Node, ends, entries, sends, settings, timers
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,13 +12,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fleet import interface as api
-from fleet import wire
-from fleet.membership import core as core_module
-from fleet.membership.core import Membership
-from fleet.membership.suspicion import wait_ms
-from fleet.membership.view import MOST_BURIED, Member, View
-from fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, Gossip, Head, Ping, Record, State, size_of
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet import wire
+from dunlinloft.fleet.membership import core as core_module
+from dunlinloft.fleet.membership.core import Membership
+from dunlinloft.fleet.membership.suspicion import wait_ms
+from dunlinloft.fleet.membership.view import MOST_BURIED, Member, View
+from dunlinloft.fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, Gossip, Head, Ping, Record, State, size_of
 from lab.lines import Ill
 from lab.virtual.fleet import Fleet
 from lab.virtual.scene import Broken
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,8 +16,8 @@
 
 import pytest
 
-from nickelbridge import interface as api
-from nickelbridge.logic import Balancer
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.logic import Balancer
 from orchidferry import discovery, frontend
 from orchidferry.__main__ import reload
 from orchidferry.config import address, server_id
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from nickelbridge.interface import Result
+from dunlinloft.balancer.interface import Result
 from orchidferry import upstream
 from orchidferry.bodies import Body, Memory
 from orchidferry.config import Address
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -18,10 +18,10 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from fleet import interface as api
-from fleet import wire
-from fleet.census import HOLD_MS, Census
-from fleet.messages import Head, Ping, Record, State
+from dunlinloft.fleet import interface as api
+from dunlinloft.fleet import wire
+from dunlinloft.fleet.census import HOLD_MS, Census
+from dunlinloft.fleet.messages import Head, Ping, Record, State
 from lab.processes.block import Block, text
 from lab.processes.day import play_processes
 from lab.scenario import parse
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -12,10 +12,10 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from nickelbridge import interface as api
-from nickelbridge import logic
-from nickelbridge.interface import Result
-from nickelbridge.logic import Balancer
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer import logic
+from dunlinloft.balancer.interface import Result
+from dunlinloft.balancer.logic import Balancer
 from tests.checker import Broken, Checker
 from tests.helpers import settings
 
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from nickelbridge import interface as api
-from nickelbridge.logic import Balancer
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.logic import Balancer
 from orchidferry import frontend
 from orchidferry.frontend import Reply
 from orchidferry.node import UNHEARD_S, Node
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -14,11 +14,13 @@
 from hypothesis import strategies as st
 from msgspec.msgpack import decode, encode
 
-from fleet.duties.ledger import MOST_VALUE
-from fleet.releases import judge
-from fleet.releases.judge import SCORES, Judge, Stratum, Times, log_ratio, log_tilt
-from fleet.releases.member import Follower, Server
-from fleet.releases.messages import (
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.interface import Result
+from dunlinloft.fleet.leases.ledger import MOST_VALUE
+from dunlinloft.fleet.releases import judge
+from dunlinloft.fleet.releases.judge import SCORES, Judge, Stratum, Times, log_ratio, log_tilt
+from dunlinloft.fleet.releases.member import Follower, Server
+from dunlinloft.fleet.releases.messages import (
     BACK,
     BAKING,
     DONE,
@@ -34,11 +36,9 @@
     read_plan,
     read_wanted,
 )
-from fleet.releases.steward import Steward, Telling
+from dunlinloft.fleet.releases.steward import Steward, Telling
 from lab.processes.day import play_processes
 from lab.scenario import parse
-from nickelbridge import interface as api
-from nickelbridge.interface import Result
 from tests.helpers import Node
 
 # The judge
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from nickelbridge import interface as api
-from nickelbridge.interface import Result
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.interface import Result
 from orchidferry.config import BadConfig, read_change, read_config
 from tests import peers
 from tests.helpers import SAFE, Node, ends, entries, settings
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -10,12 +10,12 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from fleet.shared import affinity, limits, spread, store, verdicts
-from fleet.shared.core import Shared
-from fleet.shared.limits import part
-from fleet.shared.messages import PULSE, Asked, Cell, Entry, Findings, Ordered, Pulse, encode
-from fleet.shared.verdicts import Pool
-from fleet.shared.witness import Witness
+from dunlinloft.fleet.shared_state import affinity, limits, spread, store, verdicts
+from dunlinloft.fleet.shared_state.core import Shared
+from dunlinloft.fleet.shared_state.limits import part
+from dunlinloft.fleet.shared_state.messages import PULSE, Asked, Cell, Entry, Findings, Ordered, Pulse, encode
+from dunlinloft.fleet.shared_state.verdicts import Pool
+from dunlinloft.fleet.shared_state.witness import Witness
 from lab.virtual.scene import Broken
 from lab.virtual.shared import QUOTA, ZONES, World
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -57,7 +57,8 @@
 def run(lines: list[Any], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     text = "".join((line if isinstance(line, str) else json.dumps(line)) + "\n" for line in lines)
     return subprocess.run(
-        [sys.executable, "-m", "nickelbridge.wirehost"], input=text, capture_output=True, text=True, cwd=ROOT,
+        [sys.executable, "-m", "dunlinloft.balancer.wirehost"], input=text,
+        capture_output=True, text=True, cwd=ROOT,
         env={**os.environ, "PYTHONHASHSEED": hash_seed}, timeout=60, check=False,
     )  # fmt: skip
 
