--- a/lab/router/fleet.py
+++ b/lab/router/fleet.py
@@ -30,13 +30,14 @@
     settings: Path
     log: Path
     process: subprocess.Popen[bytes] | None = None
+    source: Path = ROOT  # the tree whose programs it runs; another version's where two run side by side
 
     def start(self) -> None:
         """Start it, or start it again."""
-        environment = {**os.environ, "PYTHONPATH": str(ROOT), "DUNLINLOFT_CONFIG": str(self.settings)}
+        environment = {**os.environ, "PYTHONPATH": str(self.source), "DUNLINLOFT_CONFIG": str(self.settings)}
         with self.log.open("ab") as log:
             command = [sys.executable, "-m", f"dunlinloft.{self.program}"]
-            self.process = subprocess.Popen(command, cwd=ROOT, env=environment, stdout=log, stderr=log)
+            self.process = subprocess.Popen(command, cwd=self.source, env=environment, stdout=log, stderr=log)
 
     def send(self, number: signal.Signals) -> None:
         """Send a signal."""
@@ -64,6 +65,7 @@
     controls: int = 3
     nodes: int = 2
     grace_s: float = 4.0
+    sources: dict[str, Path] = field(default_factory=dict)  # by process name, where it isn't this tree
     control: list[Process] = field(default_factory=list)
     data: list[Process] = field(default_factory=list)
 
@@ -81,7 +83,7 @@
     def _process(self, name: str, program: str, host: str, seeds: list[str], counts: bool) -> Process:
         settings = self.folder / f"{name}.toml"
         log = self.folder / f"{name}.log"
-        process = Process(name, program, host, settings, log)
+        process = Process(name, program, host, settings, log, source=self.sources.get(name, ROOT))
         self.write_settings(process, seeds, counts, bootstrap=True)
         return process
 
