--- a/lab/balancer_driver.py
+++ b/lab/balancer_driver.py
@@ -6,8 +6,8 @@
 import random
 from itertools import count
 
-from nickelbridge import interface as balancer_api
-from nickelbridge.logic import Balancer
+from dunlinloft.balancer import interface as balancer_api
+from dunlinloft.balancer.logic import Balancer
 
 
 class BalancerDriver:
--- a/lab/behaviour_runs.py
+++ b/lab/behaviour_runs.py
@@ -5,6 +5,7 @@
 import random
 from collections.abc import Callable
 
+from dunlinloft.balancer.logic import DelayController
 from dunlinloft.coordination.quotas import QuotaBounds, QuotaLimit
 from lab.balancer_driver import BalancerDriver
 from lab.control import world as control_world
@@ -21,7 +22,6 @@
 from lab.virtual import duties, shared
 from lab.virtual.cells import CellFleet
 from lab.virtual.fleet import Fleet
-from nickelbridge.logic import DelayController
 
 SCENARIO_SEED = 1
 QUOTA_BOUNDS = QuotaBounds(8.0, 0.1, 72_000.0)
--- a/lab/observation.py
+++ b/lab/observation.py
@@ -21,6 +21,7 @@
 
 import msgspec
 
+from dunlinloft.balancer.logic import Balancer
 from dunlinloft.coordination.quotas import QuotaOwner
 from lab.control.cluster import Cluster
 from lab.control.quota_cluster import QuotaCluster
@@ -31,7 +32,6 @@
 from lab.virtual.node import VirtualNode
 from lab.virtual.scene import Scene
 from lab.world import World
-from nickelbridge.logic import Balancer
 
 DIGEST_BYTES = 8
 
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -29,15 +29,15 @@
 from dunlinloft import configuration, settings
 from dunlinloft.controlplane import api, known_members, store
 from dunlinloft.coordination import durable, stream
+from dunlinloft.fleet import messages as member_messages
+from dunlinloft.fleet import wire
+from dunlinloft.fleet.cells import cut
+from dunlinloft.fleet.cells import messages as cell_messages
+from dunlinloft.fleet.cells import wire as cell_wire
+from dunlinloft.fleet.leases import voters
+from dunlinloft.fleet.releases import messages as release_messages
+from dunlinloft.fleet.shared_state import messages as shared_messages
 from dunlinloft.transport import lines
-from fleet import messages as member_messages
-from fleet import wire
-from fleet.cells import cut
-from fleet.cells import messages as cell_messages
-from fleet.cells import wire as cell_wire
-from fleet.duties import voters
-from fleet.releases import messages as release_messages
-from fleet.shared import messages as shared_messages
 from lab import cells as lab_cells
 from lab import records, results
 from lab.capacity import model
