--- a/dunlinloft/controlplane/__main__.py
+++ b/dunlinloft/controlplane/__main__.py
@@ -19,7 +19,7 @@
 
 
 if __name__ == "__main__":
-    gc.disable()  # nothing that imports make is garbage; `start` enables it
-    from dunlinloft.transport.program import start
+    gc.disable()  # nothing that imports make is garbage; `run_program` enables it
+    from dunlinloft.transport.program import run_program
 
-    start(load)
+    run_program(load)
--- a/dunlinloft/controlplane/distribution.py
+++ b/dunlinloft/controlplane/distribution.py
@@ -15,7 +15,7 @@
     Version,
     Whole,
 )
-from dunlinloft.transport import lines
+from dunlinloft.transport import message_stream
 
 
 @dataclass(slots=True, eq=False)
@@ -23,7 +23,7 @@
     """One subscribed node."""
 
     node: str
-    writer: lines.LineWriter
+    writer: message_stream.MessageWriter
     sent: ConfigurationId  # last sent
     held: ConfigurationId  # last acknowledged
     wants_configurations: bool  # else versions alone
@@ -83,12 +83,12 @@
             self._tell_state()
 
     def _tell_state(self) -> None:
-        notice = lines.encoded(Version(self._id))
+        notice = message_stream.encode_frame(Version(self._id))
         for stream in self.streams:
             if stream.wants_configurations:
                 self._send_state(stream)
             else:
-                stream.writer.send_line(notice)
+                stream.writer.send_frame(notice)
 
     def fetch(self, stream: NodeStream, held: ConfigurationId) -> None:
         """A node lacks a configuration that it was told of."""
@@ -101,9 +101,9 @@
         as_change = self._update is not None and self._base == stream.sent
         line = self._lines.get(as_change)
         if line is None:
-            line = self._lines[as_change] = lines.encoded(self._message(as_change))
+            line = self._lines[as_change] = message_stream.encode_frame(self._message(as_change))
         stream.sent = self._id
-        stream.writer.send_line(line)
+        stream.writer.send_frame(line)
 
     def _message(self, as_change: bool) -> Delta | Whole:
         if as_change and self._update is not None:
@@ -113,19 +113,19 @@
     def server_news(self, news: ServerNews) -> None:
         """Tell all of servers that came, changed or went."""
         if news.changed or news.gone:
-            self.to_all(lines.encoded(news))
+            self.to_all(message_stream.encode_frame(news))
 
     def set_replicas(self, replicas: Replicas) -> None:
         """Tell all how the control plane is now."""
         if replicas != self._replicas:
             self._replicas = replicas
-            self.to_all(lines.encoded(replicas))
+            self.to_all(message_stream.encode_frame(replicas))
 
     def servers_complete(self) -> None:
         """Tell all that every server has had time to be heard."""
-        self.to_all(lines.encoded(ServersComplete()))
+        self.to_all(message_stream.encode_frame(ServersComplete()))
 
     def to_all(self, line: bytes) -> None:
         """Send one line to every node."""
         for stream in self.streams:
-            stream.writer.send_line(line)
+            stream.writer.send_frame(line)
--- a/dunlinloft/controlplane/links.py
+++ b/dunlinloft/controlplane/links.py
@@ -6,7 +6,8 @@
 
 import msgspec
 
-from dunlinloft.transport import lines
+from dunlinloft.transport import message_stream
+from dunlinloft.transport.exceptions import ConnectError
 
 REDIAL_S = 0.08
 IDLE_FORGET_S = 60.0
@@ -18,7 +19,7 @@
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self._writer: lines.LineWriter | None = None
+        self._writer: message_stream.MessageWriter | None = None
         self._early: list[bytes] = []
         self.used_s = 0.0
         self.task = asyncio.create_task(self._keep())
@@ -26,21 +27,21 @@
     def send(self, line: bytes) -> None:
         """Send a line, or keep it while the first connection is being made."""
         if self._writer is not None:
-            self._writer.send_line(line)
+            self._writer.send_frame(line)
         elif len(self._early) < QUEUE_MOST:
             self._early.append(line)
 
     async def _keep(self) -> None:
         while True:
             try:
-                reader, writer = await lines.connect(self.address)
-            except (OSError, TimeoutError):
+                reader, writer = await message_stream.connect(self.address)
+            except ConnectError:
                 self._early.clear()
                 await asyncio.sleep(REDIAL_S)
                 continue
-            self._writer = lines.LineWriter(writer)
+            self._writer = message_stream.MessageWriter(writer)
             for line in self._early:
-                self._writer.send_line(line)
+                self._writer.send_frame(line)
             self._early.clear()
             try:
                 await reader.read(1)  # the other side never writes: this waits for the end
@@ -60,9 +61,9 @@
 
     def send(self, address: str, message: msgspec.Struct) -> None:
         """Send a message to the replica at an address."""
-        self.send_line(address, lines.encoded(message))
+        self.send_frame(address, message_stream.encode_frame(message))
 
-    def send_line(self, address: str, line: bytes) -> None:
+    def send_frame(self, address: str, line: bytes) -> None:
         """Send a message that is a line already."""
         link = self._links.get(address)
         if link is None:
--- a/dunlinloft/controlplane/process.py
+++ b/dunlinloft/controlplane/process.py
@@ -48,10 +48,10 @@
     ToControl,
 )
 from dunlinloft.settings import Settings, host_port
-from dunlinloft.transport import lines
+from dunlinloft.transport import message_stream
+from dunlinloft.transport.aiohttp_import import import_aiohttp
 from dunlinloft.transport.clock import now_ms
-from dunlinloft.transport.light import import_aiohttp
-from dunlinloft.transport.tasks import guarded
+from dunlinloft.transport.tasks import run_essential
 
 TICK_S = 0.05
 ALIVE_S = 0.3  # between words to nodes
@@ -113,7 +113,7 @@
         self._perform(self._replica.begin(first_view(settings.seeds()) if begins else None))
         host, port = host_port(self._address)
         internal = await asyncio.start_server(
-            self._on_stream, host, port, limit=lines.MOST_LINE, backlog=BACKLOG
+            self._on_stream, host, port, limit=message_stream.MAX_FRAME_BYTES, backlog=BACKLOG
         )
         logging.info("event=started node=%s member=%s", settings.node_name, self._replica.me.id)
         loops = [
@@ -124,7 +124,7 @@
             self._node_words(),
             self._memories(),
         ]
-        tasks = [asyncio.create_task(guarded(each, settings.node_name)) for each in loops]
+        tasks = [asyncio.create_task(run_essential(each, settings.node_name)) for each in loops]
         await self._start_api()
         await stop.wait()
         await self._leave_chain()
@@ -217,8 +217,8 @@
     # Streams from nodes and other replicas.
 
     async def _on_stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        lines.tune(writer)
-        out = lines.LineWriter(writer)
+        message_stream.configure_socket(writer)
+        out = message_stream.MessageWriter(writer)
         stream: NodeStream | None = None
         number = next(self._numbers)
 
@@ -261,13 +261,13 @@
                     self._perform(self._replica.handle(message, now_ms()))
 
         try:
-            reason = await lines.read_messages(reader, _decoder, take, SILENT_S)
+            reason = await message_stream.read_messages(reader, _decoder, take, SILENT_S)
         finally:
             out.abort()
             if stream is not None:
                 self._distribution.end(stream)
                 self._roles.stream_lost(number)
-        if reason == "not understood":
+        if reason is message_stream.StreamEnd.UNDECODABLE:
             logging.warning("event=refused_line peer=%s", writer.get_extra_info("peername"))
 
     def _subscribe(self, stream: NodeStream, message: Subscribe) -> None:
@@ -286,7 +286,7 @@
             self._links.forget()
 
     async def _alives(self) -> None:
-        line = lines.encoded(Alive())
+        line = message_stream.encode_frame(Alive())
         while True:
             await asyncio.sleep(ALIVE_S)
             self._distribution.to_all(line)
@@ -306,9 +306,9 @@
             await asyncio.sleep(NODES_S)
             self._nodes.forget(now_ms())
             self._roles.forget()
-            line = lines.encoded(NodesSeen(self._nodes.known(now_ms())))
+            line = message_stream.encode_frame(NodesSeen(self._nodes.known(now_ms())))
             for address in self._replica.addresses():
-                self._links.send_line(address, line)
+                self._links.send_frame(address, line)
 
     # The operator's calls.
 
--- a/dunlinloft/dataplane/__main__.py
+++ b/dunlinloft/dataplane/__main__.py
@@ -12,7 +12,7 @@
 
 def load(settings: Settings) -> Program:
     """The program; what it needs is imported here."""
-    from dunlinloft.transport.light import import_aiohttp
+    from dunlinloft.transport.aiohttp_import import import_aiohttp
 
     import_aiohttp()
     from dunlinloft.dataplane.process import DataPlane
@@ -21,7 +21,7 @@
 
 
 if __name__ == "__main__":
-    gc.disable()  # nothing that imports make is garbage; `start` enables it
-    from dunlinloft.transport.program import start
+    gc.disable()  # nothing that imports make is garbage; `run_program` enables it
+    from dunlinloft.transport.program import run_program
 
-    start(load)
+    run_program(load)
--- a/dunlinloft/dataplane/control.py
+++ b/dunlinloft/dataplane/control.py
@@ -24,8 +24,9 @@
     Version,
 )
 from dunlinloft.fleet.rendezvous import rank
-from dunlinloft.transport import lines
+from dunlinloft.transport import message_stream
 from dunlinloft.transport.clock import now_ms
+from dunlinloft.transport.exceptions import ConnectError
 
 STREAMS_MOST = 9  # replicas subscribed to, chosen by rendezvous hashing where there are more
 CONFIGURATION_STREAMS = 2  # of them send configurations, the others tell versions
@@ -71,7 +72,7 @@
         self._ended = False
         self._node_counts: dict[str, int] = {}  # as each replica that is heard tells
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._writers: dict[str, lines.LineWriter] = {}
+        self._writers: dict[str, message_stream.MessageWriter] = {}
         self._named: tuple[str, ...] = ()
         self.replicas: Replicas | None = None
         self._began_ms = now_ms()
@@ -141,13 +142,13 @@
         wait_s = REDIAL_S
         while True:
             try:
-                reader, raw = await lines.connect(address)
-            except (OSError, TimeoutError):
+                reader, raw = await message_stream.connect(address)
+            except ConnectError:
                 await asyncio.sleep(wait_s * (0.5 + random.random()))
                 wait_s = min(REDIAL_MOST_S, wait_s * 1.5)
                 continue
             wait_s = REDIAL_S
-            writer = lines.LineWriter(raw)
+            writer = message_stream.MessageWriter(raw)
             self._writers[address] = writer
             self._heard_ms[address] = now_ms()
             wants = address in self._ranked()[:CONFIGURATION_STREAMS]
@@ -158,7 +159,9 @@
             holdings = self._holdings()
             writer.send(Subscribe(self._node, self._zone, held, uptime_ms, wants, digests, holdings))
             try:
-                reason = await lines.read_messages(reader, _decoder, lambda m: self._on(address, m), SILENT_S)
+                reason = await message_stream.read_messages(
+                    reader, _decoder, lambda m: self._on(address, m), SILENT_S
+                )
             finally:
                 writer.abort()
                 del self._writers[address]
--- a/dunlinloft/dataplane/process.py
+++ b/dunlinloft/dataplane/process.py
@@ -38,7 +38,7 @@
 from dunlinloft.dataplane.upstream import Upstream
 from dunlinloft.settings import Settings, SettingsError, host_port, read_settings
 from dunlinloft.transport.clock import now_ms
-from dunlinloft.transport.tasks import guarded
+from dunlinloft.transport.tasks import run_essential
 
 IDLE_S = 75.0  # clients' connections that rest longer are closed
 MOST_HEADER = 65_536
@@ -112,7 +112,7 @@
         logging.info("event=started node=%s", self._settings.node_name)
         node = self._settings.node_name
         loops = (self._subscriptions.run(), self._ticks())
-        tasks = [asyncio.create_task(guarded(each, node)) for each in loops]
+        tasks = [asyncio.create_task(run_essential(each, node)) for each in loops]
         await stop.wait()
         self._closing.begin(now_ms())
         logging.info("event=closing node=%s", self._settings.node_name)
--- a/dunlinloft/transport/clock.py
+++ b/dunlinloft/transport/clock.py
@@ -1,4 +1,4 @@
-"""The steady clock of both programs."""
+"""The monotonic clock of both programs."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def now_ms() -> float:
-    """Milliseconds of a clock that never goes back; its zero means nothing."""
+    """Milliseconds of a clock that never goes back; only differences between two readings mean anything."""
     return time.monotonic() * 1_000.0
--- a/dunlinloft/transport/program.py
+++ b/dunlinloft/transport/program.py
@@ -1,4 +1,4 @@
-"""How both programs start: flags, logs, settings, the event loop."""
+"""How both programs start: flags, logging, settings and the event loop."""
 
 from __future__ import annotations
 
@@ -13,28 +13,36 @@
 
 from dunlinloft.settings import VARIABLE, Settings, SettingsError, read_settings
 
-BAD_SETTINGS = 2
-GIVE_WAY_S = 0.35  # that a process on which little waits leaves the processor to others at a start
+EXIT_BAD_SETTINGS = 2
+STARTUP_DELAY_S = 0.35  # how long a process that nothing waits for leaves the processor to others at a start
 
 _SETTINGS = flags.DEFINE_string("settings", None, f"The settings file; else the one that {VARIABLE} names.")
 
 
 class Program(Protocol):
-    """A process made of its settings."""
+    """A process built from its settings: `DataPlane` or `ControlPlane`."""
 
     async def run(self) -> None:
         """Serve until SIGTERM."""
 
 
-def gives_way(settings: Settings) -> bool:
-    """Whether a process has something to do that can wait: a control plane that holds no state."""
+def starts_delayed(settings: Settings) -> bool:
+    """Whether nothing waits for this process at a start: a control plane that holds no replicated state."""
     return settings.listeners_config.control_plane is not None and not settings.counts_for_quorum
 
 
-def start(load: Callable[[Settings], Program]) -> None:
-    """Run a program to its end; `load` imports what it needs, once the settings are known."""
+def run_program(load: Callable[[Settings], Program]) -> None:
+    """Run a program to its end; called by the `__main__` module of each.
+
+    Parameters
+    ----------
+    load:
+        Imports what the program needs and builds it. Called once the settings are known, so that settings
+        that can't be used are reported without loading the rest.
+    """
 
     def main(arguments: list[str]) -> None:
+        """Read the settings, build the program and run it; the command line has no arguments."""
         if len(arguments) > 1:
             raise app.UsageError(f"no argument expected, got {arguments[1]!r}")
         logging.set_verbosity(logging.INFO)
@@ -46,12 +54,14 @@
             settings = read_settings(path)
         except SettingsError as error:
             print(error, file=sys.stderr)
-            sys.exit(BAD_SETTINGS)
-        if gives_way(settings):
-            time.sleep(GIVE_WAY_S)
+            sys.exit(EXIT_BAD_SETTINGS)
+        if starts_delayed(settings):
+            time.sleep(STARTUP_DELAY_S)
         program = load(settings)
         import uvloop
 
+        # Collection is off since `__main__` began. What is alive now lives as long as the process: no later
+        # collection has to look at it.
         gc.freeze()
         gc.enable()
         uvloop.run(program.run())
--- a/tests/test_in_force.py
+++ b/tests/test_in_force.py
@@ -76,7 +76,7 @@
         """Keep a message."""
         self.sent.append(message)
 
-    def send_line(self, line: bytes) -> None:
+    def send_frame(self, line: bytes) -> None:
         """Keep a line."""
         self.sent.append(line)
 
--- a/tests/test_streams_anew.py
+++ b/tests/test_streams_anew.py
@@ -9,8 +9,8 @@
 
 from dunlinloft.coordination.stream import Alive, ConfigurationId
 from dunlinloft.dataplane.control import NodeSide, Subscriptions
-from dunlinloft.transport.lines import encoded, read_messages
-from dunlinloft.transport.tasks import guarded
+from dunlinloft.transport.message_stream import encode_frame, read_messages
+from dunlinloft.transport.tasks import run_essential
 
 
 def _subscriptions() -> Subscriptions:
@@ -35,7 +35,7 @@
         decoder = msgspec.json.Decoder(Alive)
         reading = asyncio.create_task(read_messages(reader, decoder, lambda _: None, 60.0))
         await asyncio.sleep(0)  # it waits for a line now
-        line = encoded(Alive())
+        line = encode_frame(Alive())
         if first == "line":
             reader.feed_data(line)
             reading.cancel()
@@ -105,7 +105,7 @@
             connected.set()
             return reader, _Writer()
 
-        monkeypatch.setattr("dunlinloft.transport.lines.connect", connect)
+        monkeypatch.setattr("dunlinloft.transport.message_stream.connect", connect)
         subscriptions = _subscriptions()
         assert not subscriptions.alive("127.0.0.1:1")
         keeping = asyncio.create_task(subscriptions._keep("127.0.0.1:1"))
@@ -127,4 +127,4 @@
         raise ValueError("planted")
 
     with pytest.raises(SystemExit):
-        asyncio.run(guarded(fails(), "node"))
+        asyncio.run(run_essential(fails(), "node"))
