--- a/dunlinloft/controlplane/__main__.py
+++ b/dunlinloft/controlplane/__main__.py
@@ -11,7 +11,7 @@
 
 
 def load(settings: Settings) -> Program:
-    """The program; what it needs is imported here."""
+    """Build the program; what it needs is imported here, once the settings are known to be usable."""
 
     from dunlinloft.controlplane.process import ControlPlane
 
--- /dev/null
+++ b/dunlinloft/controlplane/components.py
@@ -0,0 +1,119 @@
+"""Builds what a control plane consists of; shows who uses whom."""
+
+from __future__ import annotations
+
+import random
+import secrets
+from dataclasses import dataclass
+
+from dunlinloft.controlplane.commit_handler import CommitHandler
+from dunlinloft.controlplane.disk_writer import DiskWriter
+from dunlinloft.controlplane.member_cache import CachedMembers
+from dunlinloft.controlplane.node_publisher import NodePublisher
+from dunlinloft.controlplane.peer_connections import PeerConnections
+from dunlinloft.controlplane.placement_service import PlacementService
+from dunlinloft.controlplane.quota_service import QuotaService
+from dunlinloft.controlplane.replica_host import ReplicaHost
+from dunlinloft.controlplane.server_registrar import ServerRegistrar
+from dunlinloft.controlplane.stream_session import StreamServices
+from dunlinloft.coordination.calls import Invalid, Valid
+from dunlinloft.coordination.messages import Document, Durable, Member, Order
+from dunlinloft.coordination.nodes import Nodes
+from dunlinloft.coordination.placement import Placements
+from dunlinloft.coordination.registry import Registry
+from dunlinloft.coordination.replica import Replica
+from dunlinloft.settings import Settings
+from dunlinloft.transport.clock import now_ms
+
+
+@dataclass(frozen=True, slots=True)
+class Components:
+    """One control plane, complete: nothing in it is added later."""
+
+    replica: Replica
+    replica_host: ReplicaHost
+    disk: DiskWriter
+    peers: PeerConnections
+    nodes: Nodes
+    registry: Registry
+    registrar: ServerRegistrar
+    publisher: NodePublisher
+    quotas: QuotaService
+    placement: PlacementService
+
+    def stream_services(self) -> StreamServices:
+        """What the internal listener's sessions hand messages to."""
+        return StreamServices(
+            self.replica_host,
+            self.nodes,
+            self.registry,
+            self.registrar,
+            self.publisher,
+            self.quotas,
+            self.placement,
+        )
+
+
+def build_replica(settings: Settings, durable: Durable) -> Replica:
+    """The replica's state machine, with the durable state that was recovered."""
+    incarnation = durable.incarnation or secrets.token_hex(8)
+    return Replica(
+        Member(settings.control_address(settings.ip_address), incarnation),
+        settings.counts_for_quorum,
+        durable,
+        settings.seeds(),
+        settings.fault_tolerance.hosts_lost,
+        _validate,
+        random.Random(secrets.randbits(64)),
+        now_ms(),
+    )
+
+
+def build_components(
+    settings: Settings,
+    started_ms: float,
+    replica: Replica,
+    disk: DiskWriter,
+    peers: PeerConnections,
+    members: CachedMembers,
+) -> Components:
+    """Build a control plane whole; nothing runs or is sent yet.
+
+    Parameters
+    ----------
+    started_ms:
+        When the process started, on the clock of `now_ms`: from then on heartbeats could be received.
+    members:
+        The servers and nodes known before this start.
+    """
+    address = settings.control_address(settings.ip_address)
+    registry = Registry(settings.heartbeat_interval_ms, started_ms)
+    publisher = NodePublisher()
+    nodes = Nodes()
+    quotas = QuotaService(address, settings.timing_bounds, started_ms, nodes, replica, peers.send)
+    placements = Placements(random.Random(secrets.randbits(64)), 1_000.0 * settings.timing_bounds.again_s)
+    placement = PlacementService(placements)
+    registry.restore(members.servers, now_ms())
+    nodes.seen(members.nodes, now_ms())
+    placements.follow(registry.records.values())
+    registrar = ServerRegistrar(
+        address,
+        registry,
+        publisher,
+        placements,
+        lambda: replica.contact(now_ms()),
+        replica.addresses,
+        peers.send,
+    )
+    commits = CommitHandler(publisher, quotas, placement)
+    replica_host = ReplicaHost(replica, disk, peers, commits.on_commit)
+    return Components(
+        replica, replica_host, disk, peers, nodes, registry, registrar, publisher, quotas, placement
+    )
+
+
+def _validate(document: Document, order: Order) -> Valid | Invalid:
+    """Validate an order; what that needs is imported with the first one, so that a start is quick."""
+    from dunlinloft.validation import judge
+
+    return judge(document, order)
--- /dev/null
+++ b/dunlinloft/controlplane/data_directory.py
@@ -0,0 +1,163 @@
+"""The files of a replica's data directory, and what they recover to.
+
+There are two slots that are written in turn. Each holds a snapshot of the replica's whole durable state,
+followed by a short write-ahead log of the records since. Snapshot and log carry the slot's generation, so
+that a log left from an earlier use of the slot is not replayed. Both files consist of frames: length, CRC-32
+and a JSON body. Reading a log ends at the first frame that is missing or torn. Recovery takes the readable
+snapshot of the highest generation and replays its log.
+
+`ReplicaStore` writes these files; `dunlinloft state` reads them beside a running process.
+"""
+
+from __future__ import annotations
+
+import struct
+import zlib
+from dataclasses import dataclass
+from pathlib import Path
+
+import msgspec
+from msgspec import Struct
+
+from dunlinloft.controlplane.exceptions import UnsupportedFormatError
+from dunlinloft.coordination import durable as durables
+from dunlinloft.coordination.messages import Durable, Record
+
+FORMAT_VERSION = 1
+SLOTS = (0, 1)
+
+_FRAME_HEADER = struct.Struct("<II")  # length of the body, and its CRC-32
+
+
+class Snapshot(Struct, frozen=True):
+    """The body of a slot's only frame."""
+
+    format: int
+    generation: int
+    durable: Durable
+
+
+class LogRecord(Struct, frozen=True):
+    """The body of a frame in a log."""
+
+    generation: int
+    number: int  # from 0, without a gap
+    record: Record
+
+
+@dataclass(frozen=True, slots=True)
+class RecoveredState:
+    """What a data directory recovers to, and the slot that is in use."""
+
+    durable: Durable
+    slot: int
+    generation: int
+
+
+_snapshot_decoder = msgspec.json.Decoder(Snapshot)
+_log_decoder = msgspec.json.Decoder(LogRecord)
+
+
+def encode_frame(body: bytes) -> bytes:
+    """Put a frame's header before its body."""
+    return _FRAME_HEADER.pack(len(body), zlib.crc32(body)) + body
+
+
+def frame_size(body: bytes) -> int:
+    """Bytes that a frame with this body takes in its file."""
+    return _FRAME_HEADER.size + len(body)
+
+
+def intact_frames(data: bytes) -> list[bytes]:
+    """The bodies of the intact frames from the start of a file, up to the first that is missing or torn."""
+    bodies = []
+    offset = 0
+    while offset + _FRAME_HEADER.size <= len(data):
+        length, checksum = _FRAME_HEADER.unpack_from(data, offset)
+        body = data[offset + _FRAME_HEADER.size : offset + _FRAME_HEADER.size + length]
+        if not length or len(body) < length or zlib.crc32(body) != checksum:
+            break
+        bodies.append(body)
+        offset += _FRAME_HEADER.size + length
+    return bodies
+
+
+def snapshot_path(folder: Path, slot: int) -> Path:
+    """The file of a slot's snapshot."""
+    return folder / f"slot-{slot}"
+
+
+def log_path(folder: Path, slot: int) -> Path:
+    """The file of the log that follows a slot's snapshot."""
+    return folder / f"log-{slot}"
+
+
+def read_snapshot(path: Path) -> Snapshot | None:
+    """Read a snapshot; None where it is missing or torn, as one of the two may be at any time.
+
+    Raises
+    ------
+    UnsupportedFormatError
+        It was written in another format.
+    OSError
+        The file can't be read.
+    """
+    try:
+        data = path.read_bytes()
+    except FileNotFoundError:
+        return None
+    bodies = intact_frames(data)
+    if not bodies:
+        return None
+    try:
+        snapshot = _snapshot_decoder.decode(bodies[0])
+    except (msgspec.DecodeError, UnicodeDecodeError):
+        return None
+    if snapshot.format != FORMAT_VERSION:
+        raise UnsupportedFormatError(path, snapshot.format, FORMAT_VERSION)
+    return snapshot
+
+
+def read_log(path: Path, generation: int) -> list[Record]:
+    """Read the records that follow a snapshot of this generation, up to the first missing or torn one.
+
+    Raises `OSError` where the file is there and can't be read.
+    """
+    try:
+        data = path.read_bytes()
+    except FileNotFoundError:
+        return []
+    records: list[Record] = []
+    for body in intact_frames(data):
+        try:
+            entry = _log_decoder.decode(body)
+        except (msgspec.DecodeError, UnicodeDecodeError):
+            break
+        if entry.generation != generation or entry.number != len(records):
+            break
+        records.append(entry.record)
+    return records
+
+
+def recover(folder: Path) -> RecoveredState | None:
+    """Recover the state that a data directory holds; None where it holds none.
+
+    Raises
+    ------
+    UnsupportedFormatError
+        One of its snapshots was written in another format.
+    OSError
+        A file can't be read.
+    """
+    snapshots = [read_snapshot(snapshot_path(folder, slot)) for slot in SLOTS]
+    newest: Snapshot | None = None
+    slot = 0
+    for candidate_slot, candidate in enumerate(snapshots):
+        if candidate is not None and (newest is None or candidate.generation > newest.generation):
+            newest = candidate
+            slot = candidate_slot
+    if newest is None:
+        return None
+    for record in read_log(log_path(folder, slot), newest.generation):
+        durables.apply(newest.durable, record)
+    return RecoveredState(newest.durable, slot, newest.generation)
--- /dev/null
+++ b/dunlinloft/controlplane/http_api.py
@@ -0,0 +1,168 @@
+"""The HTTP API: what servers and the operator call.
+
+=========================================  ==================================================
+POST /instances/{server id}/heartbeat      a server's heartbeat
+POST /instances/{server id}/deregister     a server ends
+POST /configuration/replace, .../update    an operator's order; `X-Base-Version` names its base
+GET /configuration/describe                the committed configuration
+=========================================  ==================================================
+"""
+
+from __future__ import annotations
+
+import hashlib
+import json
+from collections.abc import Awaitable, Callable
+
+import msgspec
+from aiohttp.web_request import BaseRequest
+from aiohttp.web_response import Response, StreamResponse
+
+from dunlinloft.controlplane.exceptions import BodyTooLargeError
+from dunlinloft.coordination.actions import Reply
+from dunlinloft.coordination.calls import Invalid
+from dunlinloft.coordination.messages import Document, Order
+from dunlinloft.coordination.stream import ServerRecord
+
+MAX_CONFIGURATION_BYTES = 32 * 1024 * 1024
+MAX_HEARTBEAT_BYTES = 256 * 1024
+READ_CHUNK_BYTES = 65_536
+
+BASE_VERSION_HEADER = "X-Base-Version"
+
+
+class Heartbeat(msgspec.Struct):
+    """The body of a heartbeat; fields that are not named here are ignored."""
+
+    service: str
+    address: str
+    zone: str = ""
+    capacity: int = 1
+    state: str = "ready"
+    warmup_remaining_ms: float = 0.0
+    sequence: int = 0
+    phase: str = ""
+    model_list: list[object] = []
+
+
+_heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
+
+
+class HttpApi:
+    """Decodes calls, hands them on, and encodes their outcomes.
+
+    Parameters
+    ----------
+    call:
+        Makes an operator's call, a read where the order is None (`ReplicaHost.call`).
+    heartbeat, deregister:
+        Take what a server says; True where it may be acknowledged (`ServerRegistrar`).
+    """
+
+    def __init__(
+        self,
+        call: Callable[[Order | None], Awaitable[Reply]],
+        heartbeat: Callable[[ServerRecord], Awaitable[bool]],
+        deregister: Callable[[str], Awaitable[bool]],
+    ) -> None:
+        self._call = call
+        self._heartbeat = heartbeat
+        self._deregister = deregister
+
+    async def handle(self, request: BaseRequest) -> StreamResponse:
+        """Answer one call."""
+        try:
+            return await self._route(request)
+        except BodyTooLargeError:
+            return json_response(413, "the body is too large")
+
+    async def _route(self, request: BaseRequest) -> StreamResponse:
+        segments = request.path.strip("/").split("/")
+        match (request.method, segments):
+            case ("POST", ["instances", server_id, "heartbeat"]):
+                return await self._on_heartbeat(server_id, await read_body(request, MAX_HEARTBEAT_BYTES))
+            case ("POST", ["instances", server_id, "deregister"]):
+                await read_body(request, MAX_HEARTBEAT_BYTES)
+                return _acknowledgement(await self._deregister(server_id))
+            case ("POST", ["configuration", ("replace" | "update") as kind]):
+                return await self._on_order(request, kind)
+            case ("GET", ["configuration", "describe"]):
+                return await self._on_describe()
+        return json_response(404, "no such call")
+
+    async def _on_heartbeat(self, server_id: str, body: bytes) -> StreamResponse:
+        try:
+            heartbeat = _heartbeat_decoder.decode(body)
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            return json_response(400, f"heartbeat: {error}")
+        record = ServerRecord(
+            server_id,
+            heartbeat.service,
+            heartbeat.address,
+            heartbeat.zone,
+            heartbeat.capacity,
+            heartbeat.state,
+            heartbeat.sequence,
+            heartbeat.warmup_remaining_ms,
+            heartbeat.phase,
+            tuple(heartbeat.model_list),
+        )
+        return _acknowledgement(await self._heartbeat(record))
+
+    async def _on_order(self, request: BaseRequest, kind: str) -> StreamResponse:
+        data = await read_body(request, MAX_CONFIGURATION_BYTES)
+        base = request.headers.get(BASE_VERSION_HEADER, "")
+        if not base.isdecimal():
+            return json_response(400, f"{BASE_VERSION_HEADER}: a whole number expected")
+        document = parse_document(data)
+        if isinstance(document, Invalid):
+            return json_response(400, document.reason)
+        # The digest covers the bytes as they were sent: the same bytes sent again are the same order.
+        digest = hashlib.blake2b(f"{kind}/{int(base)}/".encode() + data, digest_size=16).hexdigest()
+        reply = await self._call(Order(kind, int(base), digest, document))
+        return json_response(reply.status, reply.reason)
+
+    async def _on_describe(self) -> StreamResponse:
+        reply = await self._call(None)
+        if reply.status != 200:
+            return json_response(reply.status, reply.reason)
+        if not reply.document:
+            return json_response(404, "no configuration has been taken yet")
+        body = msgspec.json.encode(reply.document)
+        return Response(status=200, body=body, content_type="application/json")
+
+
+async def read_body(request: BaseRequest, limit_bytes: int) -> bytes:
+    """Read a request's body. Raises `BodyTooLargeError`."""
+    chunks: list[bytes] = []
+    length = 0
+    async for chunk in request.content.iter_chunked(READ_CHUNK_BYTES):
+        length += len(chunk)
+        if length > limit_bytes:
+            raise BodyTooLargeError(limit_bytes)
+        chunks.append(chunk)
+    return b"".join(chunks)
+
+
+def parse_document(data: bytes) -> Document | Invalid:
+    """Parse the body of an order; `Invalid` says what is wrong with it."""
+    try:
+        document = json.loads(data)
+    except (ValueError, RecursionError):
+        return Invalid("the body is not JSON that can be read whole")
+    if not isinstance(document, dict):
+        return Invalid("the body: an object expected")
+    return document
+
+
+def json_response(status: int, reason: str = "") -> Response:
+    """A response that gives its reason, where there is one, in its body."""
+    body = msgspec.json.encode({"reason": reason} if reason else {})
+    return Response(status=status, body=body, content_type="application/json")
+
+
+def _acknowledgement(acknowledged: bool) -> Response:
+    """The response to a server: one that isn't acknowledged here turns to another control plane."""
+    if acknowledged:
+        return json_response(200)
+    return json_response(503, "this control plane can't pass it on now")
--- /dev/null
+++ b/dunlinloft/controlplane/loops.py
@@ -0,0 +1,107 @@
+"""What the control plane does again and again: ticks, keep-alives, and exchanges with other replicas.
+
+Each loop is essential (`run_essential`): one that fails ends the process.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Coroutine
+from typing import Any
+
+from dunlinloft.controlplane.components import Components
+from dunlinloft.controlplane.member_cache import CachedMembers
+from dunlinloft.coordination.stream import Alive, NodesSeen, Replicas
+from dunlinloft.transport import message_stream
+from dunlinloft.transport.clock import now_ms
+
+TICK_INTERVAL_S = 0.05  # the replica's time-outs are 100 ms and more
+KEEPALIVE_INTERVAL_S = 0.3  # a node takes a replica for unreachable after 0.7 s without a message
+HEARTBEAT_RELAY_INTERVAL_S = 0.3  # of servers' heartbeats that changed nothing; changes are relayed at once
+NODE_EXCHANGE_INTERVAL_S = 1.0
+MEMBER_CACHE_INTERVAL_S = 1.0  # between checks whether other servers or nodes are known than those on disk
+
+
+class PeriodicLoops:
+    """The loops over a control plane's components."""
+
+    def __init__(self, components: Components) -> None:
+        self._components = components
+        self._completeness_published = False
+
+    def coroutines(self) -> list[Coroutine[Any, Any, None]]:
+        """All loops, in the order in which they are to be started."""
+        disk = self._components.disk
+        return [
+            disk.run(self._components.replica_host.on_persisted),
+            self._tick(),
+            self._relay_heartbeats(),
+            self._keep_alive(),
+            self._exchange_nodes(),
+            self._cache_members(),
+        ]
+
+    async def _tick(self) -> None:
+        """Advance everything that depends on time."""
+        components = self._components
+        while True:
+            components.replica_host.tick()
+            self._follow_view()
+            components.publisher.set_confirmed(components.replica.confirmed(now_ms()))
+            components.quotas.refill()
+            components.registry.expire(now_ms())
+            components.registrar.publish_changes()
+            if not self._completeness_published and components.registry.complete(now_ms()):
+                self._completeness_published = True
+                components.publisher.publish_servers_complete()
+            await asyncio.sleep(TICK_INTERVAL_S)
+
+    def _follow_view(self) -> None:
+        """Shard quotas by the view in force, and send nodes the replicas in it."""
+        components = self._components
+        view = components.replica.view
+        if view is None:
+            return
+        addresses = tuple(member.address for member in view.roster)
+        chain = tuple(member.address for member in view.chain)
+        components.quotas.follow_view(view)
+        components.publisher.publish_replicas(
+            Replicas(view.epoch, addresses, chain, components.nodes.count())
+        )
+
+    async def _relay_heartbeats(self) -> None:
+        """Relay servers' heartbeats to other replicas, and close connections to replicas that left."""
+        while True:
+            await asyncio.sleep(HEARTBEAT_RELAY_INTERVAL_S)
+            self._components.registrar.relay_heartbeats()
+            self._components.peers.close_idle()
+
+    async def _keep_alive(self) -> None:
+        """Show all subscribed nodes that this replica is there."""
+        frame = message_stream.encode_frame(Alive())
+        while True:
+            await asyncio.sleep(KEEPALIVE_INTERVAL_S)
+            self._components.publisher.broadcast(frame)
+
+    async def _exchange_nodes(self) -> None:
+        """Send other replicas the data-plane nodes known here."""
+        components = self._components
+        while True:
+            await asyncio.sleep(NODE_EXCHANGE_INTERVAL_S)
+            components.nodes.forget(now_ms())
+            components.quotas.drop_expired()
+            frame = message_stream.encode_frame(NodesSeen(components.nodes.known(now_ms())))
+            for address in components.replica.addresses():
+                components.peers.send_frame(address, frame)
+
+    async def _cache_members(self) -> None:
+        """Write the servers and nodes known here to disk whenever there are others than before."""
+        components = self._components
+        cached_names: set[str] = set()
+        while True:
+            await asyncio.sleep(MEMBER_CACHE_INTERVAL_S)
+            names = {*components.registry.records, *components.nodes.names()}
+            if cached_names != names:
+                cached_names = names
+                servers = tuple(components.registry.records.values())
+                await components.disk.write_members(CachedMembers(servers, components.nodes.known(now_ms())))
--- /dev/null
+++ b/dunlinloft/controlplane/member_cache.py
@@ -0,0 +1,80 @@
+"""The servers and nodes known last, on disk: after a restart of the whole fleet none has to be waited for.
+
+This is soft state: two files written in turn, not synced, and what can't be read is done without. A server
+that ended meanwhile answers nothing, or 421 as its address belongs to another by now; it is dropped once its
+heartbeats have been missing for long enough.
+"""
+
+from __future__ import annotations
+
+import zlib
+from pathlib import Path
+
+import msgspec
+from msgspec import Struct
+
+from dunlinloft.controlplane.exceptions import MemberCacheError
+from dunlinloft.coordination.stream import NodeSeen, ServerRecord
+
+FORMAT_VERSION = 2
+
+
+class CachedMembers(Struct, frozen=True):
+    """The servers and data-plane nodes that were known at one time."""
+
+    servers: tuple[ServerRecord, ...] = ()
+    nodes: tuple[NodeSeen, ...] = ()
+
+
+class _CacheFile(Struct, frozen=True):
+    """The body of a cache file, which follows a line with the body's CRC-32."""
+
+    format: int
+    generation: int
+    known: CachedMembers
+
+
+_decoder = msgspec.json.Decoder(_CacheFile)
+
+
+class MemberCache:
+    """The cache files of one data directory. Its methods wait for the disk; `DiskWriter` calls them."""
+
+    def __init__(self, folder: Path) -> None:
+        self._paths = (folder / "servers-0", folder / "servers-1")
+        self._generation = 0
+
+    def read(self) -> CachedMembers:
+        """The members of the newest file that can be read; none where there is no such file."""
+        files = []
+        for path in self._paths:
+            try:
+                files.append(_read_file(path))
+            except MemberCacheError:
+                continue
+        if not files:
+            return CachedMembers()
+        newest = max(files, key=lambda file: file.generation)
+        self._generation = newest.generation
+        return newest.known
+
+    def write(self, members: CachedMembers) -> None:
+        """Replace the older of the two files. Raises `OSError`."""
+        self._generation += 1
+        body = msgspec.json.encode(_CacheFile(FORMAT_VERSION, self._generation, members))
+        path = self._paths[self._generation % 2]
+        path.write_bytes(b"%d\n" % zlib.crc32(body) + body)
+
+
+def _read_file(path: Path) -> _CacheFile:
+    """Read and check one cache file. Raises `MemberCacheError`."""
+    try:
+        checksum, _, body = path.read_bytes().partition(b"\n")
+        if int(checksum) != zlib.crc32(body):
+            raise MemberCacheError(path, "wrong checksum")
+        file = _decoder.decode(body)
+    except (OSError, ValueError, msgspec.DecodeError) as error:
+        raise MemberCacheError(path, error) from error
+    if file.format != FORMAT_VERSION:
+        raise MemberCacheError(path, f"format {file.format}, expected {FORMAT_VERSION}")
+    return file
--- /dev/null
+++ b/dunlinloft/controlplane/node_publisher.py
@@ -0,0 +1,151 @@
+"""What data-plane nodes are sent on their streams: configurations, servers, and the replicas there are.
+
+A node's stream either receives configurations, as deltas where it has the one before, or is only notified of
+versions and fetches what it lacks (`NodeSubscription.receives_configurations`).
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from dunlinloft.coordination.messages import ChainState, Entry
+from dunlinloft.coordination.stream import (
+    ConfigurationId,
+    Delta,
+    Replicas,
+    ServerNews,
+    Servers,
+    ServersComplete,
+    Version,
+    Whole,
+)
+from dunlinloft.transport import message_stream
+
+
+@dataclass(slots=True, eq=False)
+class NodeSubscription:
+    """The stream of one subscribed node."""
+
+    node: str
+    writer: message_stream.MessageWriter
+    sent_id: ConfigurationId  # of the configuration sent last
+    acknowledged_id: ConfigurationId  # of the configuration that it said it has in force
+    receives_configurations: bool  # else versions alone
+
+
+class NodePublisher:
+    """Keeps all subscribed nodes up to date.
+
+    Fed by `CommitHandler` (configurations), `ServerRegistrar` (servers) and the periodic loops (replicas,
+    confirmation); subscriptions come from `StreamSession`.
+    """
+
+    def __init__(self) -> None:
+        self.subscriptions: set[NodeSubscription] = set()
+        self._state = ChainState()
+        self._id = ConfigurationId()
+        self._base_id = ConfigurationId()  # of the configuration that `_update` changed
+        self._update: Entry | None = None
+        self._confirmed = False
+        self._frames_by_form: dict[bool, bytes] = {}  # of the state: True as a delta, False in full
+        self._replicas: Replicas | None = None
+
+    def subscribe(self, subscription: NodeSubscription, servers: Servers) -> None:
+        """Add a node, and send it what it lacks: the replicas, servers, then the configuration."""
+        self.subscriptions.add(subscription)
+        if self._replicas is not None:
+            subscription.writer.send(self._replicas)
+        subscription.writer.send(servers)
+        if subscription.receives_configurations:
+            self._send_state(subscription)
+        elif self._id.version:
+            subscription.writer.send(Version(self._id))
+
+    def unsubscribe(self, subscription: NodeSubscription) -> None:
+        """Remove a node whose stream ended."""
+        self.subscriptions.discard(subscription)
+
+    def publish_state(self, state: ChainState, entry: Entry | None) -> None:
+        """Send a newly committed state.
+
+        Parameters
+        ----------
+        entry:
+            What made the state of the one before, where that is known: an update that directly follows the
+            state published last is sent as a delta.
+        """
+        if state.sequence <= self._state.sequence:
+            return
+        follows = state.sequence == self._state.sequence + 1
+        is_update = entry is not None and entry.order.kind == "update" and follows
+        self._update = entry if is_update else None
+        self._base_id = self._id
+        self._state = state
+        self._id = ConfigurationId(state.version, state.chain_digest)
+        self._frames_by_form = {}
+        self._publish_current()
+
+    def set_confirmed(self, confirmed: bool) -> None:
+        """Take whether a majority confirms the state held here.
+
+        A node that starts may wait for a confirmed configuration, so what was sent unconfirmed and has not
+        been acknowledged is sent again once it is confirmed.
+        """
+        if confirmed == self._confirmed:
+            return
+        self._confirmed = confirmed
+        self._frames_by_form = {}
+        if confirmed and self._id.version:
+            for subscription in self.subscriptions:
+                if subscription.receives_configurations and subscription.acknowledged_id != self._id:
+                    subscription.sent_id = subscription.acknowledged_id
+            self._publish_current()
+
+    def resend_after(self, subscription: NodeSubscription, current_id: ConfigurationId) -> None:
+        """Send the state to a node that was notified of it, lacks it, and has `current_id` in force."""
+        subscription.sent_id = current_id
+        self._send_state(subscription)
+
+    def publish_servers(self, update: ServerNews) -> None:
+        """Send which servers were added, changed or removed, if any were."""
+        if update.changed or update.gone:
+            self.broadcast(message_stream.encode_frame(update))
+
+    def publish_replicas(self, replicas: Replicas) -> None:
+        """Send the control plane's membership, where it changed."""
+        if replicas != self._replicas:
+            self._replicas = replicas
+            self.broadcast(message_stream.encode_frame(replicas))
+
+    def publish_servers_complete(self) -> None:
+        """Send that every server has had the time to be known here."""
+        self.broadcast(message_stream.encode_frame(ServersComplete()))
+
+    def broadcast(self, frame: bytes) -> None:
+        """Send one encoded message to every node."""
+        for subscription in self.subscriptions:
+            subscription.writer.send_frame(frame)
+
+    def _publish_current(self) -> None:
+        notice = message_stream.encode_frame(Version(self._id))
+        for subscription in self.subscriptions:
+            if subscription.receives_configurations:
+                self._send_state(subscription)
+            else:
+                subscription.writer.send_frame(notice)
+
+    def _send_state(self, subscription: NodeSubscription) -> None:
+        if not self._id.version or not self._id.replaces(subscription.sent_id, self._confirmed):
+            return
+        as_delta = self._update is not None and self._base_id == subscription.sent_id
+        frame = self._frames_by_form.get(as_delta)
+        if frame is None:
+            frame = message_stream.encode_frame(self._state_message(as_delta))
+            self._frames_by_form[as_delta] = frame
+        subscription.sent_id = self._id
+        subscription.writer.send_frame(frame)
+
+    def _state_message(self, as_delta: bool) -> Delta | Whole:
+        if as_delta and self._update is not None:
+            return Delta(self._base_id, self._id, self._confirmed, self._update.order.body)
+        return Whole(self._id, self._confirmed, self._state.document)
--- /dev/null
+++ b/dunlinloft/controlplane/peer_connections.py
@@ -0,0 +1,112 @@
+"""Outgoing connections to other replicas: one for each address, reconnected whenever it ends.
+
+Messages to a replica travel on the connection that this side opened, its answers on the one that it opened.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+from types import TracebackType
+
+import msgspec
+
+from dunlinloft.transport import message_stream
+from dunlinloft.transport.exceptions import ConnectError
+from dunlinloft.transport.tasks import BackgroundTasks
+
+RECONNECT_INTERVAL_S = 0.08
+IDLE_TIMEOUT_S = 60.0  # a connection on which nothing was sent for longer is closed: its replica has left
+MAX_EARLY_FRAMES = 64  # queued while the first attempt to connect is made
+
+
+class PeerConnection:
+    """Sends messages to one replica.
+
+    Delivery is best effort: what can't be sent now is dropped, as the coordination protocols repeat whatever
+    matters.
+    """
+
+    def __init__(self, address: str) -> None:
+        self._address = address
+        self._writer: message_stream.MessageWriter | None = None
+        self._early_frames: list[bytes] = []
+
+    def send_frame(self, frame: bytes) -> None:
+        """Send an encoded message, or queue it while the connection is being made."""
+        if self._writer is not None:
+            self._writer.send_frame(frame)
+        elif len(self._early_frames) < MAX_EARLY_FRAMES:
+            self._early_frames.append(frame)
+
+    async def run(self) -> None:
+        """Keep the connection up until cancelled."""
+        while True:
+            try:
+                reader, writer = await message_stream.connect(self._address)
+            except ConnectError:
+                self._early_frames.clear()
+                await asyncio.sleep(RECONNECT_INTERVAL_S)
+                continue
+            self._writer = message_stream.MessageWriter(writer)
+            for frame in self._early_frames:
+                self._writer.send_frame(frame)
+            self._early_frames.clear()
+            try:
+                await reader.read(1)  # the other side never writes here: this waits for the connection's end
+            except OSError:
+                pass
+            finally:
+                self._writer.abort()
+                self._writer = None
+            await asyncio.sleep(RECONNECT_INTERVAL_S)
+
+
+@dataclass(slots=True)
+class _OpenConnection:
+    """A connection, the task that runs it, and when it was last used (seconds of the event loop's clock)."""
+
+    connection: PeerConnection
+    task: asyncio.Task[None]
+    last_used_s: float
+
+
+class PeerConnections:
+    """All connections to other replicas, by address; as a context manager, the owner of their tasks."""
+
+    def __init__(self) -> None:
+        self._open: dict[str, _OpenConnection] = {}
+        self._tasks = BackgroundTasks()
+
+    async def __aenter__(self) -> PeerConnections:
+        await self._tasks.__aenter__()
+        return self
+
+    async def __aexit__(
+        self,
+        exception_type: type[BaseException] | None,
+        exception: BaseException | None,
+        traceback: TracebackType | None,
+    ) -> None:
+        await self._tasks.__aexit__(exception_type, exception, traceback)
+
+    def send(self, address: str, message: msgspec.Struct) -> None:
+        """Send a message to the replica at an address."""
+        self.send_frame(address, message_stream.encode_frame(message))
+
+    def send_frame(self, address: str, frame: bytes) -> None:
+        """Send an encoded message to the replica at an address, opening a connection where there is none."""
+        now_s = asyncio.get_running_loop().time()
+        opened = self._open.get(address)
+        if opened is None:
+            connection = PeerConnection(address)
+            opened = _OpenConnection(connection, self._tasks.start(connection.run()), now_s)
+            self._open[address] = opened
+        opened.last_used_s = now_s
+        opened.connection.send_frame(frame)
+
+    def close_idle(self) -> None:
+        """Close connections that have not been used for `IDLE_TIMEOUT_S`."""
+        oldest_s = asyncio.get_running_loop().time() - IDLE_TIMEOUT_S
+        for address in [address for address, opened in self._open.items() if opened.last_used_s < oldest_s]:
+            self._open.pop(address).task.cancel()
--- /dev/null
+++ b/dunlinloft/controlplane/replica_host.py
@@ -0,0 +1,97 @@
+"""Hosts the replica's state machine: hands it messages, time and completed writes, performs its actions."""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+import secrets
+import time
+from collections.abc import Callable
+from typing import cast
+
+from dunlinloft.controlplane.disk_writer import DiskWriter
+from dunlinloft.controlplane.peer_connections import PeerConnections
+from dunlinloft.coordination.actions import Action, Commit, Persist, Reply, Send
+from dunlinloft.coordination.messages import ChainState, Entry, Order, ReplicaMessage, View
+from dunlinloft.coordination.replica import Replica
+from dunlinloft.coordination.stream import ToControl
+from dunlinloft.transport.clock import now_ms
+
+LEAVE_POLL_INTERVAL_S = 0.01
+
+
+class ReplicaHost:
+    """Performs the replica's actions in the order in which it returns them.
+
+    Parameters
+    ----------
+    on_commit:
+        Called with each newly committed state, and the entry that made it where the replica still has that.
+    """
+
+    def __init__(
+        self,
+        replica: Replica,
+        disk: DiskWriter,
+        peers: PeerConnections,
+        on_commit: Callable[[ChainState, Entry | None], None],
+    ) -> None:
+        self._replica = replica
+        self._disk = disk
+        self._peers = peers
+        self._on_commit = on_commit
+        self._calls: dict[str, asyncio.Future[Reply]] = {}  # the operator's calls in flight, by token
+        self._call_numbers = itertools.count(1)
+
+    def begin(self, first_view: View | None) -> None:
+        """Start the replica, with the view to begin with where this is the first start of all."""
+        self._perform(self._replica.begin(first_view))
+
+    def handle(self, message: ToControl) -> None:
+        """Hand the replica a message; it ignores those that are not from a replica."""
+        self._perform(self._replica.handle(cast(ReplicaMessage, message), now_ms()))
+
+    def tick(self) -> None:
+        """Hand the replica the time; called every `TICK_INTERVAL_S`."""
+        self._perform(self._replica.tick(now_ms()))
+
+    def on_persisted(self, token: int) -> None:
+        """Take that a record is durable; called by `DiskWriter`."""
+        self._perform(self._replica.persisted(token, now_ms()))
+
+    async def call(self, order: Order | None) -> Reply:
+        """Make an operator's call, a read where `order` is None; return its outcome, 503 after a time-out."""
+        token = f"{self._replica.me.id}/{next(self._call_numbers)}/{secrets.token_hex(4)}"
+        future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
+        self._calls[token] = future
+        try:
+            self._perform(self._replica.call(token, order, now_ms()))
+            return await future
+        finally:
+            self._calls.pop(token, None)
+
+    async def leave(self, timeout_s: float) -> None:
+        """Leave the chain before this process ends, within a time limit.
+
+        The others then need not wait until they suspect this replica, and no copy of the state goes before
+        enough others hold it.
+        """
+        self._perform(self._replica.leave(now_ms()))
+        deadline_s = time.monotonic() + timeout_s
+        while time.monotonic() < deadline_s and not self._replica.may_end():
+            await asyncio.sleep(LEAVE_POLL_INTERVAL_S)
+
+    def _perform(self, actions: list[Action]) -> None:
+        for action in actions:
+            match action:
+                case Send():
+                    self._peers.send(action.address, action.message)
+                case Persist():
+                    self._disk.write(action)
+                case Reply():
+                    future = self._calls.pop(action.token, None)
+                    if future is not None and not future.done():
+                        future.set_result(action)
+                case Commit():
+                    state = action.state
+                    self._on_commit(state, self._replica.chain.entry_at(state.sequence))
--- /dev/null
+++ b/dunlinloft/controlplane/server_registrar.py
@@ -0,0 +1,165 @@
+"""Registration of servers: takes their heartbeats and deregistrations, and replicates them.
+
+A heartbeat is acknowledged only by a replica that hears a majority of the roster: one that is partitioned
+off, or was suspended, answers 503, and the server turns to the next. That a server drains or leaves is
+acknowledged once a majority of the roster has it in memory: any node that is in contact learns of it from one
+of these.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from msgspec import Struct
+
+from dunlinloft.controlplane.node_publisher import NodePublisher
+from dunlinloft.coordination.agreement import majority_of
+from dunlinloft.coordination.messages import View
+from dunlinloft.coordination.placement import Placements
+from dunlinloft.coordination.registry import Registry
+from dunlinloft.coordination.stream import Beats, BeatsTaken, ServerNews, ServerRecord
+from dunlinloft.transport.clock import now_ms
+
+REPLICATION_TIMEOUT_S = 0.8  # for a majority to take that a server leaves; the server waits a second
+REPLICATION_RETRY_S = 0.15  # what a replica has not acknowledged by then is sent to it again
+
+
+@dataclass(slots=True)
+class _Replication:
+    """That a server drains or leaves, on its way to a majority of a view's roster."""
+
+    view: View
+    acknowledged_by: set[str]  # addresses
+    majority_reached: asyncio.Event = field(default_factory=asyncio.Event)
+
+    def acknowledge(self, address: str) -> None:
+        """The replica at an address has it in memory."""
+        self.acknowledged_by.add(address)
+        acknowledged = sum(member.address in self.acknowledged_by for member in self.view.roster)
+        if acknowledged >= majority_of(self.view):
+            self.majority_reached.set()
+
+
+class ServerRegistrar:
+    """Connects the registry of servers with their calls, the nodes and the other control planes.
+
+    Parameters
+    ----------
+    address:
+        This replica's internal listener.
+    in_contact:
+        Gives the view while this replica hears a majority of its roster, else None.
+    peer_addresses:
+        Gives the addresses of all other control planes.
+    send:
+        Sends a message to the replica at an address, best effort.
+    """
+
+    def __init__(
+        self,
+        address: str,
+        registry: Registry,
+        publisher: NodePublisher,
+        placements: Placements,
+        in_contact: Callable[[], View | None],
+        peer_addresses: Callable[[], set[str]],
+        send: Callable[[str, Struct], None],
+    ) -> None:
+        self._address = address
+        self._registry = registry
+        self._publisher = publisher
+        self._placements = placements
+        self._in_contact = in_contact
+        self._peer_addresses = peer_addresses
+        self._send = send
+        self._numbers = itertools.count(1)
+        self._replications: dict[int, _Replication] = {}  # under way, by number
+        self._replicated: set[str] = set()  # servers of which a majority knows that they drain
+
+    async def heartbeat(self, record: ServerRecord) -> bool:
+        """Take a server's heartbeat; True where it may be acknowledged."""
+        self._registry.beat(record, now_ms())
+        self.publish_changes()
+        view = self._in_contact()
+        if view is None:
+            return False
+        if not record.draining or record.id in self._replicated:
+            return True
+        return await self._replicate(view, record.id, (record,), ())
+
+    async def deregister(self, server_id: str) -> bool:
+        """Take that a server ends; True where that may be acknowledged."""
+        self._registry.leave(server_id, now_ms())
+        self.publish_changes()
+        view = self._in_contact()
+        if view is None:
+            return False
+        return await self._replicate(view, server_id, (), (server_id,))
+
+    async def _replicate(
+        self, view: View, server_id: str, records: tuple[ServerRecord, ...], left: tuple[str, ...]
+    ) -> bool:
+        """Send a change to the roster until a majority acknowledged it; False where time ran out first."""
+        number = next(self._numbers)
+        replication = _Replication(view, set())
+        self._replications[number] = replication
+        replication.acknowledge(self._address)
+        message = Beats(records, left, self._address, number)
+        try:
+            async with asyncio.timeout(REPLICATION_TIMEOUT_S):
+                while not replication.majority_reached.is_set():
+                    await self._send_round(replication, message)
+        except TimeoutError:
+            return False
+        finally:
+            del self._replications[number]
+        self._replicated.add(server_id)
+        return True
+
+    async def _send_round(self, replication: _Replication, message: Beats) -> None:
+        """Send to all that have not acknowledged, and wait for a majority or the time to send again."""
+        for member in replication.view.roster:
+            if member.address not in replication.acknowledged_by:
+                self._send(member.address, message)
+        try:
+            async with asyncio.timeout(REPLICATION_RETRY_S):
+                await replication.majority_reached.wait()
+        except TimeoutError:
+            return
+
+    def on_relayed_heartbeats(self, message: Beats) -> None:
+        """Take servers that another control plane received heartbeats from, and acknowledge if it asks so."""
+        now = now_ms()
+        for record in message.records:
+            self._registry.beat(record, now, relayed=True)
+        for server_id in message.gone:
+            self._registry.leave(server_id, now, relayed=True)
+        self.publish_changes()
+        if message.number:
+            self._send(message.sender, BeatsTaken(self._address, message.number))
+
+    def on_replication_acknowledged(self, message: BeatsTaken) -> None:
+        """Take that another control plane has what was replicated to it."""
+        replication = self._replications.get(message.number)
+        if replication is not None:
+            replication.acknowledge(message.sender)
+
+    def publish_changes(self) -> None:
+        """Send nodes and other control planes what changed since the last call."""
+        changed, left = self._registry.take_news()
+        if changed or left:
+            self._replicated &= self._registry.records.keys()
+            self._publisher.publish_servers(ServerNews(changed, left, self._registry.take_silent()))
+            self._placements.follow(self._registry.records.values())
+            self.relay_heartbeats()
+
+    def relay_heartbeats(self) -> None:
+        """Send other control planes the heartbeats that were received here since the last call."""
+        records, left = self._registry.take_beats()
+        if records or left:
+            message = Beats(records, left)
+            for address in self._peer_addresses():
+                self._send(address, message)
--- a/dunlinloft/controlplane/store.py
+++ b/dunlinloft/controlplane/store.py
@@ -1,250 +1,188 @@
-"""What a replica keeps on disk: two slots that are written in turn, each with a short log after it.
-
-A slot is the whole state; its log holds the records since. Both carry the slot's generation, so that a log
-left from an earlier turn is not read. Every block is length, CRC-32 and a JSON body; reading a log ends at
-the first block that is missing or torn. Recovery takes the readable slot of the highest generation, and its
-log.
-"""
+"""Writes a replica's durable state to its data directory; `data_directory` describes the files."""
 
 from __future__ import annotations
 
 import os
 import secrets
-import struct
-import zlib
 from pathlib import Path
-from typing import TypeVar
+from types import TracebackType
 
 import msgspec
-from msgspec import Struct
 
+from dunlinloft.controlplane.data_directory import (
+    FORMAT_VERSION,
+    LogRecord,
+    RecoveredState,
+    Snapshot,
+    encode_frame,
+    log_path,
+    recover,
+    snapshot_path,
+)
 from dunlinloft.coordination import durable as durables
 from dunlinloft.coordination.messages import Durable, Member, Record, View
 
-FORMAT = 1
-BEGUN = "begun-anew.log"  # each new epoch that an operator began from this directory
-LOG_MOST = 4 * 1024 * 1024  # bytes; a longer log is folded into the other slot
-_HEADER = struct.Struct("<II")  # length of the body, and its CRC-32
-
-T = TypeVar("T")
-
-
-class Slot(Struct, frozen=True):
-    """The body of a slot."""
-
-    format: int
-    generation: int
-    durable: Durable
-
-
-class LogBlock(Struct, frozen=True):
-    """The body of a block in a log."""
-
-    generation: int
-    number: int  # from 0, without a gap
-    record: Record
-
-
-class StoreError(Exception):
-    """A data directory that can't be read, with the reason."""
+MAX_LOG_BYTES = 4 * 1024 * 1024  # a longer log is compacted into the other slot: it bounds time to recover
+NEW_EPOCHS_FILE = "begun-anew.log"  # one line for each epoch that an operator began from this directory
 
 
-_slot = msgspec.json.Decoder(Slot)
-_block = msgspec.json.Decoder(LogBlock)
-
-
-def _framed(body: bytes) -> bytes:
-    return _HEADER.pack(len(body), zlib.crc32(body)) + body
+class ReplicaStore:
+    """A data directory in use.
 
+    Its methods wait for the disk: `DiskWriter` calls them on a thread of their own. As a context manager it
+    closes its file at the end.
+    """
 
-def block_size(body: bytes) -> int:
-    """Bytes that a block takes in its file."""
-    return _HEADER.size + len(body)
+    def __init__(self, folder: Path, first_incarnation: str | None) -> None:
+        """Recover the directory's state, or begin one, and write it to the other slot.
+
+        Parameters
+        ----------
+        first_incarnation:
+            The incarnation of a directory without a state at the first start of the whole control plane.
+            None: such a directory begins a new incarnation, which has promised nothing.
+
+        Raises
+        ------
+        OSError
+            The disk refuses.
+        StoreError
+            The directory was written in another format.
+        """
+        self._folder = folder
+        folder.mkdir(parents=True, exist_ok=True)
+        recovered = recover(folder)
+        if recovered is None:
+            recovered = RecoveredState(Durable(first_incarnation or secrets.token_hex(8)), 1, 0)
+        self.durable = recovered.durable
+        self._slot = recovered.slot
+        self._generation = recovered.generation
+        self._log: int | None = None  # file descriptor
+        self._next_number = 0
+        self._log_bytes = 0
+        self._switch_slot()
+
+    def __enter__(self) -> ReplicaStore:
+        return self
+
+    def __exit__(
+        self,
+        exception_type: type[BaseException] | None,
+        exception: BaseException | None,
+        traceback: TracebackType | None,
+    ) -> None:
+        self.close()
 
+    def close(self) -> None:
+        """Close the log. Everything appended is synced already."""
+        if self._log is not None:
+            os.close(self._log)
+            self._log = None
 
-def whole_blocks(data: bytes) -> list[bytes]:
-    """The whole blocks from the start of a file."""
-    found = []
-    at = 0
-    while at + _HEADER.size <= len(data):
-        length, checksum = _HEADER.unpack_from(data, at)
-        body = data[at + _HEADER.size : at + _HEADER.size + length]
-        if not length or len(body) < length or zlib.crc32(body) != checksum:
-            break
-        found.append(body)
-        at += _HEADER.size + length
-    return found
+    def append(self, records: list[Record]) -> None:
+        """Make records durable, all of them or none, and apply them to `durable`.
 
+        Raises `OSError` where the disk refuses; the same call may then be made again.
+        """
+        if self._log_bytes > MAX_LOG_BYTES:
+            self._switch_slot()
+        assert self._log is not None
+        number = self._next_number
+        data = b""
+        for record in records:
+            data += encode_frame(msgspec.json.encode(LogRecord(self._generation, number, record)))
+            number += 1
+        _write_fully(self._log, data, self._log_bytes)
+        os.fdatasync(self._log)
+        self._log_bytes += len(data)
+        self._next_number = number
+        for record in records:
+            durables.apply(self.durable, record)
 
-def read_slot(path: Path) -> Slot | None:
-    """A slot that can be read; None where it is missing, torn or of another format."""
-    try:
-        data = path.read_bytes()
-    except FileNotFoundError:
-        return None
-    for body in whole_blocks(data)[:1]:
-        try:
-            slot = _slot.decode(body)
-        except (msgspec.DecodeError, UnicodeDecodeError):
-            return None
-        if slot.format != FORMAT:
-            raise StoreError(f"{path}: format {slot.format}, expected {FORMAT}")
-        return slot
-    return None
+    def write_snapshot(self) -> None:
+        """Write `durable` as it is now to the other slot. Raises `OSError`."""
+        self._switch_slot()
 
+    def _switch_slot(self) -> None:
+        """Write the state to the other slot and begin an empty log after it.
 
-def read_log(path: Path, generation: int) -> list[Record]:
-    """The records after a slot, up to the first that is missing or torn."""
-    try:
-        data = path.read_bytes()
-    except FileNotFoundError:
-        return []
-    records: list[Record] = []
-    for body in whole_blocks(data):
+        The slot in use stays as it is until the other one is synced: a crash at any point leaves one of them.
+        """
+        slot = 1 - self._slot
+        generation = self._generation + 1
+        body = msgspec.json.encode(Snapshot(FORMAT_VERSION, generation, self.durable))
+        _write_file(snapshot_path(self._folder, slot), encode_frame(body))
+        log = os.open(log_path(self._folder, slot), os.O_RDWR | os.O_CREAT, 0o644)
         try:
-            block = _block.decode(body)
-        except (msgspec.DecodeError, UnicodeDecodeError):
-            break
-        if block.generation != generation or block.number != len(records):
-            break
-        records.append(block.record)
-    return records
-
-
-def slot_path(folder: Path, which: int) -> Path:
-    """Where a slot is."""
-    return folder / f"slot-{which}"
-
-
-def log_path(folder: Path, which: int) -> Path:
-    """Where the log after a slot is."""
-    return folder / f"log-{which}"
-
+            os.ftruncate(log, 0)
+            os.fsync(log)
+        except OSError:
+            os.close(log)
+            raise
+        self.close()
+        self._log = log
+        self._slot = slot
+        self._generation = generation
+        self._next_number = 0
+        self._log_bytes = 0
+        _sync_folder(self._folder)
 
-def recover(folder: Path) -> tuple[Durable, int, int] | None:
-    """What a data directory holds: the state, its slot and its generation; None where it holds nothing."""
-    slots = [read_slot(slot_path(folder, which)) for which in (0, 1)]
-    best: tuple[Slot, int] | None = None
-    for which, slot in enumerate(slots):
-        if slot is not None and (best is None or slot.generation > best[0].generation):
-            best = (slot, which)
-    if best is None:
-        return None
-    slot, which = best
-    for record in read_log(log_path(folder, which), slot.generation):
-        durables.apply(slot.durable, record)
-    return slot.durable, which, slot.generation
 
+def begin_new_epoch(folder: Path, address: str, epoch: int) -> Member:
+    """Make a data directory the only member of a new epoch, in a new incarnation; return that member.
 
-def begin_anew(folder: Path, address: str, epoch: int) -> Member:
-    """Make a data directory the first member of a new epoch, in a life that promised nothing; who it is.
+    For an operator (`dunlinloft state begin`), after more disks were lost than the deployment tolerates: what
+    only the others held is lost. Written down in `NEW_EPOCHS_FILE` there.
 
-    For an operator, after more disks were lost than may be: what the others held alone is lost.
+    Raises
+    ------
+    OSError
+        The disk refuses.
+    StoreError
+        The directory was written in another format.
     """
     incarnation = secrets.token_hex(8)
     member = Member(address, incarnation)
-    opened = Store(folder, None)
-    durable = opened.durable
-    durable.incarnation = incarnation
-    durable.view = View(epoch, (member,), (member,), 1)
-    durable.promised = durable.accepted = None
-    durable.synced_epoch = 0
-    durable.committed_digest = durable.state.chain_digest
-    opened.rewrite()
-    opened.close()
-    with (folder / BEGUN).open("a") as log:
+    with ReplicaStore(folder, None) as store:
+        durable = store.durable
+        durable.incarnation = incarnation
+        durable.view = View(epoch, (member,), (member,), 1)
+        durable.promised = None
+        durable.accepted = None
+        durable.synced_epoch = 0
+        durable.committed_digest = durable.state.chain_digest
+        store.write_snapshot()
+    with (folder / NEW_EPOCHS_FILE).open("a") as log:
         log.write(f"epoch {epoch} begun from version {durable.state.version} as {member.id}\n")
         log.flush()
         os.fsync(log.fileno())
     return member
 
 
-class Store:
-    """A data directory in use. Its calls wait for the disk: call them from a thread of their own."""
-
-    def __init__(self, folder: Path, first_incarnation: str | None) -> None:
-        """Recover, or begin: with `first_incarnation` at the first start of all, else as a new life.
-
-        Raises `OSError` where the disk refuses, `StoreError` where the format is another.
-        """
-        self._folder = folder
-        folder.mkdir(parents=True, exist_ok=True)
-        found = recover(folder)
-        if found is None:
-            incarnation = first_incarnation or secrets.token_hex(8)
-            found = (Durable(incarnation), 1, 0)
-        self.durable, self._which, self._generation = found
-        self._log: int | None = None
-        self._number = 0
-        self._length = 0
-        self._turn()
-
-    def rewrite(self) -> None:
-        """Write the state whole, as it is now. Raises `OSError`."""
-        self._turn()
-
-    def _turn(self) -> None:
-        """Write the state to the other slot, and begin its log anew."""
-        which, generation = 1 - self._which, self._generation + 1
-        body = msgspec.json.encode(Slot(FORMAT, generation, self.durable))
-        self._write_whole(slot_path(self._folder, which), _framed(body))
-        log = os.open(log_path(self._folder, which), os.O_RDWR | os.O_CREAT, 0o644)
-        try:
-            os.ftruncate(log, 0)
-            os.fsync(log)
-        except OSError:
-            os.close(log)
-            raise
-        if self._log is not None:
-            os.close(self._log)
-        self._log = log
-        self._which, self._generation = which, generation
-        self._number = self._length = 0
-        self._sync_folder()
-
-    def _write_whole(self, path: Path, data: bytes) -> None:
-        file = os.open(path, os.O_RDWR | os.O_CREAT, 0o644)
-        try:
-            os.ftruncate(file, 0)
-            _write_all(file, data, 0)
-            os.fsync(file)
-        finally:
-            os.close(file)
-
-    def _sync_folder(self) -> None:
-        folder = os.open(self._folder, os.O_RDONLY)
-        try:
-            os.fsync(folder)
-        finally:
-            os.close(folder)
-
-    def append(self, records: list[Record]) -> None:
-        """Make records last, all of them or none. Raises `OSError`; the same call may then be made again."""
-        if self._length > LOG_MOST:
-            self._turn()
-        assert self._log is not None
-        number = self._number
-        data = b""
-        for record in records:
-            data += _framed(msgspec.json.encode(LogBlock(self._generation, number, record)))
-            number += 1
-        _write_all(self._log, data, self._length)
-        os.fdatasync(self._log)
-        self._length += len(data)
-        self._number = number
-        for record in records:
-            durables.apply(self.durable, record)
-
-    def close(self) -> None:
-        """Give the file back."""
-        if self._log is not None:
-            os.close(self._log)
-            self._log = None
+def _write_file(path: Path, data: bytes) -> None:
+    """Replace a file's content and sync it."""
+    file = os.open(path, os.O_RDWR | os.O_CREAT, 0o644)
+    try:
+        os.ftruncate(file, 0)
+        _write_fully(file, data, 0)
+        os.fsync(file)
+    finally:
+        os.close(file)
 
 
-def _write_all(file: int, data: bytes, at: int) -> None:
-    view = memoryview(data)
-    while view:
-        written = os.pwrite(file, view, at)
-        view = view[written:]
-        at += written
+def _sync_folder(folder: Path) -> None:
+    """Sync a folder's entries, so that files created in it are found after a crash."""
+    descriptor = os.open(folder, os.O_RDONLY)
+    try:
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
+
+
+def _write_fully(file: int, data: bytes, offset: int) -> None:
+    """Write all of `data` at an offset; `pwrite` may write less than it is given."""
+    remaining = memoryview(data)
+    while remaining:
+        written = os.pwrite(file, remaining, offset)
+        remaining = remaining[written:]
+        offset += written
--- /dev/null
+++ b/dunlinloft/controlplane/stream_server.py
@@ -0,0 +1,66 @@
+"""The internal listener: accepts streams from data-plane nodes and other replicas."""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+
+import msgspec
+from absl import logging
+
+from dunlinloft.controlplane.stream_session import StreamServices, StreamSession
+from dunlinloft.coordination.stream import ToControl
+from dunlinloft.transport import message_stream
+from dunlinloft.transport.tasks import BackgroundTasks
+
+STREAM_IDLE_TIMEOUT_S = 2.0  # nodes and replicas send something each 0.3 s; a stream idle for longer is ended
+LISTEN_BACKLOG = 512  # connections not accepted yet: all nodes may reconnect at once
+
+_decoder = msgspec.json.Decoder(ToControl)
+
+
+class StreamServer:
+    """Runs one session for each accepted stream; its tasks belong to `tasks`."""
+
+    def __init__(self, services: StreamServices, tasks: BackgroundTasks) -> None:
+        self._services = services
+        self._tasks = tasks
+        self._numbers = itertools.count(1)
+
+    def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve a new connection."""
+        self._tasks.start(self._serve(reader, writer))
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        message_stream.configure_socket(writer)
+        message_writer = message_stream.MessageWriter(writer)
+        session = StreamSession(next(self._numbers), message_writer, self._services)
+        try:
+            end = await message_stream.read_messages(reader, _decoder, session.handle, STREAM_IDLE_TIMEOUT_S)
+        finally:
+            message_writer.abort()
+            session.close()
+        if end is message_stream.StreamEnd.UNDECODABLE:
+            logging.warning("event=refused_line peer=%s", writer.get_extra_info("peername"))
+
+
+@asynccontextmanager
+async def serve_streams(services: StreamServices, host: str, port: int) -> AsyncIterator[None]:
+    """Accept streams until the context ends; then all are aborted.
+
+    Raises `OSError` where the address can't be listened on.
+    """
+    async with BackgroundTasks() as tasks:
+        listener = await asyncio.start_server(
+            StreamServer(services, tasks).accept,
+            host,
+            port,
+            limit=message_stream.MAX_FRAME_BYTES,
+            backlog=LISTEN_BACKLOG,
+        )
+        try:
+            yield
+        finally:
+            listener.close()
--- /dev/null
+++ b/dunlinloft/controlplane/stream_session.py
@@ -0,0 +1,146 @@
+"""One accepted stream: takes the messages that a data-plane node or another replica sends on it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from dunlinloft.controlplane.node_publisher import NodePublisher, NodeSubscription
+from dunlinloft.controlplane.placement_service import PlacementService
+from dunlinloft.controlplane.quota_service import QuotaService
+from dunlinloft.controlplane.replica_host import ReplicaHost
+from dunlinloft.controlplane.server_registrar import ServerRegistrar
+from dunlinloft.coordination.nodes import Nodes
+from dunlinloft.coordination.registry import Registry
+from dunlinloft.coordination.stream import (
+    Beats,
+    BeatsTaken,
+    Fetch,
+    Held,
+    HoldsShares,
+    NodeAlive,
+    NodeEnds,
+    NodesSeen,
+    Place,
+    PlaceBegan,
+    PlaceChosen,
+    PlaceEnded,
+    QuotasHandedOver,
+    Servers,
+    Subscribe,
+    TakeQuota,
+    ToControl,
+)
+from dunlinloft.transport.clock import now_ms
+from dunlinloft.transport.message_stream import MessageWriter
+
+
+@dataclass(frozen=True, slots=True)
+class StreamServices:
+    """What messages are handed to; shared by all sessions."""
+
+    replica_host: ReplicaHost
+    nodes: Nodes
+    registry: Registry
+    registrar: ServerRegistrar
+    publisher: NodePublisher
+    quotas: QuotaService
+    placement: PlacementService
+
+
+class StreamSession:
+    """Dispatches the messages of one stream; made by `StreamServer` for each connection that it accepts.
+
+    A node's stream counts as one from its `Subscribe` on, which names the node. Any other message that comes
+    before is handed to the replica, which ignores it.
+
+    Parameters
+    ----------
+    number:
+        Of the stream, unique in this process: requests placed on a stream are known by it.
+    """
+
+    def __init__(self, number: int, writer: MessageWriter, services: StreamServices) -> None:
+        self._number = number
+        self._writer = writer
+        self._services = services
+        self._subscription: NodeSubscription | None = None
+
+    def handle(self, message: ToControl) -> None:
+        """Take one message."""
+        match message:
+            case Subscribe():
+                self._subscribe(message)
+            case Fetch() | Held() | HoldsShares() | NodeEnds() | NodeAlive() | TakeQuota() if (
+                self._subscription is not None
+            ):
+                self._handle_node(self._subscription, message)
+            case Place() | PlaceChosen() | PlaceBegan() | PlaceEnded():
+                self._handle_placement(message)
+            case Beats() | BeatsTaken() | QuotasHandedOver() | NodesSeen():
+                self._handle_peer(message)
+            case _:
+                self._services.replica_host.handle(message)
+
+    def close(self) -> None:
+        """Take that the stream ended."""
+        if self._subscription is not None:
+            self._services.publisher.unsubscribe(self._subscription)
+            self._services.placement.on_stream_closed(self._number)
+
+    def _subscribe(self, message: Subscribe) -> None:
+        services = self._services
+        subscription = NodeSubscription(
+            message.node, self._writer, message.held, message.held, message.wants_configurations
+        )
+        self._subscription = subscription
+        now = now_ms()
+        services.nodes.heard(message.node, False, now)
+        services.quotas.node_subscribed(message.node, message.uptime_ms, message.shares)
+        services.registrar.publish_changes()
+        ranges = services.registry.digests.differing(message.digests)
+        servers = Servers(services.registry.complete(now), ranges, services.registry.in_ranges(ranges))
+        services.publisher.subscribe(subscription, servers)
+
+    def _handle_node(
+        self,
+        subscription: NodeSubscription,
+        message: Fetch | Held | HoldsShares | NodeEnds | NodeAlive | TakeQuota,
+    ) -> None:
+        services = self._services
+        match message:
+            case Fetch():
+                services.publisher.resend_after(subscription, message.held)
+            case Held():
+                subscription.acknowledged_id = message.id
+            case HoldsShares():
+                services.quotas.set_holdings(subscription.node, message)
+            case NodeEnds():
+                services.nodes.ended(subscription.node, now_ms())
+            case NodeAlive():
+                services.nodes.heard(subscription.node, message.hears, now_ms())
+            case TakeQuota():
+                self._writer.send(services.quotas.grant(subscription.node, message))
+
+    def _handle_placement(self, message: Place | PlaceChosen | PlaceBegan | PlaceEnded) -> None:
+        placement = self._services.placement
+        match message:
+            case Place():
+                self._writer.send(placement.choose_server(self._number, message))
+            case PlaceChosen():
+                placement.on_chosen(self._number, message)
+            case PlaceBegan():
+                placement.on_decode_started(self._number, message)
+            case PlaceEnded():
+                placement.on_finished(self._number, message)
+
+    def _handle_peer(self, message: Beats | BeatsTaken | QuotasHandedOver | NodesSeen) -> None:
+        services = self._services
+        match message:
+            case Beats():
+                services.registrar.on_relayed_heartbeats(message)
+            case BeatsTaken():
+                services.registrar.on_replication_acknowledged(message)
+            case QuotasHandedOver():
+                services.quotas.on_handed_over(message)
+            case NodesSeen():
+                services.nodes.seen(message.nodes, now_ms())
--- a/dunlinloft/statecli.py
+++ b/dunlinloft/statecli.py
@@ -9,9 +9,9 @@
 import msgspec
 from rich.console import Console
 
-from dunlinloft.controlplane import store
-from dunlinloft.controlplane.known_members import KnownMembers
-from dunlinloft.controlplane.store import StoreError
+from dunlinloft.controlplane import data_directory, store
+from dunlinloft.controlplane.exceptions import StoreError
+from dunlinloft.controlplane.member_cache import MemberCache
 from dunlinloft.coordination.messages import Durable
 
 SUCCESS, TORN, UNREADABLE = 0, 1, 2
@@ -38,23 +38,27 @@
     if not path.exists():
         return None
     data = path.read_bytes()
-    bodies = store.whole_blocks(data)
-    whole_bytes = sum(store.block_size(body) for body in bodies)
+    bodies = data_directory.intact_frames(data)
+    whole_bytes = sum(data_directory.frame_size(body) for body in bodies)
     return FileReport(path.name, len(data), len(bodies), whole_bytes)
 
 
 def reports(folder: Path) -> list[FileReport]:
     """All files that a replica writes, as far as they are there."""
-    paths = [make(folder, which) for which in (0, 1) for make in (store.slot_path, store.log_path)]
+    paths = [
+        make(folder, which)
+        for which in (0, 1)
+        for make in (data_directory.snapshot_path, data_directory.log_path)
+    ]
     return [report for path in paths if (report := report_file(path)) is not None]
 
 
 def summary(folder: Path, durable: Durable, which: int, generation: int) -> dict[str, object]:
     """What the directory recovers to, as values that can be printed or written as JSON."""
     view, state = durable.view, durable.state
-    log = store.read_log(store.log_path(folder, which), generation)
+    log = data_directory.read_log(data_directory.log_path(folder, which), generation)
     return {
-        "format": store.FORMAT,
+        "format": data_directory.FORMAT_VERSION,
         "slot": which,
         "generation": generation,
         "incarnation": durable.incarnation,
@@ -69,21 +73,21 @@
         "routes": len(state.document.get("routes", ())),
         "orders_remembered": len(state.taken),
         "log_records": dict(Counter(type(record).__name__ for record in log)),
-        "servers_known": len(KnownMembers(folder).read().servers),
+        "servers_known": len(MemberCache(folder).read().servers),
     }
 
 
 def inspect(folder: Path, as_json: bool) -> int:
     """Say what a data directory recovers to; the exit status."""
     try:
-        found = store.recover(folder)
+        found = data_directory.recover(folder)
     except (StoreError, OSError) as error:
         out.print(f"{error}")
         return UNREADABLE
     if found is None:
         out.print(f"{folder}: no state; a replica that starts with it is a new one")
         return UNREADABLE
-    values = summary(folder, *found)
+    values = summary(folder, found.durable, found.slot, found.generation)
     if as_json:
         print(msgspec.json.encode(values).decode())
         return SUCCESS
@@ -103,15 +107,17 @@
         end = f"; {rest} bytes from byte {report.whole_bytes} are no whole block" if report.torn else ""
         out.print(f"{report.name}: {report.blocks} whole blocks in {report.size} bytes{end}")
     try:
-        recovered = store.recover(folder)
+        recovered = data_directory.recover(folder)
     except (StoreError, OSError) as error:
         out.print(f"{error}")
         return UNREADABLE
     if recovered is None:
         out.print("no slot can be read: a replica that starts with this is a new one")
         return UNREADABLE
-    durable, which, generation = recovered
-    out.print(f"recovers to version {durable.state.version} from slot-{which}, generation {generation}")
+    out.print(
+        f"recovers to version {recovered.durable.state.version} from slot-{recovered.slot},"
+        f" generation {recovered.generation}"
+    )
     return TORN if any(report.torn for report in found) else SUCCESS
 
 
@@ -120,14 +126,14 @@
     found: list[tuple[Durable, Path]] = []
     for folder in folders:
         try:
-            recovered = store.recover(folder)
+            recovered = data_directory.recover(folder)
         except (StoreError, OSError) as error:
             out.print(f"{folder}: {error}")
             continue
         if recovered is None:
             out.print(f"{folder}: no state")
         else:
-            found.append((recovered[0], folder))
+            found.append((recovered.durable, folder))
     if not found:
         return UNREADABLE
     found.sort(key=lambda pair: (pair[0].state.sequence, _epoch(pair[0])), reverse=True)
@@ -154,14 +160,14 @@
 def begin(folder: Path, address: str, after_epoch: int, known: bool) -> int:
     """Begin a new epoch from a directory; the exit status. Logged in the directory itself."""
     try:
-        recovered = store.recover(folder)
+        recovered = data_directory.recover(folder)
     except (StoreError, OSError) as error:
         out.print(f"{error}")
         return UNREADABLE
     if recovered is None:
         out.print(f"{folder}: no state")
         return UNREADABLE
-    durable = recovered[0]
+    durable = recovered.durable
     if after_epoch < _epoch(durable):
         out.print(
             f"--after-epoch: {folder} knows of epoch {_epoch(durable)}; name the highest in any directory"
@@ -173,7 +179,7 @@
             f"would begin epoch {after_epoch + 1} from version {version}; give --i-know-what-is-lost to do so"
         )
         return TORN
-    member = store.begin_anew(folder, address, after_epoch + 1)
+    member = store.begin_new_epoch(folder, address, after_epoch + 1)
     out.print(f"epoch {after_epoch + 1} begins from version {version}, as {member.id}")
-    out.print(f"{folder / store.BEGUN} says so")
+    out.print(f"{folder / store.NEW_EPOCHS_FILE} says so")
     return SUCCESS
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -7,8 +7,10 @@
 
 import pytest
 
-from dunlinloft.controlplane import store as stores
-from dunlinloft.controlplane.store import Store, StoreError
+from dunlinloft.controlplane import data_directory
+from dunlinloft.controlplane import store as store_module
+from dunlinloft.controlplane.exceptions import StoreError
+from dunlinloft.controlplane.store import ReplicaStore
 from dunlinloft.coordination.durable import next_entry
 from dunlinloft.coordination.messages import Ballot, ChainState, Entry, EntryRecord, Order, PromiseRecord
 
@@ -18,50 +20,50 @@
     return next_entry(state, version, Order("replace", state.version, f"digest-{version}", body))
 
 
-def _fill(store: Store, versions: range) -> None:
+def _fill(store: ReplicaStore, versions: range) -> None:
     for version in versions:
         store.append([EntryRecord(_entry(store.durable.state, version))])
 
 
 def test_what_was_appended_is_there_after_a_restart(tmp_path: Path) -> None:
-    store = Store(tmp_path, "0")
+    store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 8))
     store.append([PromiseRecord(Ballot(3, "somebody"))])
     store.close()
-    again = Store(tmp_path, None)
+    again = ReplicaStore(tmp_path, None)
     assert again.durable.incarnation == "0"
     assert again.durable.state.version == 7
     assert again.durable.promised == Ballot(3, "somebody")
 
 
 def test_an_empty_disk_that_is_not_the_first_is_a_new_life(tmp_path: Path) -> None:
-    first, second = Store(tmp_path / "a", None), Store(tmp_path / "b", None)
+    first, second = ReplicaStore(tmp_path / "a", None), ReplicaStore(tmp_path / "b", None)
     assert first.durable.incarnation not in ("0", second.durable.incarnation)
 
 
 def test_a_log_cut_at_any_byte_keeps_what_was_before(tmp_path: Path) -> None:
-    store = Store(tmp_path, "0")
+    store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 4))
     store.close()
-    found = stores.recover(tmp_path)
+    found = data_directory.recover(tmp_path)
     assert found is not None
-    log = stores.log_path(tmp_path, found[1])
+    log = data_directory.log_path(tmp_path, found.slot)
     whole = log.read_bytes()
     ends = [0]
-    for body in stores.whole_blocks(whole):
-        ends.append(ends[-1] + stores.block_size(body))
+    for body in data_directory.intact_frames(whole):
+        ends.append(ends[-1] + data_directory.frame_size(body))
     for cut in range(len(whole) + 1):
         log.write_bytes(whole[:cut])
-        recovered = stores.recover(tmp_path)
+        recovered = data_directory.recover(tmp_path)
         assert recovered is not None
-        assert recovered[0].state.version == sum(cut >= end for end in ends[1:])
+        assert recovered.durable.state.version == sum(cut >= end for end in ends[1:])
 
 
 @pytest.mark.parametrize("damage", ["zeros", "garbage", "missing"])
 def test_a_torn_slot_leaves_the_other_in_force(tmp_path: Path, damage: str) -> None:
-    store = Store(tmp_path, "0")
+    store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 4))
-    newer = stores.slot_path(tmp_path, 1 - store._which)
+    newer = data_directory.snapshot_path(tmp_path, 1 - store._slot)
     store.close()
     whole = newer.read_bytes() if newer.exists() else b"x" * 100
     match damage:
@@ -71,55 +73,55 @@
             newer.write_bytes(os.urandom(len(whole)))
         case "missing":
             newer.unlink(missing_ok=True)
-    again = Store(tmp_path, None)
+    again = ReplicaStore(tmp_path, None)
     assert again.durable.state.version == 3
 
 
 def test_a_slot_torn_while_it_is_written_leaves_the_log_before_it(tmp_path: Path) -> None:
-    store = Store(tmp_path, "0")
+    store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 4))
     store.close()
     kept = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
-    Store(tmp_path, None).close()  # writes the other slot
-    found = stores.recover(tmp_path)
+    ReplicaStore(tmp_path, None).close()  # writes the other slot
+    found = data_directory.recover(tmp_path)
     assert found is not None
-    slot = stores.slot_path(tmp_path, found[1])
+    slot = data_directory.snapshot_path(tmp_path, found.slot)
     whole = slot.read_bytes()
     for cut in range(0, len(whole), 7):
         for name, data in kept.items():
             (tmp_path / name).write_bytes(data)
         slot.write_bytes(whole[:cut])
-        recovered = stores.recover(tmp_path)
+        recovered = data_directory.recover(tmp_path)
         assert recovered is not None
-        assert recovered[0].state.version == 3
+        assert recovered.durable.state.version == 3
 
 
 def test_a_log_of_an_earlier_turn_is_not_read(tmp_path: Path) -> None:
-    store = Store(tmp_path, "0")
+    store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 4))
-    old = stores.log_path(tmp_path, store._which).read_bytes()
-    store._turn()
+    old = data_directory.log_path(tmp_path, store._slot).read_bytes()
+    store.write_snapshot()
     _fill(store, range(4, 6))
     store.close()
-    found = stores.recover(tmp_path)
+    found = data_directory.recover(tmp_path)
     assert found is not None
-    stores.log_path(tmp_path, found[1]).write_bytes(old)
-    recovered = stores.recover(tmp_path)
+    data_directory.log_path(tmp_path, found.slot).write_bytes(old)
+    recovered = data_directory.recover(tmp_path)
     assert recovered is not None
-    assert recovered[0].state.version == 3
+    assert recovered.durable.state.version == 3
 
 
 def test_a_long_log_is_folded_into_the_other_slot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(stores, "LOG_MOST", 500)
-    store = Store(tmp_path, "0")
+    monkeypatch.setattr(store_module, "MAX_LOG_BYTES", 500)
+    store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 30))
     store.close()
     assert sum(path.stat().st_size for path in tmp_path.iterdir()) < 10_000
-    assert Store(tmp_path, None).durable.state.version == 29
+    assert ReplicaStore(tmp_path, None).durable.state.version == 29
 
 
 def test_a_refused_write_can_be_made_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    store = Store(tmp_path, "0")
+    store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 3))
     record = EntryRecord(_entry(store.durable.state, 3))
     real = os.pwrite
@@ -139,11 +141,11 @@
     monkeypatch.setattr(os, "pwrite", real)
     store.append([record])
     store.close()
-    assert Store(tmp_path, None).durable.state.version == 3
+    assert ReplicaStore(tmp_path, None).durable.state.version == 3
 
 
 def test_another_format_is_refused_with_its_number(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    Store(tmp_path, "0").close()
-    monkeypatch.setattr(stores, "FORMAT", 9)
+    ReplicaStore(tmp_path, "0").close()
+    monkeypatch.setattr(data_directory, "FORMAT_VERSION", 9)
     with pytest.raises(StoreError, match="format 1, expected 9"):
-        Store(tmp_path, None)
+        ReplicaStore(tmp_path, None)
--- a/tests/test_in_force.py
+++ b/tests/test_in_force.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from dunlinloft.controlplane.distribution import Distribution, NodeStream
+from dunlinloft.controlplane.node_publisher import NodePublisher, NodeSubscription
 from dunlinloft.coordination.durable import after_entry, next_entry
 from dunlinloft.coordination.messages import ChainState, Order
 from dunlinloft.coordination.stream import ConfigurationId, Delta, Servers, Version, Whole
@@ -76,9 +76,9 @@
         """Keep a message."""
         self.sent.append(message)
 
-    def send_frame(self, line: bytes) -> None:
-        """Keep a line."""
-        self.sent.append(line)
+    def send_frame(self, frame: bytes) -> None:
+        """Keep an encoded message."""
+        self.sent.append(frame)
 
 
 def _order(version: int, base: int, kind: str = "update", text: str = "") -> Order:
@@ -89,67 +89,67 @@
     return after_entry(state, next_entry(state, order.body["version"], order))
 
 
-def _subscribed(distribution: Distribution, held: ConfigurationId) -> _Written:
+def _subscribed(publisher: NodePublisher, held: ConfigurationId) -> _Written:
     written = _Written()
-    stream = NodeStream("node", written, held, held, True)  # type: ignore[arg-type]
-    distribution.subscribe(stream, NO_SERVERS)
+    stream = NodeSubscription("node", written, held, held, True)  # type: ignore[arg-type]
+    publisher.subscribe(stream, NO_SERVERS)
     written.sent.clear()
     return written
 
 
 def test_a_node_with_the_number_of_a_lost_change_is_sent_the_one_that_was_taken() -> None:
-    distribution = Distribution()
-    distribution.set_confirmed(True)
+    publisher = NodePublisher()
+    publisher.set_confirmed(True)
     taken = _state(ChainState(), _order(5, 0, "replace", "taken"))
-    distribution.committed(taken, None)
-    stream = NodeStream(
+    publisher.publish_state(taken, None)
+    stream = NodeSubscription(
         "node",
         _Written(),  # type: ignore[arg-type]
         ConfigurationId(5, "lost"),
         ConfigurationId(5, "lost"),
         True,
     )
-    distribution.subscribe(stream, NO_SERVERS)
-    assert stream.sent == ConfigurationId(5, taken.chain_digest)
+    publisher.subscribe(stream, NO_SERVERS)
+    assert stream.sent_id == ConfigurationId(5, taken.chain_digest)
 
 
 def test_a_change_is_sent_as_such_only_on_what_it_changed() -> None:
-    distribution = Distribution()
-    distribution.set_confirmed(True)
+    publisher = NodePublisher()
+    publisher.set_confirmed(True)
     first = _state(ChainState(), _order(5, 0, "replace"))
-    distribution.committed(first, None)
-    same = _subscribed(distribution, ConfigurationId(5, first.chain_digest))
+    publisher.publish_state(first, None)
+    same = _subscribed(publisher, ConfigurationId(5, first.chain_digest))
     order = _order(6, 5)
     entry = next_entry(first, 6, order)
-    distribution.committed(after_entry(first, entry), entry)
+    publisher.publish_state(after_entry(first, entry), entry)
     assert b'"delta"' in same.sent[-1]
     other = _Written()
     lost = ConfigurationId(5, "lost")
-    distribution.subscribe(NodeStream("node", other, lost, lost, True), NO_SERVERS)  # type: ignore[arg-type]
+    publisher.subscribe(NodeSubscription("node", other, lost, lost, True), NO_SERVERS)  # type: ignore[arg-type]
     assert b'"whole"' in other.sent[-1]
 
 
 def test_a_control_plane_that_is_not_confirmed_says_so_and_says_it_again_once_it_is() -> None:
-    distribution = Distribution()
+    publisher = NodePublisher()
     state = _state(ChainState(), _order(5, 0, "replace"))
-    distribution.committed(state, None)
-    stream = NodeStream("node", _Written(), NONE, NONE, True)  # type: ignore[arg-type]
-    distribution.subscribe(stream, NO_SERVERS)
+    publisher.publish_state(state, None)
+    stream = NodeSubscription("node", _Written(), NONE, NONE, True)  # type: ignore[arg-type]
+    publisher.subscribe(stream, NO_SERVERS)
     sent: list[Any] = stream.writer.sent  # type: ignore[attr-defined]
     assert b'"confirmed":false' in sent[-1]
-    distribution.set_confirmed(True)
+    publisher.set_confirmed(True)
     assert b'"confirmed":true' in sent[-1]
     count = len(sent)
-    stream.held = stream.sent
-    distribution.set_confirmed(False)
-    distribution.set_confirmed(True)
+    stream.acknowledged_id = stream.sent_id
+    publisher.set_confirmed(False)
+    publisher.set_confirmed(True)
     assert len(sent) == count, "it holds it already"
 
 
 def test_others_are_told_which_configuration_there_is() -> None:
-    distribution = Distribution()
+    publisher = NodePublisher()
     state = _state(ChainState(), _order(5, 0, "replace"))
-    distribution.committed(state, None)
+    publisher.publish_state(state, None)
     written = _Written()
-    distribution.subscribe(NodeStream("node", written, NONE, NONE, False), NO_SERVERS)  # type: ignore[arg-type]
+    publisher.subscribe(NodeSubscription("node", written, NONE, NONE, False), NO_SERVERS)  # type: ignore[arg-type]
     assert written.sent[-1] == Version(ConfigurationId(5, state.chain_digest))
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -8,8 +8,8 @@
 import pytest
 from msgspec import Struct
 
-from dunlinloft.controlplane.distribution import Distribution
-from dunlinloft.controlplane.server_list import ANNOUNCE_S, ServerList
+from dunlinloft.controlplane.node_publisher import NodePublisher
+from dunlinloft.controlplane.server_registrar import REPLICATION_TIMEOUT_S, ServerRegistrar
 from dunlinloft.coordination.liveness import CONTACT_MS, Liveness
 from dunlinloft.coordination.messages import Member, Ping, View
 from dunlinloft.coordination.placement import Placements
@@ -36,10 +36,10 @@
         self.announced: list[str] = []
         rng: Any = None
         self.registry = Registry(1_000.0, 0.0)
-        self.list = ServerList(
+        self.registrar = ServerRegistrar(
             me,
             self.registry,
-            Distribution(),
+            NodePublisher(),
             Placements(rng, 3_000.0),
             lambda: self.view,
             lambda: set(ADDRESSES) - {me},
@@ -52,7 +52,7 @@
             return
         self.announced.append(address)
         if address in self.answering and len(self.announced) > self.deaf_for:
-            self.list.on_taken(BeatsTaken(address, message.number))
+            self.registrar.on_replication_acknowledged(BeatsTaken(address, message.number))
 
 
 def _run(coroutine: Coroutine[Any, Any, None]) -> float:
@@ -67,11 +67,11 @@
 def test_a_heartbeat_is_acknowledged_only_in_contact_with_a_majority() -> None:
     async def play() -> None:
         others = _Others(ADDRESSES)
-        assert await others.list.beat(_record(1))
+        assert await others.registrar.heartbeat(_record(1))
         others.view = None
-        assert not await others.list.beat(_record(2))
-        assert not await others.list.beat(_record(3, "draining"))
-        assert not await others.list.leave("i-1")
+        assert not await others.registrar.heartbeat(_record(2))
+        assert not await others.registrar.heartbeat(_record(3, "draining"))
+        assert not await others.registrar.deregister("i-1")
 
     _run(play())
 
@@ -79,9 +79,9 @@
 def test_leaving_is_acknowledged_once_a_majority_has_it() -> None:
     async def play() -> None:
         others = _Others((ADDRESSES[2],))
-        assert await others.list.beat(_record(1, "draining"))
+        assert await others.registrar.heartbeat(_record(1, "draining"))
         told = len(others.announced)
-        assert await others.list.beat(_record(2, "draining"))
+        assert await others.registrar.heartbeat(_record(2, "draining"))
         assert len(others.announced) == told, "a majority knows it already"
 
     assert _run(play()) == 0.0
@@ -89,22 +89,22 @@
 
 def test_what_was_lost_is_announced_again() -> None:
     async def play() -> None:
-        assert await _Others(ADDRESSES, deaf_for=3).list.leave("i-1")
+        assert await _Others(ADDRESSES, deaf_for=3).registrar.deregister("i-1")
 
-    assert 0.0 < _run(play()) < ANNOUNCE_S
+    assert 0.0 < _run(play()) < REPLICATION_TIMEOUT_S
 
 
 @pytest.mark.parametrize("answering", [(), ("10.9.9.9:7680",)])
 def test_leaving_that_nobody_else_has_is_not_acknowledged(answering: tuple[str, ...]) -> None:
     async def play() -> None:
-        assert not await _Others(answering).list.beat(_record(1, "draining"))
+        assert not await _Others(answering).registrar.heartbeat(_record(1, "draining"))
 
-    assert _run(play()) == pytest.approx(ANNOUNCE_S, abs=0.05)
+    assert _run(play()) == pytest.approx(REPLICATION_TIMEOUT_S, abs=0.05)
 
 
 def test_a_replica_without_a_vote_needs_a_majority_of_those_who_have_one() -> None:
     async def play(answering: tuple[str, ...]) -> bool:
-        return await _Others(answering, me="10.0.0.9:7680").list.leave("i-1")
+        return await _Others(answering, me="10.0.0.9:7680").registrar.deregister("i-1")
 
     async def both() -> None:
         assert not await play(ADDRESSES[:1])
@@ -116,8 +116,8 @@
 def test_who_hears_an_announcement_says_so_and_knows_it() -> None:
     sent: list[tuple[str, Struct]] = []
     others = _Others(())
-    others.list._send = lambda address, message: sent.append((address, message))
-    others.list.on_beats(Beats((_record(1, "draining"),), (), ADDRESSES[1], 7))
+    others.registrar._send = lambda address, message: sent.append((address, message))
+    others.registrar.on_relayed_heartbeats(Beats((_record(1, "draining"),), (), ADDRESSES[1], 7))
     assert (ADDRESSES[1], BeatsTaken(ADDRESSES[0], 7)) in sent
     assert others.registry.records["i-1"].draining
 
--- a/tests/test_statecli.py
+++ b/tests/test_statecli.py
@@ -9,9 +9,9 @@
 from click.testing import CliRunner
 
 from dunlinloft.cli import main
-from dunlinloft.controlplane import store as stores
-from dunlinloft.controlplane.known_members import Known, KnownMembers
-from dunlinloft.controlplane.store import Store
+from dunlinloft.controlplane import data_directory
+from dunlinloft.controlplane.member_cache import CachedMembers, MemberCache
+from dunlinloft.controlplane.store import ReplicaStore
 from dunlinloft.coordination.durable import next_entry
 from dunlinloft.coordination.messages import CommittedRecord, EntryRecord, Member, Order, View, ViewRecord
 from dunlinloft.coordination.replica import first_view
@@ -23,7 +23,7 @@
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
     """A directory after one change."""
-    store = Store(tmp_path, "0")
+    store = ReplicaStore(tmp_path, "0")
     order = Order("replace", 0, "digest", {"version": 7, "routes": [{"name": "r"}], "services": []})
     entry = next_entry(store.durable.state, 7, order)
     store.append(
@@ -31,7 +31,7 @@
     )
     store.close()
     server = ServerRecord("i-1", "pool", "10.0.0.9:80", "a", 4, "ready", 1)
-    KnownMembers(tmp_path).write(Known((server,)))
+    MemberCache(tmp_path).write(CachedMembers((server,)))
     return tmp_path
 
 
@@ -59,9 +59,9 @@
 
 def test_verify_tells_a_torn_end_by_its_place(folder: Path) -> None:
     assert _said("verify", str(folder))[0] == 0
-    found = stores.recover(folder)
+    found = data_directory.recover(folder)
     assert found is not None
-    log = stores.log_path(folder, found[1])
+    log = data_directory.log_path(folder, found.slot)
     whole = log.read_bytes()
     log.write_bytes(whole + b"torn")
     before = _contents(folder)
@@ -80,7 +80,7 @@
 
 
 def test_another_format_is_named(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(stores, "FORMAT", 9)
+    monkeypatch.setattr(data_directory, "FORMAT_VERSION", 9)
     status, said = _said("inspect", str(folder))
     assert status == 2
     assert "format 1, expected 9" in said
@@ -89,7 +89,7 @@
 def test_the_newest_of_several_directories_is_named(folder: Path, tmp_path: Path) -> None:
     empty, old = tmp_path / "empty", tmp_path / "old"
     empty.mkdir()
-    Store(old, "1").close()
+    ReplicaStore(old, "1").close()
     status, said = _said("newest", str(old), str(folder), str(empty))
     assert status == 0
     assert f"newest: {folder}; 2 histories; highest epoch 1" in said
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dunlinloft.controlplane.api import read_body
+from dunlinloft.controlplane.http_api import parse_document
 from dunlinloft.coordination.calls import Invalid, Valid
 from dunlinloft.coordination.durable import changed
 from dunlinloft.coordination.messages import Document, Order
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("data", [b"", b'{"version":', b"[1]", b"\xff\xfe", b"[" * 100_000])
 def test_a_body_that_cannot_be_read_whole_is_refused(data: bytes) -> None:
-    assert isinstance(read_body(data), Invalid)
+    assert isinstance(parse_document(data), Invalid)
 
 
 def test_an_update_changes_what_it_names_and_nothing_else() -> None:
