--- a/lab/startup_cost.py
+++ b/lab/startup_cost.py
@@ -45,7 +45,7 @@
         (
             "import dunlinloft.dataplane.__main__",
             "import dunlinloft.transport.program",
-            "from dunlinloft.transport.light import import_aiohttp",
+            "from dunlinloft.transport.aiohttp_import import import_aiohttp",
             "import_aiohttp()",
             "import dunlinloft.dataplane.process",
             "import uvloop",
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -27,7 +27,7 @@
 from msgspec import inspect
 
 from dunlinloft import configuration, settings
-from dunlinloft.controlplane import api, known_members, store
+from dunlinloft.controlplane import data_directory, http_api, member_cache, store
 from dunlinloft.coordination import durable, stream
 from dunlinloft.fleet import messages as member_messages
 from dunlinloft.fleet import wire
@@ -37,7 +37,7 @@
 from dunlinloft.fleet.leases import voters
 from dunlinloft.fleet.releases import messages as release_messages
 from dunlinloft.fleet.shared_state import messages as shared_messages
-from dunlinloft.transport import lines
+from dunlinloft.transport import message_stream
 from lab import cells as lab_cells
 from lab import records, results
 from lab.capacity import model
@@ -85,14 +85,18 @@
 
 FORMS = {
     # Streams of the control plane, as lines.
-    "to-control.jsonl": Form(stream.ToControl, msgspec.json.Decoder(stream.ToControl).decode, lines.encoded),
-    "to-node.jsonl": Form(stream.ToNode, msgspec.json.Decoder(stream.ToNode).decode, lines.encoded),
+    "to-control.jsonl": Form(
+        stream.ToControl, msgspec.json.Decoder(stream.ToControl).decode, message_stream.encode_frame
+    ),
+    "to-node.jsonl": Form(
+        stream.ToNode, msgspec.json.Decoder(stream.ToNode).decode, message_stream.encode_frame
+    ),
     # What servers and operators send to it, and what it keeps.
-    "heartbeats.jsonl": _json(api.Heartbeat),
+    "heartbeats.jsonl": _json(http_api.Heartbeat),
     "configurations.jsonl": _json(configuration.Configuration),
     "settings.jsonl": _json(settings.Settings),
-    "slots.jsonl": _json(store.Slot),
-    "log-blocks.jsonl": _json(store.LogBlock),
+    "slots.jsonl": _json(data_directory.Snapshot),
+    "log-blocks.jsonl": _json(data_directory.LogRecord),
     # Datagrams and views between nodes, without cells and with them.
     "member-messages.hex": Form(member_messages.Message, _flat.read, _flat.write, 5),
     "member-views.hex": Form(member_messages.State, _flat.read_state, _flat.write_state, 5),
@@ -308,9 +312,9 @@
 
 
 def _recovered(folder: Path) -> bytes:
-    found = store.recover(folder)
+    found = data_directory.recover(folder)
     assert found is not None
-    return msgspec.json.encode(list(found))
+    return msgspec.json.encode([found.durable, found.slot, found.generation])
 
 
 def test_a_data_directory_of_the_version_before_is_recovered(tmp_path: Path) -> None:
@@ -344,8 +348,8 @@
 def test_the_same_records_written_again_make_the_same_files(tmp_path: Path) -> None:
     folder = tmp_path / "data"
     for which in (0, 1):
-        opened = store.Store(folder, "0")
-        taken = store.read_log(DATA_DIRECTORY / f"log-{which}", which + 1)
+        opened = store.ReplicaStore(folder, "0")
+        taken = data_directory.read_log(DATA_DIRECTORY / f"log-{which}", which + 1)
         assert len(taken) == len(_logged(which))
         opened.append(taken[:3])
         opened.append(taken[3:])
@@ -357,16 +361,18 @@
 
 def test_an_entrys_digest_follows_from_the_state_and_order_as_before() -> None:
     state = msgspec.json.decode((DATA_DIRECTORY / "recovered-first.json").read_bytes())[0]["state"]
-    appended = [record for record in store.read_log(DATA_DIRECTORY / "log-1", 2) if hasattr(record, "entry")]
-    before = msgspec.convert(state, type(store.recover(DATA_DIRECTORY)[0].state))  # type: ignore[index]
+    appended = [
+        record for record in data_directory.read_log(DATA_DIRECTORY / "log-1", 2) if hasattr(record, "entry")
+    ]
+    before = msgspec.convert(state, type(data_directory.recover(DATA_DIRECTORY).durable.state))  # type: ignore[union-attr]
     assert appended and durable.continues(before, appended[0].entry)
 
 
 def test_known_members_of_the_version_before_are_read_and_written_again(tmp_path: Path) -> None:
-    held = known_members.KnownMembers(KNOWN_MEMBERS)
+    held = member_cache.MemberCache(KNOWN_MEMBERS)
     found = held.read()
     assert msgspec.json.encode(found) == (KNOWN_MEMBERS / "known.json").read_bytes()
-    again = known_members.KnownMembers(tmp_path)
+    again = member_cache.MemberCache(tmp_path)
     again.write(type(found)())
     again.write(found)
     assert sorted(path.name for path in tmp_path.iterdir()) == ["servers-0", "servers-1"]
