--- a/tests/test_streams_anew.py
+++ b/tests/test_node_streams.py
@@ -1,16 +1,13 @@
-"""A node's stream that ends by a fault of ours is begun anew, and a loop that fails ends the process."""
+"""A node's streams to the control plane: restarted after a fault of ours, alive until their end."""
 
 from __future__ import annotations
 
 import asyncio
 
-import msgspec
 import pytest
 
 from dunlinloft.coordination.stream import Alive, ConfigurationId
 from dunlinloft.dataplane.control import NodeSide, Subscriptions
-from dunlinloft.transport.message_stream import encode_frame, read_messages
-from dunlinloft.transport.tasks import run_essential
 
 
 def _subscriptions() -> Subscriptions:
@@ -28,36 +25,15 @@
     return Subscriptions("node", "a", lambda: seeds, side)
 
 
-@pytest.mark.parametrize("first", ["line", "cancel"])
-def test_a_cancellation_that_meets_a_line_ends_the_reading(first: str) -> None:
-    async def main() -> None:
-        reader = asyncio.StreamReader()
-        decoder = msgspec.json.Decoder(Alive)
-        reading = asyncio.create_task(read_messages(reader, decoder, lambda _: None, 60.0))
-        await asyncio.sleep(0)  # it waits for a line now
-        line = encode_frame(Alive())
-        if first == "line":
-            reader.feed_data(line)
-            reading.cancel()
-        else:
-            reading.cancel()
-            reader.feed_data(line)
-        with pytest.raises(asyncio.CancelledError):
-            async with asyncio.timeout(5.0):
-                await reading
-
-    asyncio.run(main())
-
-
-def test_a_stream_that_failed_is_begun_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    begun: list[str] = []
-    again = asyncio.Event()
+def test_a_failed_stream_is_restarted(monkeypatch: pytest.MonkeyPatch) -> None:
+    started: list[str] = []
+    restarted = asyncio.Event()
 
     async def keep(self: Subscriptions, address: str) -> None:
-        begun.append(address)
-        if len(begun) == 1:
+        started.append(address)
+        if len(started) == 1:
             raise KeyError("planted")
-        again.set()
+        restarted.set()
         await asyncio.Event().wait()
 
     async def main() -> None:
@@ -65,11 +41,11 @@
         monkeypatch.setattr("dunlinloft.dataplane.control.ALIVE_S", 0.001)
         running = asyncio.create_task(_subscriptions().run())
         async with asyncio.timeout(5.0):
-            await again.wait()
+            await restarted.wait()
         running.cancel()
 
     asyncio.run(main())
-    assert begun == ["127.0.0.1:1"] * 2
+    assert started == ["127.0.0.1:1"] * 2
 
 
 class _Transport:
@@ -94,7 +70,7 @@
         """Drop it."""
 
 
-def test_a_replica_counts_as_there_from_when_its_stream_begins_until_it_ends(
+def test_a_replica_is_alive_from_the_start_of_its_stream_until_its_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
@@ -120,11 +96,3 @@
         keeping.cancel()
 
     asyncio.run(main())
-
-
-def test_a_loop_that_fails_ends_the_process() -> None:
-    async def fails() -> None:
-        raise ValueError("planted")
-
-    with pytest.raises(SystemExit):
-        asyncio.run(run_essential(fails(), "node"))
--- /dev/null
+++ b/tests/test_transport.py
@@ -0,0 +1,121 @@
+"""The transport: a stream ends for a stated reason, and background tasks end with their owner."""
+
+from __future__ import annotations
+
+import asyncio
+
+import msgspec
+import pytest
+
+from dunlinloft.coordination.stream import Alive
+from dunlinloft.transport import message_stream
+from dunlinloft.transport.exceptions import ConnectError
+from dunlinloft.transport.message_stream import StreamEnd, encode_frame, read_messages
+from dunlinloft.transport.tasks import BackgroundTasks, run_essential
+
+
+@pytest.mark.parametrize("first", ["frame", "cancel"])
+def test_a_cancellation_that_coincides_with_a_frame_ends_the_reading(first: str) -> None:
+    async def main() -> None:
+        reader = asyncio.StreamReader()
+        decoder = msgspec.json.Decoder(Alive)
+        reading = asyncio.create_task(read_messages(reader, decoder, lambda _: None, 60.0))
+        await asyncio.sleep(0)  # it waits for a frame now
+        frame = encode_frame(Alive())
+        if first == "frame":
+            reader.feed_data(frame)
+            reading.cancel()
+        else:
+            reading.cancel()
+            reader.feed_data(frame)
+        with pytest.raises(asyncio.CancelledError):
+            async with asyncio.timeout(5.0):
+                await reading
+
+    asyncio.run(main())
+
+
+@pytest.mark.parametrize(
+    ("data", "end", "logged"),
+    [
+        (b"", StreamEnd.CLOSED_BY_PEER, "closed"),
+        (b'{"type":"alive"}\n{"type":"al', StreamEnd.CLOSED_BY_PEER, "closed"),
+        (b'{"type":"alive"}\n{"type":"other"}\n', StreamEnd.UNDECODABLE, "not understood"),
+        (b'{"type":"alive"}\n' + b"x" * 200, StreamEnd.FRAME_TOO_LONG, "line too long"),
+        (None, StreamEnd.IDLE, "silent"),
+        (ConnectionResetError(), StreamEnd.CONNECTION_LOST, "lost"),
+    ],
+)
+def test_the_end_of_a_stream_says_why_in_the_words_of_the_log(
+    data: bytes | Exception | None, end: StreamEnd, logged: str
+) -> None:
+    async def main() -> StreamEnd:
+        reader = asyncio.StreamReader(limit=100)
+        if isinstance(data, bytes):
+            reader.feed_data(data)
+            reader.feed_eof()
+        elif data is not None:
+            reader.set_exception(data)
+        return await read_messages(reader, msgspec.json.Decoder(Alive), lambda _: None, 0.01)
+
+    assert asyncio.run(main()) is end
+    assert f"{end}" == logged
+
+
+@pytest.mark.parametrize("failure", [ConnectionRefusedError("refused"), TimeoutError()])
+def test_a_connection_that_fails_says_where_to(monkeypatch: pytest.MonkeyPatch, failure: OSError) -> None:
+    async def fail(*_: object, **__: object) -> None:
+        raise failure
+
+    monkeypatch.setattr(asyncio, "open_connection", fail)
+    with pytest.raises(ConnectError, match=r"127\.0\.0\.1:9") as raised:
+        asyncio.run(message_stream.connect("127.0.0.1:9"))
+    assert raised.value.address == "127.0.0.1:9"
+    assert raised.value.__cause__ is failure
+
+
+def test_a_loop_that_fails_ends_the_process() -> None:
+    async def fails() -> None:
+        raise ValueError("planted")
+
+    with pytest.raises(SystemExit):
+        asyncio.run(run_essential(fails(), "node"))
+
+
+def test_background_tasks_are_cancelled_and_awaited_with_their_owner() -> None:
+    ended: list[str] = []
+
+    async def wait(name: str) -> None:
+        try:
+            await asyncio.Event().wait()
+        finally:
+            await asyncio.sleep(0.001)
+            ended.append(name)
+
+    async def main() -> None:
+        with pytest.raises(KeyError):
+            async with BackgroundTasks() as tasks:
+                tasks.start(wait("first"))
+                tasks.start(wait("second"))
+                tasks.start(asyncio.sleep(0))
+                await asyncio.sleep(0.01)
+                raise KeyError("planted")
+        assert sorted(ended) == ["first", "second"]
+
+    asyncio.run(main())
+
+
+def test_a_cancellation_of_the_owner_is_not_swallowed() -> None:
+    async def own() -> None:
+        async with BackgroundTasks() as tasks:
+            tasks.start(asyncio.Event().wait())  # type: ignore[arg-type]
+            await asyncio.Event().wait()
+
+    async def main() -> None:
+        owner = asyncio.create_task(own())
+        await asyncio.sleep(0.01)
+        owner.cancel()
+        with pytest.raises(asyncio.CancelledError):
+            await owner
+
+    asyncio.run(main())
