--- a/dunlinloft/controlplane/commit_handler.py
+++ b/dunlinloft/controlplane/commit_handler.py
@@ -20,7 +20,7 @@
         self._placement = placement
 
     def on_commit(self, state: ChainState, entry: Entry | None) -> None:
-        """Take a committed state; `entry` is what made it of the one before, where that is known.
+        """Handle a committed state; `entry` is what made it of the one before, where that is known.
 
         A configuration that this program can't use is logged; nodes get it all the same, as they may run
         another version of it.
--- a/dunlinloft/controlplane/components.py
+++ b/dunlinloft/controlplane/components.py
@@ -77,7 +77,7 @@
     peers: PeerConnections,
     members: CachedMembers,
 ) -> Components:
-    """Build a control plane whole; nothing runs or is sent yet.
+    """Build a complete control plane; nothing runs or is sent yet.
 
     Parameters
     ----------
--- a/dunlinloft/controlplane/data_directory.py
+++ b/dunlinloft/controlplane/data_directory.py
@@ -1,6 +1,6 @@
 """The files of a replica's data directory, and what they recover to.
 
-There are two slots that are written in turn. Each holds a snapshot of the replica's whole durable state,
+There are two slots that are written in turn. Each holds a snapshot of all the replica's durable state,
 followed by a short write-ahead log of the records since. Snapshot and log carry the slot's generation, so
 that a log left from an earlier use of the slot is not replayed. Both files consist of frames: length, CRC-32
 and a JSON body. Reading a log ends at the first frame that is missing or torn. Recovery takes the readable
@@ -140,7 +140,7 @@
 
 
 def recover(folder: Path) -> RecoveredState | None:
-    """Recover the state that a data directory holds; None where it holds none.
+    """Recover the state in a data directory; None where there is none.
 
     Raises
     ------
--- a/dunlinloft/controlplane/disk_writer.py
+++ b/dunlinloft/controlplane/disk_writer.py
@@ -52,7 +52,7 @@
         return await asyncio.get_running_loop().run_in_executor(self._executor, self._cache.read)
 
     async def write_members(self, members: CachedMembers) -> None:
-        """Cache the servers and nodes known now. A disk that refuses is logged: the cache can be lost."""
+        """Cache the servers and nodes known now. An `OSError` is logged and ignored: this is soft state."""
         if self._cache is None:
             return
         try:
@@ -83,7 +83,7 @@
                 on_persisted(action.token)
 
     async def _append(self, store: ReplicaStore, records: list[Record]) -> None:
-        """Append records, again and again until the disk takes them."""
+        """Append records, retrying until the disk accepts them."""
         loop = asyncio.get_running_loop()
         while True:
             try:
@@ -108,7 +108,7 @@
     Raises
     ------
     StoreError
-        The directory was written in another format. A disk that refuses is tried again until it doesn't.
+        The directory was written in another format. Refusals by the disk are retried.
     """
     with ThreadPoolExecutor(1, "disk") as executor:
         if folder is None:
--- a/dunlinloft/controlplane/http_api.py
+++ b/dunlinloft/controlplane/http_api.py
@@ -56,7 +56,7 @@
     call:
         Makes an operator's call, a read where the order is None (`ReplicaHost.call`).
     heartbeat, deregister:
-        Take what a server says; True where it may be acknowledged (`ServerRegistrar`).
+        Handle a server's call; True where it may be acknowledged (`ServerRegistrar`).
     """
 
     def __init__(
@@ -117,7 +117,7 @@
         document = parse_document(data)
         if isinstance(document, Invalid):
             return json_response(400, document.reason)
-        # The digest covers the bytes as they were sent: the same bytes sent again are the same order.
+        # The digest covers the bytes as they were sent: the same bytes resent are the same order.
         digest = hashlib.blake2b(f"{kind}/{int(base)}/".encode() + data, digest_size=16).hexdigest()
         reply = await self._call(Order(kind, int(base), digest, document))
         return json_response(reply.status, reply.reason)
--- a/dunlinloft/controlplane/loops.py
+++ b/dunlinloft/controlplane/loops.py
@@ -1,4 +1,4 @@
-"""What the control plane does again and again: ticks, keep-alives, and exchanges with other replicas.
+"""The control plane's periodic work: ticks, keep-alives, and exchanges with other replicas.
 
 Each loop is essential (`run_essential`): one that fails ends the process.
 """
--- a/dunlinloft/controlplane/member_cache.py
+++ b/dunlinloft/controlplane/member_cache.py
@@ -1,8 +1,8 @@
-"""The servers and nodes known last, on disk: after a restart of the whole fleet none has to be waited for.
+"""The servers and nodes known last, cached on disk so that a restart of the fleet need not wait for them.
 
 This is soft state: two files written in turn, not synced, and what can't be read is done without. A server
 that ended meanwhile answers nothing, or 421 as its address belongs to another by now; it is dropped once its
-heartbeats have been missing for long enough.
+heartbeats have been missing for the registry's time-out.
 """
 
 from __future__ import annotations
--- a/dunlinloft/controlplane/node_publisher.py
+++ b/dunlinloft/controlplane/node_publisher.py
@@ -66,7 +66,7 @@
         self.subscriptions.discard(subscription)
 
     def publish_state(self, state: ChainState, entry: Entry | None) -> None:
-        """Send a newly committed state.
+        """Publish a newly committed state.
 
         Parameters
         ----------
@@ -86,10 +86,10 @@
         self._publish_current()
 
     def set_confirmed(self, confirmed: bool) -> None:
-        """Take whether a majority confirms the state held here.
+        """Set whether a majority confirms the state of this replica.
 
         A node that starts may wait for a confirmed configuration, so what was sent unconfirmed and has not
-        been acknowledged is sent again once it is confirmed.
+        been acknowledged is resent once it is confirmed.
         """
         if confirmed == self._confirmed:
             return
@@ -107,18 +107,18 @@
         self._send_state(subscription)
 
     def publish_servers(self, update: ServerNews) -> None:
-        """Send which servers were added, changed or removed, if any were."""
+        """Publish which servers were added, changed or removed, if any were."""
         if update.changed or update.gone:
             self.broadcast(message_stream.encode_frame(update))
 
     def publish_replicas(self, replicas: Replicas) -> None:
-        """Send the control plane's membership, where it changed."""
+        """Publish the control plane's membership, where it changed."""
         if replicas != self._replicas:
             self._replicas = replicas
             self.broadcast(message_stream.encode_frame(replicas))
 
     def publish_servers_complete(self) -> None:
-        """Send that every server has had the time to be known here."""
+        """Publish that every live server has had the time to register here."""
         self.broadcast(message_stream.encode_frame(ServersComplete()))
 
     def broadcast(self, frame: bytes) -> None:
--- a/dunlinloft/controlplane/placement_service.py
+++ b/dunlinloft/controlplane/placement_service.py
@@ -11,24 +11,24 @@
 from dunlinloft.coordination.stream import Place, PlaceBegan, PlaceChosen, Placed, PlaceEnded
 from dunlinloft.transport.clock import now_ms
 
-NO_CAPACITY_RETRY_MS = 30.0  # a patient request asks again after so long where no server had a free slot
+NO_CAPACITY_RETRY_MS = 30.0  # delay of a request that rather waits than fails, where no server has a slot
 
 
 class PlacementService:
-    """Answers nodes' requests for placement, and keeps count of what runs where.
+    """Answers placement queries, and tracks which requests are in flight on which server.
 
-    A request is known by the stream it came on (`stream_number`) and its number there.
+    A request is identified by the stream it came on (`stream_number`) and its number there.
     """
 
     def __init__(self, placements: Placements) -> None:
         self._placements = placements
 
     def configure(self, configuration: Configuration) -> None:
-        """Take the size of the servers' prefix caches from a committed configuration."""
+        """Apply the size of the servers' prefix caches from a committed configuration."""
         self._placements.set_memory(_cache_tokens_by_service(configuration.services))
 
     def choose_server(self, stream_number: int, message: Place) -> Placed:
-        """Answer which server a request should go to."""
+        """Choose the server that a request should go to."""
         request = PlacementRequest(message.parts, message.answer_tokens, message.patient)
         ticket = (stream_number, message.number)
         service = self._placements.service(message.service)
@@ -37,22 +37,22 @@
         return Placed(message.number, message.service, server_id or "", wait_ms)
 
     def on_chosen(self, stream_number: int, message: PlaceChosen) -> None:
-        """Take that a node chose a server by itself, as no advice came in time."""
+        """Record that a node chose a server by itself, as no advice came in time."""
         request = PlacementRequest(message.parts, message.answer_tokens)
         service = self._placements.service(message.service)
         service.chosen((stream_number, message.number), request, message.server_id, now_ms())
 
     def on_decode_started(self, stream_number: int, message: PlaceBegan) -> None:
-        """Take that the first token of a placed request's answer came: its prefill is over."""
+        """Record that the first token of a placed request's answer came: its prefill is over."""
         self._placements.service(message.service).began((stream_number, message.number))
 
     def on_finished(self, stream_number: int, message: PlaceEnded) -> None:
-        """Take that a placed request is no longer in flight."""
+        """Record that a placed request is no longer in flight."""
         service = self._placements.service(message.service)
         service.ended((stream_number, message.number), message.failed, now_ms())
 
     def on_stream_closed(self, stream_number: int) -> None:
-        """Take that a stream ended: nothing more will be received about its requests."""
+        """Drop the requests of a stream that ended: nothing more will be received about them."""
         self._placements.stream_lost(stream_number, now_ms())
 
 
--- a/dunlinloft/controlplane/quota_service.py
+++ b/dunlinloft/controlplane/quota_service.py
@@ -47,7 +47,7 @@
         self._owner = QuotaOwner(address, started_ms, bounds.quota_bounds(), nodes, replica.lease_over)
 
     def configure(self, configuration: Configuration) -> None:
-        """Take the tenants' limits of a committed configuration."""
+        """Apply the tenants' limits of a committed configuration."""
         tenants = (tenant for tenant in configuration.tenants if tenant.rate_per_s)
         limits = {tenant.name: QuotaLimit(tenant.rate_per_s, tenant.burst) for tenant in tenants}
         self._owner.set_limits(limits)
@@ -67,17 +67,17 @@
         self._owner.forget(now_ms())
 
     def node_subscribed(self, node: str, uptime_ms: float, holdings: HoldsShares) -> None:
-        """Take a node whose stream began."""
+        """Register a node whose stream began."""
         self._owner.node_seen(uptime_ms, now_ms())
         self.set_holdings(node, holdings)
 
     def set_holdings(self, node: str, message: HoldsShares) -> None:
-        """Take what a node holds of quotas."""
+        """Record a node's quota shares and reserves."""
         holdings = NodeHoldings(message.epoch, message.shares, message.reserves)
         self._owner.holds(node, holdings, now_ms())
 
     def on_handed_over(self, message: QuotasHandedOver) -> None:
-        """Take what is left of quotas that another replica owned until now."""
+        """Record the remaining levels of quotas that another replica owned until now."""
         self._owner.hand_over(message.epoch, message.levels)
 
     def grant(self, node: str, message: TakeQuota) -> QuotaGranted:
--- a/dunlinloft/controlplane/replica_host.py
+++ b/dunlinloft/controlplane/replica_host.py
@@ -56,7 +56,7 @@
         self._perform(self._replica.tick(now_ms()))
 
     def on_persisted(self, token: int) -> None:
-        """Take that a record is durable; called by `DiskWriter`."""
+        """Report to the replica that a record is durable; called by `DiskWriter`."""
         self._perform(self._replica.persisted(token, now_ms()))
 
     async def call(self, order: Order | None) -> Reply:
@@ -73,8 +73,8 @@
     async def leave(self, timeout_s: float) -> None:
         """Leave the chain before this process ends, within a time limit.
 
-        The others then need not wait until they suspect this replica, and no copy of the state goes before
-        enough others hold it.
+        The others then need not wait until they suspect this replica, and no copy of the state is lost before
+        enough others have it.
         """
         self._perform(self._replica.leave(now_ms()))
         deadline_s = time.monotonic() + timeout_s
--- a/dunlinloft/controlplane/server_registrar.py
+++ b/dunlinloft/controlplane/server_registrar.py
@@ -1,9 +1,9 @@
 """Registration of servers: takes their heartbeats and deregistrations, and replicates them.
 
-A heartbeat is acknowledged only by a replica that hears a majority of the roster: one that is partitioned
-off, or was suspended, answers 503, and the server turns to the next. That a server drains or leaves is
-acknowledged once a majority of the roster has it in memory: any node that is in contact learns of it from one
-of these.
+A heartbeat is acknowledged only by a replica in contact with a majority of the roster: one that is
+partitioned off, or was suspended, answers 503, and the server turns to the next. That a server drains or
+leaves is acknowledged once a majority of the roster has it in memory: any node that is in contact learns of
+it from one of these.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from dunlinloft.transport.clock import now_ms
 
 REPLICATION_TIMEOUT_S = 0.8  # for a majority to take that a server leaves; the server waits a second
-REPLICATION_RETRY_S = 0.15  # what a replica has not acknowledged by then is sent to it again
+REPLICATION_RETRY_S = 0.15  # what a replica has not acknowledged by then is resent
 
 
 @dataclass(slots=True)
@@ -51,9 +51,9 @@
     address:
         This replica's internal listener.
     in_contact:
-        Gives the view while this replica hears a majority of its roster, else None.
+        Returns the view while this replica is in contact with a majority of its roster, else None.
     peer_addresses:
-        Gives the addresses of all other control planes.
+        Returns the addresses of all other control planes.
     send:
         Sends a message to the replica at an address, best effort.
     """
@@ -80,7 +80,7 @@
         self._replicated: set[str] = set()  # servers of which a majority knows that they drain
 
     async def heartbeat(self, record: ServerRecord) -> bool:
-        """Take a server's heartbeat; True where it may be acknowledged."""
+        """Handle a server's heartbeat; True where it may be acknowledged."""
         self._registry.beat(record, now_ms())
         self.publish_changes()
         view = self._in_contact()
@@ -91,7 +91,7 @@
         return await self._replicate(view, record.id, (record,), ())
 
     async def deregister(self, server_id: str) -> bool:
-        """Take that a server ends; True where that may be acknowledged."""
+        """Handle a server's deregistration; True where it may be acknowledged."""
         self._registry.leave(server_id, now_ms())
         self.publish_changes()
         view = self._in_contact()
@@ -120,7 +120,7 @@
         return True
 
     async def _send_round(self, replication: _Replication, message: Beats) -> None:
-        """Send to all that have not acknowledged, and wait for a majority or the time to send again."""
+        """Send to all that have not acknowledged, and wait for a majority or the time to resend."""
         for member in replication.view.roster:
             if member.address not in replication.acknowledged_by:
                 self._send(member.address, message)
@@ -131,7 +131,7 @@
             return
 
     def on_relayed_heartbeats(self, message: Beats) -> None:
-        """Take servers that another control plane received heartbeats from, and acknowledge if it asks so."""
+        """Apply heartbeats that another control plane received, and acknowledge them where it wants that."""
         now = now_ms()
         for record in message.records:
             self._registry.beat(record, now, relayed=True)
@@ -142,7 +142,7 @@
             self._send(message.sender, BeatsTaken(self._address, message.number))
 
     def on_replication_acknowledged(self, message: BeatsTaken) -> None:
-        """Take that another control plane has what was replicated to it."""
+        """Record that another control plane has what was replicated to it."""
         replication = self._replications.get(message.number)
         if replication is not None:
             replication.acknowledge(message.sender)
--- a/dunlinloft/controlplane/store.py
+++ b/dunlinloft/controlplane/store.py
@@ -39,7 +39,7 @@
         Parameters
         ----------
         first_incarnation:
-            The incarnation of a directory without a state at the first start of the whole control plane.
+            The incarnation of a directory without a state at the very first start of the control plane.
             None: such a directory begins a new incarnation, which has promised nothing.
 
         Raises
@@ -82,7 +82,7 @@
     def append(self, records: list[Record]) -> None:
         """Make records durable, all of them or none, and apply them to `durable`.
 
-        Raises `OSError` where the disk refuses; the same call may then be made again.
+        Raises `OSError` where the disk refuses; the same call may then be retried.
         """
         if self._log_bytes > MAX_LOG_BYTES:
             self._switch_slot()
@@ -132,7 +132,7 @@
     """Make a data directory the only member of a new epoch, in a new incarnation; return that member.
 
     For an operator (`dunlinloft state begin`), after more disks were lost than the deployment tolerates: what
-    only the others held is lost. Written down in `NEW_EPOCHS_FILE` there.
+    only they had is lost. Written down in `NEW_EPOCHS_FILE` there.
 
     Raises
     ------
--- a/dunlinloft/controlplane/stream_session.py
+++ b/dunlinloft/controlplane/stream_session.py
@@ -1,4 +1,4 @@
-"""One accepted stream: takes the messages that a data-plane node or another replica sends on it."""
+"""One accepted stream: dispatches the messages that a data-plane node or another replica sends on it."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
         self._subscription: NodeSubscription | None = None
 
     def handle(self, message: ToControl) -> None:
-        """Take one message."""
+        """Dispatch one message."""
         match message:
             case Subscribe():
                 self._subscribe(message)
@@ -82,7 +82,7 @@
                 self._services.replica_host.handle(message)
 
     def close(self) -> None:
-        """Take that the stream ended."""
+        """End what the stream subscribed to and asked for."""
         if self._subscription is not None:
             self._services.publisher.unsubscribe(self._subscription)
             self._services.placement.on_stream_closed(self._number)
--- a/dunlinloft/transport/clock.py
+++ b/dunlinloft/transport/clock.py
@@ -6,5 +6,5 @@
 
 
 def now_ms() -> float:
-    """Milliseconds of a clock that never goes back; only differences between two readings mean anything."""
+    """Milliseconds of the monotonic clock; only differences between two readings mean anything."""
     return time.monotonic() * 1_000.0
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -1,4 +1,4 @@
-"""The replicas' data directory: recovery from any cut of what was being written."""
+"""The replicas' data directory: recovery after a crash at any byte of what was being written."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         store.append([EntryRecord(_entry(store.durable.state, version))])
 
 
-def test_what_was_appended_is_there_after_a_restart(tmp_path: Path) -> None:
+def test_appended_records_are_recovered_after_a_restart(tmp_path: Path) -> None:
     store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 8))
     store.append([PromiseRecord(Ballot(3, "somebody"))])
@@ -36,12 +36,12 @@
     assert again.durable.promised == Ballot(3, "somebody")
 
 
-def test_an_empty_disk_that_is_not_the_first_is_a_new_life(tmp_path: Path) -> None:
+def test_an_empty_disk_that_is_not_the_first_begins_a_new_incarnation(tmp_path: Path) -> None:
     first, second = ReplicaStore(tmp_path / "a", None), ReplicaStore(tmp_path / "b", None)
     assert first.durable.incarnation not in ("0", second.durable.incarnation)
 
 
-def test_a_log_cut_at_any_byte_keeps_what_was_before(tmp_path: Path) -> None:
+def test_a_log_truncated_at_any_byte_recovers_what_was_before(tmp_path: Path) -> None:
     store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 4))
     store.close()
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("damage", ["zeros", "garbage", "missing"])
-def test_a_torn_slot_leaves_the_other_in_force(tmp_path: Path, damage: str) -> None:
+def test_a_torn_snapshot_leaves_the_other_slot_in_use(tmp_path: Path, damage: str) -> None:
     store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 4))
     newer = data_directory.snapshot_path(tmp_path, 1 - store._slot)
@@ -77,7 +77,7 @@
     assert again.durable.state.version == 3
 
 
-def test_a_slot_torn_while_it_is_written_leaves_the_log_before_it(tmp_path: Path) -> None:
+def test_a_snapshot_torn_while_it_is_written_leaves_the_log_before_it(tmp_path: Path) -> None:
     store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 4))
     store.close()
@@ -96,7 +96,7 @@
         assert recovered.durable.state.version == 3
 
 
-def test_a_log_of_an_earlier_turn_is_not_read(tmp_path: Path) -> None:
+def test_a_log_of_an_earlier_generation_is_not_replayed(tmp_path: Path) -> None:
     store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 4))
     old = data_directory.log_path(tmp_path, store._slot).read_bytes()
@@ -111,7 +111,7 @@
     assert recovered.durable.state.version == 3
 
 
-def test_a_long_log_is_folded_into_the_other_slot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_long_log_is_compacted_into_the_other_slot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(store_module, "MAX_LOG_BYTES", 500)
     store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 30))
@@ -120,7 +120,7 @@
     assert ReplicaStore(tmp_path, None).durable.state.version == 29
 
 
-def test_a_refused_write_can_be_made_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_refused_append_can_be_retried(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 3))
     record = EntryRecord(_entry(store.durable.state, 3))
@@ -144,7 +144,9 @@
     assert ReplicaStore(tmp_path, None).durable.state.version == 3
 
 
-def test_another_format_is_refused_with_its_number(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unsupported_format_is_refused_with_its_number(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     ReplicaStore(tmp_path, "0").close()
     monkeypatch.setattr(data_directory, "FORMAT_VERSION", 9)
     with pytest.raises(StoreError, match="format 1, expected 9"):
--- a/tests/test_server_registrar.py
+++ b/tests/test_server_registrar.py
@@ -87,7 +87,7 @@
     assert _run(play()) == 0.0
 
 
-def test_what_was_lost_is_announced_again() -> None:
+def test_a_lost_replication_is_resent() -> None:
     async def play() -> None:
         assert await _Others(ADDRESSES, deaf_for=3).registrar.deregister("i-1")
 
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("answering", [(), ("10.9.9.9:7680",)])
-def test_leaving_that_nobody_else_has_is_not_acknowledged(answering: tuple[str, ...]) -> None:
+def test_leaving_without_a_majority_is_not_acknowledged(answering: tuple[str, ...]) -> None:
     async def play() -> None:
         assert not await _Others(answering).registrar.heartbeat(_record(1, "draining"))
 
@@ -113,7 +113,7 @@
     _run(both())
 
 
-def test_who_hears_an_announcement_says_so_and_knows_it() -> None:
+def test_a_replica_acknowledges_and_applies_what_is_replicated_to_it() -> None:
     sent: list[tuple[str, Struct]] = []
     others = _Others(())
     others.registrar._send = lambda address, message: sent.append((address, message))
