--- a/dunlinloft/controlplane/components.py
+++ b/dunlinloft/controlplane/components.py
@@ -44,13 +44,13 @@
     def stream_services(self) -> StreamServices:
         """What the internal listener's sessions hand messages to."""
         return StreamServices(
-            self.replica_host,
-            self.nodes,
-            self.registry,
-            self.registrar,
-            self.publisher,
-            self.quotas,
-            self.placement,
+            replica_host=self.replica_host,
+            nodes=self.nodes,
+            registry=self.registry,
+            registrar=self.registrar,
+            publisher=self.publisher,
+            quotas=self.quotas,
+            placement=self.placement,
         )
 
 
@@ -108,7 +108,16 @@
     commits = CommitHandler(publisher, quotas, placement)
     replica_host = ReplicaHost(replica, disk, peers, commits.on_commit)
     return Components(
-        replica, replica_host, disk, peers, nodes, registry, registrar, publisher, quotas, placement
+        replica=replica,
+        replica_host=replica_host,
+        disk=disk,
+        peers=peers,
+        nodes=nodes,
+        registry=registry,
+        registrar=registrar,
+        publisher=publisher,
+        quotas=quotas,
+        placement=placement,
     )
 
 
--- a/dunlinloft/controlplane/disk_writer.py
+++ b/dunlinloft/controlplane/disk_writer.py
@@ -118,7 +118,7 @@
         try:
             yield DiskWriter(executor, store.durable, store, MemberCache(folder))
         finally:
-            executor.submit(store.close)  # after the write in progress, which it would take the file from
+            executor.submit(store.close)  # queued behind the write in progress, which needs the file open
 
 
 async def _open_store(
