--- a/dunlinloft/fleet/cells/core.py
+++ b/dunlinloft/fleet/cells/core.py
@@ -18,9 +18,9 @@
 from dunlinloft.fleet.cells.pointers import Pointers
 from dunlinloft.fleet.cells.totals import Totals
 from dunlinloft.fleet.cells.words import MOST_TEXT, SERVICE, greatest_word, hearsay, load_and_program
-from dunlinloft.fleet.membership.core import SPREAD_FULL, Membership
-from dunlinloft.fleet.membership.view import Member
-from dunlinloft.fleet.messages import ALIVE, Fact, Gossip, Head, Message, Record, State
+from dunlinloft.fleet.membership.core import GOSSIP_FANOUT_LONG_QUEUE, Membership
+from dunlinloft.fleet.membership.member import Member
+from dunlinloft.fleet.messages import ALIVE, Gossip, Header, Message, MetadataValue, Record, State
 
 TICK_MS = 1_000.0  # how often it is looked at what the cell needs
 FIND_MS = 10_000.0  # how often the directory is asked, with jitter
@@ -49,7 +49,7 @@
 
     def __init__(
         self, name: str, address: str, seeds: list[str], uid: int, life: int, rng: random.Random,
-        facts: dict[str, Fact] | None = None, place: Place | None = None,
+        facts: dict[str, MetadataValue] | None = None, place: Place | None = None,
     ) -> None:  # fmt: skip
         super().__init__(name, address, seeds, uid, life, rng, facts)
         self.place = place or Place("", "", 100)
@@ -73,17 +73,19 @@
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
         """Take one event; what to do about it."""
-        self._heard_cut = event.cut if isinstance(event, (api.Heard, api.Met)) else None
+        self._heard_cut = (
+            event.sender_cell if isinstance(event, (api.MessageReceived, api.PushPullReceived)) else None
+        )
         return super().handle(event, now)
 
     # What is seen of it
 
     def reporter(self) -> bool:
         """Whether this member speaks for its cell: the first in an order that all who agree share."""
-        mine = self._bits, self.name
-        alone = not len(self.view.here)
+        mine = self._digest_bits, self.name
+        alone = not len(self.view.alive)
         return (not alone or self._now - self._begun_ms >= LONELY_MS) and all(
-            mine < (m.bits, m.name) for m in self._there() if m.status == ALIVE
+            mine < (m.digest_bits, m.name) for m in self._there() if m.status == ALIVE
         )
 
     def summary(self) -> Summary:
@@ -91,44 +93,44 @@
         there = list(self._there())
         well = [m.address for m in there if m.status == ALIVE and len(m.address) <= MOST_TEXT]
         some = self.rng.sample(well, min(MOST_ADDRESSES - 1, len(well)))
-        load, program = load_and_program([self._facts, *(m.facts for m in there)])
+        load, program = load_and_program([self._metadata, *(m.metadata for m in there)])
         return Summary(
-            self.cut.epoch, self.cut.depth, self.cut.bits, self.alive(), max(self.alive(), self.counted()),
-            self.digest(), load, program, [self.address, *some],
+            self.cut.epoch, self.cut.depth, self.cut.bits, self.alive_count(),
+            max(self.alive_count(), self.counted()), self.digest(), load, program, [self.address, *some],
         )  # fmt: skip
 
     def counted(self) -> int:
         """How many of the cell count when budgets are parted; the host's census knows."""
-        return self.alive()
+        return self.alive_count()
 
     def unanswered(self) -> int:
         """How many questions to the directory in a row have had no answer."""
         return self._silent
 
     def _there(self) -> Iterator[Member]:
-        return (self.view.members[name] for name in self.view.here.names())
+        return (self.view.members[name] for name in self.view.alive.names())
 
     def _mine(self, name: str) -> bool:
         return not self.cut.depth or self.cut.holds(path(name))
 
     # Events
 
-    def _begin(self) -> None:
+    def _start(self) -> None:
         self._begun_ms = self._now
-        super()._begin()
+        super()._start()
         self._find()
-        self.timer(TICK_MS * self.rng.random(), "cell")
+        self.set_timer(TICK_MS * self.rng.random(), "cell")
 
-    def _fired_more(self, what: str, now: float) -> None:
+    def _handle_extension_timer(self, what: str, now: float) -> None:
         if what != "cell":
             return
-        self.timer(TICK_MS * (0.9 + 0.2 * self.rng.random()), "cell")
-        if self.quiet:
+        self.set_timer(TICK_MS * (0.9 + 0.2 * self.rng.random()), "cell")
+        if self.muted:
             return
         if self.reporter():
             self._perhaps_cut(now)
             self._perhaps_merge(now)
-            if self._reported != (self.alive(), self.cut.cell()):
+            if self._reported != (self.alive_count(), self.cut.cell()):
                 self._find_ms = min(self._find_ms, now)
         else:
             self._large_ms = self._small_ms = -1.0
@@ -137,60 +139,62 @@
 
     def _tell_service(self, now: float) -> None:
         """Where the directory is silent, say how many the service has: newcomers count these too."""
-        most, totals, told = greatest_word(m.facts for m in self._there()), self.totals, 0.0
+        most, totals, told = greatest_word(m.metadata for m in self._there()), self.totals, 0.0
         if totals is not None and self._silent >= SILENT:
             known, told = totals.members(self.counted(), self.cut), self._service_told
             # The reporter may be a newcomer; of the others one says it, and not all at once.
-            if self.reporter() or (known > most and self.rng.random() * self.alive() < 1.0):
+            if self.reporter() or (known > most and self.rng.random() * self.alive_count() < 1.0):
                 told = float(known)
         if told != self._service_told:
             self._service_told = told
-            self._learn({SERVICE: told})
+            self._update_metadata({SERVICE: told})
         if most and (totals is None or (not totals.found.number and most > totals.found.total)):
             self.totals = Totals(self.cut.cell(), now, hearsay(int(most)))
-            self.actions.append(api.Changed(self.name, "totals"))
+            self.actions.append(api.MemberChanged(self.name, api.MemberChange.TOTALS))
 
-    def _hear(self, message: api.Said, source: str, now: float) -> None:
+    def _receive(self, message: api.AnyMessage, source: str, now: float) -> None:
         if isinstance(message, Found):
             if self.status == ALIVE:
                 self._found(message, now)
         else:
-            super()._hear(message, source, now)
+            super()._receive(message, source, now)
 
-    def _heard(self, message: Message, source: str, now: float) -> None:
+    def _handle_message(self, message: Message, source: str, now: float) -> None:
         if self.status == ALIVE:
             self._follow(source, now)
-            if not self._mine(message.head.name):
+            if not self._mine(message.header.name):
                 self.strays += 1
-            super()._heard(message, source, now)
+            super()._handle_message(message, source, now)
 
-    def _see_head(self, head: Head, source: str, now: float) -> None:
+    def _handle_header(self, head: Header, source: str, now: float) -> None:
         if self._mine(head.name):
-            super()._see_head(head, source, now)
+            super()._handle_header(head, source, now)
 
-    def _take(self, record: Record, now: float) -> None:
+    def _merge_record(self, record: Record, now: float) -> None:
         if record.name == self.name or self._mine(record.name):
-            super()._take(record, now)
+            super()._merge_record(record, now)
 
-    def _met(self, state: State, source: str, asked: bool, now: float) -> None:
+    def _handle_push_pull(self, state: State, source: str, asked: bool, now: float) -> None:
         if self.status != ALIVE:
             return
         self._follow(source, now)
-        if self._mine(state.head.name):
-            return super()._met(state, source, asked, now)
+        if self._mine(state.header.name):
+            return super()._handle_push_pull(state, source, asked, now)
         self.strays += 1
-        self._pointers.met(path(state.head.name), source, state.head.members == 1)
+        self._pointers.met(path(state.header.name), source, state.header.members == 1)
         if asked:
             self._elsewhere[source] = now
         else:
-            self.post(source, Found(0, 0, 0, 0, 0, 0, self._pointers.toward(path(state.head.name))))
+            self.send_datagram(
+                source, Found(0, 0, 0, 0, 0, 0, self._pointers.toward(path(state.header.name)))
+            )
 
-    def answer(self, asker: State) -> State:
+    def state_for(self, asker: State) -> State:
         """To a stranger only who speaks: it is told separately whom to ask."""
-        return self.state() if self._mine(asker.head.name) else State(self.head(), [self.own_record()])
+        return self.state() if self._mine(asker.header.name) else State(self.header(), [self.own_record()])
 
     def _leave(self) -> None:
-        last = not len(self.view.here) and self.reporter()
+        last = not len(self.view.alive) and self.reporter()
         if self.status == ALIVE and last and self._stamp[0]:
             summary = self.summary()
             summary.members = summary.counted = 0
@@ -208,37 +212,39 @@
         wider = cut.depth < self.cut.depth
         self._cut_to(cut, now)
         if wider:
-            self._exchange(source, now)
+            self._push_pull(source, now)
 
     def _cut_to(self, cut: Cut, now: float) -> None:
         """Belong to this cell from now on, and tell some of the former one at once."""
         if cut.cell() == self.cut.cell():
             self.cut = cut  # an epoch alone
             return
-        told = [self.view.members[name].address for name in self.view.here.draw(2 * SPREAD_FULL)]
+        told = [
+            self.view.members[name].address for name in self.view.alive.sample(2 * GOSSIP_FANOUT_LONG_QUEUE)
+        ]
         self.cut = cut
         self.cuts += 1
         self._large_ms = self._small_ms = -1.0
         self._pointers.keep(cut.depth)
         for member in [m for m in self.view.members.values() if not self._mine(m.name)]:
-            if member.here():
+            if member.is_alive():
                 self._pointers.met(path(member.name), member.address)
-            self.view.release(member.name)
-            self.actions.append(api.Changed(member.name, "gone"))
+            self.view.discard(member.name)
+            self.actions.append(api.MemberChanged(member.name, api.MemberChange.RELEASED))
         self.view.compact()
-        self.actions.append(api.Changed(self.name, "cut"))
+        self.actions.append(api.MemberChanged(self.name, api.MemberChange.CELL))
         for address in told:
-            self.post(address, Gossip(self.head(), [self.own_record(facts=False)]))
-        self._note("cell", cut=cut.text(), epoch=cut.epoch, members=self.alive())
+            self.send_datagram(address, Gossip(self.header(), [self.own_record(include_metadata=False)]))
+        self._log("cell", cut=cut.text(), epoch=cut.epoch, members=self.alive_count())
         self._find_ms = min(self._find_ms, now)
 
     def _perhaps_cut(self, now: float) -> None:
-        if self.alive() <= self.place.most or self.cut.depth >= MOST_DEPTH:
+        if self.alive_count() <= self.place.most or self.cut.depth >= MOST_DEPTH:
             self._large_ms = -1.0
             return
         if self._large_ms < 0.0:
             self._large_ms = now
-        if now - self._large_ms >= CUT_MS or self.alive() > HUGE * self.place.most:
+        if now - self._large_ms >= CUT_MS or self.alive_count() > HUGE * self.place.most:
             self._cut_to(self.cut.half(self._path), now)
 
     def _perhaps_merge(self, now: float) -> None:
@@ -246,7 +252,7 @@
         fits = (
             self.cut.depth > 0 and totals is not None and totals.good(self.cut, now)
             and totals.found.sibling >= 0
-            and self.alive() + totals.found.sibling <= MERGE_SHARE * self.place.most
+            and self.alive_count() + totals.found.sibling <= MERGE_SHARE * self.place.most
         )  # fmt: skip
         if not fits or totals is None:
             self._small_ms = -1.0
@@ -258,13 +264,13 @@
                 return
             self._cut_to(whole, now)
             for address in totals.found.sibling_addresses:
-                self._exchange(address, now)
+                self._push_pull(address, now)
 
     # Seeds
 
-    def _absent_seeds(self) -> list[str]:
-        seeds = super()._absent_seeds()
-        if not len(self.view.here):
+    def _unreached_seeds(self) -> list[str]:
+        seeds = super()._unreached_seeds()
+        if not len(self.view.alive):
             return seeds
         if self.totals is not None and self.totals.age_ms(self._now) < ELSEWHERE_MS:
             return []  # the directory knows of whoever of this cell we don't see
@@ -294,7 +300,7 @@
         find = Find(
             self._question, self.name, place.service, place.region, cut.epoch, cut.depth, cut.bits
         )  # fmt: skip
-        self.post(place.directory[self._turn % len(place.directory)], find)
+        self.send_datagram(place.directory[self._turn % len(place.directory)], find)
 
     def _found(self, found: Found, now: float) -> None:
         if (
@@ -313,7 +319,7 @@
         for address in found.sibling_addresses:
             self._pointers.add(asked_of.depth - 1, address)
         self._meet(found.addresses, now)
-        self.actions.append(api.Changed(self.name, "totals"))
+        self.actions.append(api.MemberChanged(self.name, api.MemberChange.TOTALS))
         if self.reporter():
             self._report(self.summary())
 
@@ -322,15 +328,21 @@
         seen = {m.address for m in self._there()} | {self.address}
         unseen = [address for address in addresses if address not in seen]
         if unseen:
-            self._exchange(self.rng.choice(unseen), now)
+            self._push_pull(self.rng.choice(unseen), now)
 
     def _report(self, summary: Summary) -> None:
         self._version_told += 1
         self._reported = summary.members, self.cut.cell()
         place = self.place
-        self.post(
+        self.send_datagram(
             place.directory[self._turn % len(place.directory)],
             Report(
-                *self._stamp, self.name, self.life, self._version_told, place.service, place.region, summary
+                *self._stamp,
+                self.name,
+                self.incarnation,
+                self._version_told,
+                place.service,
+                place.region,
+                summary,
             ),
         )
--- a/dunlinloft/fleet/cells/directory.py
+++ b/dunlinloft/fleet/cells/directory.py
@@ -46,8 +46,8 @@
     here: dict[str, int]
 
 
-Event = Said | Seen | shared.Heard | shared.Fired
-Action = api.Post | shared.Tell | shared.SetTimer
+Event = Said | Seen | shared.Heard | shared.TimerFired
+Action = api.SendDatagram | shared.Tell | shared.SetTimer
 
 
 class Table(Store):
@@ -128,7 +128,7 @@
                 self.spread.seen(event.here, now)
             case shared.Heard():
                 return [*self.spread.hear(event.message, event.sender, now)]
-            case shared.Fired():
+            case shared.TimerFired():
                 return self._fired(event.token, now)
         return []
 
@@ -160,7 +160,7 @@
             sums.total, sums.own, sums.before, sums.cells, sums.sure and self.ready(now),
             int(sums.age_ms) + 1, sums.sibling, sums.sibling_epoch, sums.sibling_addresses,
         )  # fmt: skip
-        return [api.Post(source, found)]
+        return [api.SendDatagram(source, found)]
 
     def _report(self, report: Report, now: float) -> None:
         age_ms = now - report.stamp + 1.0
--- a/dunlinloft/fleet/cells/totals.py
+++ b/dunlinloft/fleet/cells/totals.py
@@ -1,10 +1,10 @@
 """What one member knows of its whole service, and among how many budgets are parted.
 
-A part of a budget may shrink at once and grows late, as in `fleet.census`: what is seen more counts at once;
-less counts only once the directory has said so, whole and within its bound, for as long as the census holds
-the missing, and then only where it is more than half of what counted before. So of two parts of a fleet that
-can't see each other one at most takes more. While the directory is silent, or what it says too old, nothing
-grows, and the file's number is the least that counts: that is the fallback.
+A part of a budget may shrink at once and grows late, as in `fleet.member_count`: what is seen more counts at
+once; less counts only once the directory has said so, whole and within its bound, for as long as the census
+holds the missing, and then only where it is more than half of what counted before. So of two parts of a
+fleet that can't see each other one at most takes more. While the directory is silent, or what it says too
+old, nothing grows, and the file's number is the least that counts: that is the fallback.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from dunlinloft.fleet.cells.cut import Cut
 from dunlinloft.fleet.cells.messages import Found
-from dunlinloft.fleet.census import HOLD_MS, Census
+from dunlinloft.fleet.member_count import MISSING_MEMBER_GRACE_MS, MemberCount
 
 BOUND_MS = 30_000.0  # what the directory says may be so old
 DRIFT = 0.02  # rates of two clocks differ by so much at most
@@ -47,40 +47,40 @@
 class CellCensus:
     """The place of one process among those of its kind, of whom it sees its cell's and a sum."""
 
-    def __init__(self, own: str, number: int, nodes: int, hold_ms: float = HOLD_MS) -> None:
+    def __init__(self, own: str, number: int, nodes: int, hold_ms: float = MISSING_MEMBER_GRACE_MS) -> None:
         self._file, self._hold_ms = (number, nodes), hold_ms
-        self._inner = Census(own, 0, 1, hold_ms)
+        self._inner = MemberCount(own, 0, 1, hold_ms)
         self._base = nodes
         self._less: tuple[float, int] | None = None  # since when fewer are told, and the most told since
         self._before = 0
         self.fallback = True
 
-    def told(self, number: int, nodes: int) -> None:
+    def reconfigure(self, number: int, nodes: int) -> None:
         """The file says something else now."""
         self._file, self._less = (number, nodes), None
         self._base = max(self._base, nodes)
 
-    def base(self) -> int:
+    def total(self) -> int:
         """How many count, in all cells."""
         return self._base
 
     def cell(self) -> int:
         """How many count in this cell."""
-        return self._inner.base()
+        return self._inner.total()
 
-    def counted(self) -> frozenset[str]:
+    def counted_names(self) -> frozenset[str]:
         """The names of those of this cell that count."""
-        return self._inner.counted()
+        return self._inner.counted_names()
 
-    def keep(self, mine: Callable[[str], bool]) -> None:
+    def retain(self, mine: Callable[[str], bool]) -> None:
         """The cell was cut or merged: who is not of it is missed no more, as its own cell counts it."""
-        self._inner.keep(mine)
+        self._inner.retain(mine)
         self._less = None
 
-    def see(self, here: set[str], now: float, totals: Totals | None = None, cut: Cut = WHOLE) -> None:
+    def observe(self, here: set[str], now: float, totals: Totals | None = None, cut: Cut = WHOLE) -> None:
         """Take in who is there now in this cell, and what is known of the others."""
-        self._inner.see(here, now)
-        members = totals.members(self._inner.base(), cut) if totals is not None else self._inner.base()
+        self._inner.observe(here, now)
+        members = totals.members(self._inner.total(), cut) if totals is not None else self._inner.total()
         self.fallback = totals is None or not totals.good(cut, now)
         if totals is not None:
             self._before = totals.found.before
@@ -93,8 +93,8 @@
         if now - since >= self._hold_ms and 2 * self._less[1] > self._base:
             self._base, self._less = self._less[1], None
 
-    def place(self) -> tuple[int, int]:
+    def position(self) -> tuple[int, int]:
         """This process's number, from 0, and how many there are; the file's where that says as many."""
         if self._base == self._file[1]:
             return self._file
-        return (self._before + self._inner.place()[0]) % self._base, self._base
+        return (self._before + self._inner.position()[0]) % self._base, self._base
--- a/dunlinloft/fleet/cells/wire.py
+++ b/dunlinloft/fleet/cells/wire.py
@@ -15,9 +15,17 @@
 
 from dunlinloft.fleet.cells.cut import Cut
 from dunlinloft.fleet.cells.messages import Message as CellMessage
-from dunlinloft.fleet.interface import Said
+from dunlinloft.fleet.interface import AnyMessage
 from dunlinloft.fleet.messages import Message, State
-from dunlinloft.fleet.wire import MOST_DATAGRAM, MOST_STATE, Refused, fit, fit_state, parse
+from dunlinloft.fleet.wire import (
+    MAX_DATAGRAM_BYTES,
+    MAX_STATE_BYTES,
+    MessageRejected,
+    RejectReason,
+    decode,
+    encode_datagram,
+    encode_state,
+)
 
 CELLED, DIRECTORY = 2, 3  # versions; a flat fleet's is `dunlinloft.fleet.messages.VERSION`
 _CUT = struct.Struct(">IBI")
@@ -44,35 +52,35 @@
         cut = self._cut()
         return self._members + _CUT.pack(cut.epoch, cut.depth, cut.bits)
 
-    def write(self, message: Said) -> bytes:
+    def write(self, message: AnyMessage) -> bytes:
         """A datagram; records that would make it too long are left out, the last first."""
         if isinstance(message, CellMessage):
             return self._directory + _encode(message)
-        return fit(self._prefix(), message)
+        return encode_datagram(self._prefix(), message)
 
-    def read(self, data: bytes) -> tuple[Said, Cut | None]:
+    def read(self, data: bytes) -> tuple[AnyMessage, Cut | None]:
         """What a datagram says, and its sender's cut; `Refused` where it says nothing here."""
         if data[:1] == self._directory[:1]:
             return read_directory(self._directory, data), None
-        body, cut = self._body(data, MOST_DATAGRAM)
-        return parse(_message, body), cut
+        body, cut = self._body(data, MAX_DATAGRAM_BYTES)
+        return decode(_message, body), cut
 
     def write_state(self, state: State) -> bytes:
         """A whole view; what would make it longer than the cap is left out."""
-        return fit_state(self._prefix(), state)
+        return encode_state(self._prefix(), state)
 
     def read_state(self, data: bytes) -> tuple[State, Cut | None]:
         """The view that these bytes are; `Refused` as with `read`."""
-        body, cut = self._body(data, MOST_STATE)
-        return parse(_state, body), cut
+        body, cut = self._body(data, MAX_STATE_BYTES)
+        return decode(_state, body), cut
 
     def _body(self, data: bytes, most: int) -> tuple[memoryview, Cut]:
         body = strip(self._members, data, most)
         if len(body) <= _CUT.size:
-            raise Refused("short")
+            raise MessageRejected(RejectReason.SHORT)
         cut = Cut(*_CUT.unpack(body[: _CUT.size]))
         if not cut.sound():
-            raise Refused("broken")
+            raise MessageRejected(RejectReason.BROKEN)
         return body[_CUT.size :], cut
 
 
@@ -97,17 +105,17 @@
 
 def read_directory(prefix: bytes, data: bytes) -> CellMessage:
     """A message to or from the directory."""
-    return parse(_asked, strip(prefix, data, MOST_DATAGRAM))
+    return decode(_asked, strip(prefix, data, MAX_DATAGRAM_BYTES))
 
 
 def strip(prefix: bytes, data: bytes, most: int) -> memoryview:
     """The body behind a prefix, or why there is none."""
     if len(data) <= len(prefix):
-        raise Refused("short")
+        raise MessageRejected(RejectReason.SHORT)
     if len(data) > most:
-        raise Refused("long")
+        raise MessageRejected(RejectReason.LONG)
     if data[0] != prefix[0]:
-        raise Refused("version")
+        raise MessageRejected(RejectReason.VERSION)
     if data[: len(prefix)] != prefix:
-        raise Refused("foreign")
+        raise MessageRejected(RejectReason.FOREIGN)
     return memoryview(data)[len(prefix) :]
--- a/dunlinloft/fleet/interface.py
+++ b/dunlinloft/fleet/interface.py
@@ -1,132 +1,157 @@
-"""What a host and the fleet's parts say to each other: events in, actions out.
+"""Events that a host gives to the membership state machine, and actions that it carries out for it.
 
-Times are milliseconds on the host's own monotonic clock. A host runs the same parts on sockets, in
-virtual time, or under an explorer of orders; nothing here knows which.
+The state machine is pure: `Membership.handle(event, now)` returns actions and touches neither sockets nor
+clocks. Times are milliseconds on the host's own monotonic clock. The hosts are `orchidferry.peers`
+(sockets), `lab.virtual` (virtual time) and `lab.explore` (an explorer of message orders).
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from dunlinloft.fleet.cells import messages as cells
 from dunlinloft.fleet.cells.cut import Cut
-from dunlinloft.fleet.messages import Fact, Message, State
+from dunlinloft.fleet.messages import Message, MetadataValue, State
+from dunlinloft.fleet.timers import SetTimer as SetTimer
+from dunlinloft.fleet.timers import TimerFired as TimerFired
 
-Said = Message | cells.Message
+AnyMessage = Message | cells.Message
 
-# Events: what happens to a process.
+
+class MemberChange(StrEnum):
+    """How the view of a member has changed.
+
+    `View.merge` gives those up to `LEFT`; the last three are of a fleet with cells.
+    """
+
+    NONE = ""
+    JOINED = "joined"  # a member that was unknown, dead, left, or of an earlier incarnation is alive
+    METADATA = "facts"
+    SUSPECTED_BY_MORE = "accused"  # a suspicion that is known has one more independent source
+    SUSPECT = "suspect"
+    ALIVE = "alive"
+    DEAD = "dead"
+    LEFT = "left"
+    RELEASED = "gone"  # it belongs to another cell by now
+    CELL = "cut"  # of this process itself: its cell was split or merged
+    TOTALS = "totals"  # of this process itself: the totals of its service have changed
+
+
+# Events
 
 
 @dataclass(slots=True)
-class Begin:
+class Started:
     """The process is up and can be reached."""
 
 
 @dataclass(slots=True)
-class Heard:
-    """A datagram has come; `source` is where it was sent from, `cut` its sender's, where there are cells."""
+class MessageReceived:
+    """A datagram has come from the address `source`.
+
+    `sender_cell` is the cell that its sender belongs to, in a fleet with cells.
+    """
 
-    message: Said
+    message: AnyMessage
     source: str
-    cut: Cut | None = None
+    sender_cell: Cut | None = None
 
 
 @dataclass(slots=True)
-class Met:
-    """A state has come whole over a stream: `asked` for, or brought by another, whom the host answers."""
+class PushPullReceived:
+    """Another member's state has come complete over a stream.
+
+    `requested`: it answers a `PushPull` of this process. Otherwise the other side opened the exchange, and
+    the host answers it with `Membership.state_for`.
+    """
 
     state: State
     source: str
-    asked: bool
-    cut: Cut | None = None
+    requested: bool
+    sender_cell: Cut | None = None
 
 
 @dataclass(slots=True)
-class Missed:
-    """An exchange of states has failed."""
+class PushPullFailed:
+    """A push-pull exchange with this address has failed or timed out."""
 
     address: str
 
 
 @dataclass(slots=True)
-class Ponged:
-    """A probe over a stream was answered by this member."""
+class StreamProbeAcked:
+    """The member `name` has answered the `ProbeOverStream` of this number."""
 
     number: int
     name: str
-    life: int
+    incarnation: int
 
 
 @dataclass(slots=True)
-class Fired:
-    """A timer has come due."""
+class MetadataUpdated:
+    """New values of this process's own metadata; keys that are absent stay as they were."""
 
-    token: int
+    metadata: dict[str, MetadataValue]
 
 
 @dataclass(slots=True)
-class Facts:
-    """What is so of this process from now on; names that are absent stay as they were."""
+class LeaveRequested:
+    """The process shuts down gracefully: other members are to be told that it leaves."""
 
-    facts: dict[str, Fact]
 
+Event = (
+    Started
+    | MessageReceived
+    | PushPullReceived
+    | PushPullFailed
+    | StreamProbeAcked
+    | TimerFired
+    | MetadataUpdated
+    | LeaveRequested
+)
 
-@dataclass(slots=True)
-class Leave:
-    """The process goes, and says so."""
-
-
-Event = Begin | Heard | Met | Missed | Ponged | Fired | Facts | Leave
-
-# Actions: what a host is asked to do.
+# Actions
 
 
 @dataclass(slots=True)
-class Post:
-    """Send a datagram."""
+class SendDatagram:
+    """Send a message to an address as one datagram."""
 
     address: str
-    message: Said
+    message: AnyMessage
 
 
 @dataclass(slots=True)
-class Dial:
-    """Probe over a stream: `Ponged(number)` where it is answered, nothing else."""
+class ProbeOverStream:
+    """Probe over a stream: `StreamProbeAcked(number)` if it is answered, no event otherwise."""
 
     address: str
     number: int
 
 
 @dataclass(slots=True)
-class Exchange:
-    """Give this state over a stream and take the other's."""
+class PushPull:
+    """Push this state over a stream and pull the other's: `PushPullReceived` or `PushPullFailed` follows."""
 
     address: str
     state: State
 
 
 @dataclass(slots=True)
-class SetTimer:
-    """Deliver `Fired(token)` after `delay_ms`."""
-
-    token: int
-    delay_ms: float
-
-
-@dataclass(slots=True)
-class Changed:
-    """The view of a member has changed: `joined`, `suspect`, `alive`, `dead`, `left`, `facts`, `gone`."""
+class MemberChanged:
+    """The view of a member has changed."""
 
     name: str
-    what: str
+    change: MemberChange
 
 
 @dataclass(slots=True)
-class Note:
+class LogEvent:
     """An event for the operators' log."""
 
     event: str
-    fields: dict[str, Fact] = field(default_factory=dict)
+    fields: dict[str, MetadataValue] = field(default_factory=dict)
 
 
-Action = Post | Dial | Exchange | SetTimer | Changed | Note
+Action = SendDatagram | ProbeOverStream | PushPull | SetTimer | MemberChanged | LogEvent
--- a/dunlinloft/fleet/leases/core.py
+++ b/dunlinloft/fleet/leases/core.py
@@ -26,7 +26,6 @@
     Elected,
     Enter,
     Event,
-    Fired,
     HandOver,
     Heard,
     LedgerPage,
@@ -47,6 +46,7 @@
     Start,
     Stop,
     Tell,
+    TimerFired,
     Voters,
     Work,
 )
@@ -119,7 +119,7 @@
         match event:
             case Heard():
                 self._heard(event, now)
-            case Fired():
+            case TimerFired():
                 self._fired(event.token, now)
             case Seen():
                 self._seen = event
--- a/dunlinloft/fleet/leases/messages.py
+++ b/dunlinloft/fleet/leases/messages.py
@@ -10,6 +10,9 @@
 
 from msgspec import Struct
 
+from dunlinloft.fleet.timers import SetTimer as SetTimer
+from dunlinloft.fleet.timers import TimerFired as TimerFired
+
 Ballot = tuple[int, str, int]
 NONE: Ballot = (0, "", 0)
 
@@ -222,13 +225,6 @@
     sender: str
 
 
-@dataclass(slots=True)
-class Fired:
-    """A timer has come due."""
-
-    token: int
-
-
 @dataclass(slots=True)
 class Seen:
     """Who is there, in order of preference among those who may hold duties, and who claims which duty."""
@@ -274,7 +270,7 @@
     wanted: int
 
 
-Event = Heard | Fired | Seen | HandOver | Work | Enter | ChangeVoters
+Event = Heard | TimerFired | Seen | HandOver | Work | Enter | ChangeVoters
 
 
 # Actions
@@ -288,14 +284,6 @@
     message: Message
 
 
-@dataclass(slots=True)
-class SetTimer:
-    """Deliver `Fired(token)` after `delay_ms`."""
-
-    token: int
-    delay_ms: float
-
-
 @dataclass(slots=True)
 class Start:
     """The duty is this process's from now on; whoever acts for it shows the token."""
--- a/dunlinloft/fleet/membership/core.py
+++ b/dunlinloft/fleet/membership/core.py
@@ -11,526 +11,575 @@
 
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.membership import probing
-from dunlinloft.fleet.membership.gossip import FULL, News
-from dunlinloft.fleet.membership.health import Health
+from dunlinloft.fleet.membership.gossip import LONG_QUEUE_LENGTH, DisseminationQueue
+from dunlinloft.fleet.membership.health import LocalHealth
+from dunlinloft.fleet.membership.member import MAX_SUSPECTED_BY, Member, digest_bits
 from dunlinloft.fleet.membership.probing import Prober
-from dunlinloft.fleet.membership.suspicion import CONFIRMERS, wait_ms
-from dunlinloft.fleet.membership.view import MOST_ACCUSERS, Member, View, bits
+from dunlinloft.fleet.membership.suspicion import EXPECTED_CONFIRMERS, suspicion_timeout_ms
+from dunlinloft.fleet.membership.view import View
 from dunlinloft.fleet.messages import (
     ALIVE,
     DEAD,
     LEFT,
-    STATUSES,
+    STATUS_NAMES,
     SUSPECT,
     Ack,
-    Ask,
-    Fact,
     Gossip,
-    Head,
+    Header,
     Message,
+    MetadataValue,
     Nack,
     Ping,
+    PingRequest,
     Record,
     State,
 )
 
-SPREAD_MS, SPREAD_TO, SPREAD_FULL = 100.0, 3, 6  # while there is news: how often, to how many, if much
-EXCHANGE_MS = 30_000.0  # whole views are exchanged so often, with jitter
-SETTLED_MS, AGAIN_MS = 1_500.0, 2_000.0  # a view that differs for so long is exchanged; not sooner again
-JOIN_MS, JOIN_MOST_MS = 500.0, 4_000.0  # between tries of the seeds while alone, doubling
-SEEK_MS = 10_000.0  # between tries of seeds that are not in view, among others
-KNOCK_MS = 1_000.0  # how often one of the dead is asked whether it is, at most
-KNOCKS = 20.0  # that each of the dead gets in that time from all together, about
-MOST_CORRECTED = 8  # members of whom one message is corrected
-CHECK_MS = 300.0  # before its burial a suspect is asked by whoever would bury it
-QUIET_MS = 30_000.0  # who has lost its name to another asks again so much later
-LIFE_STEP = 1
+GOSSIP_INTERVAL_MS, GOSSIP_FANOUT, GOSSIP_FANOUT_LONG_QUEUE = (
+    100.0,
+    3,
+    6,
+)  # while there is news: how often, to how many, if much
+PUSH_PULL_INTERVAL_MS = 30_000.0  # whole views are exchanged so often, with jitter
+DIVERGENCE_TOLERANCE_MS, MIN_PUSH_PULL_INTERVAL_MS = (
+    1_500.0,
+    2_000.0,
+)  # a view that differs for so long is exchanged; not sooner again
+JOIN_BACKOFF_MS, MAX_JOIN_BACKOFF_MS = 500.0, 4_000.0  # between tries of the seeds while alone, doubling
+REJOIN_INTERVAL_MS = 10_000.0  # between tries of seeds that are not in view, among others
+DEAD_PROBE_INTERVAL_MS = 1_000.0  # how often one of the dead is asked whether it is, at most
+DEAD_PROBES_PER_INTERVAL = 20.0  # that each of the dead gets in that time from all together, about
+MAX_CORRECTIONS = 8  # members of whom one message is corrected
+FINAL_PROBE_MS = 300.0  # before its burial a suspect is asked by whoever would bury it
+NAME_CHECK_INTERVAL_MS = 30_000.0  # who has lost its name to another asks again so much later
+INCARNATION_STEP = 1
 
 
 class Membership:
     """One process among the members of its fleet."""
 
     def __init__(
-        self, name: str, address: str, seeds: list[str], uid: int, life: int, rng: random.Random,
-        facts: dict[str, Fact] | None = None,
+        self, name: str, address: str, seeds: list[str], uid: int, incarnation: int, rng: random.Random,
+        metadata: dict[str, MetadataValue] | None = None,
     ) -> None:  # fmt: skip
         self.name, self.address, self._seeds, self.rng = name, address, seeds, rng
-        self.life, self.revision, self._uid = life, 0, uid
-        self._bits = bits(name, life)
-        self._facts, self._version = dict(facts or {}), 0
+        self.incarnation, self.revision, self._uid = incarnation, 0, uid
+        self._digest_bits = digest_bits(name, incarnation)
+        self._metadata, self._metadata_version = dict(metadata or {}), 0
         self.status = ALIVE
         self.view = View(rng)
-        self.health = Health()
+        self.health = LocalHealth()
         self.prober = Prober(self)
-        self._news = News()
+        self._dissemination = DisseminationQueue()
         self.actions: list[api.Action] = []
         self._timers: dict[int, tuple[str, Any, float]] = {}
-        self._token, self._now = 0, 0.0
-        self._joined = False
-        self._join_wait = JOIN_MS / 2.0
-        self._seed_names: set[str] = set()  # members found to be at a seed's address
-        self._spreading = False
-        self._stale: dict[str, None] = {}  # of whom the message at hand says ill that is out of date
-        self._exchanged_ms = -AGAIN_MS
-        self._rival = 0  # the process that had our name when we took a new life because of it
-        self.rival = ""  # its address, once it is sure that it lives
-        self.quiet = False  # our name is another's: nothing is said under it
-        self.refuted = self.conflicts = self.accused = self.buried = 0
+        self._last_timer_token, self._now = 0, 0.0
+        self._has_joined = False
+        self._join_backoff_ms = JOIN_BACKOFF_MS / 2.0
+        self._members_at_seeds: set[str] = set()  # members found to be at a seed's address
+        self._gossip_scheduled = False
+        self._outdated_claims: dict[
+            str, None
+        ] = {}  # of whom the message at hand says ill that is out of date
+        self._last_push_pull_ms = -MIN_PUSH_PULL_INTERVAL_MS
+        self._conflicting_uid = 0  # the process that had our name when we took a new life because of it
+        self.conflicting_address = ""  # its address, once it is sure that it lives
+        self.muted = False  # our name is another's: nothing is said under it
+        self.refutations = self.name_conflicts = self.suspicions_raised = self.deaths_declared = 0
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
         """Take one event; what to do about it."""
         self.actions, self._now = [], now
         match event:
-            case api.Heard():
-                self._hear(event.message, event.source, now)
-            case api.Fired():
-                self._fired(event.token, now)
-            case api.Met():
-                self._met(event.state, event.source, event.asked, now)
-            case api.Missed():
+            case api.MessageReceived():
+                self._receive(event.message, event.source, now)
+            case api.TimerFired():
+                self._handle_timer(event.token, now)
+            case api.PushPullReceived():
+                self._handle_push_pull(event.state, event.source, event.requested, now)
+            case api.PushPullFailed():
                 pass  # the next try is timed already
-            case api.Ponged():
-                self.prober.acked(event.number, event.name, event.life, now, "")
-            case api.Facts():
-                self._learn(event.facts)
-            case api.Leave():
+            case api.StreamProbeAcked():
+                self.prober.handle_ack(event.number, event.name, event.incarnation, now, "")
+            case api.MetadataUpdated():
+                self._update_metadata(event.metadata)
+            case api.LeaveRequested():
                 self._leave()
-            case api.Begin():
-                self._begin()
+            case api.Started():
+                self._start()
         return self.actions
 
     # What others see of it
 
-    def alive(self) -> int:
+    def alive_count(self) -> int:
         """How many members are taken to be there, this one too."""
-        return len(self.view.here) + (self.status == ALIVE)
+        return len(self.view.alive) + (self.status == ALIVE)
 
     def digest(self) -> int:
         """Of the names and lives of all that are there: equal where views agree."""
-        return self.view.digest ^ (self._bits if self.status == ALIVE and not self.quiet else 0)
+        return self.view.digest ^ (self._digest_bits if self.status == ALIVE and not self.muted else 0)
 
     def divergence(self, now: float) -> tuple[int, float]:
         """How many members' views differ from this one, and for how long the longest has, in ms."""
-        since = [m.differs_ms for m in self.view.members.values() if m.here() and m.differs_ms >= 0.0]
+        since = [
+            m.diverged_since_ms
+            for m in self.view.members.values()
+            if m.is_alive() and m.diverged_since_ms >= 0.0
+        ]
         return len(since), max((now - at for at in since), default=0.0)
 
-    def own_record(self, facts: bool = True) -> Record:
+    def own_record(self, include_metadata: bool = True) -> Record:
         """What this process says of itself."""
-        told = self._facts if facts else None
+        told = self._metadata if include_metadata else None
         return Record(
-            self.name, self.life, self.revision, self.status, self._uid, self.address, self._version, told
+            self.name,
+            self.incarnation,
+            self.revision,
+            self.status,
+            self._uid,
+            self.address,
+            self._metadata_version,
+            told,
         )
 
     def state(self) -> State:
         """The whole view."""
-        return State(self.head(), [self.own_record(), *self.view.records()])
+        return State(self.header(), [self.own_record(), *self.view.records()])
 
-    def answer(self, asker: State) -> State:
+    def state_for(self, asker: State) -> State:
         """What whoever gives its view over a stream is given back."""
         return self.state()
 
-    def head(self) -> Head:
+    def header(self) -> Header:
         """Who speaks."""
-        return Head(self.name, self.life, self.revision, self.digest(), self.alive())
+        return Header(self.name, self.incarnation, self.revision, self.digest(), self.alive_count())
 
     # Tools of the parts
 
-    def post(self, address: str, message: api.Said) -> None:
+    def send_datagram(self, address: str, message: api.AnyMessage) -> None:
         """Send a datagram."""
-        if not self.quiet and address:
-            self.actions.append(api.Post(address, message))
+        if not self.muted and address:
+            self.actions.append(api.SendDatagram(address, message))
 
-    def timer(self, delay_ms: float, what: str, subject: Any = None) -> int:
+    def set_timer(self, delay_ms: float, what: str, subject: Any = None) -> int:
         """Have `what` looked at later."""
-        self._token += 1
-        self._timers[self._token] = what, subject, self._now + delay_ms
-        self.actions.append(api.SetTimer(self._token, delay_ms))
-        return self._token
+        self._last_timer_token += 1
+        self._timers[self._last_timer_token] = what, subject, self._now + delay_ms
+        self.actions.append(api.SetTimer(self._last_timer_token, delay_ms))
+        return self._last_timer_token
 
-    def _note(self, event: str, **fields: Fact) -> None:
-        self.actions.append(api.Note(event, fields))
+    def _log(self, event: str, **fields: MetadataValue) -> None:
+        self.actions.append(api.LogEvent(event, fields))
 
-    def _tell(self, name: str, facts: bool = True) -> None:
+    def _disseminate(self, name: str, include_metadata: bool = True) -> None:
         """Spread the word of a member; its facts only where they are new."""
-        self._news.add(name, self.alive(), facts)
-        if not self._spreading:
-            self._spreading = True
-            self.timer(SPREAD_MS * self.rng.random(), "spread")
+        self._dissemination.add(name, self.alive_count(), include_metadata)
+        if not self._gossip_scheduled:
+            self._gossip_scheduled = True
+            self.set_timer(GOSSIP_INTERVAL_MS * self.rng.random(), "spread")
 
-    def _told(self, name: str, facts: bool) -> Record | None:
+    def _record_of(self, name: str, facts: bool) -> Record | None:
         if name == self.name:
             return self.own_record(facts)
         member = self.view.get(name)
-        return member.record(facts) if member is not None else None
+        return member.to_record(facts) if member is not None else None
 
-    def news_for(self, member: Member) -> list[Record]:
+    def piggyback_for(self, member: Member) -> list[Record]:
         """Records to go with a message to a member: first of all what it should answer itself."""
-        records = self._news.take(self._told)
+        records = self._dissemination.next_records(self._record_of)
         if member.status != ALIVE and all(record.name != member.name for record in records):
-            records.insert(0, member.record(facts=False))
+            records.insert(0, member.to_record(include_metadata=False))
         return records
 
     # Time
 
-    def _fired(self, token: int, now: float) -> None:
+    def _handle_timer(self, token: int, now: float) -> None:
         what, subject, due_ms = self._timers.pop(token, ("", None, 0.0))
-        in_time = self.health.turn(due_ms, now)
+        in_time = self.health.timer_fired(due_ms, now)
         if self.status != ALIVE:
             return
         match what:
             case "period":
-                self._period(now)
+                self._probe_next(now)
             case probing.DIRECT:
-                self.prober.direct_is_over(subject, in_time, now)
+                self.prober.handle_direct_timeout(subject, in_time, now)
             case probing.ENDS:
-                self.prober.end(subject, in_time, now)
+                self.prober.handle_probe_timeout(subject, in_time, now)
             case probing.ERRAND:
-                self.prober.errand_is_over(subject)
+                self.prober.handle_indirect_timeout(subject)
             case probing.AGAIN:
-                self.prober.again(subject)
+                self.prober.handle_resend_timer(subject)
             case probing.FORGET:
-                self.prober.forget(subject)
+                self.prober.drop_indirect(subject)
             case "confirm":
-                if subject in self.view.here:
+                if subject in self.view.alive:
                     self.prober.probe(subject, now)
             case "spread":
-                self._spread()
+                self._gossip()
             case "suspicion":
-                self._suspicion_ends(subject, token, in_time, now)
+                self._handle_suspicion_timeout(subject, token, in_time, now)
             case "join":
-                self._join()
+                self._rejoin()
             case "exchange":
-                self._exchange_with_one(now)
-                self.timer(EXCHANGE_MS * (0.5 + self.rng.random()), "exchange")
+                self._push_pull_random(now)
+                self.set_timer(PUSH_PULL_INTERVAL_MS * (0.5 + self.rng.random()), "exchange")
             case "knock":
-                self._knock()
+                self._probe_dead()
             case "return":
-                self._ask_for_the_name()
+                self._check_name_free()
             case _:
-                self._fired_more(what, now)
+                self._handle_extension_timer(what, now)
 
-    def _fired_more(self, what: str, now: float) -> None:
+    def _handle_extension_timer(self, what: str, now: float) -> None:
         """A timer that is not the membership's own."""
 
-    def _begin(self) -> None:
-        self._join()
-        self.timer(probing.PERIOD_MS * self.rng.random(), "period")
-        self.timer(EXCHANGE_MS * (0.5 + self.rng.random()), "exchange")
-        self.timer(KNOCK_MS * (0.5 + self.rng.random()), "knock")
+    def _start(self) -> None:
+        self._rejoin()
+        self.set_timer(probing.PROBE_PERIOD_MS * self.rng.random(), "period")
+        self.set_timer(PUSH_PULL_INTERVAL_MS * (0.5 + self.rng.random()), "exchange")
+        self.set_timer(DEAD_PROBE_INTERVAL_MS * (0.5 + self.rng.random()), "knock")
 
-    def _period(self, now: float) -> None:
+    def _probe_next(self, now: float) -> None:
         name = self.prober.next_target()
-        if name is not None and not self.quiet:
+        if name is not None and not self.muted:
             self.prober.probe(name, now)
-        self.timer(probing.PERIOD_MS * self.health.factor() * (0.9 + 0.2 * self.rng.random()), "period")
+        self.set_timer(
+            probing.PROBE_PERIOD_MS * self.health.multiplier() * (0.9 + 0.2 * self.rng.random()), "period"
+        )
 
-    def _spread(self) -> None:
-        if not len(self._news) or self.quiet:
-            self._spreading = False
-            if not len(self._news):
-                self._news = News()  # an emptied one keeps the room of its longest queue
+    def _gossip(self) -> None:
+        if not len(self._dissemination) or self.muted:
+            self._gossip_scheduled = False
+            if not len(self._dissemination):
+                self._dissemination = (
+                    DisseminationQueue()
+                )  # an emptied one keeps the room of its longest queue
             return
-        count = SPREAD_FULL if len(self._news) > FULL else SPREAD_TO
-        for name in self.view.here.draw(count):
-            records = self._news.take(self._told)
+        count = GOSSIP_FANOUT_LONG_QUEUE if len(self._dissemination) > LONG_QUEUE_LENGTH else GOSSIP_FANOUT
+        for name in self.view.alive.sample(count):
+            records = self._dissemination.next_records(self._record_of)
             if not records:
                 break
-            self.post(self.view.members[name].address, Gossip(self.head(), records))
-        self.timer(SPREAD_MS * (0.8 + 0.4 * self.rng.random()), "spread")
+            self.send_datagram(self.view.members[name].address, Gossip(self.header(), records))
+        self.set_timer(GOSSIP_INTERVAL_MS * (0.8 + 0.4 * self.rng.random()), "spread")
 
-    def _join(self) -> None:
+    def _rejoin(self) -> None:
         """Ask a seed that is not in view for its own: soon while alone, now and then later."""
-        others = self._absent_seeds()
-        if others and not self.quiet:
-            self.actions.append(api.Exchange(self.rng.choice(others), self.state()))
+        others = self._unreached_seeds()
+        if others and not self.muted:
+            self.actions.append(api.PushPull(self.rng.choice(others), self.state()))
         # Whoever is alone may have joined by one that died since; and a few may be an island.
-        alone = not len(self.view.here)
-        self._join_wait = min(JOIN_MOST_MS, 2.0 * self._join_wait) if alone else SEEK_MS
-        self.timer(self._join_wait * (0.5 + self.rng.random()), "join")
+        alone = not len(self.view.alive)
+        self._join_backoff_ms = (
+            min(MAX_JOIN_BACKOFF_MS, 2.0 * self._join_backoff_ms) if alone else REJOIN_INTERVAL_MS
+        )
+        self.set_timer(self._join_backoff_ms * (0.5 + self.rng.random()), "join")
 
-    def _absent_seeds(self) -> list[str]:
+    def _unreached_seeds(self) -> list[str]:
         """Seeds that no member we see is at."""
-        there = {self.view.members[name].address for name in self._seed_names if name in self.view.here}
+        there = {
+            self.view.members[name].address for name in self._members_at_seeds if name in self.view.alive
+        }
         absent = [seed for seed in self._seeds if seed != self.address and seed not in there]
         if absent:  # one that has come is known by its address from now on
-            found = {m.name for m in self.view.members.values() if m.here() and m.address in absent}
-            self._seed_names |= found
+            found = {m.name for m in self.view.members.values() if m.is_alive() and m.address in absent}
+            self._members_at_seeds |= found
             there = {self.view.members[name].address for name in found}
         return [seed for seed in absent if seed not in there]
 
-    def _exchange_with_one(self, now: float) -> None:
-        for name in self.view.here.draw(1):
-            self._exchange(self.view.members[name].address, now)
+    def _push_pull_random(self, now: float) -> None:
+        for name in self.view.alive.sample(1):
+            self._push_pull(self.view.members[name].address, now)
 
-    def _exchange(self, address: str, now: float) -> None:
-        if address and not self.quiet:
-            self._exchanged_ms = now
-            self.actions.append(api.Exchange(address, self.state()))
+    def _push_pull(self, address: str, now: float) -> None:
+        if address and not self.muted:
+            self._last_push_pull_ms = now
+            self.actions.append(api.PushPull(address, self.state()))
 
-    def _knock(self) -> None:
+    def _probe_dead(self) -> None:
         """Ask one of the dead whether it is: so parts that were split find each other again."""
         # So often that each of the dead hears of some member many times a second, and not of all.
-        often = self.rng.random() * self.alive() < KNOCKS * len(self.view.buried)
-        for name in self.view.buried.draw(1) if often else ():
+        often = self.rng.random() * self.alive_count() < DEAD_PROBES_PER_INTERVAL * len(self.view.dead)
+        for name in self.view.dead.sample(1) if often else ():
             member = self.view.members[name]
-            self.post(member.address, Ping(self.head(), 0, name, [member.record(facts=False)]))
-        self.timer(KNOCK_MS * (0.5 + self.rng.random()), "knock")
+            self.send_datagram(
+                member.address, Ping(self.header(), 0, name, [member.to_record(include_metadata=False)])
+            )
+        self.set_timer(DEAD_PROBE_INTERVAL_MS * (0.5 + self.rng.random()), "knock")
 
     # Messages
 
-    def _hear(self, message: api.Said, source: str, now: float) -> None:
+    def _receive(self, message: api.AnyMessage, source: str, now: float) -> None:
         if isinstance(message, Message):
-            self._heard(message, source, now)
+            self._handle_message(message, source, now)
 
-    def _heard(self, message: Message, source: str, now: float) -> None:
+    def _handle_message(self, message: Message, source: str, now: float) -> None:
         if self.status != ALIVE:
             return
-        if message.head.name == self.name:
+        if message.header.name == self.name:
             return  # ourselves by a strange way, or a rival, which records tell better
-        self._see_head(message.head, source, now)
-        self._stale.clear()
+        self._handle_header(message.header, source, now)
+        self._outdated_claims.clear()
         for record in message.records:
-            self._take(record, now)
-        if self.quiet:
+            self._merge_record(record, now)
+        if self.muted:
             return
-        self._correct(source)
+        self._correct_outdated(source)
         match message:
-            case Ping() if message.whom == self.name:
-                sender = self.view.get(message.head.name)
-                records = self.news_for(sender) if sender is not None else [self.own_record()]
-                self.post(source, Ack(self.head(), message.number, self.name, self.life, records))
+            case Ping() if message.target == self.name:
+                sender = self.view.get(message.header.name)
+                records = self.piggyback_for(sender) if sender is not None else [self.own_record()]
+                self.send_datagram(
+                    source, Ack(self.header(), message.number, self.name, self.incarnation, records)
+                )
             case Ack():
-                self.prober.acked(message.number, message.whom, message.life, now, source)
-            case Ask():
-                self.prober.run_errand(message, source)
+                self.prober.handle_ack(message.number, message.target, message.incarnation, now, source)
+            case PingRequest():
+                self.prober.handle_ping_request(message, source)
             case Nack():
-                self.prober.nacked(message.number)
+                self.prober.handle_nack(message.number)
 
-    def _correct(self, source: str) -> None:
+    def _correct_outdated(self, source: str) -> None:
         """Whoever speaks ill of one by old news is told the newer: what it missed may not come again."""
-        if self._stale:
-            told = (self._told(name, False) for name in list(self._stale)[:MOST_CORRECTED])
-            self.post(source, Gossip(self.head(), [record for record in told if record is not None]))
+        if self._outdated_claims:
+            told = (self._record_of(name, False) for name in list(self._outdated_claims)[:MAX_CORRECTIONS])
+            self.send_datagram(
+                source, Gossip(self.header(), [record for record in told if record is not None])
+            )
 
-    def _see_head(self, head: Head, source: str, now: float) -> None:
+    def _handle_header(self, head: Header, source: str, now: float) -> None:
         """What the sender itself is, and whether it sees what we see."""
         member = self.view.get(head.name)
         if (
             member is None
-            or head.life > member.life
-            or (not member.here() and head.revision > member.revision)
+            or head.incarnation > member.incarnation
+            or (not member.is_alive() and head.revision > member.revision)
         ):
             # It has joined, or come back, and news of that has not come yet: its own view has it.
-            if now - self._exchanged_ms > AGAIN_MS:
-                self._exchange(source, now)
+            if now - self._last_push_pull_ms > MIN_PUSH_PULL_INTERVAL_MS:
+                self._push_pull(source, now)
             return
-        if member.life != head.life:
+        if member.incarnation != head.incarnation:
             return
-        if not member.here():  # it does not know that it is buried
-            if member.status == DEAD and now - member.since_ms > SPREAD_MS:
-                self.post(source, Gossip(self.head(), [member.record(facts=False)]))
+        if not member.is_alive():  # it does not know that it is buried
+            if member.status == DEAD and now - member.status_since_ms > GOSSIP_INTERVAL_MS:
+                self.send_datagram(source, Gossip(self.header(), [member.to_record(include_metadata=False)]))
             return
-        member.digest = head.digest
+        member.view_digest = head.digest
         if head.digest == self.digest():
-            member.differs_ms = -1.0
-        elif member.differs_ms < 0.0:
-            member.differs_ms = now
-        elif now - member.differs_ms > SETTLED_MS and now - self._exchanged_ms > AGAIN_MS * self._patience():
-            self._exchange(source, now)
+            member.diverged_since_ms = -1.0
+        elif member.diverged_since_ms < 0.0:
+            member.diverged_since_ms = now
+        elif (
+            now - member.diverged_since_ms > DIVERGENCE_TOLERANCE_MS
+            and now - self._last_push_pull_ms > MIN_PUSH_PULL_INTERVAL_MS * self._push_pull_jitter()
+        ):
+            self._push_pull(source, now)
 
-    def _patience(self) -> float:
+    def _push_pull_jitter(self) -> float:
         return 0.5 + self.rng.random()
 
-    def _met(self, state: State, source: str, asked: bool, now: float) -> None:
+    def _handle_push_pull(self, state: State, source: str, asked: bool, now: float) -> None:
         """A whole view has come."""
         if self.status != ALIVE:
             return
-        if asked and not self._joined:
-            self._joined = True
-            self._tell(self.name)
+        if asked and not self._has_joined:
+            self._has_joined = True
+            self._disseminate(self.name)
         for record in state.records:
-            self._take(record, now)
-        if self.quiet and asked and all(record.name != self.name for record in state.records):
-            self._speak_again(None)
+            self._merge_record(record, now)
+        if self.muted and asked and all(record.name != self.name for record in state.records):
+            self._unmute(None)
 
     # Records
 
-    def _take(self, record: Record, now: float) -> None:
+    def _merge_record(self, record: Record, now: float) -> None:
         if not 0 <= record.status <= LEFT:
             return
         if record.name == self.name:
-            return self._of_ourselves(record)
-        record = self._doubted(record, now)
+            return self._handle_own_record(record)
+        record = self._death_as_suspicion(record, now)
         member, change = self.view.merge(record, now)
         if not change:
-            if record.status in (SUSPECT, DEAD) and record.key() < member.key():
-                self._stale[record.name] = None
-            if member.status == SUSPECT and not member.timer:
+            if record.status in (SUSPECT, DEAD) and record.precedence() < member.precedence():
+                self._outdated_claims[record.name] = None
+            if member.status == SUSPECT and not member.suspicion_timer:
                 self._start_suspicion(member, now)
             return
-        self._tell(record.name, facts=change in ("joined", "facts"))
-        self._changed(member, change, now)
+        self._disseminate(
+            record.name, include_metadata=change in (api.MemberChange.JOINED, api.MemberChange.METADATA)
+        )
+        self._record_changed(member, change, now)
 
-    def _doubted(self, record: Record, now: float) -> Record:
+    def _death_as_suspicion(self, record: Record, now: float) -> Record:
         """What is said of a death, as it is believed: of one that was well just now, a suspicion.
 
         Its time to answer begins with us. Else the two sides of a healed split would bury for a moment
         whom only the other side could not reach.
         """
         member = self.view.get(record.name)
-        if record.status != DEAD or member is None or not member.here() or member.life != record.life:
+        if (
+            record.status != DEAD
+            or member is None
+            or not member.is_alive()
+            or member.incarnation != record.incarnation
+        ):
             return record
-        if record.revision < member.revision or record.accusers == [self.name]:
+        if record.revision < member.revision or record.suspected_by == [self.name]:
             return record
-        least = wait_ms(self.alive(), MOST_ACCUSERS)
-        if member.status == SUSPECT and now - member.since_ms >= least:
+        least = suspicion_timeout_ms(self.alive_count(), MAX_SUSPECTED_BY)
+        if member.status == SUSPECT and now - member.status_since_ms >= least:
             return record
-        doubted = member.record(facts=False)
+        doubted = member.to_record(include_metadata=False)
         doubted.status, doubted.revision = SUSPECT, record.revision
-        doubted.accusers = doubted.accusers or record.accusers or [record.name]
+        doubted.suspected_by = doubted.suspected_by or record.suspected_by or [record.name]
         return doubted
 
-    def _changed(self, member: Member, change: str, now: float) -> None:
+    def _record_changed(self, member: Member, change: api.MemberChange, now: float) -> None:
         if member.status == SUSPECT:
-            first = not member.timer
+            first = not member.suspicion_timer
             self._start_suspicion(member, now)
-            if first and change == "suspect" and self.name not in member.accusers:
-                self._perhaps_confirm(member)
-        if change == "accused":
+            if first and change is api.MemberChange.SUSPECT and self.name not in member.suspected_by:
+                self._maybe_confirm(member)
+        if change is api.MemberChange.SUSPECTED_BY_MORE:
             return
-        self.actions.append(api.Changed(member.name, change))
-        if change != "facts":
-            self._note(
-                "member", name=member.name, status=STATUSES[member.status], life=member.life,
-                revision=member.revision, by=",".join(member.accusers),
+        self.actions.append(api.MemberChanged(member.name, change))
+        if change is not api.MemberChange.METADATA:
+            self._log(
+                "member", name=member.name, status=STATUS_NAMES[member.status], life=member.incarnation,
+                revision=member.revision, by=",".join(member.suspected_by),
             )  # fmt: skip
-        if change in ("dead", "left"):
-            self.view.forget(now)
+        if change in (api.MemberChange.DEAD, api.MemberChange.LEFT):
+            self.view.expire(now)
 
-    def _perhaps_confirm(self, member: Member) -> None:
+    def _maybe_confirm(self, member: Member) -> None:
         """Look for ourselves, with such a chance that a few members do."""
-        if self.rng.random() * self.alive() < CONFIRMERS:
-            self.timer(probing.PERIOD_MS * 0.2 * self.rng.random(), "confirm", member.name)
+        if self.rng.random() * self.alive_count() < EXPECTED_CONFIRMERS:
+            self.set_timer(probing.PROBE_PERIOD_MS * 0.2 * self.rng.random(), "confirm", member.name)
 
-    def _of_ourselves(self, record: Record) -> None:
+    def _handle_own_record(self, record: Record) -> None:
         """Somebody speaks of our name: refute what is wrong, and see whether it is another's."""
         if record.uid != self._uid and record.uid:
-            return self._of_another(record)
-        if record.life != self.life:
+            return self._handle_conflicting_record(record)
+        if record.incarnation != self.incarnation:
             return  # what we were before we took a new life
         if record.status in (SUSPECT, DEAD) and record.revision < self.revision:
-            self._stale[self.name] = None
+            self._outdated_claims[self.name] = None
         if record.status == LEFT or (record.status in (SUSPECT, DEAD) and record.revision >= self.revision):
-            self.refuted += 1
+            self.refutations += 1
             if record.status == LEFT:
-                return self._new_life(self.life)
+                return self._start_incarnation(self.incarnation)
             self.revision = record.revision + 1
             if record.status == SUSPECT:
-                self.health.worse()
+                self.health.degrade()
             # Whoever has buried us has let go of our facts too.
-            self._tell(self.name, facts=record.status == DEAD)
+            self._disseminate(self.name, include_metadata=record.status == DEAD)
 
-    def _of_another(self, record: Record) -> None:
+    def _handle_conflicting_record(self, record: Record) -> None:
         """Another process has, or had, our name."""
-        if record.life < self.life:
+        if record.incarnation < self.incarnation:
             if record.status != LEFT:  # a former life's news is about: ours is newer
-                self._tell(self.name)
+                self._disseminate(self.name)
             return
         if record.status in (DEAD, LEFT):
-            if self.quiet:
-                return self._speak_again(record)
-            return self._new_life(record.life)
-        if self.quiet:
+            if self.muted:
+                return self._unmute(record)
+            return self._start_incarnation(record.incarnation)
+        if self.muted:
             return
-        if self._rival != record.uid:
+        if self._conflicting_uid != record.uid:
             # A former life whose clock was ahead, or another process: who lives will answer.
-            self._rival = record.uid
-            return self._new_life(record.life)
-        self.conflicts += 1
-        self.rival = record.address
+            self._conflicting_uid = record.uid
+            return self._start_incarnation(record.incarnation)
+        self.name_conflicts += 1
+        self.conflicting_address = record.address
         if record.uid < self._uid:
-            self._yield_to(record)
+            self._mute_for(record)
         else:
-            self._note("rival", name=self.name, address=record.address, yields=False)
-            self._new_life(record.life)
+            self._log("rival", name=self.name, address=record.address, yields=False)
+            self._start_incarnation(record.incarnation)
 
-    def _new_life(self, beyond: int) -> None:
-        self.life, self.revision = beyond + LIFE_STEP, 0
-        self._bits = bits(self.name, self.life)
-        self._tell(self.name)
+    def _start_incarnation(self, beyond: int) -> None:
+        self.incarnation, self.revision = beyond + INCARNATION_STEP, 0
+        self._digest_bits = digest_bits(self.name, self.incarnation)
+        self._disseminate(self.name)
 
-    def _yield_to(self, record: Record) -> None:
+    def _mute_for(self, record: Record) -> None:
         """The name is an older process's: say nothing under it, and ask later whether it is free."""
-        self.quiet = True
-        self._note("rival", name=self.name, address=record.address, yields=True)
-        self.timer(QUIET_MS, "return")
+        self.muted = True
+        self._log("rival", name=self.name, address=record.address, yields=True)
+        self.set_timer(NAME_CHECK_INTERVAL_MS, "return")
 
-    def _ask_for_the_name(self) -> None:
-        if self.quiet:
-            others = [self.view.members[name].address for name in self.view.here.draw(1)] or self._seeds
+    def _check_name_free(self) -> None:
+        if self.muted:
+            others = [self.view.members[name].address for name in self.view.alive.sample(1)] or self._seeds
             if others:
-                self.actions.append(api.Exchange(self.rng.choice(others), State(self.head(), [])))
-            self.timer(QUIET_MS, "return")
+                self.actions.append(api.PushPull(self.rng.choice(others), State(self.header(), [])))
+            self.set_timer(NAME_CHECK_INTERVAL_MS, "return")
 
-    def _speak_again(self, record: Record | None) -> None:
-        self.quiet, self._rival, self.rival = False, 0, ""
-        self._note("rival gone", name=self.name)
-        self._new_life(record.life if record is not None else self.life)
+    def _unmute(self, record: Record | None) -> None:
+        self.muted, self._conflicting_uid, self.conflicting_address = False, 0, ""
+        self._log("rival gone", name=self.name)
+        self._start_incarnation(record.incarnation if record is not None else self.incarnation)
 
     # Suspicion and burial
 
-    def no_answer(self, name: str, last: bool, now: float) -> None:
+    def probe_failed(self, name: str, last: bool, now: float) -> None:
         """A probe of ours found nobody."""
         member = self.view.get(name)
-        if member is None or not member.here() or self.quiet:
+        if member is None or not member.is_alive() or self.muted:
             return
         if last:
-            return self._bury(member, now)
-        if self.name in member.accusers:
+            return self._declare_dead(member, now)
+        if self.name in member.suspected_by:
             return
-        self.accused += 1
-        record = member.record(facts=False)
-        record.status, record.accusers = SUSPECT, [self.name]
-        self._take(record, now)
+        self.suspicions_raised += 1
+        record = member.to_record(include_metadata=False)
+        record.status, record.suspected_by = SUSPECT, [self.name]
+        self._merge_record(record, now)
 
-    def answered(self, member: Member, now: float) -> None:
+    def probe_acked(self, member: Member, now: float) -> None:
         """It is there, whatever is said: if it is suspected it has to be told, and given its time."""
         if member.status == SUSPECT:
-            member.since_ms = now
+            member.status_since_ms = now
             self._start_suspicion(member, now)
 
     def _start_suspicion(self, member: Member, now: float) -> None:
         """Time a suspicion anew, by all that accuse by now."""
-        wait = wait_ms(self.alive(), len(member.accusers)) * (1.0 + 0.5 * self.health.score)
-        passed = now - member.since_ms
-        member.timer = self.timer(max(0.0, wait - passed - CHECK_MS), "suspicion", member.name)
-        member.checked = 0
+        wait = suspicion_timeout_ms(self.alive_count(), len(member.suspected_by)) * (
+            1.0 + 0.5 * self.health.score
+        )
+        passed = now - member.status_since_ms
+        member.suspicion_timer = self.set_timer(
+            max(0.0, wait - passed - FINAL_PROBE_MS), "suspicion", member.name
+        )
+        member.final_probe = 0
 
-    def _suspicion_ends(self, name: str, token: int, in_time: bool, now: float) -> None:
+    def _handle_suspicion_timeout(self, name: str, token: int, in_time: bool, now: float) -> None:
         member = self.view.get(name)
-        if member is None or member.status != SUSPECT or member.timer != token:
+        if member is None or member.status != SUSPECT or member.suspicion_timer != token:
             return
-        if not in_time or not self.health.sound(now):  # who is late itself buries nobody
-            member.since_ms = now
+        if not in_time or not self.health.is_reliable(now):  # who is late itself buries nobody
+            member.status_since_ms = now
             return self._start_suspicion(member, now)
         # Once more, ourselves: its answer to the suspicion may have passed us by.
-        member.checked = self.prober.probe(name, now, last=True)
+        member.final_probe = self.prober.probe(name, now, is_final=True)
 
-    def _bury(self, member: Member, now: float) -> None:
+    def _declare_dead(self, member: Member, now: float) -> None:
         if member.status == SUSPECT:
-            self.buried += 1
-            record = member.record(facts=False)
-            record.status, record.accusers = DEAD, [self.name]
-            self._take(record, now)
+            self.deaths_declared += 1
+            record = member.to_record(include_metadata=False)
+            record.status, record.suspected_by = DEAD, [self.name]
+            self._merge_record(record, now)
 
     # Ourselves
 
-    def _learn(self, facts: dict[str, Fact]) -> None:
-        changed = {name: value for name, value in facts.items() if self._facts.get(name) != value}
+    def _update_metadata(self, facts: dict[str, MetadataValue]) -> None:
+        changed = {name: value for name, value in facts.items() if self._metadata.get(name) != value}
         if changed:
-            self._facts |= changed
-            self._version += 1
-            self._tell(self.name)
+            self._metadata |= changed
+            self._metadata_version += 1
+            self._disseminate(self.name)
 
     def _leave(self) -> None:
         """Say that we go, to enough members that it gets about."""
@@ -538,5 +587,5 @@
             return
         self.status = LEFT
         record = self.own_record()
-        for name in self.view.here.draw(2 * SPREAD_FULL):
-            self.post(self.view.members[name].address, Gossip(self.head(), [record]))
+        for name in self.view.alive.sample(2 * GOSSIP_FANOUT_LONG_QUEUE):
+            self.send_datagram(self.view.members[name].address, Gossip(self.header(), [record]))
--- a/dunlinloft/fleet/membership/gossip.py
+++ b/dunlinloft/fleet/membership/gossip.py
@@ -11,46 +11,48 @@
 
 from dunlinloft.fleet.messages import Record
 
-TIMES = 4  # for each power of ten of members
-ROOM = 1150  # bytes of a datagram that records may take
-FULL = 20  # pieces from which more members are told at a time
+RETRANSMIT_MULTIPLIER = 4  # for each power of ten of members
+MAX_PIGGYBACK_BYTES = 1150  # bytes of a datagram that records may take
+LONG_QUEUE_LENGTH = 20  # pieces from which more members are told at a time
 
 
-class News:
+class DisseminationQueue:
     """Whose records are still to be told, and how often each."""
 
     def __init__(self) -> None:
-        self._left: dict[str, int] = {}
-        self._whole: set[str] = set()  # those whose facts are news too
+        self._remaining: dict[str, int] = {}
+        self._with_metadata: set[str] = set()  # those whose facts are news too
 
     def __len__(self) -> int:
-        return len(self._left)
+        return len(self._remaining)
 
-    def add(self, name: str, members: int, facts: bool) -> None:
+    def add(self, name: str, members: int, include_metadata: bool) -> None:
         """Tell of this one from now on, so often as a fleet of this size needs; with its facts or not."""
-        if self._left.pop(name, None) is None:
-            self._whole.discard(name)
-        if facts:
-            self._whole.add(name)
-        self._left[name] = TIMES * math.ceil(math.log10(members + 2))
-
-    def take(self, record: Callable[[str, bool], Record | None], room: int = ROOM) -> list[Record]:
+        if self._remaining.pop(name, None) is None:
+            self._with_metadata.discard(name)
+        if include_metadata:
+            self._with_metadata.add(name)
+        self._remaining[name] = RETRANSMIT_MULTIPLIER * math.ceil(math.log10(members + 2))
+
+    def next_records(
+        self, record: Callable[[str, bool], Record | None], room: int = MAX_PIGGYBACK_BYTES
+    ) -> list[Record]:
         """Records for a message, those told least often first."""
-        if not self._left:
+        if not self._remaining:
             return []
         found: list[Record] = []
         # Newest first, and what has been told goes to the end: a long queue takes turns.
-        for name in sorted(self._left, key=self._left.__getitem__, reverse=True)[:64]:
-            told = record(name, name in self._whole)
+        for name in sorted(self._remaining, key=self._remaining.__getitem__, reverse=True)[:64]:
+            told = record(name, name in self._with_metadata)
             if told is None:
-                del self._left[name]
+                del self._remaining[name]
                 continue
-            size = told.size()
+            size = told.estimated_size()
             if size > room:
                 continue
             room -= size
             found.append(told)
-            self._left[name] -= 1
-            if self._left[name] <= 0:
-                del self._left[name]
+            self._remaining[name] -= 1
+            if self._remaining[name] <= 0:
+                del self._remaining[name]
         return found
--- a/dunlinloft/fleet/membership/health.py
+++ b/dunlinloft/fleet/membership/health.py
@@ -6,40 +6,40 @@
 
 from __future__ import annotations
 
-MOST = 8
-LATE_MS = 60.0  # a timer so late says that this process does not get its turns
-SPOILT_MS = 1_000.0  # so long after such a timer, nothing that ran out is anybody else's fault
+MAX_SCORE = 8
+LATE_TIMER_MS = 60.0  # a timer so late says that this process does not get its turns
+UNRELIABLE_AFTER_LATE_MS = 1_000.0  # so long after such a timer, nothing that ran out is anybody else's fault
 
 
-class Health:
+class LocalHealth:
     """A score from 0, well, to `MOST`."""
 
     def __init__(self) -> None:
         self.score = 0
-        self._late_ms = -1e18
-        self.lates = 0
+        self._last_late_ms = -1e18
+        self.late_timers = 0
 
-    def better(self) -> None:
+    def probe_succeeded(self) -> None:
         """A probe was answered in time."""
         self.score = max(0, self.score - 1)
 
-    def worse(self, by: int = 1) -> None:
+    def degrade(self, by: int = 1) -> None:
         """Something went wrong that may be this process's own fault."""
-        self.score = min(MOST, self.score + by)
+        self.score = min(MAX_SCORE, self.score + by)
 
-    def turn(self, due_ms: float, now: float) -> bool:
+    def timer_fired(self, due_ms: float, now: float) -> bool:
         """Note when a timer was due that fires now; whether it came in time."""
-        if now - due_ms <= LATE_MS:
+        if now - due_ms <= LATE_TIMER_MS:
             return True
-        self._late_ms = now
-        self.lates += 1
-        self.worse()
+        self._last_late_ms = now
+        self.late_timers += 1
+        self.degrade()
         return False
 
-    def sound(self, now: float) -> bool:
+    def is_reliable(self, now: float) -> bool:
         """Whether what ran out lately may be held against others."""
-        return now - self._late_ms > SPOILT_MS
+        return now - self._last_late_ms > UNRELIABLE_AFTER_LATE_MS
 
-    def factor(self) -> float:
+    def multiplier(self) -> float:
         """What own waits are multiplied with."""
         return 1.0 + self.score
--- a/dunlinloft/fleet/membership/probing.py
+++ b/dunlinloft/fleet/membership/probing.py
@@ -10,28 +10,32 @@
 from typing import TYPE_CHECKING
 
 from dunlinloft.fleet import interface as api
-from dunlinloft.fleet.membership.view import Member
-from dunlinloft.fleet.messages import ALIVE, Ack, Ask, Nack, Ping
+from dunlinloft.fleet.membership.member import Member
+from dunlinloft.fleet.messages import ALIVE, Ack, Nack, Ping, PingRequest
 
 if TYPE_CHECKING:
     from dunlinloft.fleet.membership.core import Membership
 
-PERIOD_MS = 250.0
-ASKED = 3  # others that are asked to ask
-MOST_ERRANDS = 256  # for others, at a time; beyond that the oldest are forgotten
-AGAIN_MS = 60.0  # a second direct ping goes with those through others, a third so much later
+PROBE_PERIOD_MS = 250.0
+INDIRECT_PROBERS = 3  # others that are asked to ask
+MAX_INDIRECT_PROBES = 256  # for others, at a time; beyond that the oldest are forgotten
+THIRD_PING_DELAY_MS = 60.0  # a second direct ping goes with those through others, a third so much later
 DIRECT, AGAIN, ENDS, ERRAND, FORGET = "direct", "again", "ends", "errand", "forget"
 
 
 class Probe:
     """One member that is being asked."""
 
-    __slots__ = ("answered", "asked", "direct", "last", "name", "nacks", "sent_ms")
+    __slots__ = ("acked", "direct_only", "indirect_requests", "is_final", "nacks", "sent_ms", "target")
 
-    def __init__(self, name: str, now: float, last: bool) -> None:
-        self.name, self.sent_ms, self.last = name, now, last  # whether it is the last before its burial
-        self.answered, self.direct = False, True  # nobody else has been asked yet
-        self.asked = self.nacks = 0
+    def __init__(self, name: str, now: float, is_final: bool) -> None:
+        self.target, self.sent_ms, self.is_final = (
+            name,
+            now,
+            is_final,
+        )  # whether it is the last before its burial
+        self.acked, self.direct_only = False, True  # nobody else has been asked yet
+        self.indirect_requests = self.nacks = 0
 
 
 class Prober:
@@ -39,143 +43,143 @@
 
     def __init__(self, core: Membership) -> None:
         self._core = core
-        self._ring: list[str] = []
-        self._out: dict[int, Probe] = {}
-        self._errands: dict[int, tuple[str, int, str]] = {}  # who asked, its number, whom
-        self._number = 0
-        self.failed = 0
+        self._probe_order: list[str] = []
+        self._pending: dict[int, Probe] = {}
+        self._indirect: dict[int, tuple[str, int, str]] = {}  # who asked, its number, whom
+        self._last_number = 0
+        self.failed_probes = 0
 
     def next_target(self) -> str | None:
         """The next member in this round's order."""
         core = self._core
-        while self._ring:
-            name = self._ring.pop()
-            if name in core.view.here:
+        while self._probe_order:
+            name = self._probe_order.pop()
+            if name in core.view.alive:
                 return name
-        self._ring = core.view.here.names()
-        core.rng.shuffle(self._ring)
-        return self._ring.pop() if self._ring else None
+        self._probe_order = core.view.alive.names()
+        core.rng.shuffle(self._probe_order)
+        return self._probe_order.pop() if self._probe_order else None
 
-    def probe(self, name: str, now: float, last: bool = False) -> int:
+    def probe(self, name: str, now: float, is_final: bool = False) -> int:
         """Ask a member; the probe's number."""
         core = self._core
         member = core.view.members[name]
-        self._number += 1
-        number = self._number
-        self._out[number] = Probe(name, now, last)
-        core.post(member.address, Ping(core.head(), number, name, core.news_for(member)))
-        wait = min(member.timeout_ms() * core.health.factor(), PERIOD_MS)
-        core.timer(wait, DIRECT, number)
+        self._last_number += 1
+        number = self._last_number
+        self._pending[number] = Probe(name, now, is_final)
+        core.send_datagram(member.address, Ping(core.header(), number, name, core.piggyback_for(member)))
+        wait = min(member.ack_timeout_ms() * core.health.multiplier(), PROBE_PERIOD_MS)
+        core.set_timer(wait, DIRECT, number)
         return number
 
-    def _unanswered(self, number: int) -> tuple[Probe, Member] | None:
+    def _pending_probe(self, number: int) -> tuple[Probe, Member] | None:
         """A probe that is still out, and whom it asks; one that is over is forgotten."""
-        probe = self._out.get(number)
-        member = self._core.view.get(probe.name) if probe is not None else None
-        if probe is None or member is None or probe.answered:
-            self._out.pop(number, None)
+        probe = self._pending.get(number)
+        member = self._core.view.get(probe.target) if probe is not None else None
+        if probe is None or member is None or probe.acked:
+            self._pending.pop(number, None)
             return None
         return probe, member
 
-    def direct_is_over(self, number: int, in_time: bool, now: float) -> None:
+    def handle_direct_timeout(self, number: int, in_time: bool, now: float) -> None:
         """No direct answer in time: ask others, and try a stream."""
-        waiting, core = self._unanswered(number), self._core
+        waiting, core = self._pending_probe(number), self._core
         if waiting is None:
             return
         probe, member = waiting
-        probe.direct = False
-        core.actions.append(api.Dial(member.address, number))
-        self._repeat(number, probe, member)
-        core.timer(AGAIN_MS, AGAIN, number)
-        for name in core.view.here.draw(ASKED, probe.name):
-            probe.asked += 1
-            ask = Ask(core.head(), number, probe.name, member.address, core.news_for(member))
-            core.post(core.view.members[name].address, ask)
+        probe.direct_only = False
+        core.actions.append(api.ProbeOverStream(member.address, number))
+        self._resend_ping(number, probe, member)
+        core.set_timer(THIRD_PING_DELAY_MS, AGAIN, number)
+        for name in core.view.alive.sample(INDIRECT_PROBERS, probe.target):
+            probe.indirect_requests += 1
+            ask = PingRequest(core.header(), number, probe.target, member.address, core.piggyback_for(member))
+            core.send_datagram(core.view.members[name].address, ask)
         # A stream on a good link needs two round trips, and a lost piece of it 200 ms more.
         passed = now - probe.sent_ms
-        wait = max(PERIOD_MS * core.health.factor() - passed, 4.0 * member.timeout_ms())
-        core.timer(wait, ENDS, number)
+        wait = max(PROBE_PERIOD_MS * core.health.multiplier() - passed, 4.0 * member.ack_timeout_ms())
+        core.set_timer(wait, ENDS, number)
 
-    def again(self, number: int) -> None:
+    def handle_resend_timer(self, number: int) -> None:
         """Ping once more: on a link that loses some, one more try costs less than a false suspicion."""
-        probe = self._out.get(number)
-        member = self._core.view.get(probe.name) if probe is not None else None
-        if probe is not None and member is not None and not probe.answered:
-            self._repeat(number, probe, member)
+        probe = self._pending.get(number)
+        member = self._core.view.get(probe.target) if probe is not None else None
+        if probe is not None and member is not None and not probe.acked:
+            self._resend_ping(number, probe, member)
 
-    def _repeat(self, number: int, probe: Probe, member: Member) -> None:
+    def _resend_ping(self, number: int, probe: Probe, member: Member) -> None:
         core = self._core
-        records = [member.record(facts=False)] if member.status != ALIVE else []
-        core.post(member.address, Ping(core.head(), number, probe.name, records))
+        records = [member.to_record(include_metadata=False)] if member.status != ALIVE else []
+        core.send_datagram(member.address, Ping(core.header(), number, probe.target, records))
 
-    def end(self, number: int, in_time: bool, now: float) -> None:
+    def handle_probe_timeout(self, number: int, in_time: bool, now: float) -> None:
         """The probe's time is over."""
-        waiting, core = self._unanswered(number), self._core
+        waiting, core = self._pending_probe(number), self._core
         if waiting is None:
             return
         probe, _ = waiting
         if not in_time:  # the answer may wait in this process's own queue: look again before judging
-            core.timer(PERIOD_MS, ENDS, number)
+            core.set_timer(PROBE_PERIOD_MS, ENDS, number)
             return
-        del self._out[number]
+        del self._pending[number]
         # Those asked say that they could not reach it either; who is silent is beyond our own reach.
-        missed = probe.asked - probe.nacks
+        missed = probe.indirect_requests - probe.nacks
         if missed > 0:
-            core.health.worse(min(missed, 2))
+            core.health.degrade(min(missed, 2))
         else:
-            core.health.worse()
-        if not core.health.sound(now):
+            core.health.degrade()
+        if not core.health.is_reliable(now):
             return
-        self.failed += 1
-        core.no_answer(probe.name, probe.last, now)
+        self.failed_probes += 1
+        core.probe_failed(probe.target, probe.is_final, now)
 
-    def acked(self, number: int, name: str, life: int, now: float, source: str) -> None:
+    def handle_ack(self, number: int, name: str, life: int, now: float, source: str) -> None:
         """Somebody has answered, itself or through another."""
-        probe, core = self._out.get(number), self._core
-        errand = self._errands.pop(number, None) if number < 0 else None
+        probe, core = self._pending.get(number), self._core
+        errand = self._indirect.pop(number, None) if number < 0 else None
         if errand is not None and errand[2] == name:
-            core.post(errand[0], Ack(core.head(), errand[1], name, life, []))
+            core.send_datagram(errand[0], Ack(core.header(), errand[1], name, life, []))
             return
-        if probe is None or probe.name != name or probe.answered:
+        if probe is None or probe.target != name or probe.acked:
             return
         member = core.view.get(name)
-        if member is None or member.life != life:
+        if member is None or member.incarnation != life:
             return
-        probe.answered = True
-        if probe.direct and source == member.address:
-            member.took(now - probe.sent_ms)
-            del self._out[number]
-        core.health.better()
-        core.answered(member, now)
-
-    def nacked(self, number: int) -> None:
+        probe.acked = True
+        if probe.direct_only and source == member.address:
+            member.observe_rtt(now - probe.sent_ms)
+            del self._pending[number]
+        core.health.probe_succeeded()
+        core.probe_acked(member, now)
+
+    def handle_nack(self, number: int) -> None:
         """One that was asked could not reach it, but reached us."""
-        probe = self._out.get(number)
+        probe = self._pending.get(number)
         if probe is not None:
             probe.nacks += 1
 
-    def run_errand(self, ask: Ask, source: str) -> None:
+    def handle_ping_request(self, ask: PingRequest, source: str) -> None:
         """Ping for another."""
         core = self._core
-        self._number += 1
-        number = -self._number
-        if len(self._errands) >= MOST_ERRANDS:
-            del self._errands[next(iter(self._errands))]
-        self._errands[number] = source, ask.number, ask.whom
-        member = core.view.get(ask.whom)
-        records = core.news_for(member) if member is not None else []
-        core.post(ask.address, Ping(core.head(), number, ask.whom, records))
-        wait = member.timeout_ms() if member is not None else PERIOD_MS / 2.0
-        core.timer(wait, ERRAND, number)
-
-    def errand_is_over(self, number: int) -> None:
+        self._last_number += 1
+        number = -self._last_number
+        if len(self._indirect) >= MAX_INDIRECT_PROBES:
+            del self._indirect[next(iter(self._indirect))]
+        self._indirect[number] = source, ask.number, ask.target
+        member = core.view.get(ask.target)
+        records = core.piggyback_for(member) if member is not None else []
+        core.send_datagram(ask.address, Ping(core.header(), number, ask.target, records))
+        wait = member.ack_timeout_ms() if member is not None else PROBE_PERIOD_MS / 2.0
+        core.set_timer(wait, ERRAND, number)
+
+    def handle_indirect_timeout(self, number: int) -> None:
         """No answer for another: say so, which says that we are there."""
-        errand = self._errands.get(number)
+        errand = self._indirect.get(number)
         if errand is not None:  # an answer that comes later is still passed on
             core = self._core
-            core.post(errand[0], Nack(core.head(), errand[1], []))
-            core.timer(PERIOD_MS, FORGET, number)
+            core.send_datagram(errand[0], Nack(core.header(), errand[1], []))
+            core.set_timer(PROBE_PERIOD_MS, FORGET, number)
 
-    def forget(self, number: int) -> None:
+    def drop_indirect(self, number: int) -> None:
         """An answer to this errand is of no use any more."""
-        self._errands.pop(number, None)
+        self._indirect.pop(number, None)
--- a/dunlinloft/fleet/messages.py
+++ b/dunlinloft/fleet/messages.py
@@ -11,13 +11,13 @@
 from dunlinloft.fleet.shared_state import messages as shared
 
 VERSION = 1
-Fact = str | float | bool
+MetadataValue = str | float | bool
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
-STATUSES = ("alive", "suspect", "dead", "left")
+STATUS_NAMES = ("alive", "suspect", "dead", "left")
 
 # What a message costs in bytes, near enough to fill a datagram: checked against `fleet.wire` by a test.
-HEAD_BYTES, RECORD_BYTES, ENTRY_BYTES = 44, 21, 26
+HEADER_BYTES, RECORD_BYTES, ENTRY_BYTES = 44, 21, 26
 
 
 class Record(Struct, array_like=True, gc=False):
@@ -28,30 +28,30 @@
     """
 
     name: str
-    life: int
+    incarnation: int
     revision: int
     status: int
     uid: int
     address: str = ""
-    version: int = 0
-    facts: dict[str, Fact] | None = None
-    accusers: list[str] = []
+    metadata_version: int = 0
+    metadata: dict[str, MetadataValue] | None = None
+    suspected_by: list[str] = []
 
-    def key(self) -> tuple[int, bool, int, int]:
+    def precedence(self) -> tuple[int, bool, int, int]:
         """Of two records of a name the one with the greater key holds."""
-        return self.life, self.status == LEFT, self.revision, self.status
+        return self.incarnation, self.status == LEFT, self.revision, self.status
 
-    def size(self) -> int:
+    def estimated_size(self) -> int:
         """Bytes that it takes, about."""
-        size = RECORD_BYTES + len(self.name) + len(self.address) + sum(map(len, self.accusers))
-        return size + (sum(len(name) + 9 for name in self.facts) if self.facts else 0)
+        size = RECORD_BYTES + len(self.name) + len(self.address) + sum(map(len, self.suspected_by))
+        return size + (sum(len(name) + 9 for name in self.metadata) if self.metadata else 0)
 
 
-class Head(Struct, array_like=True, gc=False):
+class Header(Struct, array_like=True, gc=False):
     """Who says it, and the digest of its view."""
 
     name: str
-    life: int
+    incarnation: int
     revision: int
     digest: int
     members: int = 0  # that it takes for alive
@@ -60,28 +60,28 @@
 class Ping(Struct, array_like=True, tag=1, gc=False):
     """Are you there? `whom` is who is meant."""
 
-    head: Head
+    header: Header
     number: int
-    whom: str
+    target: str
     records: list[Record] = []
 
 
 class Ack(Struct, array_like=True, tag=2, gc=False):
     """I am, or, with `whom`, that one is."""
 
-    head: Head
+    header: Header
     number: int
-    whom: str
-    life: int
+    target: str
+    incarnation: int
     records: list[Record] = []
 
 
-class Ask(Struct, array_like=True, tag=3, gc=False):
+class PingRequest(Struct, array_like=True, tag=3, gc=False):
     """Ping that one for me."""
 
-    head: Head
+    header: Header
     number: int
-    whom: str
+    target: str
     address: str
     records: list[Record] = []
 
@@ -89,7 +89,7 @@
 class Nack(Struct, array_like=True, tag=4, gc=False):
     """I could not reach it, but you reach me."""
 
-    head: Head
+    header: Header
     number: int
     records: list[Record] = []
 
@@ -97,31 +97,33 @@
 class Gossip(Struct, array_like=True, tag=5, gc=False):
     """News and nothing else."""
 
-    head: Head
+    header: Header
     records: list[Record] = []
 
 
-class About(Struct, array_like=True, tag=6, gc=False):
+class ApplicationMessage(Struct, array_like=True, tag=6, gc=False):
     """Something about a duty, or about shared state."""
 
-    head: Head
+    header: Header
     content: duties.Message | shared.Message
     records: list[Record] = []
 
 
-Message = Ping | Ack | Ask | Nack | Gossip | About
+Message = Ping | Ack | PingRequest | Nack | Gossip | ApplicationMessage
 
 
 class State(Struct, array_like=True, gc=False):
     """A whole view, as it is exchanged over a stream."""
 
-    head: Head
+    header: Header
     records: list[Record]
 
 
-def size_of(message: Message) -> int:
+def estimated_size(message: Message) -> int:
     """Bytes that a message takes, about."""
-    size = HEAD_BYTES + len(message.head.name) + sum(record.size() for record in message.records)
-    if isinstance(message, About) and isinstance(message.content, shared.Pour):
+    size = (
+        HEADER_BYTES + len(message.header.name) + sum(record.estimated_size() for record in message.records)
+    )
+    if isinstance(message, ApplicationMessage) and isinstance(message.content, shared.Pour):
         size += sum(ENTRY_BYTES + len(e.writer) + len(e.content) for e in message.content.entries)
     return size
--- a/dunlinloft/fleet/shared_state/core.py
+++ b/dunlinloft/fleet/shared_state/core.py
@@ -29,7 +29,6 @@
     Ended,
     Event,
     Findings,
-    Fired,
     Heard,
     Known,
     Ordered,
@@ -39,6 +38,7 @@
     Seen,
     SetTimer,
     Steer,
+    TimerFired,
     Verdict,
     Warn,
     encode,
@@ -112,7 +112,7 @@
                 self.limits.asked(event.tenant, now)
             case Heard():
                 return [*self.spread.hear(event.message, event.sender, now)]
-            case Fired():
+            case TimerFired():
                 return self._fired(event.token, now)
             case Ordered():
                 self._tell_orders(event, now)
--- a/dunlinloft/fleet/shared_state/messages.py
+++ b/dunlinloft/fleet/shared_state/messages.py
@@ -14,6 +14,8 @@
 from dunlinloft.fleet.cells.messages import Summary
 from dunlinloft.fleet.releases.member import Server
 from dunlinloft.fleet.releases.messages import Order, Tally
+from dunlinloft.fleet.timers import SetTimer as SetTimer
+from dunlinloft.fleet.timers import TimerFired as TimerFired
 
 FINDINGS, PULSE, BINDINGS, ORDERS, RELEASE, TALLY, SUMMARY = 1, 2, 3, 4, 5, 6, 7
 KINDS = {
@@ -159,13 +161,6 @@
     sender: str
 
 
-@dataclass(slots=True)
-class Fired:
-    """A timer has come due."""
-
-    token: int
-
-
 @dataclass(slots=True)
 class Seen:
     """This process's life; who else is there, with lives; who counts in parts of budgets, and how many.
@@ -227,7 +222,7 @@
     servers: dict[int, Server] = field(default_factory=dict)  # for releases: what is known of each
 
 
-Event = Heard | Fired | Seen | Asked | Ended | Known | Ordered | Steer
+Event = Heard | TimerFired | Seen | Asked | Ended | Known | Ordered | Steer
 
 # Actions
 
@@ -240,14 +235,6 @@
     message: Message
 
 
-@dataclass(slots=True)
-class SetTimer:
-    """Deliver `Fired(token)` after `delay_ms`."""
-
-    token: int
-    delay_ms: float
-
-
 @dataclass(slots=True)
 class Verdict:
     """What all together think of a server.
--- a/dunlinloft/fleet/wire.py
+++ b/dunlinloft/fleet/wire.py
@@ -1,11 +1,13 @@
-"""Messages as bytes: MessagePack, with the format's version and the fleet's name before everything.
+"""Encodes and decodes member messages: MessagePack behind a prefix of format version and fleet name.
 
-What is broken, foreign, of another version or too long is refused with its reason, and nothing more.
+Bytes that are truncated, oversized, malformed, of another format version or of another fleet are rejected
+with a `RejectReason`; decoding raises nothing else.
 """
 
 from __future__ import annotations
 
 import zlib
+from enum import StrEnum
 from typing import TypeVar
 
 import msgspec
@@ -14,77 +16,91 @@
 
 T = TypeVar("T")
 
-MOST_DATAGRAM = 1400  # bytes
-MOST_STATE = 512 * 1024
-_PREFIX = 5  # the version, and four bytes of the fleet's name
+# Below the usual path MTU of 1500 bytes with IP and UDP headers, so a datagram is never fragmented.
+MAX_DATAGRAM_BYTES = 1400
+MAX_STATE_BYTES = 512 * 1024  # of a state that is exchanged over a stream
+_PREFIX_BYTES = 5  # one for the format version, four for the CRC-32 of the fleet's name
 
 
-class Refused(Exception):
-    """Bytes that are not for this fleet; the text is one of `REASONS`."""
+class RejectReason(StrEnum):
+    """Why received bytes were rejected; operators see the counts by these values (`refused_for`)."""
 
+    SHORT = "short"
+    VERSION = "version"
+    FOREIGN = "foreign"
+    LONG = "long"
+    BROKEN = "broken"
 
-REASONS = ("short", "version", "foreign", "long", "broken")
 
-_message = msgspec.msgpack.Decoder(Message)
-_state = msgspec.msgpack.Decoder(State)
+class MessageRejected(Exception):
+    """Bytes that are no valid message of this fleet."""
+
+    def __init__(self, reason: RejectReason) -> None:
+        super().__init__(reason)
+        self.reason = reason
+
+
+_message_decoder = msgspec.msgpack.Decoder(Message)
+_state_decoder = msgspec.msgpack.Decoder(State)
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def fit(prefix: bytes, message: Message) -> bytes:
-    """A datagram; records that would make it too long are left out, the last first."""
+def encode_datagram(prefix: bytes, message: Message) -> bytes:
+    """Encode a message as one datagram, dropping piggybacked records from the end until it fits."""
     data = prefix + _encode(message)
-    while len(data) > MOST_DATAGRAM and message.records:
+    while len(data) > MAX_DATAGRAM_BYTES and message.records:
         message.records.pop()
         data = prefix + _encode(message)
     return data
 
 
-def fit_state(prefix: bytes, state: State) -> bytes:
-    """A whole view; what would make it longer than the cap is left out."""
+def encode_state(prefix: bytes, state: State) -> bytes:
+    """Encode a state for a stream, dropping the last tenth of its records until it fits."""
     data = prefix + _encode(state)
-    while len(data) > MOST_STATE and state.records:
+    while len(data) > MAX_STATE_BYTES and state.records:
         del state.records[len(state.records) * 9 // 10 :]
         data = prefix + _encode(state)
     return data
 
 
-def parse(decoder: msgspec.msgpack.Decoder[T], body: memoryview) -> T:
-    """What a body says; `Refused` where it can't be read."""
+def decode(decoder: msgspec.msgpack.Decoder[T], body: memoryview) -> T:
+    """Decode a body; raises `MessageRejected(BROKEN)` for malformed bytes."""
     try:
         return decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-        raise Refused("broken") from None
+        raise MessageRejected(RejectReason.BROKEN) from None
 
 
 class Wire:
-    """Reads and writes for one fleet."""
+    """Encoder and decoder for the members of one flat fleet (without cells)."""
 
     def __init__(self, fleet: str) -> None:
         self._prefix = bytes([VERSION]) + zlib.crc32(fleet.encode()).to_bytes(4, "big")
 
     def write(self, message: Message) -> bytes:
-        """A datagram; records that would make it too long are left out, the last first."""
-        return fit(self._prefix, message)
+        """Encode a datagram; records that would make it too long are dropped, the last first."""
+        return encode_datagram(self._prefix, message)
 
     def read(self, data: bytes) -> Message:
-        """What a datagram says; `Refused` where it says nothing to this fleet."""
-        return parse(_message, self._body(data, MOST_DATAGRAM))
+        """Decode a datagram; raises `MessageRejected`."""
+        return decode(_message_decoder, self._body(data, MAX_DATAGRAM_BYTES))
 
     def write_state(self, state: State) -> bytes:
-        """A whole view; what would make it longer than the cap is left out."""
-        return fit_state(self._prefix, state)
+        """Encode a state; records beyond `MAX_STATE_BYTES` are dropped, the last first."""
+        return encode_state(self._prefix, state)
 
     def read_state(self, data: bytes) -> State:
-        """The view that these bytes are; `Refused` as with `read`."""
-        return parse(_state, self._body(data, MOST_STATE))
-
-    def _body(self, data: bytes, most: int) -> memoryview:
-        if len(data) <= _PREFIX:
-            raise Refused("short")
-        if len(data) > most:
-            raise Refused("long")
+        """Decode a state; raises `MessageRejected`."""
+        return decode(_state_decoder, self._body(data, MAX_STATE_BYTES))
+
+    def _body(self, data: bytes, max_bytes: int) -> memoryview:
+        """Check the length and the prefix; the bytes behind it."""
+        if len(data) <= _PREFIX_BYTES:
+            raise MessageRejected(RejectReason.SHORT)
+        if len(data) > max_bytes:
+            raise MessageRejected(RejectReason.LONG)
         if data[0] != VERSION:
-            raise Refused("version")
-        if data[:_PREFIX] != self._prefix:
-            raise Refused("foreign")
-        return memoryview(data)[_PREFIX:]
+            raise MessageRejected(RejectReason.VERSION)
+        if data[:_PREFIX_BYTES] != self._prefix:
+            raise MessageRejected(RejectReason.FOREIGN)
+        return memoryview(data)[_PREFIX_BYTES:]
--- a/lab/capacity/control.py
+++ b/lab/capacity/control.py
@@ -7,7 +7,7 @@
 
 from dunlinloft.fleet.leases.ledger import DUTY, Reading, page_after
 from dunlinloft.fleet.leases.messages import LedgerPage, LedgerRow, Message
-from dunlinloft.fleet.messages import About, Head
+from dunlinloft.fleet.messages import ApplicationMessage, Header
 from dunlinloft.fleet.releases.member import MOST_COUNTS
 from dunlinloft.fleet.releases.messages import Count, Order, Plan, Tally
 from dunlinloft.fleet.releases.steward import LOOK_MS, Steward, Telling
@@ -51,11 +51,11 @@
     traced, _ = held_bytes(partial(_rows, rows))
     kept = _rows(rows)
     pages = _pages(kept)
-    wire, head = Wire("capacity"), Head(sizes.name(1), sizes.LIFE, 0, 1 << 62, MEMBERS)
+    wire, head = Wire("capacity"), Header(sizes.name(1), sizes.LIFE, 0, 1 << 62, MEMBERS)
     return {
         "traced": traced,
         "pages": float(len(pages)),
-        "bytes": float(sum(len(wire.write(About(head, page, []))) for page in pages)),
+        "bytes": float(sum(len(wire.write(ApplicationMessage(head, page, []))) for page in pages)),
         "told": best_ms(lambda: _pages(kept)),
         "read": best_ms(lambda: _read(pages)),
     }
@@ -73,8 +73,8 @@
         return sizes.name(n)
 
     def _send(self, process: Process, name: str, message: Message) -> None:
-        head = Head(process.name, sizes.LIFE, 0, 1 << 62, MEMBERS)
-        self.sent_bytes += len(self._wire.write(About(head, message, [])))
+        head = Header(process.name, sizes.LIFE, 0, 1 << 62, MEMBERS)
+        self.sent_bytes += len(self._wire.write(ApplicationMessage(head, message, [])))
         super()._send(process, name, message)
 
 
--- a/lab/capacity/membership.py
+++ b/lab/capacity/membership.py
@@ -12,8 +12,8 @@
 from dunlinloft.balancer.logic import Balancer
 from dunlinloft.fleet import interface as fleet_api
 from dunlinloft.fleet.membership.core import Membership
-from dunlinloft.fleet.membership.gossip import News
-from dunlinloft.fleet.messages import Head, Ping, State
+from dunlinloft.fleet.membership.gossip import DisseminationQueue
+from dunlinloft.fleet.messages import Header, Ping, State
 from dunlinloft.fleet.wire import Wire
 from lab.capacity import sizes
 from lab.capacity.model import TIMED, Experiment, Figure
@@ -52,7 +52,7 @@
             cast(Any, self.loop), Own.of(config), fleet, lambda *place: None, lambda: 8,
             Balancer(config.settings, 1), settings=config.settings,
         )  # fmt: skip
-        self.peers.handle(fleet_api.Begin())
+        self.peers.handle(fleet_api.Started())
         assert self.peers.work is not None and self.peers.shared is not None
         self.peers.work.begin()
         self.peers.shared.begin()
@@ -68,15 +68,15 @@
     return encode(State(_head(1), [sizes.record(n) for n in numbers]))
 
 
-def _head(n: int, digest: int = 0, members: int = 0) -> Head:
-    return Head(sizes.name(n), sizes.LIFE + n, 0, digest, members)
+def _head(n: int, digest: int = 0, members: int = 0) -> Header:
+    return Header(sizes.name(n), sizes.LIFE + n, 0, digest, members)
 
 
 def fill(core: Membership, members: int) -> None:
     """Let a process know so many members, itself among them, as they come off the wire."""
     for first in range(1, members, CHUNK):
         state = decode(state_of(range(first, min(members, first + CHUNK))))
-        core.handle(fleet_api.Met(state, sizes.address(1), False), time.monotonic() * 1000.0)
+        core.handle(fleet_api.PushPullReceived(state, sizes.address(1), False), time.monotonic() * 1000.0)
 
 
 def _view(members: int, seed: int) -> dict[str, float]:
@@ -102,8 +102,8 @@
     return found
 
 
-def _met(data: bytes) -> fleet_api.Met:
-    return fleet_api.Met(decode(data), sizes.address(1), False)
+def _met(data: bytes) -> fleet_api.PushPullReceived:
+    return fleet_api.PushPullReceived(decode(data), sizes.address(1), False)
 
 
 def _alone(members: int) -> Membership:
@@ -116,7 +116,7 @@
     """What runs over all members on the loop that answers callers, and how long one message takes."""
     peers, core = host.peers, host.core
     assert peers.shared is not None
-    peers.census.see({sizes.name(0)}, 0.0)
+    peers.census.observe({sizes.name(0)}, 0.0)
     count = len(core.view.members)
     # As each second, and at each change of the view.
     found = {"recount": best_ms(partial(peers.told, 0, count + 1))}
@@ -133,7 +133,9 @@
         peers.received(pings[n], ("127.0.0.1", 7400))
 
     found["storm"] = mean_us(ping, PINGS)  # all members are news still
-    core._news = News()  # as when it has all gone out, which would take hours of such pings
+    core._dissemination = (
+        DisseminationQueue()
+    )  # as when it has all gone out, which would take hours of such pings
     found["ping"] = mean_us(ping, PINGS)
     return found
 
@@ -148,7 +150,7 @@
 def _join(members: int, seed: int) -> dict[str, float]:
     """Until a newcomer's host has taken its first whole view in, with all that it does for each change."""
     host = Host(members)
-    met = fleet_api.Met(decode(state_of(range(1, members))), sizes.address(1), True)
+    met = fleet_api.PushPullReceived(decode(state_of(range(1, members))), sizes.address(1), True)
     start = time.perf_counter()
     host.peers.handle(met)
     return {"join": 1000.0 * (time.perf_counter() - start)}
--- a/lab/capacity/peaks.py
+++ b/lab/capacity/peaks.py
@@ -52,7 +52,7 @@
     """A fifteenth of the members dies at once, and comes back a minute later."""
     fleet = settled(members, seed, CORE)
     lost = fleet.names[members // 3 : members // 3 + max(1, members // sizes.ZONES)]
-    lives = {name: fleet.processes[name].core.life for name in lost}
+    lives = {name: fleet.processes[name].core.incarnation for name in lost}
     watched = Watched(fleet)
     for name in lost:
         fleet.kill(name)
--- a/lab/capacity/shared.py
+++ b/lab/capacity/shared.py
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import Any
 
-from dunlinloft.fleet.messages import About, Head
+from dunlinloft.fleet.messages import ApplicationMessage, Header
 from dunlinloft.fleet.releases.member import Follower
 from dunlinloft.fleet.releases.messages import Order, Tally
 from dunlinloft.fleet.releases.steward import FRESH_MS, LOOK_MS
@@ -89,8 +89,8 @@
         """Not here."""
 
     def _send(self, process: Process, name: str, message: shared.Message) -> None:
-        head = Head(process.name, sizes.LIFE, 0, 1 << 62, len(self.names))
-        self.sent_bytes += len(self._wire.write(About(head, message, [])))
+        head = Header(process.name, sizes.LIFE, 0, 1 << 62, len(self.names))
+        self.sent_bytes += len(self._wire.write(ApplicationMessage(head, message, [])))
         super()._send(process, name, message)
 
     def ask_all(self) -> None:
@@ -228,7 +228,7 @@
 
     def fire() -> None:
         assert isinstance(due[0], shared.SetTimer)
-        due[0] = core.handle(shared.Fired(due[0].token), 20.0)[-1]
+        due[0] = core.handle(shared.TimerFired(due[0].token), 20.0)[-1]
 
     return fire
 
--- a/lab/cells.py
+++ b/lab/cells.py
@@ -126,7 +126,7 @@
 
 def _well(fleet: CellFleet, flat: bool) -> bool:
     if flat:
-        return all(process.core.alive() == len(fleet.names) for process in fleet.members())
+        return all(process.core.alive_count() == len(fleet.names) for process in fleet.members())
     return not amiss(fleet)
 
 
@@ -165,7 +165,7 @@
     fleet = _settled(size, seed, core, loss)
     took = []
     for name in fleet.rng.sample([member.name for member in fleet.members()], KILLED):
-        life = fleet.processes[name].core.life
+        life = fleet.processes[name].core.incarnation
         fleet.kill(name)
         took.append(fleet.run(LIMIT_MS, partial(fleet.knows_gone, name, life)) / 1000.0)
         fleet.run(3_000.0)
--- a/lab/explore/membership.py
+++ b/lab/explore/membership.py
@@ -48,7 +48,7 @@
         for a in NAMES:
             for b in NAMES:
                 if a != b:
-                    self._give(state, a, api.Met(state.cores[b].state(), f"at {b}", True))
+                    self._give(state, a, api.PushPullReceived(state.cores[b].state(), f"at {b}", True))
         state.net = Net()
         return state
 
@@ -59,7 +59,7 @@
         state.timers[name] = []
         state.keys = {pair: key for pair, key in state.keys.items() if pair[0] != name}
         state.marks.pop(name, None)
-        self._give(state, name, api.Begin())
+        self._give(state, name, api.Started())
 
     def _core(self, state: State, name: str) -> Membership:
         """A member that may be changed."""
@@ -85,20 +85,20 @@
                 to, sender, message = state.take(move)
                 if state.alive[to]:
                     self._core(state, to)
-                    self._give(state, to, api.Heard(message, f"at {sender}"))
+                    self._give(state, to, api.MessageReceived(message, f"at {sender}"))
             case ("fire", name, n):
                 timers = list(state.timers[name])
                 _, token = timers.pop(n)
                 state.timers[name] = timers
                 self._core(state, name)
-                self._give(state, name, api.Fired(token))
+                self._give(state, name, api.TimerFired(token))
             case ("kill", name):
                 state.kills += 1
                 state.alive[name] = False
             case ("leave", name):
                 state.kills += 1
                 self._core(state, name)
-                self._give(state, name, api.Leave())
+                self._give(state, name, api.LeaveRequested())
                 state.alive[name] = False
             case ("start", name):
                 state.starts += 1
@@ -111,20 +111,20 @@
     def _give(self, state: State, name: str, event: api.Event) -> None:
         for action in state.cores[name].handle(event, state.now):
             match action:
-                case api.Post() if action.address.startswith("at "):
+                case api.SendDatagram() if action.address.startswith("at "):
                     state.net.add(action.address.removeprefix("at "), name, action.message)
                 case api.SetTimer():
                     due = state.now + action.delay_ms, action.token
                     state.timers[name] = sorted([*state.timers[name], due])[:MOST_TIMERS]
-                case api.Changed():
+                case api.MemberChanged():
                     self._changed(state, name, action.name)
 
     def _changed(self, state: State, viewer: str, name: str) -> None:
         member = state.cores[viewer].view.members[name]
-        key, before = member.key(), state.keys.get((viewer, name))
+        key, before = member.precedence(), state.keys.get((viewer, name))
         if before is not None and key < before:
             state.broken = f"{viewer} goes back on {name}, {before} to {key}"
-        elif before is not None and before[3] in (DEAD, LEFT) and member.here() and key[0] == before[0]:
+        elif before is not None and before[3] in (DEAD, LEFT) and member.is_alive() and key[0] == before[0]:
             # Only a word of its own, a higher revision, may bring back one that died; none one that left.
             old = before[1] or key[2] <= before[2]
             state.broken = f"{name} is back for {viewer} by old news, {before} to {key}" if old else ""
--- a/lab/members.py
+++ b/lab/members.py
@@ -58,7 +58,7 @@
             fleet.run(5_000.0)
         took = []
         for name in fleet.rng.sample(fleet.names, 4):
-            life = fleet.processes[name].core.life
+            life = fleet.processes[name].core.incarnation
             fleet.kill(name)
             took.append(fleet.run(LIMIT_MS, partial(fleet.knows_gone, name, life)) / 1000.0)
             fleet.run(3_000.0)
@@ -101,7 +101,7 @@
     fleet = settled(size, seed, core)
     took = []
     for name in fleet.rng.sample(fleet.names, 2):
-        life = fleet.processes[name].core.life
+        life = fleet.processes[name].core.incarnation
         fleet.stop(name)
         fleet.run(LIMIT_MS, partial(fleet.knows_gone, name, life))
         fleet.run(3_000.0)
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -27,14 +27,14 @@
         self._deaths = deaths
 
     def _do(self, action: api.Action) -> None:
-        if isinstance(action, api.Changed) and action.what == "dead":
+        if isinstance(action, api.MemberChanged) and action.change is api.MemberChange.DEAD:
             self._deaths.append(talk.Death(self.core.name, action.name, time.monotonic()))
         super()._do(action)
 
     def holds(self, name: str) -> bool:
         """Whether it takes this member to be there."""
         member = self.core.view.get(name)
-        return member is not None and member.here()
+        return member is not None and member.is_alive()
 
 
 class Hollow:
@@ -89,7 +89,7 @@
             time.process_time(),
             talk.memory_mb(),
             late_ms,
-            [(f"{member.core.digest():x}", member.core.alive()) for member in self._members.values()],
+            [(f"{member.core.digest():x}", member.core.alive_count()) for member in self._members.values()],
             dict(counts),
             list(self._deaths),
         )
--- a/lab/scale/virtual.py
+++ b/lab/scale/virtual.py
@@ -47,7 +47,9 @@
                 process.core.view.merge(record, fleet.now())
     first = next(iter(fleet.processes.values())).core
     for process in fleet.processes.values():
-        fleet.give(process, api.Met(State(first.head(), [first.own_record()]), first.address, True))
+        fleet.give(
+            process, api.PushPullReceived(State(first.header(), [first.own_record()]), first.address, True)
+        )
 
 
 def simulate(what: talk.Simulate) -> talk.Simulated:
@@ -82,14 +84,14 @@
     took: list[float] = []
     began: dict[str, float] = {}
 
-    def watch(process: object, change: api.Changed) -> None:
-        if change.what == "dead" and change.name in began:
+    def watch(process: object, change: api.MemberChanged) -> None:
+        if change.change is api.MemberChange.DEAD and change.name in began:
             took.append((fleet.now() - began[change.name]) / 1000.0)
 
     fleet.watch = watch
     whole: list[float] = []
     for name in fleet.rng.sample(fleet.names, victims):
-        life, began[name] = fleet.processes[name].core.life, fleet.now()
+        life, began[name] = fleet.processes[name].core.incarnation, fleet.now()
         fleet.kill(name)
         whole.append(fleet.run(LIMIT_MS, partial(fleet.knows_gone, name, life)) / 1000.0)
         fleet.run(APART_MS)
--- a/lab/virtual/cell_meeting.py
+++ b/lab/virtual/cell_meeting.py
@@ -13,9 +13,9 @@
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.cells.directory import Said
 from dunlinloft.fleet.cells.messages import Find, Report
-from dunlinloft.fleet.messages import About, State
+from dunlinloft.fleet.messages import ApplicationMessage, State
 from dunlinloft.fleet.shared_state import messages as shared
-from dunlinloft.fleet.wire import MOST_DATAGRAM, Refused
+from dunlinloft.fleet.wire import MAX_DATAGRAM_BYTES, MessageRejected
 from lab.lines import Ill
 from lab.names import Names
 from lab.scenario import Network, Nodes, Scenario
@@ -67,24 +67,26 @@
         """What a directory's core says."""
         for action in actions:
             match action:
-                case api.Post():
+                case api.SendDatagram():
                     self.post(guide, action.address, action.message)
                 case shared.Tell():
                     member = guide.core.view.get(action.name)
-                    if member is not None and member.here():
-                        self.post(guide, member.address, About(guide.core.head(), action.message))
+                    if member is not None and member.is_alive():
+                        self.post(
+                            guide, member.address, ApplicationMessage(guide.core.header(), action.message)
+                        )
                 case shared.SetTimer():
-                    event = shared.Fired(action.token)
+                    event = shared.TimerFired(action.token)
                     self.after(action.delay_ms, self.turn, guide, self.guide, guide, event)
 
     # Bytes
 
-    def post(self, process: Process, address: str, message: api.Said) -> None:
+    def post(self, process: Process, address: str, message: api.AnyMessage) -> None:
         """A datagram goes out."""
         data, kind = self._timed("wire", process, written, process, message), type(message).__name__
-        if isinstance(message, About):
+        if isinstance(message, ApplicationMessage):
             kind = type(message.content).__name__
-        if len(data) > MOST_DATAGRAM:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise AssertionError(f"{kind} of {len(data)} bytes, seed {self.seed}")
         self.bytes[process.name] += len(data)
         self.datagrams[process.name] += 1
@@ -103,19 +105,19 @@
         self.taken[target.name] += len(data)
         try:
             message, cut = self._timed("wire", target, read, target, data)
-        except Refused as reason:
+        except MessageRejected as reason:
             self.refused[str(reason)] += 1
             return
         if isinstance(target, Guide) and isinstance(message, Find | Report):
             self.turn(target, self.guide, target, Said(message, source))
             return
-        self.reach_in(target, api.Heard(message, source, cut))
-        if isinstance(target, Guide) and isinstance(message, About):
+        self.reach_in(target, api.MessageReceived(message, source, cut))
+        if isinstance(target, Guide) and isinstance(message, ApplicationMessage):
             self._told(target, message)
 
-    def _told(self, guide: Guide, message: About) -> None:
+    def _told(self, guide: Guide, message: ApplicationMessage) -> None:
         if isinstance(message.content, shared.Pull | shared.Pour):
-            self.turn(guide, self.guide, guide, shared.Heard(message.content, message.head.name))
+            self.turn(guide, self.guide, guide, shared.Heard(message.content, message.header.name))
 
     def _exchange(self, process: Process, address: str, state: State) -> None:
         assert isinstance(process, Member | Guide)
@@ -124,7 +126,7 @@
         target = self.by_address.get(address)
         took = None if target is None else self._round_trips(process.name, target.name, 2, 1000)
         if target is None or took is None or not target.alive:
-            self.after(STREAM_LIMIT_MS, self.turn, process, self.give, process, api.Missed(address))
+            self.after(STREAM_LIMIT_MS, self.turn, process, self.give, process, api.PushPullFailed(address))
             return
         self.after(took * 0.75, self.turn, target, self._asked, target, process, address, data, took * 0.25)
 
@@ -132,19 +134,19 @@
         assert isinstance(target, Member | Guide)
         try:
             state, cut = read_state(target, data)
-        except Refused as reason:
+        except MessageRejected as reason:
             self.refused[str(reason)] += 1
-            self.after(back_ms, self.turn, process, self.give, process, api.Missed(address))
+            self.after(back_ms, self.turn, process, self.give, process, api.PushPullFailed(address))
             return
-        answer = target.wire.write_state(target.core.answer(state))
+        answer = target.wire.write_state(target.core.state_for(state))
         self._streamed(target, len(answer))
-        sender = next((r.address for r in state.records if r.name == state.head.name), "")
-        self.give(target, api.Met(state, sender, False, cut))
+        sender = next((r.address for r in state.records if r.name == state.header.name), "")
+        self.give(target, api.PushPullReceived(state, sender, False, cut))
         self.after(back_ms, self._answered, process, address, answer)
 
     def _answered(self, process: Process, address: str, data: bytes) -> None:
         state, cut = read_state(process, data)
-        self.reach_in(process, api.Met(state, address, True, cut))
+        self.reach_in(process, api.PushPullReceived(state, address, True, cut))
 
     def _streamed(self, process: Process, size: int) -> None:
         self.stream_bytes[process.name] += size
--- a/lab/virtual/cell_oracle.py
+++ b/lab/virtual/cell_oracle.py
@@ -73,9 +73,11 @@
                 return f"{where} overlaps {other.text()}/{other.epoch}"
         if bounded and len(members) > fleet.most:
             return f"{where} has {len(members)} members"
-        truth = {member.name: member.core.life for member in members}
+        truth = {member.name: member.core.incarnation for member in members}
         for member in members:
-            there = {m.name: m.life for m in fleet.there(member)} | {member.name: member.core.life}
+            there = {m.name: m.incarnation for m in fleet.there(member)} | {
+                member.name: member.core.incarnation
+            }
             if there != truth:
                 return f"{member.name} of {where} sees {sorted(there)}, and there are {sorted(truth)}"
     return ""
@@ -111,7 +113,7 @@
 def parted(fleet: CellFleet) -> bool:
     """Whether each member's part is what it should be in the end, and rests on what the directory says."""
     return all(
-        member.census.place()[1] == len(members) and not member.fallback()
+        member.census.position()[1] == len(members) and not member.fallback()
         for members in by_service(fleet).values()
         for member in members
     )
--- a/lab/virtual/cell_processes.py
+++ b/lab/virtual/cell_processes.py
@@ -10,7 +10,7 @@
 from dunlinloft.fleet.cells.directory import Directory
 from dunlinloft.fleet.cells.totals import CellCensus
 from dunlinloft.fleet.cells.wire import CellWire, DirectoryWire
-from dunlinloft.fleet.census import Census
+from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import Message, State
 from dunlinloft.fleet.wire import Wire
@@ -51,15 +51,15 @@
         super().__init__(meeting, name, core)
         self.service, self.region = service, region
         self.wire: CellWire | Wire = Wire(FLEET)
-        self.census: CellCensus | Census
+        self.census: CellCensus | MemberCount
 
     def recount(self) -> None:
         """What a host does now and then, and when it is told of totals."""
-        here = {member.name for member in self.core.view.members.values() if member.here()} | {self.name}
+        here = {member.name for member in self.core.view.members.values() if member.is_alive()} | {self.name}
         if isinstance(self.census, CellCensus) and isinstance(self.core, CellMembership):
-            self.census.see(here, self.now(), self.core.totals, self.core.cut)
-        elif isinstance(self.census, Census):
-            self.census.see(here, self.now())
+            self.census.observe(here, self.now(), self.core.totals, self.core.cut)
+        elif isinstance(self.census, MemberCount):
+            self.census.observe(here, self.now())
 
     def fallback(self) -> bool:
         """Whether it holds what the directory says for too old, or has been told nothing."""
@@ -72,7 +72,7 @@
 
     def part(self) -> float:
         """The share of a budget that it takes."""
-        return 1.0 / self.census.place()[1]
+        return 1.0 / self.census.position()[1]
 
 
 class Guide(Process):
@@ -85,10 +85,10 @@
 
     def here(self) -> dict[str, int]:
         """Its like, with their lives."""
-        return {m.name: m.life for m in self.core.view.members.values() if m.here()}
+        return {m.name: m.incarnation for m in self.core.view.members.values() if m.is_alive()}
 
 
-def written(process: Process, message: api.Said) -> bytes:
+def written(process: Process, message: api.AnyMessage) -> bytes:
     """A message as this process says it."""
     if isinstance(process, Guide) and not isinstance(message, Message):
         return process.link.write(message)
@@ -99,7 +99,7 @@
     return process.wire.write(message)
 
 
-def read(process: Process, data: bytes) -> tuple[api.Said, Cut | None]:
+def read(process: Process, data: bytes) -> tuple[api.AnyMessage, Cut | None]:
     """What a datagram says to this process, and its sender's cut; `Refused` where it says nothing."""
     if isinstance(process, Guide) and process.link.mine(data):
         return process.link.read(data), None
--- a/lab/virtual/cells.py
+++ b/lab/virtual/cells.py
@@ -16,9 +16,9 @@
 from dunlinloft.fleet.cells.directory import Directory, Seen
 from dunlinloft.fleet.cells.totals import CellCensus
 from dunlinloft.fleet.cells.wire import CellWire
-from dunlinloft.fleet.census import Census
+from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
-from dunlinloft.fleet.messages import Fact
+from dunlinloft.fleet.messages import MetadataValue
 from lab.virtual.cell_meeting import CellMeeting
 from lab.virtual.cell_processes import FLEET, Guide, Hosted, Member
 from lab.virtual.fleet import WALL_MS
@@ -88,7 +88,7 @@
         self.processes[address or name] = process
         if isinstance(process, Guide):
             self.guided(process, process.directory.begin())
-        self.give(process, api.Begin())
+        self.give(process, api.Started())
         self.after(RECOUNT_MS * rng.random(), self._recount, process)
         return process
 
@@ -96,13 +96,18 @@
         self, name: str, at: str, uid: int, life: int, rng: random.Random, core: type[Membership]
     ) -> Member:
         service, region = self.place_of[name]
-        facts: dict[str, Fact] = {"zone": self.groups[name], "tier": 0.0, "program": "1", "load": 1.0}
+        facts: dict[str, MetadataValue] = {
+            "zone": self.groups[name],
+            "tier": 0.0,
+            "program": "1",
+            "load": 1.0,
+        }
         like = [other for other, place in self.place_of.items() if place == (service, region)]
         seeds = [f"addr:{other}" for other in like[:SEEDS]]
         number, nodes = self.names.index(name), self._file or self.sizes[service]
         if not issubclass(core, CellMembership):
             member = Member(self, name, core(name, at, seeds, uid, life, rng, facts), service, region)
-            member.census = Census(name, number, nodes)
+            member.census = MemberCount(name, number, nodes)
             return member
         place = Place(service, region, self.most, [f"addr:{guide}" for guide in self.guides])
         made = core(name, at, seeds, uid, life, rng, facts, place)
@@ -123,23 +128,27 @@
         self.after(RECOUNT_MS, self._recount, process)
 
     def _see(self, guide: Guide) -> None:
-        self.guide(guide, Seen(guide.core.life, guide.here()))
+        self.guide(guide, Seen(guide.core.incarnation, guide.here()))
 
-    def changed(self, process: Process, change: api.Changed) -> None:
+    def changed(self, process: Process, change: api.MemberChanged) -> None:
         """What a host does with it, then the oracle."""
         if isinstance(process, Member) and change.name == process.name:
             core, census = process.core, process.census
-            if change.what == "cut" and isinstance(core, CellMembership) and isinstance(census, CellCensus):
+            if (
+                change.change is api.MemberChange.CELL
+                and isinstance(core, CellMembership)
+                and isinstance(census, CellCensus)
+            ):
                 cut = core.cut
-                census.keep(lambda name: cut.holds(path(name)))
+                census.retain(lambda name: cut.holds(path(name)))
             process.recount()
             self.watch(process, change)
-        elif change.what == "gone":
+        elif change.change is api.MemberChange.RELEASED:
             process.keys.pop(change.name, None)
             self.watch(process, change)
         elif change.name not in process.core.view.members:  # released in the same turn
             victim = self.processes[change.name]
-            if change.what == "dead" and self.healthy(change.name, victim.core.life):
+            if change.change is api.MemberChange.DEAD and self.healthy(change.name, victim.core.incarnation):
                 self.false_deaths.append((self._now, process.name, change.name))
         else:
             super().changed(process, change)
--- a/lab/virtual/duties.py
+++ b/lab/virtual/duties.py
@@ -20,7 +20,6 @@
     Elected,
     Enter,
     Event,
-    Fired,
     HandOver,
     Heard,
     Message,
@@ -31,6 +30,7 @@
     Start,
     Stop,
     Tell,
+    TimerFired,
     Voters,
 )
 from dunlinloft.fleet.leases.voters import ROW
@@ -212,7 +212,7 @@
                 case Tell():
                     self._send(process, action.name, action.message)
                 case SetTimer():
-                    event = Fired(action.token)
+                    event = TimerFired(action.token)
                     self.after(action.delay_ms / process.rate, self.turn, process, self.give, process, event)
                 case Start():
                     self._started(process, action)
--- a/lab/virtual/fleet.py
+++ b/lab/virtual/fleet.py
@@ -15,7 +15,7 @@
 
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.membership.core import Membership
-from dunlinloft.fleet.messages import Fact
+from dunlinloft.fleet.messages import MetadataValue
 from lab.lines import Ill, Lines
 from lab.names import Names
 from lab.scenario import Network, Nodes, Scenario
@@ -48,7 +48,7 @@
         self.processes: dict[str, Process] = {}
         self.false_deaths: list[tuple[float, str, str]] = []
         self.flaps = Counter[str]()
-        self.watch: Callable[[Process, api.Changed], None] = lambda process, change: None
+        self.watch: Callable[[Process, api.MemberChanged], None] = lambda process, change: None
         self.wall_error: dict[str, float] = {}
         for n, name in enumerate(self.names):
             self.after(0.0 if at_once else 20.0 * n, self.launch, name)
@@ -85,7 +85,7 @@
         """A process starts from nothing."""
         at = address or f"addr:{name}"
         wall = int(WALL_MS + self._now + self.wall_error.get(name, 0.0))
-        facts: dict[str, Fact] = {"zone": self.zones.get(name, ""), "tier": 0.0, "program": "1"}
+        facts: dict[str, MetadataValue] = {"zone": self.zones.get(name, ""), "tier": 0.0, "program": "1"}
         made = (core or self._core)(
             name, at, self._seeds, (wall << 16) | self.rng.getrandbits(16), wall,
             random.Random(self.rng.getrandbits(64)), facts,
@@ -93,7 +93,7 @@
         process = Process(self, name, made)
         self.by_address[at] = process
         self.processes[address or name] = process
-        self.give(process, api.Begin())
+        self.give(process, api.Started())
         return process
 
     def kill(self, name: str) -> None:
@@ -103,7 +103,7 @@
     def leave(self, name: str) -> None:
         """A process says that it goes, and goes."""
         process = self.processes[name]
-        self.give(process, api.Leave())
+        self.give(process, api.LeaveRequested())
         process.alive = False
 
     def stop(self, name: str) -> None:
@@ -120,17 +120,17 @@
 
     # The oracle
 
-    def changed(self, process: Process, change: api.Changed) -> None:
+    def changed(self, process: Process, change: api.MemberChanged) -> None:
         member = process.core.view.members[change.name]
-        key, before = member.key(), process.keys.get(change.name)
+        key, before = member.precedence(), process.keys.get(change.name)
         if before is not None and key < before:
             what = f"{process.name} goes back on {change.name}, {before} to {key}"
             raise Broken(f"seed {self.seed} at {self._now:.0f} ms: {what}")
         process.keys[change.name] = key
-        self.flaps[change.what] += 1
+        self.flaps[change.change] += 1
         if (
-            change.what == "dead"
-            and self.healthy(change.name, member.life)
+            change.change is api.MemberChange.DEAD
+            and self.healthy(change.name, member.incarnation)
             and self.reach(process.name, change.name)
         ):
             self.false_deaths.append((self._now, process.name, change.name))
@@ -141,7 +141,7 @@
         process = self.processes.get(name)
         return (
             process is not None and process.alive and not process.stopped and not process.starved
-            and process.core.life == life
+            and process.core.incarnation == life
         )  # fmt: skip
 
     def reach(self, a: str, b: str) -> bool:
@@ -151,22 +151,25 @@
     def agreed(self) -> bool:
         """Whether all that run hold the same members to be there, and these are those that run."""
         living = self.living()
-        truth = {process.name: process.core.life for process in living}
+        truth = {process.name: process.core.incarnation for process in living}
         digests = {process.core.digest() for process in living}
         return len(digests) == 1 and all(
-            {m.name: m.life for m in self.there(process)} | {process.name: process.core.life} == truth
+            {m.name: m.incarnation for m in self.there(process)} | {process.name: process.core.incarnation}
+            == truth
             for process in living[:1]
         )
 
     def there(self, process: Process) -> Iterator[Any]:
         """Whom a process holds to be there."""
-        return (member for member in process.core.view.members.values() if member.here())
+        return (member for member in process.core.view.members.values() if member.is_alive())
 
     def knows_gone(self, name: str, life: int) -> bool:
         """Whether all that run hold this life to be gone."""
         for process in self.living():
             member = process.core.view.get(name)
-            if member is not None and (member.life < life or (member.life == life and member.here())):
+            if member is not None and (
+                member.incarnation < life or (member.incarnation == life and member.is_alive())
+            ):
                 return False
         return True
 
--- a/lab/virtual/meeting.py
+++ b/lab/virtual/meeting.py
@@ -10,7 +10,7 @@
 
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.membership.core import Membership
-from dunlinloft.fleet.messages import About, Message, State, size_of
+from dunlinloft.fleet.messages import ApplicationMessage, Message, State, estimated_size
 from lab.lines import Lines
 from lab.servers import Clock
 
@@ -54,10 +54,10 @@
         self.record: list[tuple[str, str, Message]] | None = None  # datagrams, to be sent again later
 
     @abstractmethod
-    def changed(self, process: Process, change: api.Changed) -> None:
+    def changed(self, process: Process, change: api.MemberChanged) -> None:
         """A process's view has changed."""
 
-    def spoken(self, process: Process, message: About) -> None:
+    def spoken(self, process: Process, message: ApplicationMessage) -> None:
         """A message has come that is about more than membership."""
 
     def wake(self, process: Process) -> None:
@@ -97,28 +97,28 @@
         """What a core says."""
         for action in actions:
             match action:
-                case api.Post():
+                case api.SendDatagram():
                     self.post(process, action.address, action.message)
                 case api.SetTimer():
                     self.after(
-                        action.delay_ms, self.turn, process, self.give, process, api.Fired(action.token)
+                        action.delay_ms, self.turn, process, self.give, process, api.TimerFired(action.token)
                     )
-                case api.Exchange():
+                case api.PushPull():
                     self._exchange(process, action.address, action.state)
-                case api.Dial():
+                case api.ProbeOverStream():
                     self._dial(process, action.address, action.number)
-                case api.Changed():
+                case api.MemberChanged():
                     self.changed(process, action)
-                case api.Note():
+                case api.LogEvent():
                     self.notes[action.event] += 1
 
     # Links
 
-    def post(self, process: Process, address: str, message: api.Said) -> None:
+    def post(self, process: Process, address: str, message: api.AnyMessage) -> None:
         """A datagram goes out."""
         if not isinstance(message, Message):
             return  # a flat core says nothing else
-        size = size_of(message)
+        size = estimated_size(message)
         self.bytes[process.name] += size
         self.datagrams[process.name] += 1
         target = self.by_address.get(address)
@@ -133,8 +133,8 @@
         """A datagram comes in, at whoever is at this address by now."""
         target = self.by_address.get(address)
         if target is not None and target.alive:
-            self.reach_in(target, api.Heard(message, source))
-            if isinstance(message, About):
+            self.reach_in(target, api.MessageReceived(message, source))
+            if isinstance(message, ApplicationMessage):
                 self.turn(target, self.spoken, target, message)
 
     def _round_trips(self, a: str, b: str, trips: int, size: int) -> float | None:
@@ -146,20 +146,20 @@
         return took if took < STREAM_LIMIT_MS else None
 
     def _exchange(self, process: Process, address: str, state: State) -> None:
-        size = 40 + sum(record.size() for record in state.records)
+        size = 40 + sum(record.estimated_size() for record in state.records)
         self.stream_bytes[process.name] += size
         target = self.by_address.get(address)
         took = None if target is None else self._round_trips(process.name, target.name, 2, 1000)
         if target is None or took is None or not target.alive:
-            self.after(STREAM_LIMIT_MS, self.turn, process, self.give, process, api.Missed(address))
+            self.after(STREAM_LIMIT_MS, self.turn, process, self.give, process, api.PushPullFailed(address))
             return
         self.after(took * 0.75, self.turn, target, self._met, target, process, address, state, took * 0.25)
 
     def _met(self, target: Process, process: Process, address: str, state: State, back_ms: float) -> None:
         answer = target.core.state()
-        self.stream_bytes[target.name] += 40 + sum(record.size() for record in answer.records)
-        self.give(target, api.Met(state, process.core.address, False))
-        self.after(back_ms, self.reach_in, process, api.Met(answer, address, True))
+        self.stream_bytes[target.name] += 40 + sum(record.estimated_size() for record in answer.records)
+        self.give(target, api.PushPullReceived(state, process.core.address, False))
+        self.after(back_ms, self.reach_in, process, api.PushPullReceived(answer, address, True))
 
     def _dial(self, process: Process, address: str, number: int) -> None:
         target = self.by_address.get(address)
@@ -169,5 +169,5 @@
             self.after(took * 0.75, self.turn, target, self._dialled, target, process, number, took * 0.25)
 
     def _dialled(self, target: Process, process: Process, number: int, back_ms: float) -> None:
-        event = api.Ponged(number, target.core.name, target.core.life)
+        event = api.StreamProbeAcked(number, target.core.name, target.core.incarnation)
         self.after(back_ms, self.reach_in, process, event)
--- a/lab/virtual/member.py
+++ b/lab/virtual/member.py
@@ -9,11 +9,11 @@
 from dunlinloft.balancer import interface as node_api
 from dunlinloft.balancer.interface import Result
 from dunlinloft.fleet import interface as api
-from dunlinloft.fleet.census import Census
 from dunlinloft.fleet.leases import messages as duties
 from dunlinloft.fleet.leases.ledger import DUTY as LEDGER
+from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
-from dunlinloft.fleet.messages import About, Fact
+from dunlinloft.fleet.messages import ApplicationMessage, MetadataValue
 from dunlinloft.fleet.releases.steward import LOOK_MS
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.shared_state.core import AFFINITY, RELEASES, Shared, mark
@@ -51,11 +51,11 @@
     def after(self, delay_ms: float, do: Callable[..., None], *args: Any) -> None:
         self._host.after(delay_ms, do, *args)
 
-    def changed(self, process: Process, change: api.Changed) -> None:
+    def changed(self, process: Process, change: api.MemberChanged) -> None:
         if isinstance(process, Member):
             process.recount()
 
-    def spoken(self, process: Process, message: About) -> None:
+    def spoken(self, process: Process, message: ApplicationMessage) -> None:
         if isinstance(process, Member):
             process.spoken(message)
 
@@ -64,11 +64,15 @@
         address = f"addr:{node.name}"
         wall = int(WALL_MS + self._host.now())
         settings = node.settings
-        facts: dict[str, Fact] = {"zone": settings.zone, "tier": float(settings.tier), "program": "1"}
+        facts: dict[str, MetadataValue] = {
+            "zone": settings.zone,
+            "tier": float(settings.tier),
+            "program": "1",
+        }
         uid, rng = wall << 16 | self.rng.getrandbits(16), random.Random(self.rng.getrandbits(64))
         core = Membership(node.name, address, self.seeds, uid, wall, rng, facts)
         member = self.by_address[address] = Member(self, node, core, rng)
-        self.give(member, api.Begin())
+        self.give(member, api.Started())
         member.begin()
         return member
 
@@ -94,8 +98,10 @@
         if name == self._member.name and self._member.work is not None:
             return self._member.later(0.0, self._member.work.take, content, name)
         other = self.core.view.get(name)
-        if other is not None and other.here():
-            self._meeting.post(self._member, other.address, About(self.core.head(), content, []))
+        if other is not None and other.is_alive():
+            self._meeting.post(
+                self._member, other.address, ApplicationMessage(self.core.header(), content, [])
+            )
 
     def handle(self, event: api.Event, /) -> None:
         """Give the member's membership an event."""
@@ -113,12 +119,12 @@
         self._meeting, self._node = meeting, node
         settings = node.settings
         self._tier = float(settings.tier)
-        self.census = Census(node.name, settings.number, settings.nodes)
+        self.census = MemberCount(node.name, settings.number, settings.nodes)
         self._place = settings.number, settings.nodes
         groups = node.zones if AFFINITY in meeting.share else []
         self.shared = CORE(
-            node.name, core.life, settings.zone, settings.tier, meeting.share, quotas(settings), groups,
-            window_ms(settings), rng, node.now(),
+            node.name, core.incarnation, settings.zone, settings.tier, meeting.share, quotas(settings),
+            groups, window_ms(settings), rng, node.now(),
         )  # fmt: skip
         self._marks = {mark(cls.name): cls.name for cls in settings.classes}
         self._starts: dict[int, int] = {}
@@ -138,10 +144,10 @@
     def now(self) -> float:
         return self._node.now()
 
-    def spoken(self, message: About) -> None:
+    def spoken(self, message: ApplicationMessage) -> None:
         """A message has come that is about more than membership."""
         if isinstance(message.content, shared.Message):
-            self.give_shared(shared.Heard(message.content, message.head.name))
+            self.give_shared(shared.Heard(message.content, message.header.name))
         elif self.work is not None:
             self.work.heard(message)
 
@@ -170,8 +176,8 @@
 
     def recount(self) -> None:
         """As a node does: its place among those that count."""
-        self.census.see(of_tier(self.core, self._tier), self.now())
-        at = self.census.place()
+        self.census.observe(of_tier(self.core, self._tier), self.now())
+        at = self.census.position()
         if at != self._place:
             self._place = at
             self._node.placed(*at)
@@ -186,10 +192,12 @@
             match action:
                 case shared.Tell():
                     member = self.core.view.get(action.name)
-                    if member is not None and member.here():
-                        self._meeting.post(self, member.address, About(self.core.head(), action.message, []))
+                    if member is not None and member.is_alive():
+                        self._meeting.post(
+                            self, member.address, ApplicationMessage(self.core.header(), action.message, [])
+                        )
                 case shared.SetTimer():
-                    self.later(action.delay_ms, self.give_shared, shared.Fired(action.token))
+                    self.later(action.delay_ms, self.give_shared, shared.TimerFired(action.token))
                 case shared.Warn():
                     self._node.handle(hearsay(action.verdicts, self._marks))
                 case shared.Part():
--- a/lab/virtual/node.py
+++ b/lab/virtual/node.py
@@ -166,7 +166,7 @@
     def leave(self) -> None:
         """Say goodbye to the fleet."""
         if self.member is not None and self.member.alive:
-            self.member.meeting.give(self.member, fleet_api.Leave())
+            self.member.meeting.give(self.member, fleet_api.LeaveRequested())
             self.member.alive = False
 
     def hand_over(self) -> None:
--- a/lab/virtual/shared.py
+++ b/lab/virtual/shared.py
@@ -11,10 +11,19 @@
 from collections import Counter, defaultdict
 from typing import Any
 
-from dunlinloft.fleet.census import Census
+from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.shared_state.affinity import Place
 from dunlinloft.fleet.shared_state.core import PARTS, Shared
-from dunlinloft.fleet.shared_state.messages import Fired, Heard, Known, Message, Part, Seen, SetTimer, Tell
+from dunlinloft.fleet.shared_state.messages import (
+    Heard,
+    Known,
+    Message,
+    Part,
+    Seen,
+    SetTimer,
+    Tell,
+    TimerFired,
+)
 from lab.virtual import scene
 from lab.virtual.scene import Broken
 
@@ -32,7 +41,7 @@
         super().__init__(world, name, rate)
         self.part = Part({}, 1.0, True)
         names = list(world.names)
-        self.census = Census(name, names.index(name), len(names))
+        self.census = MemberCount(name, names.index(name), len(names))
         self.core = world.core(
             name, self.life, world.zones[name], 0, frozenset(PARTS), {"t": QUOTA}, list(ZONES), WINDOW_MS,
             random.Random(world.rng.getrandbits(64)), self.clock(),
@@ -95,8 +104,8 @@
 
     def _seen(self, process: Process) -> None:
         here, clock = self._here(process), process.clock()
-        process.census.see({*here, process.name}, clock)
-        counted, base = process.census.counted(), process.census.base()
+        process.census.observe({*here, process.name}, clock)
+        counted, base = process.census.counted_names(), process.census.total()
         groups = {zone: (0 if zone in self.out[process.name] else 4, 4) for zone in ZONES}
         self.give(process, Known({}, frozenset(), groups, 5.0, 5.0))
         self.give(process, Seen(process.life, here, counted, base))
@@ -114,7 +123,7 @@
                 case Tell():
                     self._send(process, action.name, action.message)
                 case SetTimer():
-                    event = Fired(action.token)
+                    event = TimerFired(action.token)
                     self.after(action.delay_ms / process.rate, self.turn, process, self.give, process, event)
                 case Part():
                     process.part = action
--- a/orchidferry/cells.py
+++ b/orchidferry/cells.py
@@ -13,7 +13,7 @@
 from dunlinloft.fleet.cells.cut import path
 from dunlinloft.fleet.cells.totals import BOUND_MS, CellCensus
 from dunlinloft.fleet.cells.wire import CellWire
-from dunlinloft.fleet.messages import Fact
+from dunlinloft.fleet.messages import MetadataValue
 from orchidferry import logs
 from orchidferry.config import CellsConfig, FleetConfig, now_ms
 
@@ -35,7 +35,7 @@
 
     def __init__(
         self, own: Own, fleet: FleetConfig, cells: CellsConfig, uid: int, life: int, rng: random.Random,
-        facts: dict[str, Fact],
+        facts: dict[str, MetadataValue],
     ) -> None:  # fmt: skip
         place = Place(cells.service, cells.region, cells.most, list(cells.directory))
         self.core = Member(own.name, fleet.advertise, fleet.seeds, uid, life, rng, facts, place)
@@ -46,11 +46,11 @@
     def was_cut(self) -> None:
         """The cell is another: who is not of it any more is counted by its own."""
         cut = self.core.cut
-        self.census.keep(lambda name: cut.holds(path(name)))
+        self.census.retain(lambda name: cut.holds(path(name)))
 
     def see(self, here: set[str], now: float) -> None:
         """Take in who is there, and what the directory says of the others."""
-        self.census.see(here, now, self.core.totals, self.core.cut)
+        self.census.observe(here, now, self.core.totals, self.core.cut)
         if self.census.fallback != self._fallback:
             self._fallback = self.census.fallback
             text = "what the directory says is too old: parts of budgets do not grow"
@@ -69,17 +69,17 @@
             "fleet_cuts": lambda: self.core.cuts,
             "fleet_cells_fallback": lambda: int(self.census.fallback),
             "fleet_cells_age_ms": lambda: int(self.age_ms() or 0.0),
-            "fleet_service_members": lambda: self.census.base(),
+            "fleet_service_members": lambda: self.census.total(),
         }
 
     def show(self) -> tuple[int, dict[str, Any]]:
         """All that the admin endpoint tells of the cell."""
         core, totals, age = self.core, self.core.totals, self.age_ms()
-        number, nodes = self.census.place()
+        number, nodes = self.census.position()
         found = totals.found if totals is not None else None
         return 200, {
             "service": core.place.service, "region": core.place.region, "most": core.place.most,
-            "cell": core.cut.text(), "epoch": core.cut.epoch, "members": core.alive(),
+            "cell": core.cut.text(), "epoch": core.cut.epoch, "members": core.alive_count(),
             "counted": self.census.cell(), "reporter": core.reporter(), "cuts": core.cuts,
             "strays": core.strays, "place": {"number": number, "nodes": nodes},
             "fallback": self.census.fallback,
--- a/orchidferry/directory.py
+++ b/orchidferry/directory.py
@@ -23,9 +23,9 @@
 from dunlinloft.fleet.cells.messages import Message as CellMessage
 from dunlinloft.fleet.cells.totals import BOUND_MS
 from dunlinloft.fleet.cells.wire import DirectoryWire
-from dunlinloft.fleet.messages import About, Message
+from dunlinloft.fleet.messages import ApplicationMessage, Message
 from dunlinloft.fleet.shared_state import messages as shared
-from dunlinloft.fleet.wire import Refused
+from dunlinloft.fleet.wire import MessageRejected
 from orchidferry import logs
 from orchidferry.config import BadConfig, DirectoryConfig, now_ms, read_directory
 from orchidferry.management import AdminEndpoint
@@ -46,7 +46,7 @@
         self.peers.aside = self._datagram
         self.peers.listeners.append(self._heard)
         self.wire = DirectoryWire(config.fleet.name)
-        life = self.peers.core.life
+        life = self.peers.core.incarnation
         self.core = cells.Directory(config.name, life, random.Random(config.seed), now_ms())
         self._over = False
         self.admin = AdminEndpoint(
@@ -76,8 +76,8 @@
         if self._over:
             return
         core = self.peers.core
-        here = {m.name: m.life for m in core.view.members.values() if m.here()}
-        self._give(cells.Seen(core.life, here))
+        here = {m.name: m.incarnation for m in core.view.members.values() if m.is_alive()}
+        self._give(cells.Seen(core.incarnation, here))
         self._loop.call_later(SEEN_S, self._see)
 
     def _give(self, event: cells.Event) -> None:
@@ -92,13 +92,15 @@
     def _do(self, actions: list[cells.Action]) -> None:
         for action in actions:
             match action:
-                case api.Post():
+                case api.SendDatagram():
                     if isinstance(action.message, CellMessage):
                         self.peers.send(self.wire.write(action.message), action.address)
                 case shared.Tell():
                     self.peers.tell(action.name, action.message)
                 case shared.SetTimer():
-                    self._loop.call_later(action.delay_ms / 1000.0, self._give, shared.Fired(action.token))
+                    self._loop.call_later(
+                        action.delay_ms / 1000.0, self._give, shared.TimerFired(action.token)
+                    )
 
     def _datagram(self, data: bytes, source: str) -> bool:
         """Take a member's datagram; False where it is one of the directory's own processes'."""
@@ -106,7 +108,7 @@
             return False
         try:
             message = self.wire.read(data)
-        except Refused as reason:
+        except MessageRejected as reason:
             self.peers.refuse(str(reason))
             return True
         if not isinstance(message, Found):
@@ -114,8 +116,8 @@
         return True
 
     def _heard(self, message: Message) -> None:
-        if isinstance(message, About) and isinstance(message.content, shared.Message):
-            self._give(shared.Heard(message.content, message.head.name))
+        if isinstance(message, ApplicationMessage) and isinstance(message.content, shared.Message):
+            self._give(shared.Heard(message.content, message.header.name))
 
     # What operators see
 
@@ -129,7 +131,7 @@
             "name": self.config.name,
             "fleet": self.config.fleet.name,
             "learning": not core.ready(now),
-            "processes": self.peers.core.alive(),
+            "processes": self.peers.core.alive_count(),
             "counts": dict(core.counts) | {"records": sum(1 for _ in core.table.all())},
             "refused_for": self.peers.reasons,
             "bound_s": BOUND_MS / 1000.0,
--- a/orchidferry/duties.py
+++ b/orchidferry/duties.py
@@ -24,7 +24,7 @@
 from dunlinloft.fleet.leases.watch import DUTY as WATCH
 from dunlinloft.fleet.leases.watch import Watch
 from dunlinloft.fleet.membership.core import Membership
-from dunlinloft.fleet.messages import About, Ack, Fact, Message
+from dunlinloft.fleet.messages import Ack, ApplicationMessage, Message, MetadataValue
 from orchidferry import logs
 from orchidferry.config import now_ms
 
@@ -128,10 +128,10 @@
 
     def heard(self, message: Message) -> None:
         """A datagram has come that may be about duties."""
-        if isinstance(message, About) and isinstance(message.content, duties.Message):
-            self.take(message.content, message.head.name)
+        if isinstance(message, ApplicationMessage) and isinstance(message.content, duties.Message):
+            self.take(message.content, message.header.name)
         elif isinstance(message, Ack):
-            self.watch.hear(message.head.name, message.head.digest, self._now())
+            self.watch.hear(message.header.name, message.header.digest, self._now())
 
     def take(self, content: duties.Message, sender: str) -> None:
         """Something about a duty."""
@@ -152,7 +152,9 @@
                 case duties.Tell():
                     self._peers.tell(action.name, action.message)
                 case duties.SetTimer():
-                    self._loop.call_later(action.delay_ms / 1000.0, self._give, duties.Fired(action.token))
+                    self._loop.call_later(
+                        action.delay_ms / 1000.0, self._give, duties.TimerFired(action.token)
+                    )
                 case duties.Start():
                     self._note(action.duty, "holds", action.token, "")
                     self._claim(action.duty, action.token)
@@ -172,7 +174,7 @@
                     text = "after change %(change)d the voters are %(voters)s"
                     logs.info("voters", text, change=voters.epoch, voters=", ".join(voters.names))
                     told = f"{voters.epoch} {','.join(voters.names)}"
-                    self._peers.handle(api.Facts({VOTERS: told}))
+                    self._peers.handle(api.MetadataUpdated({VOTERS: told}))
                 case duties.Stop():
                     if action.duty == WATCH:
                         self.watch.on_stop()
@@ -188,7 +190,7 @@
         logs.info(f"duty {what}", text, duty=duty, token=token, why=why)
 
     def _claim(self, duty: str, token: int) -> None:
-        self._peers.handle(api.Facts({CLAIM + duty: str(token) if token else ""}))
+        self._peers.handle(api.MetadataUpdated({CLAIM + duty: str(token) if token else ""}))
 
     # What is seen of the others
 
@@ -196,14 +198,14 @@
         if self._over:
             return
         core = self._peers.core
-        here = {m.name for m in core.view.members.values() if m.here() and not m.facts.get("draining")}
+        here = {m.name for m in core.view.members.values() if m.is_alive() and not m.metadata.get("draining")}
         claims: dict[str, tuple[str, int]] = {}
         voters: duties.Voters | None = None
         for member in core.view.members.values():
-            if not member.here():
+            if not member.is_alive():
                 continue
-            voters = max(voters, _voters(member.facts.get(VOTERS)), key=_epoch)
-            for fact, value in member.facts.items():
+            voters = max(voters, _voters(member.metadata.get(VOTERS)), key=_epoch)
+            for fact, value in member.metadata.items():
                 if fact.startswith(CLAIM) and isinstance(value, str) and value.isdigit():
                     duty, token = fact.removeprefix(CLAIM), int(value)
                     if self.guard.obeys(duty, token):
@@ -212,8 +214,8 @@
             if candidate.held:
                 claims[duty] = self._name, candidate.token
         self._claims = claims
-        well = core.health.score < LATE_HEALTH and not core.quiet and core.alive() > 1
-        zones = {m.name: str(m.facts.get("zone", "")) for m in core.view.members.values() if m.here()}
+        well = core.health.score < LATE_HEALTH and not core.muted and core.alive_count() > 1
+        zones = {m.name: str(m.metadata.get("zone", "")) for m in core.view.members.values() if m.is_alive()}
         zones[self._name] = self._zone
         self._give(duties.Seen(frozenset(here | {self._name}), claims, well, zones, voters))
         self._loop.call_later(SEEN_S, self._see)
@@ -224,7 +226,7 @@
         self._order()
         if self.holds(WATCH):
             self.watch.hear(self._name, self._peers.core.digest(), self._now())
-            for name in self.watch.ask(self._peers.core.view.here.names(), WATCH_S * 1000.0):
+            for name in self.watch.ask(self._peers.core.view.alive.names(), WATCH_S * 1000.0):
                 self._peers.ask_view(name)
         self._loop.call_later(WATCH_S, self._watch)
 
@@ -323,11 +325,11 @@
             return 503, {"error": "this process is no member yet"}
         now, ours = self._now(), core.voters
         others = {
-            m.name: str(m.facts[VOTERS])
+            m.name: str(m.metadata[VOTERS])
             for m in members.values()
-            if m.here() and _epoch(_voters(m.facts.get(VOTERS))) not in (0, ours.epoch)
+            if m.is_alive() and _epoch(_voters(m.metadata.get(VOTERS))) not in (0, ours.epoch)
         }
-        here = {m.name for m in members.values() if m.here()} | {self._name}
+        here = {m.name for m in members.values() if m.is_alive()} | {self._name}
         holder = self._claims.get(LEDGER, ("", 0))[0]
         return 200, {
             "self": self._name, "change": ours.epoch, "configured": self._voters, "holder": holder,
@@ -346,7 +348,7 @@
         duty, to = asked.get("duty", ""), asked.get("to", "")
         if duty not in ALL:
             return 400, {"error": f"no duty is {duty!r}; there are {', '.join(ALL)}"}
-        if to and to != self._name and to not in self._peers.core.view.here:
+        if to and to != self._name and to not in self._peers.core.view.alive:
             return 400, {"error": f"no member there is {to!r}"}
         if not self.holds(duty):
             holder = self._claims.get(duty, ("", 0))[0]
@@ -401,7 +403,7 @@
     return found if 0.0 <= found < math.inf else None
 
 
-def _voters(told: Fact | None) -> duties.Voters | None:
+def _voters(told: MetadataValue | None) -> duties.Voters | None:
     """Who votes, as a member's fact says; None where it says nothing of use."""
     epoch, _, names = str(told or "").partition(" ")
     return duties.Voters(int(epoch), tuple(names.split(","))) if epoch.isdecimal() and names else None
--- a/orchidferry/peers.py
+++ b/orchidferry/peers.py
@@ -18,15 +18,23 @@
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.cells.cut import Cut
 from dunlinloft.fleet.cells.messages import Message as CellMessage
-from dunlinloft.fleet.census import Census
 from dunlinloft.fleet.leases import messages as duties
 from dunlinloft.fleet.leases.ledger import DUTY as LEDGER
+from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
-from dunlinloft.fleet.messages import STATUSES, About, Ack, Fact, Message, Ping, State
+from dunlinloft.fleet.messages import (
+    STATUS_NAMES,
+    Ack,
+    ApplicationMessage,
+    Message,
+    MetadataValue,
+    Ping,
+    State,
+)
 from dunlinloft.fleet.releases.steward import LOOK_MS
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.shared_state.core import RELEASES
-from dunlinloft.fleet.wire import MOST_STATE, Refused, Wire
+from dunlinloft.fleet.wire import MAX_STATE_BYTES, MessageRejected, RejectReason, Wire
 from orchidferry import VERSION, logs
 from orchidferry.config import Address, Config, FleetConfig, address, now_ms
 from orchidferry.duties import DutyHost
@@ -51,7 +59,7 @@
 
 def of_tier(members: Membership, tier: float) -> set[str]:
     """Those there that send to the same tier, this process too: they part its budgets."""
-    here = {m.name for m in members.view.members.values() if m.here() and m.facts.get("tier") == tier}
+    here = {m.name for m in members.view.members.values() if m.is_alive() and m.metadata.get("tier") == tier}
     return here | {members.name}
 
 
@@ -105,14 +113,14 @@
         # A life begins with the process: by the wall's clock, corrected by what others remember of us.
         wall_ms = int(time.time() * 1000.0)
         rng = random.Random(own.seed)
-        facts: dict[str, Fact] = {
+        facts: dict[str, MetadataValue] = {
             "zone": own.zone, "tier": float(own.tier), "program": VERSION,
             "number": float(own.number), "load": 0.0, "draining": False,
         }  # fmt: skip
         uid = wall_ms << 16 | rng.getrandbits(16)
         self.cells: CellHost | None = None
         self.core: Membership
-        self.census: Census | CellCensus
+        self.census: MemberCount | CellCensus
         if fleet.cells is not None:
             from orchidferry.cells import CellHost
 
@@ -120,7 +128,7 @@
             self.core, self.census = self.cells.core, self.cells.census
         else:
             self.core = Membership(own.name, fleet.advertise, fleet.seeds, uid, wall_ms, rng, facts)
-            self.census = Census(own.name, own.number, own.nodes)
+            self.census = MemberCount(own.name, own.number, own.nodes)
         self._tier = float(own.tier)
         # Who else wants what comes; and who wants datagrams that are not for the members.
         self.listeners: list[Callable[[Message], None]] = []
@@ -169,7 +177,9 @@
         while True:
             try:
                 # First the one that is refused while another process has the address.
-                self._server = await asyncio.start_server(self._serve, host, port, limit=MOST_STATE + 1024)
+                self._server = await asyncio.start_server(
+                    self._serve, host, port, limit=MAX_STATE_BYTES + 1024
+                )
                 transport, _ = await self._loop.create_datagram_endpoint(
                     lambda: _Ear(self), local_addr=(host, port)
                 )
@@ -186,7 +196,7 @@
             break
         self._udp = transport
         logs.info("fleet", "a member of %(fleet)s at %(bind)s", fleet=self._fleet.name, bind=self._fleet.bind)
-        self.handle(api.Begin())
+        self.handle(api.Started())
         if self.work is not None:
             self.work.begin()
         if self.shared is not None:
@@ -222,7 +232,7 @@
             for action in actions:
                 self._do(action)
             # Once for all that one event has changed: a whole view that comes in changes every member.
-            if any(isinstance(action, api.Changed) for action in actions):
+            if any(isinstance(action, api.MemberChanged) for action in actions):
                 self._recount()
         except Exception:
             self.counts["errors"] += 1
@@ -230,18 +240,18 @@
 
     def _do(self, action: api.Action) -> None:
         match action:
-            case api.Post():
+            case api.SendDatagram():
                 self.send(self._write(action.message), action.address)
             case api.SetTimer():
-                self._loop.call_later(action.delay_ms / 1000.0, self.handle, api.Fired(action.token))
-            case api.Exchange():
+                self._loop.call_later(action.delay_ms / 1000.0, self.handle, api.TimerFired(action.token))
+            case api.PushPull():
                 self._call(action.address, self._exchange(action))
-            case api.Dial():
+            case api.ProbeOverStream():
                 self._call(action.address, self._probe(action))
-            case api.Changed():
-                if self.cells is not None and action.what == "cut":
+            case api.MemberChanged():
+                if self.cells is not None and action.change is api.MemberChange.CELL:
                     self.cells.was_cut()
-            case api.Note():
+            case api.LogEvent():
                 text = "fleet: " + ", ".join(f"{name} %({name})s" for name in action.fields)
                 logs.info(f"fleet {action.event}", text, **action.fields)
 
@@ -268,21 +278,21 @@
             return
         try:
             message, cut = self._read(data)
-        except Refused as reason:
+        except MessageRejected as reason:
             return self.refuse(str(reason))
-        self.handle(api.Heard(message, source, cut))
-        if not self.core.quiet and not isinstance(message, CellMessage):
+        self.handle(api.MessageReceived(message, source, cut))
+        if not self.core.muted and not isinstance(message, CellMessage):
             for heard in self.listeners:
                 heard(message)
 
     # Bytes, of a flat fleet or of one with cells
 
-    def _write(self, message: api.Said) -> bytes:
+    def _write(self, message: api.AnyMessage) -> bytes:
         if self.cells is not None:
             return self.cells.wire.write(message)
         return self._flat.write(cast(Message, message))  # a flat core says nothing else
 
-    def _read(self, data: bytes) -> tuple[api.Said, Cut | None]:
+    def _read(self, data: bytes) -> tuple[api.AnyMessage, Cut | None]:
         return self.cells.wire.read(data) if self.cells is not None else (self._flat.read(data), None)
 
     def _write_state(self, state: State) -> bytes:
@@ -316,30 +326,30 @@
     async def _open(self, target: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         local = (address(self._fleet.bind)[0], 0)
         self.counts["streams"] += 1
-        return await asyncio.open_connection(*address(target), local_addr=local, limit=MOST_STATE + 1024)
+        return await asyncio.open_connection(*address(target), local_addr=local, limit=MAX_STATE_BYTES + 1024)
 
-    async def _exchange(self, action: api.Exchange) -> None:
+    async def _exchange(self, action: api.PushPull) -> None:
         data = await self._ask(action.address, STATE, self._write_state(action.state))
         if data is None:
-            return self.handle(api.Missed(action.address))
+            return self.handle(api.PushPullFailed(action.address))
         try:
             state, cut = self._read_state(data)
-        except Refused as reason:
+        except MessageRejected as reason:
             self.refuse(str(reason))
-            return self.handle(api.Missed(action.address))
-        self.handle(api.Met(state, action.address, True, cut))
+            return self.handle(api.PushPullFailed(action.address))
+        self.handle(api.PushPullReceived(state, action.address, True, cut))
 
-    async def _probe(self, action: api.Dial) -> None:
-        ping = Ping(self.core.head(), action.number, "", [])
+    async def _probe(self, action: api.ProbeOverStream) -> None:
+        ping = Ping(self.core.header(), action.number, "", [])
         data = await self._ask(action.address, PROBE, self._write(ping))
         if data is None:
             return
         try:
             message, _ = self._read(data)
-        except Refused as reason:
+        except MessageRejected as reason:
             return self.refuse(str(reason))
         if isinstance(message, Ack):
-            self.handle(api.Ponged(action.number, message.whom, message.life))
+            self.handle(api.StreamProbeAcked(action.number, message.target, message.incarnation))
 
     async def _ask(self, target: str, kind: bytes, data: bytes) -> bytes | None:
         """Say something over a stream; the answer, or None where there is none in time."""
@@ -349,7 +359,7 @@
                 reader, writer = await self._open(target)
                 self._pour(writer, kind + len(data).to_bytes(4, "big") + data)
                 size = int.from_bytes(await reader.readexactly(4), "big")
-                return await reader.readexactly(size) if size <= MOST_STATE else None
+                return await reader.readexactly(size) if size <= MAX_STATE_BYTES else None
         except (OSError, TimeoutError, EOFError, ValueError):
             return None
         finally:
@@ -371,12 +381,14 @@
             async with asyncio.timeout(WHOLE_S):
                 kind = await reader.readexactly(1)
                 size = int.from_bytes(await reader.readexactly(4), "big")
-                if kind not in (STATE, PROBE) or size > MOST_STATE:
-                    raise Refused("foreign" if size <= MOST_STATE else "long")
+                if kind not in (STATE, PROBE) or size > MAX_STATE_BYTES:
+                    raise MessageRejected(
+                        RejectReason.FOREIGN if size <= MAX_STATE_BYTES else RejectReason.LONG
+                    )
                 answer = self._answer(kind, await reader.readexactly(size), writer)
                 self._pour(writer, len(answer).to_bytes(4, "big") + answer)
                 await writer.drain()
-        except Refused as reason:
+        except MessageRejected as reason:
             self.refuse(str(reason))
         except (OSError, TimeoutError, EOFError):
             self.refuse("short")
@@ -388,11 +400,11 @@
         if kind == PROBE:
             message, _ = self._read(data)
             number = message.number if isinstance(message, Ping) else 0
-            return self._write(Ack(self.core.head(), number, self.core.name, self.core.life, []))
+            return self._write(Ack(self.core.header(), number, self.core.name, self.core.incarnation, []))
         state, cut = self._read_state(data)
-        answer = self._write_state(self.core.answer(state))
-        sender = next((r.address for r in state.records if r.name == state.head.name), "")
-        self.handle(api.Met(state, sender, False, cut))
+        answer = self._write_state(self.core.state_for(state))
+        sender = next((r.address for r in state.records if r.name == state.header.name), "")
+        self.handle(api.PushPullReceived(state, sender, False, cut))
         return answer
 
     # What the node takes from it
@@ -402,8 +414,8 @@
         if self.cells is not None:
             self.cells.see(here, now_ms())
         else:
-            self.census.see(here, now_ms())
-        place = self.census.place()
+            self.census.observe(here, now_ms())
+        place = self.census.position()
         if place != self._place:
             self._place = place
             logs.info("place", "number %(number)d of %(nodes)d now", number=place[0], nodes=place[1])
@@ -411,7 +423,7 @@
 
     def told(self, number: int, nodes: int) -> None:
         """The file has new settings; what is in force follows from both."""
-        self.census.told(number, nodes)
+        self.census.reconfigure(number, nodes)
         self._place = number, nodes
         self._recount()
 
@@ -429,12 +441,12 @@
         if not self._over:
             # To the nearest power of two: news of the load costs all members, so only great changes are news.
             load = self._load()
-            self.handle(api.Facts({"load": float(1 << load.bit_length() >> 1)}))
+            self.handle(api.MetadataUpdated({"load": float(1 << load.bit_length() >> 1)}))
             self._loop.call_later(LOAD_S, self._tell_load)
 
     def drain(self, draining: bool) -> None:
         """Let others know; who drains holds no duty."""
-        self.handle(api.Facts({"draining": draining}))
+        self.handle(api.MetadataUpdated({"draining": draining}))
         if draining and self.work is not None:
             self.work.give_all_back()
 
@@ -445,7 +457,7 @@
         if self.work is not None:
             self.work.give_all_back()
         if not handing_over:
-            self.handle(api.Leave())
+            self.handle(api.LeaveRequested())
         self._over = True
         if self._server is not None:
             self._server.close()
@@ -466,14 +478,14 @@
                 self._loop.call_soon(self.work.take, content, name)
             return
         member = self.core.view.get(name)
-        if member is not None and member.here() and not self.core.quiet:
-            self.send(self._write(About(self.core.head(), content, [])), member.address)
+        if member is not None and member.is_alive() and not self.core.muted:
+            self.send(self._write(ApplicationMessage(self.core.header(), content, [])), member.address)
 
     def ask_view(self, name: str) -> None:
         """Have a member say which view it holds: its answer tells."""
         member = self.core.view.get(name)
-        if member is not None and not self.core.quiet:
-            self.send(self._write(Ping(self.core.head(), 0, name, [])), member.address)
+        if member is not None and not self.core.muted:
+            self.send(self._write(Ping(self.core.header(), 0, name, [])), member.address)
 
     # What operators see
 
@@ -483,12 +495,12 @@
         more = self.shared.figures() if self.shared is not None else {}
         more |= self.cells.figures() if self.cells is not None else {}
         return more | {
-            "fleet_members": core.alive,
+            "fleet_members": core.alive_count,
             "fleet_suspects": lambda: sum(m.status == 1 for m in core.view.members.values()),
             "fleet_divergent": lambda: core.divergence(now_ms())[0],
             "fleet_health": lambda: core.health.score,
             "fleet_nodes": lambda: self._place[1],
-            "fleet_conflicts": lambda: core.conflicts,
+            "fleet_conflicts": lambda: core.name_conflicts,
             "fleet_refused": lambda: self.counts["refused"],
             "fleet_errors": lambda: self.counts["errors"],
             "fleet_sent_bytes": lambda: self.counts["sent_bytes"],
@@ -501,35 +513,35 @@
         members = [
             {
                 "name": m.name,
-                "state": STATUSES[m.status],
-                "life": m.life,
+                "state": STATUS_NAMES[m.status],
+                "life": m.incarnation,
                 "revision": m.revision,
-                "since_s": round((now - m.since_ms) / 1000.0, 1),
+                "since_s": round((now - m.status_since_ms) / 1000.0, 1),
                 "address": m.address,
-                "accusers": m.accusers,
-                "rtt_ms": round(m.rtt_ms(), 2),
-                "agrees": m.differs_ms < 0.0,
-                "facts": m.facts,
+                "accusers": m.suspected_by,
+                "rtt_ms": round(m.smoothed_rtt_ms(), 2),
+                "agrees": m.diverged_since_ms < 0.0,
+                "facts": m.metadata,
             }
             for m in sorted(core.view.members.values(), key=lambda m: m.name)
-            if m.here() or now - m.since_ms < RECORDED_MS
+            if m.is_alive() or now - m.status_since_ms < RECORDED_MS
         ]
         return 200, {
             "fleet": self._fleet.name,
             "self": {
                 "name": core.name,
-                "state": "quiet" if core.quiet else STATUSES[core.status],
-                "life": core.life,
+                "state": "quiet" if core.muted else STATUS_NAMES[core.status],
+                "life": core.incarnation,
                 "revision": core.revision,
                 "address": core.address,
                 "digest": f"{core.digest():x}",
-                "rival": core.rival,
+                "rival": core.conflicting_address,
             },
-            "members_alive": core.alive(),
+            "members_alive": core.alive_count(),
             "place": {"number": self._place[0], "nodes": self._place[1]},
             "divergence": {"members": differ, "longest_s": round(longest / 1000.0, 1)},
             "health": core.health.score,
-            "refuted": core.refuted, "buried": core.buried, "conflicts": core.conflicts,
+            "refuted": core.refutations, "buried": core.deaths_declared, "conflicts": core.name_conflicts,
             "messages_s": round(self._rates[0], 1), "bytes_s": round(self._rates[1], 1),
             "counts": self.counts, "refused_for": self.reasons, "members": members,
         }  # fmt: skip
--- a/orchidferry/shared.py
+++ b/orchidferry/shared.py
@@ -15,9 +15,9 @@
 from dunlinloft.balancer.interface import Result
 from dunlinloft.balancer.logic import Balancer
 from dunlinloft.fleet.cells.totals import CellCensus
-from dunlinloft.fleet.census import Census
+from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
-from dunlinloft.fleet.messages import About, Message
+from dunlinloft.fleet.messages import ApplicationMessage, Message
 from dunlinloft.fleet.releases.member import Server
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.shared_state.core import AFFINITY, LIMITS, PARTS, RELEASES, Shared, mark
@@ -81,10 +81,16 @@
     )
 
 
-def seen(members: Membership, census: Census | CellCensus) -> shared.Seen:
+def seen(members: Membership, census: MemberCount | CellCensus) -> shared.Seen:
     """Who is there, and who counts."""
-    here = {} if members.quiet else {m.name: m.life for m in members.view.members.values() if m.here()}
-    return shared.Seen(members.life, here, census.counted(), census.base(), members.health.score)
+    here = (
+        {}
+        if members.muted
+        else {m.name: m.incarnation for m in members.view.members.values() if m.is_alive()}
+    )
+    return shared.Seen(
+        members.incarnation, here, census.counted_names(), census.total(), members.health.score
+    )
 
 
 def place(core: Shared, cls: api.RequestClass, key: int, again: bool, now: float) -> tuple[str | None, bool]:
@@ -104,8 +110,8 @@
     ) -> None:  # fmt: skip
         self._loop, self._peers, self._balancer, self._told = loop, peers, balancer, told
         self.core = Shared(
-            peers.core.name, peers.core.life, settings.zone, settings.tier, fleet.share, quotas(settings),
-            list(fleet.groups), window_ms(settings), rng, now_ms(),
+            peers.core.name, peers.core.incarnation, settings.zone, settings.tier, fleet.share,
+            quotas(settings), list(fleet.groups), window_ms(settings), rng, now_ms(),
         )  # fmt: skip
         self._starts: dict[int, int] = {}
         self._since: dict[int, float] = {}
@@ -126,8 +132,8 @@
 
     def heard(self, message: Message) -> None:
         """A datagram has come that may be about shared state."""
-        if isinstance(message, About) and isinstance(message.content, shared.Message):
-            self._give(shared.Heard(message.content, message.head.name))
+        if isinstance(message, ApplicationMessage) and isinstance(message.content, shared.Message):
+            self._give(shared.Heard(message.content, message.header.name))
 
     def _give(self, event: shared.Event) -> None:
         if self._over:
@@ -153,7 +159,9 @@
                 case shared.Tell():
                     self._peers.tell(action.name, action.message)
                 case shared.SetTimer():
-                    self._loop.call_later(action.delay_ms / 1000.0, self._give, shared.Fired(action.token))
+                    self._loop.call_later(
+                        action.delay_ms / 1000.0, self._give, shared.TimerFired(action.token)
+                    )
                 case shared.Warn():
                     self._told(hearsay(action.verdicts, self._marks))
                 case shared.Part():
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -14,7 +14,7 @@
 
 from dunlinloft.capacitycli import EXPERIMENTS
 from dunlinloft.cli import main
-from dunlinloft.fleet.wire import MOST_STATE, Wire
+from dunlinloft.fleet.wire import MAX_STATE_BYTES, Wire
 from lab.capacity import added, chain, membership, model, shared, sizes
 from lab.capacity.model import Experiment, Figure, Plan, Sample, fit, read_report, run
 from lab.fit import line
@@ -112,12 +112,12 @@
 
 
 def test_a_whole_view_is_cut_off_at_the_cap() -> None:
-    most = int(MOST_STATE / 120)
+    most = int(MAX_STATE_BYTES / 120)
     host = membership.Host(most)
     membership.fill(host.core, most)
     wire = Wire(membership.FLEET)
     data = wire.write_state(host.core.state())
-    assert len(data) <= MOST_STATE and len(wire.read_state(data).records) < len(host.core.view.members)
+    assert len(data) <= MAX_STATE_BYTES and len(wire.read_state(data).records) < len(host.core.view.members)
 
 
 def test_shared_state_of_few_members_is_fresh() -> None:
--- a/tests/test_cell_faults.py
+++ b/tests/test_cell_faults.py
@@ -55,10 +55,12 @@
 def declares_strangers_dead(plant: Plant) -> None:
     def planted(self: CellMembership, cut: Cut, now: float) -> None:
         for member in [m for m in self.view.members.values() if not cut.holds(path(m.name))]:
-            if member.here():
-                dead = Record(member.name, member.life, member.revision, DEAD, member.uid, member.address)
-                dead.accusers = [self.name]
-                self._take(dead, now)
+            if member.is_alive():
+                dead = Record(
+                    member.name, member.incarnation, member.revision, DEAD, member.uid, member.address
+                )
+                dead.suspected_by = [self.name]
+                self._merge_record(dead, now)
         cut_to(self, cut, now)
 
     plant.setattr(CellMembership, "_cut_to", planted)
@@ -99,7 +101,7 @@
 
 
 def takes_strangers_in(plant: Plant) -> None:
-    plant.setattr(CellMembership, "_take", Membership._take)
+    plant.setattr(CellMembership, "_merge_record", Membership._merge_record)
 
 
 def tells_strangers_of_nobody(plant: Plant) -> None:
@@ -110,7 +112,7 @@
     found = CellMembership._found
 
     def planted(self: CellMembership, message: Found, now: float) -> None:
-        if message.number or not len(self.view.here):
+        if message.number or not len(self.view.alive):
             found(self, message, now)
 
     plant.setattr(CellMembership, "_found", planted)
@@ -122,7 +124,7 @@
 def counts_the_dead_when_it_asks_who_is_first(plant: Plant) -> None:
     def planted(self: CellMembership) -> bool:
         others = self.view.members.values()
-        return all((self._bits, self.name) < (m.bits, m.name) for m in others if m.bits)
+        return all((self._digest_bits, self.name) < (m.digest_bits, m.name) for m in others if m.digest_bits)
 
     plant.setattr(CellMembership, "reporter", planted)
 
@@ -213,10 +215,10 @@
     def planted(
         self: CellCensus, here: set[str], now: float, totals: Totals | None = None, cut: Cut = WHOLE
     ) -> None:
-        self._inner.see(here, now)
-        self._base, self.fallback = self._inner.base(), False
+        self._inner.observe(here, now)
+        self._base, self.fallback = self._inner.total(), False
 
-    plant.setattr(CellCensus, "see", planted)
+    plant.setattr(CellCensus, "observe", planted)
 
 
 def tells_newcomers_nothing(plant: Plant) -> None:
--- a/tests/test_cell_laws.py
+++ b/tests/test_cell_laws.py
@@ -17,8 +17,8 @@
 from dunlinloft.fleet.cells.messages import Find, Found, Report, Summary
 from dunlinloft.fleet.cells.pointers import MOST_POINTERS, Pointers
 from dunlinloft.fleet.cells.totals import BOUND_MS, CellCensus, Totals
-from dunlinloft.fleet.census import HOLD_MS
-from dunlinloft.fleet.interface import Post
+from dunlinloft.fleet.interface import SendDatagram
+from dunlinloft.fleet.member_count import MISSING_MEMBER_GRACE_MS
 from dunlinloft.fleet.membership.view import View
 from dunlinloft.fleet.messages import Record
 
@@ -244,7 +244,7 @@
         report = Report(life, stamp, "n1", 17, int(now), "web", "east", summary(Cut(), 4))
         directory.handle(Said(report, "addr:n1"), now)
         [post] = directory.handle(Said(find, "addr:n1"), now)
-        assert isinstance(post, Post) and isinstance(post.message, Found)
+        assert isinstance(post, SendDatagram) and isinstance(post.message, Found)
         return post.message.total, post.message.age_ms
 
     assert told(0, BOUND_MS + 1.0) == (0, 1)
@@ -267,12 +267,12 @@
 def test_a_part_never_grows_by_a_cut_nor_while_the_directory_is_silent(rng: random.Random) -> None:
     names = [f"n{n}" for n in range(12)]
     census, cut, now = CellCensus("n0", 0, 4), Cut(), 0.0
-    census.see(set(names), now, Totals((0, 0), now, found(20, 12)), cut)
+    census.observe(set(names), now, Totals((0, 0), now, found(20, 12)), cut)
     for _ in range(30):
-        before, now = census.base(), now + rng.choice((500.0, 5_000.0, 20_000.0))
+        before, now = census.total(), now + rng.choice((500.0, 5_000.0, 20_000.0))
         if rng.random() < 0.4:
             cut = cut.half(path("n0")) if cut.depth < 3 or rng.random() < 0.5 else cut.whole(cut.epoch + 1)
-            census.keep(holds(cut))
+            census.retain(holds(cut))
         here = {name for name in names if cut.holds(path(name)) and rng.random() < 0.9} | {"n0"}
         how = rng.choice(("silent", "old", "unsure", "of another cell"))
         told = Totals(cut.cell(), now, found(rng.randrange(1, 9), 1))
@@ -282,10 +282,10 @@
             told.found.sure = False
         elif how == "of another cell":
             told.cell = (cut.depth + 1, 0)
-        census.see(here, now, None if how == "silent" else told, cut)
-        assert census.base() >= before
+        census.observe(here, now, None if how == "silent" else told, cut)
+        assert census.total() >= before
         assert census.fallback
-        assert census.place()[1] >= 4
+        assert census.position()[1] >= 4
 
 
 def test_fewer_count_only_once_that_is_sure_held_and_more_than_half() -> None:
@@ -295,8 +295,8 @@
         (0.0, 10, 10), (5_000.0, 8, 10), (10_000.0, 9, 10), (14_999.0, 8, 10), (15_000.0, 8, 9),
         (16_000.0, 12, 12), (17_000.0, 6, 12), (40_000.0, 6, 12), (41_000.0, 7, 7), (60_000.0, 7, 7),
     ):  # fmt: skip
-        census.see(own, now, Totals(cut.cell(), now, found(total, 3)), cut)
-        assert (census.base(), census.fallback) == (base, False), now
+        census.observe(own, now, Totals(cut.cell(), now, found(total, 3)), cut)
+        assert (census.total(), census.fallback) == (base, False), now
 
 
 def test_members_of_the_own_cell_are_counted_as_seen_and_not_as_told() -> None:
@@ -315,13 +315,13 @@
     for n in range(1000):
         view.merge(Record(f"n{n}", 1, 0, n % 2, 1), 0.0)
     for n in range(990):
-        view.release(f"n{n}")
+        view.discard(f"n{n}")
     view.compact()
     for n in range(990, 1000):
         few.merge(Record(f"n{n}", 1, 0, n % 2, 1), 0.0)
     assert sys.getsizeof(view.members) <= 2 * sys.getsizeof(few.members)
     assert view.digest == few.digest
-    assert sorted(view.here.names()) == sorted(few.here.names())
+    assert sorted(view.alive.names()) == sorted(few.alive.names())
 
 
 def test_pointers_lead_closer_and_are_few() -> None:
@@ -350,4 +350,4 @@
         assert cut.sound() and cut.holds(path("n0"))
     assert newer(cut, Cut(99, MOST_DEPTH, cut.bits ^ 1), path("n0")) is None
     assert cut.text() == f"{path('n0') >> 12:020b}" and Cut().text() == "*"
-    assert HOLD_MS < SETTLE_MS < BOUND_MS
+    assert MISSING_MEMBER_GRACE_MS < SETTLE_MS < BOUND_MS
--- a/tests/test_cell_random.py
+++ b/tests/test_cell_random.py
@@ -24,7 +24,7 @@
     excused_ms = 0.0
     cut_now = False
 
-    def changed(self, process: Process, change: api.Changed) -> None:
+    def changed(self, process: Process, change: api.MemberChanged) -> None:
         before = len(self.false_deaths)
         super().changed(process, change)
         if self.cut_now or self.now() < self.excused_ms:
