--- a/tests/test_cell_wire.py
+++ b/tests/test_cell_wire.py
@@ -19,8 +19,8 @@
 from dunlinloft.fleet.cells.messages import Find, Found, Report, Summary
 from dunlinloft.fleet.cells.wire import CellWire, DirectoryWire
 from dunlinloft.fleet.cells.words import SERVICE
-from dunlinloft.fleet.messages import ALIVE, Ack, Gossip, Head, Ping, Record, State
-from dunlinloft.fleet.wire import MOST_DATAGRAM, Refused, Wire
+from dunlinloft.fleet.messages import ALIVE, Ack, Gossip, Header, Ping, Record, State
+from dunlinloft.fleet.wire import MAX_DATAGRAM_BYTES, MessageRejected, Wire
 
 LONG = "x" * 64
 CUT = Cut(3, 2, 1)
@@ -36,15 +36,15 @@
 
 def ping(records: int = 1) -> Ping:
     told = [Record(f"n{n}", 17, 0, ALIVE, 5, "127.0.2.1:7400", 0, {"zone": "a"}) for n in range(records)]
-    return Ping(Head("n1", 17, 0, 2**63, 3), 4, "n2", told)
+    return Ping(Header("n1", 17, 0, 2**63, 3), 4, "n2", told)
 
 
 def test_members_messages_are_read_as_written_with_their_senders_cut() -> None:
     data = members().write(ping())
     assert members(Cut()).read(data) == (ping(), Cut(3, 2, 1))
-    state = State(ping().head, ping(30).records)
+    state = State(ping().header, ping(30).records)
     assert members(Cut()).read_state(members().write_state(state)) == (state, Cut(3, 2, 1))
-    assert len(members().write(ping(200))) <= MOST_DATAGRAM
+    assert len(members().write(ping(200))) <= MAX_DATAGRAM_BYTES
 
 
 @pytest.mark.parametrize("message", [FIND, FOUND, REPORT])
@@ -65,7 +65,7 @@
         2**63, 2**63, 2**63, *cut, [LONG] * 4, big, big, big, big, True, big, big, big, [LONG] * 3
     )  # fmt: skip
     for message in (report, found, Find(2**63, LONG, LONG, LONG, *cut)):
-        assert len(DirectoryWire("loft").write(message)) <= MOST_DATAGRAM
+        assert len(DirectoryWire("loft").write(message)) <= MAX_DATAGRAM_BYTES
 
 
 def test_what_is_not_for_a_member_of_this_cell_and_service_is_refused_by_its_reason() -> None:
@@ -79,14 +79,14 @@
         members(Cut(0, 2, 4)).write(ping()): "broken", members(Cut(MOST_EPOCH, 2, 1)).write(ping()): "broken",
     }  # fmt: skip
     for received, reason in bad.items():
-        with pytest.raises(Refused, match=reason):
+        with pytest.raises(MessageRejected, match=reason):
             members().read(received)
-    with pytest.raises(Refused, match="version"):
+    with pytest.raises(MessageRejected, match="version"):
         Wire("loft").read(data)
-    with pytest.raises(Refused, match="version"):
-        Wire("loft").read_state(members().write_state(State(ping().head, [])))
-    with pytest.raises(Refused, match="version"):
-        members().read_state(Wire("loft").write_state(State(ping().head, [])))
+    with pytest.raises(MessageRejected, match="version"):
+        Wire("loft").read_state(members().write_state(State(ping().header, [])))
+    with pytest.raises(MessageRejected, match="version"):
+        members().read_state(Wire("loft").write_state(State(ping().header, [])))
 
 
 def test_a_later_versions_fields_are_skipped() -> None:
@@ -113,11 +113,11 @@
 
 def test_without_cells_everything_is_byte_for_byte_as_it_was() -> None:
     flat = Wire("loft")
-    assert wire.MOST_DATAGRAM == 1400 and wire.MOST_STATE == 512 * 1024
-    for message, text in ((ping(), PING), (Ack(ping().head, 4, "n2", 18, []), ACK)):
+    assert wire.MAX_DATAGRAM_BYTES == 1400 and wire.MAX_STATE_BYTES == 512 * 1024
+    for message, text in ((ping(), PING), (Ack(ping().header, 4, "n2", 18, []), ACK)):
         assert flat.write(message) == golden(text)
         assert flat.read(golden(text)) == message
-    state = State(ping().head, ping().records)
+    state = State(ping().header, ping().records)
     assert flat.write_state(state) == golden(STATE)
     assert flat.read_state(golden(STATE)) == state
 
@@ -128,7 +128,7 @@
 def member() -> CellMembership:
     place = Place("web", "east", 8, ["addr:dir"])
     made = CellMembership("n2", "addr:n2", [], 5, 5, random.Random(1), {"load": 1.0}, place)
-    made.handle(api.Begin(), 0.0)
+    made.handle(api.Started(), 0.0)
     return made
 
 
@@ -145,20 +145,20 @@
     good = [members().write(ping()), members().write(FOUND)]
     for n in range(4000):
         now = 40.0 * n
-        for action in core.handle(api.Fired(rng.randrange(n + 1)), now):
-            if isinstance(action, api.Post):
+        for action in core.handle(api.TimerFired(rng.randrange(n + 1)), now):
+            if isinstance(action, api.SendDatagram):
                 link.write(action.message)
         try:
             message, cut = link.read(bent(rng.choice(good), rng, 5))
-        except Refused:
+        except MessageRejected:
             continue
         if isinstance(message, Found) and core._asked is not None:
             message.number = core._asked[0]
         read += 1
-        for action in core.handle(api.Heard(message, "addr:x", cut), now):
-            if isinstance(action, api.Post):
-                assert len(link.write(action.message)) <= MOST_DATAGRAM
-            if isinstance(action, api.Exchange):
+        for action in core.handle(api.MessageReceived(message, "addr:x", cut), now):
+            if isinstance(action, api.SendDatagram):
+                assert len(link.write(action.message)) <= MAX_DATAGRAM_BYTES
+            if isinstance(action, api.PushPull):
                 link.write_state(action.state)
     assert read > 300
 
@@ -170,13 +170,13 @@
     for _ in range(4000):
         try:
             message = link.read(bent(rng.choice(good), rng, 5))
-        except Refused:
+        except MessageRejected:
             continue
         if isinstance(message, Find | Report):
             read += 1
             for action in directory.handle(Said(message, "addr:x"), 5_500.0):
-                assert isinstance(action, api.Post) and isinstance(action.message, Found)
-                assert len(link.write(action.message)) <= MOST_DATAGRAM
+                assert isinstance(action, api.SendDatagram) and isinstance(action.message, Found)
+                assert len(link.write(action.message)) <= MAX_DATAGRAM_BYTES
     assert read > 300
     assert directory.counts["foreign"]
 
@@ -186,13 +186,13 @@
     for n, word in enumerate((math.inf, math.nan, -5.0, 1e18, "9", True)):
         facts: dict[str, Any] = {"program": wrong[0], "load": math.nan, SERVICE: word}
         told = Record(f"n{n + 5}", 17, 0, ALIVE, n + 1, wrong[1], 1, facts)
-        core.handle(api.Heard(Gossip(ping().head, [told]), "addr:n1", Cut()), 10.0)
-    core._facts["program"] = wrong[0]
+        core.handle(api.MessageReceived(Gossip(ping().header, [told]), "addr:n1", Cut()), 10.0)
+    core._metadata["program"] = wrong[0]
     core._tell_service(20.0)
     assert core.totals is None
     assert sound(core.summary())
     report = Report(3, 5000, "n2", 17, 4, "web", "east", core.summary())
-    assert len(members().write(report)) <= MOST_DATAGRAM
+    assert len(members().write(report)) <= MAX_DATAGRAM_BYTES
     directory = Directory("d1", 3, random.Random(1), 0.0)
     directory.handle(Said(report, "addr:n2"), 5_500.0)
     assert "web" in directory.index.services
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -11,7 +11,7 @@
 from dunlinloft.fleet.cells.cut import Cut, path
 from dunlinloft.fleet.cells.directory import LEARNING_MS
 from dunlinloft.fleet.cells.totals import BOUND_MS
-from dunlinloft.fleet.census import HOLD_MS
+from dunlinloft.fleet.member_count import MISSING_MEMBER_GRACE_MS
 from dunlinloft.fleet.membership.core import Membership
 from lab.virtual.cell_oracle import Watch, amiss, cells, parted, quiet, sums, told_right
 from lab.virtual.cells import CellFleet
@@ -128,9 +128,9 @@
     fleet = settled({"web": 24}, 21, most=8)
     for _ in range(3):
         fleet.start(fleet.add("web", "east"))
-    until(fleet, lambda: all(m.census.place()[1] == 27 for m in fleet.members()), 16_000.0)
+    until(fleet, lambda: all(m.census.position()[1] == 27 for m in fleet.members()), 16_000.0)
     fleet.run(20_000.0)
-    assert sorted(m.census.place()[0] for m in fleet.members()) == list(range(27))
+    assert sorted(m.census.position()[0] for m in fleet.members()) == list(range(27))
 
 
 def test_in_quiet_a_cell_costs_pings_views_and_questions_and_no_news() -> None:
@@ -325,7 +325,7 @@
     fleet.start("web-east-1")
     fleet.run(HOUR_MS - fleet.now())
     assert amiss(fleet) == ""
-    assert {member.census.place()[1] for member in fleet.members()} == {6}
+    assert {member.census.position()[1] for member in fleet.members()} == {6}
     for guide in fleet.guides:
         fleet.start(guide)
     right(fleet)
@@ -378,7 +378,7 @@
         fleet.start(name)
     quiet(fleet)
     fleet.run(5_000.0)
-    assert all(fleet.at(name).census.place()[1] >= 24 and fleet.at(name).fallback() for name in news)
+    assert all(fleet.at(name).census.position()[1] >= 24 and fleet.at(name).fallback() for name in news)
 
 
 # Cuts between regions and zones
@@ -390,7 +390,7 @@
     sides = [[name for name in fleet.groups if region in fleet.groups[name]] for region in ("east", "west")]
     ill = fleet.split(*sides)
     fleet.run(HOUR_MS)
-    assert {member.census.place()[1] for member in fleet.members()} == {5}
+    assert {member.census.position()[1] for member in fleet.members()} == {5}
     assert all(member.fallback() for member in fleet.members())
     fleet.lines.recover(ill)
     right(fleet, 60_000.0)
@@ -415,7 +415,7 @@
 
 def test_summaries_beyond_their_bound_use_the_fallback_and_say_so() -> None:
     fleet = settled({"web": 6}, 15, regions=("east", "west"), directory=1, file=4)
-    assert {member.census.place()[1] for member in fleet.members()} == {6}
+    assert {member.census.position()[1] for member in fleet.members()} == {6}
     west = [name for name in fleet.names if "west" in name]
     rest = [name for name in fleet.groups if name not in west]
     ill = fleet.split(rest, west)
@@ -424,11 +424,11 @@
     fleet.run(30_000.0)
     assert all(member.fallback() for member in fleet.members())
     fleet.kill("web-east-0")
-    fleet.run(3.0 * HOLD_MS)
-    assert {member.census.place()[1] for member in fleet.members()} == {6}  # nothing grows
+    fleet.run(3.0 * MISSING_MEMBER_GRACE_MS)
+    assert {member.census.position()[1] for member in fleet.members()} == {6}  # nothing grows
     fleet.lines.recover(ill)
     until(fleet, lambda: not any(m.fallback() for m in fleet.members()), 60_000.0)
-    until(fleet, lambda: {m.census.place()[1] for m in fleet.members()} == {5}, 60_000.0)
+    until(fleet, lambda: {m.census.position()[1] for m in fleet.members()} == {5}, 60_000.0)
 
 
 # Versions
@@ -449,7 +449,7 @@
     for member in celled:
         there = {m.name for m in fleet.there(member)}
         assert there <= {other.name for other in celled}
-        assert member.census.place()[1] >= 12
+        assert member.census.position()[1] >= 12
     flat_views = [{m.name for m in fleet.there(fleet.at(name))} | {name} for name in flat]
     assert all(view == set(flat) for view in flat_views)
     for name in flat:
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -71,7 +71,7 @@
             assert peers.cells is not None
             cut = peers.cells.core.cut
             truth = {name for name in self.members if cut.holds(path(name))}
-            seen = {m.name for m in core.view.members.values() if m.here()} | {core.name}
+            seen = {m.name for m in core.view.members.values() if m.is_alive()} | {core.name}
             if seen != truth or len(truth) > MOST or core.status:
                 return False
         return True
@@ -92,14 +92,16 @@
             await until(service.settled)
             newcomer = service.add(20)
             await until(service.settled)
-            assert newcomer.core.alive() > 1
+            assert newcomer.core.alive_count() > 1
             for peers in service.members.values():
                 assert peers.counts["errors"] == 0 and peers.counts["refused"] == 0
-                assert peers.core.buried == 0
+                assert peers.core.deaths_declared == 0
 
             def listed() -> bool:
                 """Each cell at each process, beside what was replaced a moment ago."""
-                truth = {p.cells.core.cut.text(): p.core.alive() for p in service.members.values() if p.cells}
+                truth = {
+                    p.cells.core.cut.text(): p.core.alive_count() for p in service.members.values() if p.cells
+                }
                 shown = [host.show()[1]["services"].get("booking", []) for host in service.directory]
                 return all(
                     truth.items() <= {c["cell"]: c["members"] for c in cells}.items() for cells in shown
@@ -111,7 +113,7 @@
             shown = newcomer.cells.show()[1] if newcomer.cells else {}
             assert shown["fallback"] and shown["directory"]["age_s"] is not None  # it has just started
             assert any("fallback" in line for line in cell_text(shown))
-            assert all(p.census.base() >= 14 for p in service.members.values())  # a cut takes nobody out
+            assert all(p.census.total() >= 14 for p in service.members.values())  # a cut takes nobody out
         finally:
             await service.close()
 
@@ -129,7 +131,7 @@
             for n in (30, 31, 32):
                 service.add(n)
             await until(service.settled)
-            assert all(peers.core.buried == 0 for peers in service.members.values())
+            assert all(peers.core.deaths_declared == 0 for peers in service.members.values())
         finally:
             await service.close()
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,9 +16,21 @@
 from dunlinloft.fleet import wire
 from dunlinloft.fleet.membership import core as core_module
 from dunlinloft.fleet.membership.core import Membership
-from dunlinloft.fleet.membership.suspicion import wait_ms
-from dunlinloft.fleet.membership.view import MOST_BURIED, Member, View
-from dunlinloft.fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, Gossip, Head, Ping, Record, State, size_of
+from dunlinloft.fleet.membership.member import Member
+from dunlinloft.fleet.membership.suspicion import suspicion_timeout_ms
+from dunlinloft.fleet.membership.view import MAX_DEAD_RECORDS, View
+from dunlinloft.fleet.messages import (
+    ALIVE,
+    DEAD,
+    LEFT,
+    SUSPECT,
+    Gossip,
+    Header,
+    Ping,
+    Record,
+    State,
+    estimated_size,
+)
 from lab.lines import Ill
 from lab.virtual.fleet import Fleet
 from lab.virtual.scene import Broken
@@ -50,7 +62,12 @@
     for record in records:
         view.merge(record, 0.0)
     return {
-        name: (m.key(), tuple(m.accusers), m.version if m.version >= 0 else None, tuple(m.facts.items()))
+        name: (
+            m.precedence(),
+            tuple(m.suspected_by),
+            m.metadata_version if m.metadata_version >= 0 else None,
+            tuple(m.metadata.items()),
+        )
         for name, m in view.members.items()
     } | {"digest": view.digest}
 
@@ -66,7 +83,7 @@
 def test_the_newest_news_of_a_life_holds_and_nothing_follows_a_farewell() -> None:
     told = [
         Record("a", 1, 0, ALIVE, 1),
-        Record("a", 1, 0, SUSPECT, 1, accusers=["x"]),
+        Record("a", 1, 0, SUSPECT, 1, suspected_by=["x"]),
         Record("a", 1, 0, DEAD, 1),
         Record("a", 1, 1, ALIVE, 1),
         Record("a", 1, 9, LEFT, 1),
@@ -76,26 +93,26 @@
         view = View(random.Random(0))
         for record in order:
             view.merge(record, 0.0)
-        assert view.members["a"].key() == (1, True, 9, LEFT)
+        assert view.members["a"].precedence() == (1, True, 9, LEFT)
         view.merge(Record("a", 2, 0, ALIVE, 2), 0.0)
-        assert view.members["a"].here()
+        assert view.members["a"].is_alive()
 
 
 def test_what_is_kept_of_the_buried_is_bounded() -> None:
     view = View(random.Random(0))
-    for n in range(MOST_BURIED + 50):
+    for n in range(MAX_DEAD_RECORDS + 50):
         view.merge(Record(f"m{n}", 1, 0, DEAD, 1), float(n))
-    view.forget(1e6)
-    assert len(view.members) == MOST_BURIED
+    view.expire(1e6)
+    assert len(view.members) == MAX_DEAD_RECORDS
     assert "m0" not in view.members
 
 
 def test_suspicion_lasts_longer_in_large_fleets_and_shorter_with_accusers() -> None:
     for size in (10, 200, 1000):
-        waits = [wait_ms(size, accusers) for accusers in range(1, 6)]
+        waits = [suspicion_timeout_ms(size, accusers) for accusers in range(1, 6)]
         assert waits == sorted(waits, reverse=True)
         assert waits[0] > 2.0 * waits[3] == 2.0 * waits[4]
-    assert wait_ms(1000, 1) > wait_ms(100, 1) > wait_ms(10, 1)
+    assert suspicion_timeout_ms(1000, 1) > suspicion_timeout_ms(100, 1) > suspicion_timeout_ms(10, 1)
 
 
 # Bytes
@@ -107,7 +124,7 @@
         Record(f"n{n}", 1_700_000_000_000 + n, n, SUSPECT, 2**56 + n, f"127.0.2.{n}:7400", 3, facts, ["n9"])
         for n in range(records)
     ]
-    return Ping(Head("n1", 1_700_000_000_000, 4, 2**63 + 5, 200), 77, "n2", told)
+    return Ping(Header("n1", 1_700_000_000_000, 4, 2**63 + 5, 200), 77, "n2", told)
 
 
 @pytest.mark.parametrize("count", [0, 1, 3, 8])
@@ -115,14 +132,14 @@
     link = wire.Wire("linz")
     data = link.write(ping(count))
     assert link.read(data) == ping(count)
-    assert size_of(ping(count)) == pytest.approx(len(data), rel=0.25)
+    assert estimated_size(ping(count)) == pytest.approx(len(data), rel=0.25)
 
 
 def test_a_datagram_stays_under_its_limit_and_a_state_under_its_cap(monkeypatch: pytest.MonkeyPatch) -> None:
     link = wire.Wire("linz")
-    assert len(link.write(ping(100))) <= wire.MOST_DATAGRAM
-    monkeypatch.setattr(wire, "MOST_STATE", 5000)
-    state = State(ping().head, ping(300).records)
+    assert len(link.write(ping(100))) <= wire.MAX_DATAGRAM_BYTES
+    monkeypatch.setattr(wire, "MAX_STATE_BYTES", 5000)
+    state = State(ping().header, ping(300).records)
     data = link.write_state(state)
     assert len(data) <= 5000
     assert link.read_state(data).records
@@ -133,21 +150,21 @@
     data = link.write(ping())
     plain = msgspec.msgpack.decode(data[5:])
     longer = data[:5] + msgspec.msgpack.encode([*plain[:2], *plain[2:], "a field of a later version"])
-    assert link.read(longer).head.name == "n1"
+    assert link.read(longer).header.name == "n1"
     bad = {
         b"": "short", data[:5]: "short", bytes([9]) + data[1:]: "version", other.write(ping()): "foreign",
         data + bytes(2000): "long", data[:-3]: "broken", data[:5] + b"\xc1": "broken",
         data[:5] + b"\x91" * 1300: "broken",
     }  # fmt: skip
     for received, reason in bad.items():
-        with pytest.raises(wire.Refused, match=reason):
+        with pytest.raises(wire.MessageRejected, match=reason):
             link.read(received)
 
 
 def test_random_and_bent_bytes_never_do_more_than_be_refused() -> None:
     link, rng = wire.Wire("linz"), random.Random(4)
     member = Membership("n2", "addr:n2", [], 5, 5, random.Random(1))
-    member.handle(api.Begin(), 0.0)
+    member.handle(api.Started(), 0.0)
     good = link.write(ping())
     read = 0
     for _ in range(3000):
@@ -156,10 +173,10 @@
         end = len(data) if rng.random() < 0.8 else rng.randrange(len(data))
         try:
             message = link.read(bytes(data[:end]))
-        except wire.Refused:
+        except wire.MessageRejected:
             continue
         read += 1
-        member.handle(api.Heard(message, "addr:x"), 10.0)
+        member.handle(api.MessageReceived(message, "addr:x"), 10.0)
     assert read > 50
 
 
@@ -179,7 +196,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_a_crash_is_known_to_all_and_nobody_else_is_buried(seed: int) -> None:
     fleet = settled(30, seed)
-    life = fleet.processes["n7"].core.life
+    life = fleet.processes["n7"].core.incarnation
     fleet.kill("n7")
     assert fleet.run(20_000.0, lambda: fleet.knows_gone("n7", life)) < 10_000.0
     heals(fleet)
@@ -294,7 +311,7 @@
     old, fleet.record = fleet.record, None
     fleet.run(300_000.0)
     for n, (source, address, message) in enumerate(old):
-        if message.head.name in ("n3", "n4") or n % 3 == 0:
+        if message.header.name in ("n3", "n4") or n % 3 == 0:
             fleet.deliver(address, source, message)
     fleet.run(3_000.0)
     for process in fleet.living():
@@ -321,11 +338,11 @@
     flaps = sum(fleet.flaps.values())
     fleet.run(20_000.0)
     assert sum(fleet.flaps.values()) - flaps <= 12  # others see no quarrel any more
-    assert first.core.conflicts and second.core.conflicts
-    assert (first.core.quiet, second.core.quiet) == (False, True)
+    assert first.core.name_conflicts and second.core.name_conflicts
+    assert (first.core.muted, second.core.muted) == (False, True)
     first.alive = False
     fleet.run(90_000.0)
-    assert not second.core.quiet  # the name is free again
+    assert not second.core.muted  # the name is free again
     others = [process for process in fleet.living() if process is not second]
     assert all(process.core.view.members["n6"].address == "addr:elsewhere" for process in others)
 
@@ -334,22 +351,22 @@
 
 
 class NoRefutation(Membership):
-    def _of_ourselves(self, record: Record) -> None:
+    def _handle_own_record(self, record: Record) -> None:
         """Lets everything said of it stand."""
 
 
 class NoHealth(Membership):
-    def _fired(self, token: int, now: float) -> None:
+    def _handle_timer(self, token: int, now: float) -> None:
         what, subject, _ = self._timers[token]
         self._timers[token] = what, subject, now  # as if it were never late
-        super()._fired(token, now)
+        super()._handle_timer(token, now)
 
 
 class Undead(View):
-    def merge(self, record: Record, now: float) -> tuple[Member, str]:
+    def merge(self, record: Record, now: float) -> tuple[Member, api.MemberChange]:
         member = self.members.get(record.name)
-        if member is not None and record.status == ALIVE and not member.here():
-            member.life = -1  # incarnations are not compared
+        if member is not None and record.status == ALIVE and not member.is_alive():
+            member.incarnation = -1  # incarnations are not compared
         return super().merge(record, now)
 
 
@@ -373,9 +390,9 @@
     for name in starved:
         fleet.processes[name].starved = True
     fleet.lose(0.2)
-    before = {name: fleet.processes[name].core.accused for name in starved}
+    before = {name: fleet.processes[name].core.suspicions_raised for name in starved}
     fleet.run(30_000.0)
-    return sum(fleet.processes[name].core.accused - before[name] for name in starved)
+    return sum(fleet.processes[name].core.suspicions_raised - before[name] for name in starved)
 
 
 def test_without_local_health_the_starved_accuse_more() -> None:
@@ -392,6 +409,6 @@
 
 def test_gossip_of_an_unknown_status_is_ignored() -> None:
     member = Membership("n2", "addr:n2", [], 5, 5, random.Random(1))
-    head = Head("n1", 1, 0, 0, 1)
-    member.handle(api.Heard(Gossip(head, [Record("n3", 1, 0, 9, 1)]), "addr:n1"), 0.0)
+    head = Header("n1", 1, 0, 0, 1)
+    member.handle(api.MessageReceived(Gossip(head, [Record("n3", 1, 0, 9, 1)]), "addr:n1"), 0.0)
     assert "n3" not in member.view.members
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -20,8 +20,8 @@
 
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet import wire
-from dunlinloft.fleet.census import HOLD_MS, Census
-from dunlinloft.fleet.messages import Head, Ping, Record, State
+from dunlinloft.fleet.member_count import MISSING_MEMBER_GRACE_MS, MemberCount
+from dunlinloft.fleet.messages import Header, Ping, Record, State
 from lab.processes.block import Block, text
 from lab.processes.day import play_processes
 from lab.scenario import parse
@@ -67,7 +67,9 @@
 
     def agree(self, count: int) -> bool:
         cores = [member.core for member in self.members.values()]
-        return len({core.digest() for core in cores}) == 1 and all(core.alive() == count for core in cores)
+        return len({core.digest() for core in cores}) == 1 and all(
+            core.alive_count() == count for core in cores
+        )
 
     def close(self) -> None:
         for member in self.members.values():
@@ -89,10 +91,10 @@
             new.start()  # waits for the address
             await asyncio.sleep(0)
             old.depart(handing_over=True)
-            await until(lambda: scene.agree(2) and new.core.alive() == 2)
+            await until(lambda: scene.agree(2) and new.core.alive_count() == 2)
             seen = scene.members["n1"].core.view.members["n2"]
-            assert seen.life == new.core.life
-            assert scene.members["n1"].core.conflicts == new.core.conflicts == 0
+            assert seen.incarnation == new.core.incarnation
+            assert scene.members["n1"].core.name_conflicts == new.core.name_conflicts == 0
         finally:
             scene.close()
 
@@ -106,7 +108,7 @@
         try:
             await until(lambda: member._udp is not None)
             rng = random.Random(1)
-            foreign = wire.Wire("graz").write(Ping(Head("x", 1, 0, 0), 1, "n1", []))
+            foreign = wire.Wire("graz").write(Ping(Header("x", 1, 0, 0), 1, "n1", []))
             datagrams = [
                 b"",
                 b"x",
@@ -135,7 +137,7 @@
                 assert await asyncio.wait_for(reader.read(), 30.0) == b""
                 writer.close()
             assert member.counts["errors"] == 0
-            assert member.core.alive() == 1
+            assert member.core.alive_count() == 1
             assert {"foreign", "version", "long", "crowd"} <= set(member.reasons)
         finally:
             scene.close()
@@ -203,7 +205,7 @@
 
     def __init__(self, count: int) -> None:
         self.names = [f"n{n}" for n in range(count)]
-        self.censuses = {name: Census(name, n, count) for n, name in enumerate(self.names)}
+        self.censuses = {name: MemberCount(name, n, count) for n, name in enumerate(self.names)}
         self.now = 0.0
 
     def live(self, parts: list[list[str]], for_ms: float) -> None:
@@ -212,10 +214,10 @@
             self.now += 500.0
             for part in parts:
                 for name in part:
-                    self.censuses[name].see(set(part), self.now)
+                    self.censuses[name].observe(set(part), self.now)
 
     def sum(self, names: list[str]) -> float:
-        return sum(1.0 / self.censuses[name].place()[1] for name in names)
+        return sum(1.0 / self.censuses[name].position()[1] for name in names)
 
 
 @hypothesis_settings(derandomize=True, max_examples=200, deadline=None)
@@ -234,32 +236,32 @@
     sides.live(parts, ms)
     assert sides.sum(sides.names) < 1.5
     sides.live([sides.names], 1_000.0)
-    assert {census.place()[1] for census in sides.censuses.values()} == {count}
-    assert sorted(census.place()[0] for census in sides.censuses.values()) == list(range(count))
+    assert {census.position()[1] for census in sides.censuses.values()} == {count}
+    assert sorted(census.position()[0] for census in sides.censuses.values()) == list(range(count))
 
 
 def test_what_the_dead_had_comes_back_after_the_hold_and_newcomers_count_at_once() -> None:
     sides = Sides(6)
     sides.live([sides.names], 2_000.0)
     living = sides.names[:4]
-    sides.live([living], HOLD_MS - 1_000.0)
+    sides.live([living], MISSING_MEMBER_GRACE_MS - 1_000.0)
     assert sides.sum(living) == pytest.approx(4 / 6)
     sides.live([living], 3_000.0)
     assert sides.sum(living) == pytest.approx(1.0)
-    assert sorted(sides.censuses[name].place()[0] for name in living) == [0, 1, 2, 3]
+    assert sorted(sides.censuses[name].position()[0] for name in living) == [0, 1, 2, 3]
     sides.live([sides.names], 500.0)
     assert sides.sum(sides.names) == pytest.approx(1.0)
 
 
 def test_fewer_than_the_file_says_count_as_the_file_says_until_most_are_there() -> None:
-    census = Census("n1", 1, 10)
-    census.see({"n1", "n2"}, 0.0)
-    census.see({"n1", "n2"}, 60_000.0)
-    assert census.place() == (1, 10)
+    census = MemberCount("n1", 1, 10)
+    census.observe({"n1", "n2"}, 0.0)
+    census.observe({"n1", "n2"}, 60_000.0)
+    assert census.position() == (1, 10)
     seven = {f"n{n}" for n in range(1, 8)}
-    census.see(seven, 61_000.0)
-    census.see(seven, 61_000.0 + HOLD_MS)
-    assert census.place() == (0, 7)
+    census.observe(seven, 61_000.0)
+    census.observe(seven, 61_000.0 + MISSING_MEMBER_GRACE_MS)
+    assert census.position() == (0, 7)
 
 
 def tenures(logs: Path) -> list[tuple[float, str, str, int]]:
@@ -424,10 +426,10 @@
 ) -> None:
     counted: list[int] = []
 
-    class Noting(Census):
-        def see(self, here: set[str], now: float) -> None:
-            counted.append(len(here))
-            super().see(here, now)
+    class Noting(MemberCount):
+        def observe(self, alive: set[str], now: float) -> None:
+            counted.append(len(alive))
+            super().observe(alive, now)
 
     async def play() -> None:
         scene = Scene(tmp_path, ["n1"])
@@ -436,8 +438,8 @@
             monkeypatch.setattr(peers, "census", Noting("n1", 0, 3))
             facts: dict[str, Any] = {"tier": 0.0}
             records = [Record(f"m{n}", 1, 0, 0, 7, f"127.0.0.9:{n + 1}", 0, facts) for n in range(200)]
-            peers.handle(api.Met(State(Head("m0", 1, 0, 0), records), "127.0.0.9:1", True))
-            assert peers.core.alive() == 201
+            peers.handle(api.PushPullReceived(State(Header("m0", 1, 0, 0), records), "127.0.0.9:1", True))
+            assert peers.core.alive_count() == 201
             assert counted == [201]
         finally:
             scene.close()
