--- a/dunlinloft/fleet/cells/core.py
+++ b/dunlinloft/fleet/cells/core.py
@@ -18,8 +18,9 @@
 from dunlinloft.fleet.cells.pointers import Pointers
 from dunlinloft.fleet.cells.totals import Totals
 from dunlinloft.fleet.cells.words import MOST_TEXT, SERVICE, greatest_word, hearsay, load_and_program
-from dunlinloft.fleet.membership.core import GOSSIP_FANOUT_LONG_QUEUE, Membership
+from dunlinloft.fleet.membership.core import LEAVE_FANOUT, Membership
 from dunlinloft.fleet.membership.member import Member
+from dunlinloft.fleet.membership.timers import TimerKind
 from dunlinloft.fleet.messages import ALIVE, Gossip, Header, Message, MetadataValue, Record, State
 
 TICK_MS = 1_000.0  # how often it is looked at what the cell needs
@@ -119,12 +120,12 @@
         self._begun_ms = self._now
         super()._start()
         self._find()
-        self.set_timer(TICK_MS * self.rng.random(), "cell")
+        self.set_timer(TICK_MS * self.rng.random(), TimerKind.CELL)
 
-    def _handle_extension_timer(self, what: str, now: float) -> None:
-        if what != "cell":
+    def _handle_extension_timer(self, kind: TimerKind, now: float) -> None:
+        if kind is not TimerKind.CELL:
             return
-        self.set_timer(TICK_MS * (0.9 + 0.2 * self.rng.random()), "cell")
+        self.set_timer(TICK_MS * (0.9 + 0.2 * self.rng.random()), TimerKind.CELL)
         if self.muted:
             return
         if self.reporter():
@@ -219,9 +220,7 @@
         if cut.cell() == self.cut.cell():
             self.cut = cut  # an epoch alone
             return
-        told = [
-            self.view.members[name].address for name in self.view.alive.sample(2 * GOSSIP_FANOUT_LONG_QUEUE)
-        ]
+        told = [self.view.members[name].address for name in self.view.alive.sample(LEAVE_FANOUT)]
         self.cut = cut
         self.cuts += 1
         self._large_ms = self._small_ms = -1.0
--- a/dunlinloft/fleet/membership/probing.py
+++ b/dunlinloft/fleet/membership/probing.py
@@ -1,56 +1,80 @@
-"""Asking each other: are you there?
+"""Probes: pings of other members, indirect pings through others, and probes over a stream.
 
-Each period one member is asked, all of them in a random order before any is asked again (SWIM, section
-4.3). No answer within what its link usually takes: some others are asked to ask, and a stream is tried
-beside, as a link may lose datagrams only. No answer by the period's end: it is suspected.
+Each period one member is pinged, all in a random order before any is pinged again (SWIM, section 4.3).
+Without an ack within what the link usually takes, some other members are requested to ping it (SWIM, section
+3.1), and a stream is tried beside, as a link may lose datagrams only. Without an ack by the end of the
+period the probe has failed; `failure_detection` decides what follows.
 """
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from dataclasses import dataclass
 
 from dunlinloft.fleet import interface as api
+from dunlinloft.fleet.membership.dissemination import Dissemination
 from dunlinloft.fleet.membership.member import Member
+from dunlinloft.fleet.membership.timers import TimerKind
 from dunlinloft.fleet.messages import ALIVE, Ack, Nack, Ping, PingRequest
 
-if TYPE_CHECKING:
-    from dunlinloft.fleet.membership.core import Membership
-
-PROBE_PERIOD_MS = 250.0
-INDIRECT_PROBERS = 3  # others that are asked to ask
-MAX_INDIRECT_PROBES = 256  # for others, at a time; beyond that the oldest are forgotten
-THIRD_PING_DELAY_MS = 60.0  # a second direct ping goes with those through others, a third so much later
-DIRECT, AGAIN, ENDS, ERRAND, FORGET = "direct", "again", "ends", "errand", "forget"
+PROBE_PERIOD_MS = 250.0  # SWIM's protocol period T'
+INDIRECT_PROBERS = 3  # members that are requested to ping; SWIM's k
+# A second direct ping goes with the ping requests, a third this much later: two more pings cost less than a
+# false suspicion on a link that loses datagrams (docs/membership.md).
+THIRD_PING_DELAY_MS = 60.0
+MAX_INDIRECT_PROBES = 256  # on behalf of others at a time; beyond that the oldest are dropped
+MAX_HEALTH_PENALTY = 2  # of the local health score, for one probe with missing nacks
+# A stream on a good link takes two round trips, and a lost segment of it 200 ms more.
+STREAM_PROBE_TIMEOUTS = 4.0  # times the link's ack time-out
 
 
+@dataclass(slots=True)
 class Probe:
-    """One member that is being asked."""
+    """A member that this process is probing.
+
+    Attributes
+    ----------
+    is_final: whether the member is declared dead if it fails.
+    acked: it has succeeded.
+    direct_only: no other member has been requested to ping yet, so an ack measures the round trip.
+    indirect_requests: how many members were requested to ping.
+    nacks: how many of these could not reach it either.
+    """
+
+    target: str
+    sent_ms: float
+    is_final: bool
+    acked: bool = False
+    direct_only: bool = True
+    indirect_requests: int = 0
+    nacks: int = 0
 
-    __slots__ = ("acked", "direct_only", "indirect_requests", "is_final", "nacks", "sent_ms", "target")
 
-    def __init__(self, name: str, now: float, is_final: bool) -> None:
-        self.target, self.sent_ms, self.is_final = (
-            name,
-            now,
-            is_final,
-        )  # whether it is the last before its burial
-        self.acked, self.direct_only = False, True  # nobody else has been asked yet
-        self.indirect_requests = self.nacks = 0
+@dataclass(frozen=True, slots=True)
+class IndirectProbe:
+    """A ping on behalf of another member: its address, its number of the probe, and whom it probes."""
+
+    requester: str
+    requester_number: int
+    target: str
 
 
 class Prober:
-    """The probes that are out, and those for others."""
+    """The probes of this process that are pending, and those on behalf of others.
+
+    Owned by `FailureDetection`, which calls it for each ping, ack and timer of a probe. Own probes have
+    positive numbers, those on behalf of others negative ones.
+    """
 
-    def __init__(self, core: Membership) -> None:
+    def __init__(self, core: Dissemination) -> None:
         self._core = core
-        self._probe_order: list[str] = []
+        self._probe_order: list[str] = []  # of the current round, the next at the end
         self._pending: dict[int, Probe] = {}
-        self._indirect: dict[int, tuple[str, int, str]] = {}  # who asked, its number, whom
+        self._indirect: dict[int, IndirectProbe] = {}
         self._last_number = 0
         self.failed_probes = 0
 
     def next_target(self) -> str | None:
-        """The next member in this round's order."""
+        """The next member in this round's order, None if there is none."""
         core = self._core
         while self._probe_order:
             name = self._probe_order.pop()
@@ -61,19 +85,20 @@
         return self._probe_order.pop() if self._probe_order else None
 
     def probe(self, name: str, now: float, is_final: bool = False) -> int:
-        """Ask a member; the probe's number."""
+        """Ping a member; the probe's number."""
         core = self._core
         member = core.view.members[name]
         self._last_number += 1
         number = self._last_number
         self._pending[number] = Probe(name, now, is_final)
-        core.send_datagram(member.address, Ping(core.header(), number, name, core.piggyback_for(member)))
-        wait = min(member.ack_timeout_ms() * core.health.multiplier(), PROBE_PERIOD_MS)
-        core.set_timer(wait, DIRECT, number)
+        records = core.piggyback_for(member)
+        core.send_datagram(member.address, Ping(core.header(), number, name, records))
+        timeout_ms = min(member.ack_timeout_ms() * core.health.multiplier(), PROBE_PERIOD_MS)
+        core.set_timer(timeout_ms, TimerKind.DIRECT_TIMEOUT, probe_number=number)
         return number
 
     def _pending_probe(self, number: int) -> tuple[Probe, Member] | None:
-        """A probe that is still out, and whom it asks; one that is over is forgotten."""
+        """A probe that still waits for an ack, and its target; one that is over is dropped."""
         probe = self._pending.get(number)
         member = self._core.view.get(probe.target) if probe is not None else None
         if probe is None or member is None or probe.acked:
@@ -81,27 +106,28 @@
             return None
         return probe, member
 
-    def handle_direct_timeout(self, number: int, in_time: bool, now: float) -> None:
-        """No direct answer in time: ask others, and try a stream."""
-        waiting, core = self._pending_probe(number), self._core
-        if waiting is None:
+    def handle_direct_timeout(self, number: int, now: float) -> None:
+        """No ack to the direct ping in time: request others to ping, and try a stream."""
+        core = self._core
+        pending = self._pending_probe(number)
+        if pending is None:
             return
-        probe, member = waiting
+        probe, member = pending
         probe.direct_only = False
         core.actions.append(api.ProbeOverStream(member.address, number))
         self._resend_ping(number, probe, member)
-        core.set_timer(THIRD_PING_DELAY_MS, AGAIN, number)
-        for name in core.view.alive.sample(INDIRECT_PROBERS, probe.target):
+        core.set_timer(THIRD_PING_DELAY_MS, TimerKind.RESEND_PING, probe_number=number)
+        for name in core.view.alive.sample(INDIRECT_PROBERS, exclude=probe.target):
             probe.indirect_requests += 1
-            ask = PingRequest(core.header(), number, probe.target, member.address, core.piggyback_for(member))
-            core.send_datagram(core.view.members[name].address, ask)
-        # A stream on a good link needs two round trips, and a lost piece of it 200 ms more.
-        passed = now - probe.sent_ms
-        wait = max(PROBE_PERIOD_MS * core.health.multiplier() - passed, 4.0 * member.ack_timeout_ms())
-        core.set_timer(wait, ENDS, number)
+            records = core.piggyback_for(member)
+            request = PingRequest(core.header(), number, probe.target, member.address, records)
+            core.send_datagram(core.view.members[name].address, request)
+        period_left_ms = PROBE_PERIOD_MS * core.health.multiplier() - (now - probe.sent_ms)
+        timeout_ms = max(period_left_ms, STREAM_PROBE_TIMEOUTS * member.ack_timeout_ms())
+        core.set_timer(timeout_ms, TimerKind.PROBE_TIMEOUT, probe_number=number)
 
     def handle_resend_timer(self, number: int) -> None:
-        """Ping once more: on a link that loses some, one more try costs less than a false suspicion."""
+        """Send the third direct ping, unless an ack has come."""
         probe = self._pending.get(number)
         member = self._core.view.get(probe.target) if probe is not None else None
         if probe is not None and member is not None and not probe.acked:
@@ -112,74 +138,78 @@
         records = [member.to_record(include_metadata=False)] if member.status != ALIVE else []
         core.send_datagram(member.address, Ping(core.header(), number, probe.target, records))
 
-    def handle_probe_timeout(self, number: int, in_time: bool, now: float) -> None:
-        """The probe's time is over."""
-        waiting, core = self._pending_probe(number), self._core
-        if waiting is None:
-            return
-        probe, _ = waiting
-        if not in_time:  # the answer may wait in this process's own queue: look again before judging
-            core.set_timer(PROBE_PERIOD_MS, ENDS, number)
-            return
+    def handle_probe_timeout(self, number: int, in_time: bool, now: float) -> Probe | None:
+        """The time of a probe is over; the probe if it has failed by the target's fault, as far as known."""
+        core = self._core
+        pending = self._pending_probe(number)
+        if pending is None:
+            return None
+        probe, _ = pending
+        if not in_time:  # the ack may wait in this process's own socket: look again before judging
+            core.set_timer(PROBE_PERIOD_MS, TimerKind.PROBE_TIMEOUT, probe_number=number)
+            return None
         del self._pending[number]
-        # Those asked say that they could not reach it either; who is silent is beyond our own reach.
-        missed = probe.indirect_requests - probe.nacks
-        if missed > 0:
-            core.health.degrade(min(missed, 2))
+        # Those that were requested send a nack if they can't reach it either; one that sends neither ack nor
+        # nack is beyond our own reach, which may be our own fault (Lifeguard, section IV.A).
+        missing_nacks = probe.indirect_requests - probe.nacks
+        if missing_nacks > 0:
+            core.health.degrade(min(missing_nacks, MAX_HEALTH_PENALTY))
         else:
             core.health.degrade()
         if not core.health.is_reliable(now):
-            return
+            return None
         self.failed_probes += 1
-        core.probe_failed(probe.target, probe.is_final, now)
-
-    def handle_ack(self, number: int, name: str, life: int, now: float, source: str) -> None:
-        """Somebody has answered, itself or through another."""
-        probe, core = self._pending.get(number), self._core
-        errand = self._indirect.pop(number, None) if number < 0 else None
-        if errand is not None and errand[2] == name:
-            core.send_datagram(errand[0], Ack(core.header(), errand[1], name, life, []))
-            return
+        return probe
+
+    def handle_ack(self, number: int, name: str, incarnation: int, now: float, source: str) -> Member | None:
+        """An ack has come; the member whose probe succeeds by it, None if no probe of this process does."""
+        core = self._core
+        probe = self._pending.get(number)
+        indirect = self._indirect.pop(number, None) if number < 0 else None
+        if indirect is not None and indirect.target == name:
+            ack = Ack(core.header(), indirect.requester_number, name, incarnation, [])
+            core.send_datagram(indirect.requester, ack)
+            return None
         if probe is None or probe.target != name or probe.acked:
-            return
+            return None
         member = core.view.get(name)
-        if member is None or member.incarnation != life:
-            return
+        if member is None or member.incarnation != incarnation:
+            return None
         probe.acked = True
         if probe.direct_only and source == member.address:
             member.observe_rtt(now - probe.sent_ms)
             del self._pending[number]
         core.health.probe_succeeded()
-        core.probe_acked(member, now)
+        return member
 
     def handle_nack(self, number: int) -> None:
-        """One that was asked could not reach it, but reached us."""
+        """A member that was requested to ping could not reach the target, but it has reached us."""
         probe = self._pending.get(number)
         if probe is not None:
             probe.nacks += 1
 
-    def handle_ping_request(self, ask: PingRequest, source: str) -> None:
-        """Ping for another."""
+    def handle_ping_request(self, request: PingRequest, source: str) -> None:
+        """Ping on behalf of another member."""
         core = self._core
         self._last_number += 1
         number = -self._last_number
         if len(self._indirect) >= MAX_INDIRECT_PROBES:
             del self._indirect[next(iter(self._indirect))]
-        self._indirect[number] = source, ask.number, ask.target
-        member = core.view.get(ask.target)
+        self._indirect[number] = IndirectProbe(source, request.number, request.target)
+        member = core.view.get(request.target)
         records = core.piggyback_for(member) if member is not None else []
-        core.send_datagram(ask.address, Ping(core.header(), number, ask.target, records))
-        wait = member.ack_timeout_ms() if member is not None else PROBE_PERIOD_MS / 2.0
-        core.set_timer(wait, ERRAND, number)
+        core.send_datagram(request.address, Ping(core.header(), number, request.target, records))
+        timeout_ms = member.ack_timeout_ms() if member is not None else PROBE_PERIOD_MS / 2.0
+        core.set_timer(timeout_ms, TimerKind.INDIRECT_TIMEOUT, probe_number=number)
 
     def handle_indirect_timeout(self, number: int) -> None:
-        """No answer for another: say so, which says that we are there."""
-        errand = self._indirect.get(number)
-        if errand is not None:  # an answer that comes later is still passed on
+        """No ack to a ping on behalf of another: send it a nack, which shows that we are alive ourselves."""
+        indirect = self._indirect.get(number)
+        if indirect is not None:  # it stays: an ack that comes later is still forwarded
             core = self._core
-            core.send_datagram(errand[0], Nack(core.header(), errand[1], []))
-            core.set_timer(PROBE_PERIOD_MS, FORGET, number)
+            core.send_datagram(indirect.requester, Nack(core.header(), indirect.requester_number, []))
+            core.set_timer(PROBE_PERIOD_MS, TimerKind.INDIRECT_EXPIRY, probe_number=number)
 
     def drop_indirect(self, number: int) -> None:
-        """An answer to this errand is of no use any more."""
+        """Drop a ping on behalf of another whose ack would be of no use any more."""
         self._indirect.pop(number, None)
--- a/lab/capacity/membership.py
+++ b/lab/capacity/membership.py
@@ -12,7 +12,7 @@
 from dunlinloft.balancer.logic import Balancer
 from dunlinloft.fleet import interface as fleet_api
 from dunlinloft.fleet.membership.core import Membership
-from dunlinloft.fleet.membership.gossip import DisseminationQueue
+from dunlinloft.fleet.membership.dissemination_queue import DisseminationQueue
 from dunlinloft.fleet.messages import Header, Ping, State
 from dunlinloft.fleet.wire import Wire
 from lab.capacity import sizes
--- a/lab/virtual/plain.py
+++ b/lab/virtual/plain.py
@@ -9,6 +9,7 @@
 
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.membership.member import Member
+from dunlinloft.fleet.membership.timers import TimerKind
 from dunlinloft.fleet.messages import DEAD, Message, Ping, Record
 
 EVERY_MS = 1_000.0
@@ -21,7 +22,7 @@
     def _start(self) -> None:
         self._missed: dict[str, int] = defaultdict(int)
         self._rejoin()
-        self.set_timer(EVERY_MS * self.rng.random(), "period")
+        self.set_timer(EVERY_MS * self.rng.random(), TimerKind.PROBE_PERIOD)
 
     def _probe_next(self, now: float) -> None:
         for name in self.view.alive.names():
@@ -35,7 +36,7 @@
                 self.send_datagram(member.address, Ping(self.header(), 1, name, []))
         for name in self.view.dead.names():  # it has no other way to find out that one is back
             self.send_datagram(self.view.members[name].address, Ping(self.header(), 1, name, []))
-        self.set_timer(EVERY_MS, "period")
+        self.set_timer(EVERY_MS, TimerKind.PROBE_PERIOD)
 
     def _handle_message(self, message: Message, source: str, now: float) -> None:
         name = message.header.name
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -4,6 +4,7 @@
 
 import random
 from collections.abc import Callable, Iterator
+from dataclasses import replace
 from itertools import permutations
 from typing import Any
 
@@ -14,10 +15,10 @@
 
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet import wire
-from dunlinloft.fleet.membership import core as core_module
+from dunlinloft.fleet.membership import local_member
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.membership.member import Member
-from dunlinloft.fleet.membership.suspicion import suspicion_timeout_ms
+from dunlinloft.fleet.membership.suspicion_timeout import suspicion_timeout_ms
 from dunlinloft.fleet.membership.view import MAX_DEAD_RECORDS, View
 from dunlinloft.fleet.messages import (
     ALIVE,
@@ -357,8 +358,7 @@
 
 class NoHealth(Membership):
     def _handle_timer(self, token: int, now: float) -> None:
-        what, subject, _ = self._timers[token]
-        self._timers[token] = what, subject, now  # as if it were never late
+        self._timers[token] = replace(self._timers[token], due_ms=now)  # as if it were never late
         super()._handle_timer(token, now)
 
 
@@ -372,7 +372,7 @@
 
 @pytest.fixture
 def planted(monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[[str, Any], None]]:
-    yield lambda name, value: monkeypatch.setattr(core_module, name, value)
+    yield lambda name, value: monkeypatch.setattr(local_member, name, value)
 
 
 def test_without_refutation_the_living_are_buried() -> None:
