--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -247,7 +247,7 @@
     for number, data in enumerate(_kept(group), 1):
         try:
             written = form.write(form.read(data))
-        except (msgspec.DecodeError, wire.Refused) as problem:
+        except (msgspec.DecodeError, wire.MessageRejected) as problem:
             changed.append((number, data, str(problem)))
         else:
             if written != data:
