--- a/dunlinloft/dataplane/__main__.py
+++ b/dunlinloft/dataplane/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m dunlinloft.dataplane`: the settings are in the file that DUNLINLOFT_CONFIG names."""
+"""Entry point of `python -m dunlinloft.dataplane`; DUNLINLOFT_CONFIG names the settings file."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def load(settings: Settings) -> Program:
-    """The program; what it needs is imported here."""
+    """Build the program. Its modules are imported here, once the settings are known to be usable."""
     from dunlinloft.transport.aiohttp_import import import_aiohttp
 
     import_aiohttp()
@@ -21,7 +21,7 @@
 
 
 if __name__ == "__main__":
-    gc.disable()  # nothing that imports make is garbage; `run_program` enables it
+    gc.disable()  # imports create no garbage; `run_program` enables the collector again
     from dunlinloft.transport.program import run_program
 
     run_program(load)
--- a/dunlinloft/dataplane/attempts.py
+++ b/dunlinloft/dataplane/attempts.py
@@ -1,246 +1,268 @@
-"""The attempts of one request: which server, whether another may follow, and what is known of having run."""
+"""The attempts of one request: which server each goes to, and whether another may follow."""
 
 from __future__ import annotations
 
 import asyncio
 import math
-import random
 from dataclasses import dataclass
 
 import aiohttp
 from multidict import CIMultiDict
 
-from dunlinloft.dataplane.advice import Advice, Advised, Wait
-from dunlinloft.dataplane.budget import RetryBudget, gate_allows
 from dunlinloft.dataplane.causes import Cause
-from dunlinloft.dataplane.client_request import DEADLINE_HEADER, ClientRequest
-from dunlinloft.dataplane.lateness import priority_of
-from dunlinloft.dataplane.metrics import Metrics
-from dunlinloft.dataplane.servers import Server, ServicePool
-from dunlinloft.dataplane.upstream import (
-    ATTEMPT_HEADER,
-    Attempt,
-    Upstream,
-    cancelled_verdict,
-    passed_headers,
+from dunlinloft.dataplane.client_request import ClientRequest
+from dunlinloft.dataplane.client_wait import effective_priority
+from dunlinloft.dataplane.http_headers import (
+    API_KEY_HEADER,
+    ATTEMPT_ID_HEADER,
+    DEADLINE_HEADER,
+    LAST_EVENT_ID_HEADER,
+    PRIORITY_HEADER,
+    TARGET_INSTANCE_HEADER,
+    TENANT_ID_HEADER,
+    end_to_end_headers,
 )
-from dunlinloft.dataplane.verdict import Failure, Verdict
+from dunlinloft.dataplane.metrics import AttemptKind, PlacementSource
+from dunlinloft.dataplane.placement_client import NoPlacement, PlacedRequest, RetryPlacementLater
+from dunlinloft.dataplane.retry_budget import retry_gate_opens
+from dunlinloft.dataplane.server_pool import Server
+from dunlinloft.dataplane.service_context import ServiceContext
+from dunlinloft.dataplane.upstream import AttemptTrace
+from dunlinloft.dataplane.verdict import AttemptFailure, Verdict, verdict_of_broken_attempt
 from dunlinloft.transport.clock import now_ms
 
-CONNECTS_MOST = 4  # servers that can't be reached, before a request is given up
-RETRY_WAIT_MS = 10.0  # T1, doubling with each attempt, with jitter; deadlines leave no half second
-PATIENT_SHARE = 0.5  # of its time left that a late request waits for a free place
-RESUME_HEADER = "Last-Event-Id"
-_OWN_HEADERS = (
-    "Api-Key",
-    "X-Tenant-Id",
-    "X-Target-Instance",
+MAX_UNREACHABLE_SERVERS = 4  # after so many failed connections a request is abandoned
+# Backoff before the first retry, doubled with each attempt and jittered; T1 of the source, which names half a
+# second: deadlines here leave no room for that (`docs/system.md`, "Where the design clashes").
+RETRY_BACKOFF_MS = 10.0
+# Share of its remaining time that a request past its latency target waits for a free slot.
+SLOT_WAIT_REMAINING_SHARE = 0.5
+
+# Set or removed by the node whatever the client sent.
+_REPLACED_HEADERS = (
+    API_KEY_HEADER,
+    TENANT_ID_HEADER,
+    TARGET_INSTANCE_HEADER,
     DEADLINE_HEADER,
     "Content-Length",
     "Expect",
-    "Priority",
+    PRIORITY_HEADER,
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Serving:
-    """What serves the requests of one service at this node."""
-
-    service: str
-    pool: ServicePool
-    advice: Advice
-    upstream: Upstream
-    budget: RetryBudget
-    nodes: int  # that share the budget
-    rng: random.Random
-    metrics: Metrics
-
-
-@dataclass(frozen=True, slots=True)
-class Opened:
-    """An attempt whose answer has begun."""
+class OpenResponse:
+    """A response whose head was received; `AttemptSequence.close` releases it."""
 
     server: Server
     response: aiohttp.ClientResponse
 
 
-class Attempts:
-    """Sends a request, and again where the gate and the rules allow."""
+class AttemptSequence:
+    """Sends one request and retries it where the rules allow; owned by its `Exchange`."""
 
-    def __init__(self, client_request: ClientRequest, serving: Serving) -> None:
+    def __init__(self, client_request: ClientRequest, context: ServiceContext) -> None:
         self._request = client_request
-        self._serving = serving
-        self._id = client_request.http.headers.get(ATTEMPT_HEADER, "")
-        self._needs = client_request.needs()
-        self._tried: list[str] = []
-        self._arrivals = 0  # at servers, so far
-        self._unreached = 0
-        self._advised: dict[str, Advised] = {}  # by server that the request is out at
-        self._base = self._base_headers()
-        self.may_have_run = False
-        serving.budget.first(now_ms())
-
-    def _base_headers(self) -> CIMultiDict[str]:
-        headers = passed_headers(CIMultiDict(self._request.http.headers))
-        for name in _OWN_HEADERS:
+        self._context = context
+        self._id = client_request.http.headers.get(ATTEMPT_ID_HEADER, "")
+        self._requirements = client_request.requirements()
+        self._tried: list[str] = []  # ids of the servers that it was sent to
+        self._delivered = 0  # attempts that got a connection
+        self._unreachable = 0  # servers that could not be connected to
+        self._placements: dict[str, PlacedRequest] = {}  # by id of a server where it is in flight
+        self._base_headers = self._forwarded_headers()
+        self.may_have_executed = False
+        context.budget.on_request(now_ms())
+
+    def _forwarded_headers(self) -> CIMultiDict[str]:
+        """The client's headers that go to every server."""
+        headers = end_to_end_headers(CIMultiDict(self._request.http.headers))
+        for name in _REPLACED_HEADERS:
             headers.popall(name, None)
         if self._request.tenant is not None:
-            headers["X-Tenant-Id"] = self._request.tenant.name
+            headers[TENANT_ID_HEADER] = self._request.tenant.name
         return headers
 
-    async def open(self, resume_after: str | None = None) -> Opened | Failure:
-        """Send until a server's answer begins; the failure where that is over."""
+    async def open(self, last_event_id: str | None = None) -> OpenResponse | AttemptFailure:
+        """Send until a response may be relayed, or no further attempt is allowed.
+
+        Parameters
+        ----------
+        last_event_id
+            Resume a stream after this event.
+        """
         while True:
-            if now_ms() >= self._request.ends_ms:
-                return Failure(Verdict.NOT_EXECUTED, Cause.NO_TIME, "no time left")
-            server = await self._choose()
+            if now_ms() >= self._request.deadline_ms:
+                return AttemptFailure(Verdict.NOT_EXECUTED, Cause.NO_TIME, "no time left")
+            server = await self._choose_server()
             if server is None:
-                return Failure(Verdict.NOT_EXECUTED, Cause.NO_SERVER, "no server has a place")
-            result = await self._send(server, resume_after)
-            if not isinstance(result, Failure):
-                return Opened(server, result)
-            if not await self.may_go_on(result):
+                return AttemptFailure(Verdict.NOT_EXECUTED, Cause.NO_SERVER, "no server has a place")
+            result = await self._send(server, last_event_id)
+            if not isinstance(result, AttemptFailure):
+                return OpenResponse(server, result)
+            if not await self.may_retry(result):
                 return result
 
-    async def may_go_on(self, failure: Failure) -> bool:
-        """Whether the request may be sent to another server after a failure; waits as long as it has to."""
+    async def may_retry(self, failure: AttemptFailure) -> bool:
+        """Decide whether another attempt may follow a failure, and wait for its backoff.
+
+        An unreachable server costs no attempt. Otherwise there must be an attempt left, the request must be
+        idempotent or not executed, the delay controller must grant the retry, the budget must have room, and
+        the backoff must end before the deadline.
+        """
         if failure.cause is Cause.UNREACHED:
-            self._unreached += 1
-            return self._unreached < CONNECTS_MOST
-        if self._arrivals >= self._request.active_route.route.max_attempts:
+            self._unreachable += 1
+            return self._unreachable < MAX_UNREACHABLE_SERVERS
+        if self._delivered >= self._request.active_route.route.max_attempts:
             return False
         if failure.verdict is not Verdict.NOT_EXECUTED and not self._request.idempotent:
             return False
-        serving = self._serving
-        if not gate_allows(serving.pool.controller, serving.rng.random(), now_ms()):
+        context = self._context
+        if not retry_gate_opens(context.pool.controller, context.rng.random(), now_ms()):
             return False
-        if not serving.budget.may_send(serving.nodes, now_ms()):
+        if not context.budget.acquire_retry(context.node_count, now_ms()):
             return False
-        wait_ms = RETRY_WAIT_MS * 2.0 ** (self._arrivals - 1) * (0.5 + serving.rng.random())
-        if now_ms() + wait_ms >= self._request.ends_ms:
+        backoff_ms = RETRY_BACKOFF_MS * 2.0 ** (self._delivered - 1) * (0.5 + context.rng.random())
+        if now_ms() + backoff_ms >= self._request.deadline_ms:
             return False
-        await asyncio.sleep(wait_ms / 1_000.0)
+        await asyncio.sleep(backoff_ms / 1_000.0)
         return True
 
-    def answered(self) -> None:
-        """The first of its answer came: a delay sample, and the owner is told."""
+    def on_response_started(self) -> None:
+        """The response's first bytes can be relayed: take a delay sample, and tell the service's owner."""
         now = now_ms()
-        for advised in self._advised.values():
-            advised.began()
-        self._serving.pool.controller.answered(
-            now - self._request.arrived_ms, self._request.aim_ms, now, True
+        for placement in self._placements.values():
+            placement.on_response_started()
+        self._context.pool.controller.answered(
+            now - self._request.arrived_ms, self._request.latency_target_ms, now, True
         )
 
-    def end(self, opened: Opened) -> None:
-        """An attempt is no longer out."""
-        self._end(opened.server)
+    def close(self, opened: OpenResponse) -> None:
+        """Release an attempt that is no longer in flight, and its connection."""
+        self._finish(opened.server)
         opened.response.close()
 
-    def _end(self, server: Server) -> None:
-        server.ended(self._id)
-        advised = self._advised.pop(server.record.id, None)
-        if advised is not None:
-            advised.ended(server.failures > 0)
+    def _finish(self, server: Server) -> None:
+        server.on_finished(self._id)
+        placement = self._placements.pop(server.record.id, None)
+        if placement is not None:
+            placement.finish(server.consecutive_failures > 0)
 
-    # Which server.
+    # Choice of a server.
 
-    async def _choose(self) -> Server | None:
-        """The server that the service's owner names, or else one by this node's own rotation."""
-        pool, limit, now = self._serving.pool, self._serving.upstream.per_server, now_ms()
-        advised = await self._ask(pool.avoided(self._request.aim_ms, limit, self._tried, now))
-        if advised is not None:
-            server = pool.servers.get(advised.server_id)
+    async def _choose_server(self) -> Server | None:
+        """The server that the service's owner names, or else this node's own choice."""
+        context = self._context
+        excluded = context.pool.excluded_ids(
+            self._request.latency_target_ms, context.upstream.max_in_flight, self._tried, now_ms()
+        )
+        placement = await self._request_placement(excluded)
+        if isinstance(placement, PlacedRequest):
+            server = context.pool.servers.get(placement.server_id)
             if server is not None and not server.record.draining:
-                self._advised[server.record.id] = advised
-                self._serving.metrics.placements["advised"] += 1
+                self._placements[server.record.id] = placement
+                context.metrics.placements[PlacementSource.OWNER] += 1
                 return server
-            advised.ended(False)
-        return self._own_choice()
+            placement.finish(False)
+        return self._choose_locally()
 
-    def _own_choice(self) -> Server | None:
-        """The server by this node's own rotation; the owner, which counts on, is told."""
-        serving, needs = self._serving, self._needs
-        server = serving.pool.pick(needs, serving.upstream.per_server, self._tried, now_ms())
+    def _choose_locally(self) -> Server | None:
+        """This node's own choice; reported to the owner, which counts all that is in flight."""
+        context = self._context
+        requirements = self._requirements
+        server = context.pool.select(requirements, context.upstream.max_in_flight, self._tried, now_ms())
         if server is None:
             return None
-        serving.metrics.placements["own"] += 1
-        told = serving.advice.chose(serving.service, needs, server.record.id)
-        if told is not None:
-            self._advised[server.record.id] = told
+        context.metrics.placements[PlacementSource.NODE] += 1
+        placement = context.placement.report_choice(context.service, requirements, server.record.id)
+        if placement is not None:
+            self._placements[server.record.id] = placement
         return server
 
-    async def _ask(self, avoided: set[str]) -> Advised | None:
-        """Ask the owner; a request that is late anyway waits for a free place, half of its time at most."""
-        needs, serving = self._needs, self._serving
-        began_ms = now_ms()
-        patient = self._request.client_waited_ms(began_ms) >= self._request.aim_ms
-        until_ms = began_ms + PATIENT_SHARE * (self._request.ends_ms - began_ms)
+    async def _request_placement(self, excluded: set[str]) -> PlacedRequest | NoPlacement:
+        """Ask the service's owner.
+
+        A request past its latency target waits for a free slot, for a share of its remaining time at most;
+        after that it accepts a full server.
+        """
+        context = self._context
+        started_ms = now_ms()
+        may_wait = self._request.waited_ms(started_ms) >= self._request.latency_target_ms
+        wait_until_ms = started_ms + SLOT_WAIT_REMAINING_SHARE * (self._request.deadline_ms - started_ms)
         while True:
-            advice = await serving.advice.ask(serving.service, needs, avoided, patient, now_ms())
-            if not isinstance(advice, Wait):
-                return advice
-            await asyncio.sleep(advice.wait_ms * (0.5 + serving.rng.random()) / 1_000.0)
-            patient = now_ms() < until_ms
+            placement = await context.placement.request(
+                context.service, self._requirements, excluded, may_wait, now_ms()
+            )
+            if not isinstance(placement, RetryPlacementLater):
+                return placement
+            await asyncio.sleep(placement.wait_ms * (0.5 + context.rng.random()) / 1_000.0)
+            may_wait = now_ms() < wait_until_ms
 
     # One attempt.
 
-    def _headers(self, server: Server, resume_after: str | None) -> CIMultiDict[str]:
+    def _headers(self, server: Server, last_event_id: str | None) -> CIMultiDict[str]:
         now = now_ms()
-        headers = self._base.copy()
-        headers[DEADLINE_HEADER] = str(max(1, math.floor(self._request.ends_ms - now)))
-        headers["X-Target-Instance"] = server.record.id
-        waited_ms = self._request.client_waited_ms(now)
-        headers["Priority"] = str(priority_of(self._request.priority, waited_ms, self._request.aim_ms))
-        if resume_after is not None:
-            headers[RESUME_HEADER] = resume_after
+        headers = self._base_headers.copy()
+        headers[DEADLINE_HEADER] = str(max(1, math.floor(self._request.deadline_ms - now)))
+        headers[TARGET_INSTANCE_HEADER] = server.record.id
+        waited_ms = self._request.waited_ms(now)
+        priority = effective_priority(self._request.priority, waited_ms, self._request.latency_target_ms)
+        headers[PRIORITY_HEADER] = str(priority)
+        if last_event_id is not None:
+            headers[LAST_EVENT_ID_HEADER] = last_event_id
         return headers
 
-    async def _send(self, server: Server, resume_after: str | None) -> aiohttp.ClientResponse | Failure:
-        """One attempt, up to the head of its answer."""
-        attempt = Attempt()
-        self._serving.metrics.attempts["further" if self._tried else "first"] += 1
+    async def _send(
+        self, server: Server, last_event_id: str | None
+    ) -> aiohttp.ClientResponse | AttemptFailure:
+        """Make one attempt, up to the head of its response."""
+        trace = AttemptTrace()
+        kind = AttemptKind.RETRY if self._tried else AttemptKind.FIRST
+        self._context.metrics.attempts[kind] += 1
         self._tried.append(server.record.id)
-        server.sent(self._id, now_ms())
+        server.on_sent(self._id, now_ms())
         try:
-            result = await self._bounded(server, resume_after, attempt)
+            result = await self._send_within_deadline(server, last_event_id, trace)
         except asyncio.CancelledError:
-            self._end(server)
+            self._finish(server)
             raise
-        self._arrivals += attempt.connected
-        if not isinstance(result, Failure):
-            self.may_have_run = True
-            server.heard(self._id, now_ms())
+        self._delivered += trace.connected
+        if not isinstance(result, AttemptFailure):
+            self.may_have_executed = True
+            server.on_response(self._id, now_ms())
             return result
         if result.verdict is not Verdict.NOT_EXECUTED:
-            self.may_have_run = True
-        self._judge(server, result, attempt)
-        self._end(server)
-        if attempt.connected:
+            self.may_have_executed = True
+        self._eject(server, result, trace)
+        self._finish(server)
+        if trace.connected:
             return result
-        return Failure(Verdict.NOT_EXECUTED, Cause.UNREACHED, "the server could not be reached")
+        return AttemptFailure(Verdict.NOT_EXECUTED, Cause.UNREACHED, "the server could not be reached")
 
-    async def _bounded(
-        self, server: Server, resume_after: str | None, attempt: Attempt
-    ) -> aiohttp.ClientResponse | Failure:
-        """Send within the time left; a time-out counts as a delay sample of its length."""
-        left_ms = self._request.ends_ms - now_ms()
+    async def _send_within_deadline(
+        self, server: Server, last_event_id: str | None, trace: AttemptTrace
+    ) -> aiohttp.ClientResponse | AttemptFailure:
+        """Send within the remaining time; a timeout counts as a delay sample of its length."""
+        remaining_ms = self._request.deadline_ms - now_ms()
         try:
-            async with asyncio.timeout(left_ms / 1_000.0):
-                return await self._serving.upstream.send(
+            async with asyncio.timeout(remaining_ms / 1_000.0):
+                return await self._context.upstream.send(
                     server.record.address,
                     self._request.method,
                     self._request.target,
-                    self._headers(server, resume_after),
+                    self._headers(server, last_event_id),
                     self._request.body,
-                    attempt,
+                    trace,
                 )
         except TimeoutError:
-            self._serving.pool.controller.answered(left_ms, self._request.aim_ms, now_ms(), False)
-            return cancelled_verdict(attempt)
+            self._context.pool.controller.answered(
+                remaining_ms, self._request.latency_target_ms, now_ms(), False
+            )
+            return AttemptFailure(verdict_of_broken_attempt(trace.connected), Cause.LATE, "no answer in time")
 
-    def _judge(self, server: Server, failure: Failure, attempt: Attempt) -> None:
-        """Keep away from a server that failed; a full one for a moment only."""
-        if failure.verdict is Verdict.NOT_EXECUTED and attempt.connected:
-            server.refused(now_ms())
+    def _eject(self, server: Server, failure: AttemptFailure, trace: AttemptTrace) -> None:
+        """Avoid a server that failed; one that only declined, for a moment."""
+        if failure.verdict is Verdict.NOT_EXECUTED and trace.connected:
+            server.on_declined(now_ms())
         else:
-            server.failed(now_ms())
+            server.on_failure(now_ms())
--- a/dunlinloft/dataplane/client_request.py
+++ b/dunlinloft/dataplane/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request as it was read, and what its headers tell of what it needs."""
+"""A client's request after it was read and matched, and what its headers state of its needs."""
 
 from __future__ import annotations
 
@@ -7,69 +7,75 @@
 from aiohttp.web_request import BaseRequest
 
 from dunlinloft.configuration import Tenant
+from dunlinloft.dataplane.http_headers import PROMPT_SEGMENTS_HEADER, TOKEN_USAGE_HEADER
 from dunlinloft.dataplane.routing import ActiveRoute
-from dunlinloft.dataplane.servers import ServerNeeds
+from dunlinloft.dataplane.server_pool import PromptSegment, ServerRequirements
 
+# Values of a route's `type`.
 STREAMING = "streaming"
-DEADLINE_HEADER = "X-Deadline-Ms"
+SAFE = "safe"
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request that was read whole and may be served. Times are of the steady clock."""
+    """A request that was read completely and admitted. Times are milliseconds of the monotonic clock."""
 
     http: BaseRequest
     method: str
-    target: str  # path and query as they came
+    target: str  # path and query as received
     body: bytes
     active_route: ActiveRoute
     tenant: Tenant | None
     arrived_ms: float
-    ends_ms: float
-    waited_ms: float  # by the client, before this try
+    deadline_ms: float
+    waited_before_ms: float  # how long the client had waited before this attempt
 
     @property
-    def aim_ms(self) -> float:
-        """The time within which its answer earns its whole worth."""
+    def latency_target_ms(self) -> float:
+        """The latency within which a response has its full value."""
         return self.active_route.route.target_latency_ms
 
     @property
     def streaming(self) -> bool:
-        """Whether its answer is a series of events."""
+        """Whether the response is a stream of events."""
         return self.active_route.route.type == STREAMING
 
     @property
     def idempotent(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether it may be executed more than once."""
         route = self.active_route.route
-        return route.type == "safe" or (self.streaming and route.resumable)
+        return route.type == SAFE or (self.streaming and route.resumable)
 
     @property
     def priority(self) -> int:
-        """Its rank, 0 being highest; a tenant's goes before the route's."""
+        """Its priority, 0 being most urgent; the tenant's takes precedence over the route's."""
         if self.tenant is not None and self.tenant.priority is not None:
             return self.tenant.priority
         return self.active_route.route.priority
 
-    def client_waited_ms(self, now_ms: float) -> float:
-        """How long the client has waited, over all its tries."""
-        return self.waited_ms + now_ms - self.arrived_ms
+    def waited_ms(self, now_ms: float) -> float:
+        """How long the client has waited, over all its attempts."""
+        return self.waited_before_ms + now_ms - self.arrived_ms
 
-    def needs(self) -> ServerNeeds:
-        """What it needs of its server, as its headers tell."""
-        text = self.http.headers.get("X-Prompt-Prefix")
-        if text is None:
-            return ServerNeeds(self.aim_ms)
+    def requirements(self) -> ServerRequirements:
+        """What it needs of its server; malformed headers count as missing."""
+        header = self.http.headers.get(PROMPT_SEGMENTS_HEADER)
+        if header is None:
+            return ServerRequirements(self.latency_target_ms)
         try:
-            parts = tuple(_part(part) for part in text.split(","))
-            answer = int(self.http.headers.get("X-Token-Usage", "0,0").partition(",")[2])
+            segments = tuple(_prompt_segment(text) for text in header.split(","))
+            max_response_tokens = int(self.http.headers.get(TOKEN_USAGE_HEADER, "0,0").partition(",")[2])
         except ValueError:
-            return ServerNeeds(self.aim_ms)
-        before_last = sum(size for _, size in parts[:-1])
-        shared = (parts[-2][0], before_last) if len(parts) > 1 else None
-        return ServerNeeds(self.aim_ms, shared, parts, answer)
-
-
-def _part(text: str) -> tuple[str, int]:
-    name, _, size = text.partition(":")
-    return name.strip(), int(size)
+            return ServerRequirements(self.latency_target_ms)
+        if len(segments) < 2:
+            return ServerRequirements(self.latency_target_ms, None, 0, segments, max_response_tokens)
+        # The last segment is the request's own; those before it are shared with other requests.
+        shared_tokens = sum(tokens for _, tokens in segments[:-1])
+        return ServerRequirements(
+            self.latency_target_ms, segments[-2][0], shared_tokens, segments, max_response_tokens
+        )
+
+
+def _prompt_segment(text: str) -> PromptSegment:
+    name, _, tokens = text.partition(":")
+    return name.strip(), int(tokens)
--- /dev/null
+++ b/dunlinloft/dataplane/exceptions.py
@@ -0,0 +1,27 @@
+"""The data plane's exceptions, in one hierarchy.
+
+Outcomes that are expected on the request path (a failed attempt, an exceeded quota, no placement) are values:
+`AttemptFailure`, `OverQuota`, `NoPlacement`. Only what unwinds several calls is raised.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from dunlinloft.dataplane.refusal import Refusal
+
+
+class DataPlaneError(Exception):
+    """Base of all exceptions that the data plane raises."""
+
+
+class RequestRefused(DataPlaneError):
+    """The frontend answers a request itself, before anything is forwarded.
+
+    Raised while a request is read and matched; caught by `Frontend.handle` alone.
+    """
+
+    def __init__(self, response: Refusal) -> None:
+        super().__init__(response.status)
+        self.response = response
--- a/dunlinloft/dataplane/exchange.py
+++ b/dunlinloft/dataplane/exchange.py
@@ -1,4 +1,4 @@
-"""One client's request from its admission to its one final answer."""
+"""One client's request from its admission to its one final response."""
 
 from __future__ import annotations
 
@@ -8,170 +8,175 @@
 from aiohttp.web_response import Response, StreamResponse
 from multidict import CIMultiDict
 
-from dunlinloft.dataplane.attempts import Attempts, Opened, Serving
+from dunlinloft.dataplane.attempts import AttemptSequence, OpenResponse
 from dunlinloft.dataplane.causes import Cause
 from dunlinloft.dataplane.client_request import ClientRequest
-from dunlinloft.dataplane.closing import Closing
-from dunlinloft.dataplane.events import EventCutter
-from dunlinloft.dataplane.upstream import next_bytes, passed_headers
-from dunlinloft.dataplane.verdict import Failure, Verdict
+from dunlinloft.dataplane.event_framing import EventFramer
+from dunlinloft.dataplane.graceful_shutdown import GracefulShutdown
+from dunlinloft.dataplane.http_headers import end_to_end_headers
+from dunlinloft.dataplane.refusal import Refusal
+from dunlinloft.dataplane.server_response import read_chunk
+from dunlinloft.dataplane.service_context import ServiceContext
+from dunlinloft.dataplane.verdict import AttemptFailure, Verdict
 from dunlinloft.transport.clock import now_ms
 
-BUFFERED_MOST = 262_144  # bytes of an answer that are held until it is whole
-FULL_RETRY_S = 0.15  # when to come back where servers were full
-
-
-class Refusal(Response):
-    """A final answer of our own, and why."""
-
-    def __init__(self, status: int, cause: Cause, text: str, retry_after_s: float | None = None) -> None:
-        headers = {} if retry_after_s is None else {"Retry-After": f"{retry_after_s:.3f}"}
-        super().__init__(status=status, text=text, headers=headers)
-        self.cause = cause
+MAX_BUFFERED_BYTES = 262_144  # of a response that is not forwarded before it is complete
+NOT_EXECUTED_RETRY_AFTER_S = 0.15  # when a client should come back if no server executed its request
 
 
 class Exchange:
-    """Has a request sent, and passes the answer on."""
+    """Forwards a request and relays its response; created by the process for each admitted request."""
 
-    def __init__(self, client_request: ClientRequest, serving: Serving, closing: Closing) -> None:
+    def __init__(
+        self, client_request: ClientRequest, context: ServiceContext, shutdown: GracefulShutdown
+    ) -> None:
         self._request = client_request
-        self._attempts = Attempts(client_request, serving)
-        self._closing = closing
-        self._answer: StreamResponse | None = None  # once its head went out
+        self._attempts = AttemptSequence(client_request, context)
+        self._shutdown = shutdown
+        self._response: StreamResponse | None = None  # to the client, once its head was sent
 
     async def run(self) -> StreamResponse:
-        """Serve the request; exactly one final answer."""
+        """Serve the request. Returns exactly one final response."""
         while True:
             opened = await self._attempts.open()
-            if isinstance(opened, Failure):
-                return self._final(opened)
-            answer = await self._pass_on(opened)
-            if not isinstance(answer, Failure):
-                return answer
-            if not await self._attempts.may_go_on(answer):
-                return self._final(answer)
-
-    def _final(self, failure: Failure) -> Response:
-        """The answer to a request that is given up on, at once."""
-        if not self._attempts.may_have_run:
-            return Refusal(503, failure.cause, failure.reason, FULL_RETRY_S)
-        if now_ms() >= self._request.ends_ms:
+            if isinstance(opened, AttemptFailure):
+                return self._refusal(opened)
+            response = await self._relay(opened)
+            if not isinstance(response, AttemptFailure):
+                return response
+            if not await self._attempts.may_retry(response):
+                return self._refusal(response)
+
+    def _refusal(self, failure: AttemptFailure) -> Response:
+        """The final response to a request that is abandoned.
+
+        503 promises that the request was not executed, so it is given only where that is known.
+        """
+        if not self._attempts.may_have_executed:
+            return Refusal(503, failure.cause, failure.reason, NOT_EXECUTED_RETRY_AFTER_S)
+        if now_ms() >= self._request.deadline_ms:
             return Refusal(504, failure.cause, failure.reason)
         return Refusal(502, failure.cause, failure.reason)
 
-    async def _pass_on(self, opened: Opened) -> StreamResponse | Failure:
-        """Pass an answer on; a failure where nothing was passed and the attempt is lost."""
+    async def _relay(self, opened: OpenResponse) -> StreamResponse | AttemptFailure:
+        """Relay a response; a failure if the attempt is lost and nothing was sent to the client."""
         try:
-            async with asyncio.timeout(max(0.0, self._request.ends_ms - now_ms()) / 1_000.0):
+            async with asyncio.timeout(max(0.0, self._request.deadline_ms - now_ms()) / 1_000.0):
                 if self._request.streaming and opened.response.status < 300:
-                    return await self._pass_stream(opened)
-                return await self._pass_body(opened)
+                    return await self._relay_stream(opened)
+                return await self._relay_body(opened)
         except TimeoutError:
-            if self._answer is not None:
-                return self._broken_off(self._answer)
-            return Failure(Verdict.MAY_HAVE_EXECUTED, Cause.LATE, "no whole answer in time")
+            if self._response is not None:
+                return self._abort(self._response)
+            return AttemptFailure(Verdict.MAY_HAVE_EXECUTED, Cause.LATE, "no whole answer in time")
         finally:
-            self._attempts.end(opened)
+            self._attempts.close(opened)
 
     def _head(self, response: aiohttp.ClientResponse) -> CIMultiDict[str]:
-        headers = passed_headers(CIMultiDict(response.headers))
-        if self._closing.begun:
+        headers = end_to_end_headers(CIMultiDict(response.headers))
+        if self._shutdown.started:
             headers["Connection"] = "close"
         return headers
 
-    async def _begin_answer(self, response: aiohttp.ClientResponse) -> StreamResponse:
-        """Send the head; from here on there is no other answer."""
+    async def _start_response(self, response: aiohttp.ClientResponse) -> StreamResponse:
+        """Send the head to the client; from here on there can be no other response."""
         head = self._head(response)
-        self._answer = StreamResponse(status=response.status, reason=response.reason, headers=head)
-        await self._answer.prepare(self._request.http)
-        return self._answer
+        self._response = StreamResponse(status=response.status, reason=response.reason, headers=head)
+        await self._response.prepare(self._request.http)
+        return self._response
 
-    def _broken_off(self, answer: StreamResponse) -> StreamResponse:
-        """End the client's connection so that what was passed doesn't look whole."""
+    def _abort(self, response: StreamResponse) -> StreamResponse:
+        """Close the client's connection, so that what was relayed can't be taken for complete."""
         transport = self._request.http.transport
         if transport is not None:
             transport.close()
-        return answer
+        return response
 
-    # Answers in one piece.
+    # Bodies.
 
-    async def _pass_body(self, opened: Opened) -> StreamResponse | Failure:
-        """Hold an answer until it is whole, where it isn't too long for that."""
+    async def _relay_body(self, opened: OpenResponse) -> StreamResponse | AttemptFailure:
+        """Buffer a response until it is complete, unless it is too long for that.
+
+        Until its head is sent to the client, a broken attempt can be retried.
+        """
         response = opened.response
-        held = b""
-        while len(held) <= BUFFERED_MOST:
-            part = await next_bytes(response)
-            if isinstance(part, Failure):
-                opened.server.failed(now_ms())
-                return part
-            if not part:
-                self._attempts.answered()
+        buffered = b""
+        while len(buffered) <= MAX_BUFFERED_BYTES:
+            chunk = await read_chunk(response)
+            if isinstance(chunk, AttemptFailure):
+                opened.server.on_failure(now_ms())
+                return chunk
+            if not chunk:
+                self._attempts.on_response_started()
                 head = self._head(response)
-                return Response(status=response.status, reason=response.reason, headers=head, body=held)
-            held += part
-        return await self._pass_long(response, held)
+                return Response(status=response.status, reason=response.reason, headers=head, body=buffered)
+            buffered += chunk
+        return await self._relay_unbuffered(response, buffered)
 
-    async def _pass_long(self, response: aiohttp.ClientResponse, held: bytes) -> StreamResponse:
-        answer = await self._begin_answer(response)
-        await answer.write(held)
+    async def _relay_unbuffered(self, response: aiohttp.ClientResponse, buffered: bytes) -> StreamResponse:
+        client_response = await self._start_response(response)
+        await client_response.write(buffered)
         while True:
-            part = await next_bytes(response)
-            if isinstance(part, Failure):
-                return self._broken_off(answer)
-            if not part:
-                self._attempts.answered()
-                await answer.write_eof()
-                return answer
-            await answer.write(part)
-
-    # Streams.
-
-    async def _pass_stream(self, opened: Opened) -> StreamResponse | Failure:
-        """Pass events on as they come, and go on at another server where that is allowed."""
-        cutter = EventCutter()
-        failure = await self._pass_events(opened, cutter)
+            chunk = await read_chunk(response)
+            if isinstance(chunk, AttemptFailure):
+                return self._abort(client_response)
+            if not chunk:
+                self._attempts.on_response_started()
+                await client_response.write_eof()
+                return client_response
+            await client_response.write(chunk)
+
+    # Streams of events.
+
+    async def _relay_stream(self, opened: OpenResponse) -> StreamResponse | AttemptFailure:
+        """Relay events as they come, and resume at another server where that is allowed."""
+        framer = EventFramer()
+        failure = await self._relay_events(opened, framer)
         while failure is not None:
-            opened.server.failed(now_ms())
-            if self._answer is None:
+            opened.server.on_failure(now_ms())
+            if self._response is None:
                 return failure
-            resumed = await self._resume(cutter, failure)
+            resumed = await self._resume(framer, failure)
             if resumed is None:
-                return self._broken_off(self._answer)
+                return self._abort(self._response)
             try:
-                failure = await self._pass_events(resumed, cutter)
+                failure = await self._relay_events(resumed, framer)
             finally:
-                self._attempts.end(resumed)
+                self._attempts.close(resumed)
             opened = resumed
-        assert self._answer is not None
-        await self._answer.write_eof()
-        return self._answer
+        assert self._response is not None
+        await self._response.write_eof()
+        return self._response
 
-    async def _pass_events(self, opened: Opened, cutter: EventCutter) -> Failure | None:
-        """Pass the events of one server on; the failure where it broke off."""
+    async def _relay_events(self, opened: OpenResponse, framer: EventFramer) -> AttemptFailure | None:
+        """Relay one server's events to the regular end of its stream; the failure if it breaks."""
         while True:
-            part = await next_bytes(opened.response)
-            if isinstance(part, Failure):
-                return part
-            events = cutter.feed(part) if part else cutter.rest()
-            if self._answer is None and (events or not part):
-                self._attempts.answered()
-                await self._begin_answer(opened.response)
-            if events and self._answer is not None:
-                await self._answer.write(events)
-            if not part:
+            chunk = await read_chunk(opened.response)
+            if isinstance(chunk, AttemptFailure):
+                return chunk
+            events = framer.feed(chunk) if chunk else framer.flush()
+            if self._response is None and (events or not chunk):
+                self._attempts.on_response_started()
+                await self._start_response(opened.response)
+            if events and self._response is not None:
+                await self._response.write(events)
+            if not chunk:
                 return None
 
-    async def _resume(self, cutter: EventCutter, failure: Failure) -> Opened | None:
-        """Another server that goes on after the last event; the head and stamp stay those of the first."""
-        if cutter.last_id is None or not self._request.idempotent:
+    async def _resume(self, framer: EventFramer, failure: AttemptFailure) -> OpenResponse | None:
+        """Resume a broken stream after its last event at another server; None if that isn't possible.
+
+        The client keeps the head, and the signature, of the first server.
+        """
+        if framer.last_event_id is None or not self._request.idempotent:
             return None
-        if not await self._attempts.may_go_on(failure):
+        if not await self._attempts.may_retry(failure):
             return None
-        resumed = await self._attempts.open(cutter.last_id)
-        if isinstance(resumed, Failure):
+        resumed = await self._attempts.open(framer.last_event_id)
+        if isinstance(resumed, AttemptFailure):
             return None
         if resumed.response.status != 200:
-            self._attempts.end(resumed)
+            self._attempts.close(resumed)
             return None
-        cutter.restart()
+        framer.discard_incomplete()
         return resumed
--- a/dunlinloft/dataplane/frontend.py
+++ b/dunlinloft/dataplane/frontend.py
@@ -1,4 +1,4 @@
-"""Where clients' requests come in: read, matched with the configuration in force, paid for, and sent on."""
+"""The listener for clients: reads requests, matches and charges them, and has them forwarded."""
 
 from __future__ import annotations
 
@@ -9,63 +9,61 @@
 
 from aiohttp.web_protocol import RequestHandler
 from aiohttp.web_request import BaseRequest
-from aiohttp.web_response import Response, StreamResponse
+from aiohttp.web_response import StreamResponse
 
 from dunlinloft.configuration import Limits, Tenant
 from dunlinloft.coordination.quotas import QuotaLimit
 from dunlinloft.dataplane.causes import Cause
-from dunlinloft.dataplane.client_request import DEADLINE_HEADER, ClientRequest
-from dunlinloft.dataplane.closing import Closing
-from dunlinloft.dataplane.exchange import Exchange, Refusal
-from dunlinloft.dataplane.lateness import Lateness
+from dunlinloft.dataplane.client_request import ClientRequest
+from dunlinloft.dataplane.client_wait import ClientWaitEstimator
+from dunlinloft.dataplane.exceptions import RequestRefused
+from dunlinloft.dataplane.exchange import Exchange
+from dunlinloft.dataplane.graceful_shutdown import GracefulShutdown
+from dunlinloft.dataplane.http_headers import API_KEY_HEADER, DEADLINE_HEADER, TOKEN_USAGE_HEADER
 from dunlinloft.dataplane.metrics import Metrics
-from dunlinloft.dataplane.quota import NodeQuotas, OverQuota, payment
-from dunlinloft.dataplane.routing import ActiveRoute, RoutingTable, cost_of
+from dunlinloft.dataplane.quota_charge import OverQuota, quota_charge
+from dunlinloft.dataplane.quota_client import QuotaClient
+from dunlinloft.dataplane.refusal import Refusal
+from dunlinloft.dataplane.routing import ActiveRoute, RoutingTable, quota_cost
 from dunlinloft.transport.clock import now_ms
 
-BODY_S = 20.0  # for a whole body
-STARTING_RETRY_S = 0.3
-CLOSING_RETRY_S = 0.01  # another node takes it at once
-HOLD_S = 0.6  # a node that has just started holds a request so long until it can serve it,
-HOLD_SHARE = 0.25  # or this share of its deadline
-CHUNK = 65_536
+BODY_TIMEOUT_S = 20.0  # for a complete body
+READ_CHUNK_BYTES = 65_536
+STARTING_RETRY_AFTER_S = 0.3
+CLOSING_RETRY_AFTER_S = 0.01  # another node serves it at once
+# A node that has just started delays a request for this long, or this share of its deadline if that is
+# shorter, until it can serve: that takes less time than a client's retry.
+STARTUP_DELAY_S = 0.6
+STARTUP_DELAY_DEADLINE_SHARE = 0.25
 
-MakeExchange = Callable[[ClientRequest], Exchange]
-
-
-class Refused(Exception):
-    """A request that gets an answer of our own."""
-
-    def __init__(self, answer: Response) -> None:
-        super().__init__(answer.status)
-        self.answer = answer
+CreateExchange = Callable[[ClientRequest], Exchange]
 
 
 class Frontend:
-    """Takes clients' requests."""
+    """Handles clients' requests; `DataPlane` owns it and passes `handle` to aiohttp's server."""
 
     def __init__(
         self,
-        table: Callable[[], RoutingTable | None],
-        quotas: NodeQuotas,
-        make_exchange: MakeExchange,
-        closing: Closing,
+        active_table: Callable[[], RoutingTable | None],
+        quotas: QuotaClient,
+        create_exchange: CreateExchange,
+        shutdown: GracefulShutdown,
         serving: asyncio.Event,
         metrics: Metrics,
     ) -> None:
-        self._table = table
+        self._active_table = active_table
         self._quotas = quotas
-        self._make_exchange = make_exchange
-        self._closing = closing
+        self._create_exchange = create_exchange
+        self._shutdown = shutdown
         self._serving = serving
-        self._lateness = Lateness()
+        self._client_wait = ClientWaitEstimator()
         self._metrics = metrics
-        self._busy: set[RequestHandler] = set()  # connections with a request under way
+        self._busy: set[RequestHandler] = set()  # connections with a request in flight
 
-    def give_back(self, connections: Iterable[RequestHandler]) -> None:
-        """Close connections: at once where they rest, else after their answer.
+    def close_connections(self, connections: Iterable[RequestHandler]) -> None:
+        """Close connections: idle ones at once, others after their response.
 
-        The library's `close` leaves a resting one open and drops what comes on it.
+        The library's `close` leaves an idle one open and drops what arrives on it.
         """
         for connection in connections:
             if connection in self._busy:
@@ -74,98 +72,118 @@
                 connection.force_close()
 
     async def handle(self, request: BaseRequest) -> StreamResponse:
-        """Answer one request."""
-        self._metrics.inflight += 1
+        """Answer one request and count it."""
+        self._metrics.in_flight += 1
         self._busy.add(request.protocol)
         try:
-            answer = await self._serve(request)
-        except Refused as refused:
-            answer = refused.answer
+            response = await self._serve(request)
+        except RequestRefused as refused:
+            response = refused.response
         finally:
-            self._metrics.inflight -= 1
+            self._metrics.in_flight -= 1
             self._busy.discard(request.protocol)
-        if self._closing.begun:
-            answer.force_close()
-        self._metrics.requests[answer.status] += 1
-        if isinstance(answer, Refusal):
-            self._metrics.refusals[answer.status, answer.cause] += 1
-        return answer
+        if self._shutdown.started:
+            response.force_close()
+        self._metrics.requests[response.status] += 1
+        if isinstance(response, Refusal):
+            self._metrics.refusals[response.status, response.cause] += 1
+        return response
 
     @property
-    def inflight(self) -> int:
-        """Requests under way."""
-        return self._metrics.inflight
+    def in_flight(self) -> int:
+        """Number of requests in flight."""
+        return self._metrics.in_flight
 
     async def _serve(self, request: BaseRequest) -> StreamResponse:
+        """Admit a request and have it forwarded. Raises `RequestRefused`."""
         arrived_ms = now_ms()
-        table = self._table()
+        table = self._active_table()
         limits = Limits() if table is None else table.limits
-        body = await self._body(request, limits.max_body_bytes)
+        body = await self._read_body(request, limits.max_body_bytes)
         if not self._serving.is_set():
-            await self._hold(request)
-        # What was put in force while the body came counts: it may name a route or key that is new.
-        table = self._table()
+            await self._await_serving(request)
+        # A configuration activated while the body was read counts: it may add the route or key.
+        table = self._active_table()
         if table is None:
-            return Refusal(503, Cause.STARTING, "no configuration yet", STARTING_RETRY_S)
+            return Refusal(503, Cause.STARTING, "no configuration yet", STARTING_RETRY_AFTER_S)
         active, tenant = self._match(table, request)
-        deadline_ms = _deadline_ms(request)
-        ends_ms = arrived_ms + min(deadline_ms, active.route.timeout_ms)
-        if self._closing.refuses(ends_ms, now_ms()):
-            return Refusal(503, Cause.CLOSING, "this node ends", CLOSING_RETRY_S)
+        remaining_ms = _remaining_ms(request)
+        deadline_ms = arrived_ms + min(remaining_ms, active.route.timeout_ms)
+        if self._shutdown.refuses(deadline_ms, now_ms()):
+            return Refusal(503, Cause.CLOSING, "this node ends", CLOSING_RETRY_AFTER_S)
         waited_ms = 0.0
-        if deadline_ms < math.inf:
-            waited_ms = self._lateness.waited_ms(active.route.name, deadline_ms)
+        if remaining_ms < math.inf:
+            waited_ms = self._client_wait.waited_ms(active.route.name, remaining_ms)
         if tenant is not None and tenant.rate_per_s > 0.0:
-            amount = cost_of(tenant, request.headers.get("X-Token-Usage"))
-            limit = QuotaLimit(tenant.rate_per_s, tenant.burst)
-            aim_ms, left_ms = active.route.target_latency_ms, ends_ms - now_ms()
-            paid = await self._quotas.pay(payment(tenant.name, amount, limit, aim_ms, waited_ms, left_ms))
-            if isinstance(paid, OverQuota):
-                return Refusal(429, paid.cause, "over the tenant's quota", paid.wait_ms / 1_000.0)
+            charge = quota_charge(
+                tenant.name,
+                quota_cost(tenant, request.headers.get(TOKEN_USAGE_HEADER)),
+                QuotaLimit(tenant.rate_per_s, tenant.burst),
+                active.route.target_latency_ms,
+                waited_ms,
+                deadline_ms - now_ms(),
+            )
+            result = await self._quotas.charge(charge)
+            if isinstance(result, OverQuota):
+                return Refusal(429, result.cause, "over the tenant's quota", result.wait_ms / 1_000.0)
         client_request = ClientRequest(
-            request, request.method, request.raw_path, body, active, tenant, arrived_ms, ends_ms, waited_ms
+            request,
+            request.method,
+            request.raw_path,
+            body,
+            active,
+            tenant,
+            arrived_ms,
+            deadline_ms,
+            waited_ms,
         )
-        return await self._make_exchange(client_request).run()
+        return await self._create_exchange(client_request).run()
 
-    async def _hold(self, request: BaseRequest) -> None:
-        """Wait a little for what a start needs: it takes less time than a client's return."""
-        seconds = min(HOLD_S, HOLD_SHARE * _deadline_ms(request) / 1_000.0)
+    async def _await_serving(self, request: BaseRequest) -> None:
+        """Wait a moment for what the node needs to serve."""
+        delay_s = min(STARTUP_DELAY_S, STARTUP_DELAY_DEADLINE_SHARE * _remaining_ms(request) / 1_000.0)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(seconds):
+            async with asyncio.timeout(delay_s):
                 await self._serving.wait()
 
     def _match(self, table: RoutingTable, request: BaseRequest) -> tuple[ActiveRoute, Tenant | None]:
+        """The route of a request, and its tenant unless the route is public. Raises `RequestRefused`."""
         host = request.headers.get("Host", "").partition(":")[0]
-        active = table.find(host, request.raw_path.partition("?")[0])
+        active = table.match(host, request.raw_path.partition("?")[0])
         if active is None:
-            raise Refused(Refusal(404, Cause.NO_ROUTE, "no such route"))
+            raise RequestRefused(Refusal(404, Cause.NO_ROUTE, "no such route"))
         if not table.has_tenants or active.route.public:
             return active, None
-        tenant = table.holder(request.headers.get("Api-Key", ""))
+        tenant = table.tenant_of(request.headers.get(API_KEY_HEADER, ""))
         if tenant is None:
-            raise Refused(Refusal(401, Cause.UNKNOWN_KEY, "unknown key"))
+            raise RequestRefused(Refusal(401, Cause.UNKNOWN_KEY, "unknown key"))
         return active, tenant
 
-    async def _body(self, request: BaseRequest, most: int) -> bytes:
-        parts: list[bytes] = []
+    async def _read_body(self, request: BaseRequest, max_bytes: int) -> bytes:
+        """The complete body of a request. Raises `RequestRefused`."""
+        chunks: list[bytes] = []
         length = 0
         try:
-            async with asyncio.timeout(BODY_S):
-                async for part in request.content.iter_chunked(CHUNK):
-                    length += len(part)
-                    if length > most:
-                        answer = Refusal(413, Cause.BODY_LARGE, "the body is too large")
-                        answer.force_close()
-                        raise Refused(answer)
-                    parts.append(part)
+            async with asyncio.timeout(BODY_TIMEOUT_S):
+                async for chunk in request.content.iter_chunked(READ_CHUNK_BYTES):
+                    length += len(chunk)
+                    if length > max_bytes:
+                        raise _body_refused(413, Cause.BODY_LARGE, "the body is too large")
+                    chunks.append(chunk)
         except TimeoutError:
-            answer = Refusal(408, Cause.BODY_LATE, "the body did not come")
-            answer.force_close()
-            raise Refused(answer) from None
-        return b"".join(parts)
+            raise _body_refused(408, Cause.BODY_LATE, "the body did not come") from None
+        return b"".join(chunks)
+
+
+def _body_refused(status: int, cause: Cause, text: str) -> RequestRefused:
+    """A refusal that closes the connection: what follows on it is the rest of the body."""
+    refusal = Refusal(status, cause, text)
+    refusal.force_close()
+    return RequestRefused(refusal)
 
 
-def _deadline_ms(request: BaseRequest) -> float:
+def _remaining_ms(request: BaseRequest) -> float:
+    """The time that the client gives this attempt; infinite if it states none."""
     try:
         return float(request.headers.get(DEADLINE_HEADER, "inf"))
     except ValueError:
--- /dev/null
+++ b/dunlinloft/dataplane/graceful_shutdown.py
@@ -0,0 +1,55 @@
+"""Graceful shutdown of a node: until when it accepts requests after SIGTERM, and which ones it refuses."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+# The platform polls readiness once a second, and sends no more connections after two failures in a row.
+PLATFORM_NOTICE_MS = 2_600.0
+# Requests still in flight this long before the grace period ends are abandoned, so that the process exits
+# by itself before the platform kills it.
+EXIT_MARGIN_MS = 600.0
+
+
+@dataclass(slots=True)
+class GracefulShutdown:
+    """The phases of a shutdown; owned by the process, read by the frontend and by every exchange.
+
+    All times are milliseconds of the monotonic clock.
+    """
+
+    grace_period_ms: float
+    started_ms: float | None = None
+
+    def start(self, now_ms: float) -> None:
+        """Begin to drain; called once, on SIGTERM."""
+        self.started_ms = now_ms
+
+    @property
+    def started(self) -> bool:
+        """Whether the node drains: it is not ready, and closes each connection after its response."""
+        return self.started_ms is not None
+
+    @property
+    def notice_ms(self) -> float:
+        """Duration after SIGTERM within which the platform may still send new connections."""
+        return min(PLATFORM_NOTICE_MS, (self.grace_period_ms - EXIT_MARGIN_MS) / 2.0)
+
+    @property
+    def deadline_ms(self) -> float:
+        """Time at which requests in flight are abandoned; infinite before SIGTERM."""
+        return (
+            float("inf")
+            if self.started_ms is None
+            else self.started_ms + self.grace_period_ms - EXIT_MARGIN_MS
+        )
+
+    def refuses(self, request_deadline_ms: float, now_ms: float) -> bool:
+        """Whether a request that arrives now is refused, because it may outlast the shutdown.
+
+        New connections that the platform sends before it has noticed are served all the same; after that
+        only persistent connections of clients bring requests.
+        """
+        if self.started_ms is None or now_ms < self.started_ms + self.notice_ms:
+            return False
+        return request_deadline_ms > self.deadline_ms
--- a/dunlinloft/dataplane/metrics.py
+++ b/dunlinloft/dataplane/metrics.py
@@ -1,11 +1,12 @@
-"""Counters of one data-plane node, and their text in the Prometheus exposition format.
+"""Counters of one node and their text in the Prometheus exposition format.
 
-Counting is an increment of an integer. The library that writes the text is loaded at the first look, as a
-start should not wait for it.
+Counting increments an integer. The library that renders the text is imported at the first scrape: a start
+should not wait for it.
 """
 
 from __future__ import annotations
 
+import enum
 from collections import Counter
 from collections.abc import Iterator
 from typing import TYPE_CHECKING
@@ -18,22 +19,36 @@
 if TYPE_CHECKING:
     from prometheus_client.metrics_core import Metric
 
-PATH = "/metrics"
-TEXT = "text/plain; version=0.0.4; charset=utf-8"
+METRICS_PATH = "/metrics"
+EXPOSITION_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+
+
+class AttemptKind(enum.StrEnum):
+    """The `kind` label of `dunlinloft_attempts_total`."""
+
+    FIRST = "first"
+    RETRY = "further"
+
+
+class PlacementSource(enum.StrEnum):
+    """Who chose a server: the `by` label of `dunlinloft_placements_total`."""
+
+    OWNER = "advised"  # the service's owner in the control plane
+    NODE = "own"  # this node, for want of an answer
 
 
 class Metrics:
-    """What one node counts, from its start."""
+    """What one node has counted since its start; incremented on the request path, read by scrapes."""
 
     def __init__(self) -> None:
-        self.requests: Counter[int] = Counter()  # by status of the final answer
-        self.refusals: Counter[tuple[int, Cause]] = Counter()  # answers of our own, by status and cause
-        self.attempts: Counter[str] = Counter()  # sends to servers: "first" or "further"
-        self.placements: Counter[str] = Counter()  # first sends: "advised" or "own"
-        self.inflight = 0
+        self.requests: Counter[int] = Counter()  # by status of the final response
+        self.refusals: Counter[tuple[int, Cause]] = Counter()  # by status and cause
+        self.attempts: Counter[AttemptKind] = Counter()
+        self.placements: Counter[PlacementSource] = Counter()
+        self.in_flight = 0
 
     def collect(self) -> Iterator[Metric]:
-        """All figures, for the library."""
+        """Yield all metric families; called by the library's registry."""
         from prometheus_client.metrics_core import CounterMetricFamily, GaugeMetricFamily
 
         requests = CounterMetricFamily("dunlinloft_requests", "Final answers, by status.", labels=["status"])
@@ -47,16 +62,16 @@
         yield refusals
         attempts = CounterMetricFamily("dunlinloft_attempts", "Requests sent to servers.", labels=["kind"])
         for kind, count in self.attempts.items():
-            attempts.add_metric([kind], count)
+            attempts.add_metric([kind.value], count)
         yield attempts
         placements = CounterMetricFamily("dunlinloft_placements", "Who chose a server.", labels=["by"])
-        for chooser, count in self.placements.items():
-            placements.add_metric([chooser], count)
+        for source, count in self.placements.items():
+            placements.add_metric([source.value], count)
         yield placements
-        yield GaugeMetricFamily("dunlinloft_inflight", "Requests under way.", value=self.inflight)
+        yield GaugeMetricFamily("dunlinloft_inflight", "Requests under way.", value=self.in_flight)
 
     def exposition(self) -> bytes:
-        """The text."""
+        """Render all metrics as text."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry(auto_describe=False)
@@ -64,7 +79,7 @@
         return generate_latest(registry)
 
     async def handle(self, request: BaseRequest) -> StreamResponse:
-        """Answer a look."""
-        if request.path != PATH:
+        """Answer a scrape; the handler of the metrics listener."""
+        if request.path != METRICS_PATH:
             return Response(status=404, text="no such page")
-        return Response(body=self.exposition(), headers={"Content-Type": TEXT})
+        return Response(body=self.exposition(), headers={"Content-Type": EXPOSITION_CONTENT_TYPE})
--- /dev/null
+++ b/dunlinloft/dataplane/node_state.py
@@ -0,0 +1,128 @@
+"""What a node knows from the control plane, and when that is enough to serve."""
+
+from __future__ import annotations
+
+import asyncio
+
+from dunlinloft.coordination.stream import (
+    Alive,
+    ConfigurationId,
+    Delta,
+    Held,
+    Placed,
+    QuotaGranted,
+    ServerNews,
+    Servers,
+    ServersComplete,
+    ToNode,
+    Whole,
+)
+from dunlinloft.dataplane.active_configuration import ActiveConfiguration
+from dunlinloft.dataplane.placement_client import PlacementClient
+from dunlinloft.dataplane.quota_client import QuotaClient
+from dunlinloft.dataplane.replica_streams import ReplicaStreams
+from dunlinloft.dataplane.server_table import ServerTable
+from dunlinloft.transport.clock import now_ms
+
+
+class NodeState:
+    """Applies the control plane's messages to the parts of the node, and acknowledges configurations.
+
+    Implements `Subscriber` for `Subscriptions`; `DataPlane` calls `on_tick`.
+
+    Parameters
+    ----------
+    serving
+        Set here, once, when the node has what it needs to serve.
+    """
+
+    def __init__(
+        self,
+        configuration: ActiveConfiguration,
+        servers: ServerTable,
+        quotas: QuotaClient,
+        placement: PlacementClient,
+        streams: ReplicaStreams,
+        serving: asyncio.Event,
+    ) -> None:
+        self._configuration = configuration
+        self._servers = servers
+        self._quotas = quotas
+        self._placement = placement
+        self._streams = streams
+        self._serving = serving
+
+    @property
+    def configuration_id(self) -> ConfigurationId:
+        """The active configuration."""
+        return self._configuration.id
+
+    @property
+    def has_all_servers(self) -> bool:
+        """Whether some replica has listed all servers."""
+        return self._servers.complete
+
+    def server_digests(self) -> tuple[int, ...]:
+        """Digests of the known servers, by id range."""
+        return self._servers.digests()
+
+    def owner_responds(self, replica: str, now_ms: float) -> bool:
+        """Whether a replica answers this node's quota requests."""
+        return self._quotas.owner_responds(replica, now_ms)
+
+    def quota_shares(self, now_ms: float) -> dict[str, float]:
+        """Standing shares of quotas that this node has, by tenant."""
+        return self._quotas.shares(now_ms)
+
+    def quota_reserves(self) -> dict[str, float]:
+        """Unspent reserves of quotas, by tenant."""
+        return self._quotas.reserves()
+
+    def on_stream_lost(self, replica: str) -> None:
+        """A replica's stream ended."""
+        self._servers.on_stream_lost(replica, now_ms())
+
+    def apply(self, replica: str, message: ToNode) -> None:
+        """Dispatch a message from a replica to the part of the node that it concerns."""
+        match message:
+            case Whole():
+                self._configuration.on_snapshot(message, now_ms())
+                self._acknowledge()
+            case Delta():
+                self._configuration.on_delta(message)
+                self._acknowledge()
+            case Servers():
+                self._servers.on_listing(replica, message.complete, message.ranges, message.records)
+            case ServersComplete():
+                self._servers.on_complete(replica)
+            case ServerNews():
+                self._servers.on_update(replica, message, now_ms())
+            case Placed():
+                self._placement.on_placed(replica, message)
+            case QuotaGranted():
+                self._quotas.on_granted(message)
+            case Alive():
+                pass
+        self._check_ready_to_serve()
+
+    def on_tick(self, listing_retention_ms: float) -> None:
+        """Do what is due by time; called ten times a second."""
+        if self._configuration.on_tick(now_ms()):
+            self._acknowledge()
+            self._check_ready_to_serve()
+        self._servers.expire_unlisted(now_ms())
+        self._servers.expire_lost_listings(listing_retention_ms, now_ms())
+
+    def _acknowledge(self) -> None:
+        """Acknowledge the active configuration to all replicas."""
+        if self._configuration.table is not None:
+            self._streams.broadcast(Held(self._configuration.id))
+
+    def _check_ready_to_serve(self) -> None:
+        """Begin to serve with a configuration and servers for all its routes, or with all that there are."""
+        table = self._configuration.table
+        if self._serving.is_set() or table is None:
+            return
+        services = {backend.service for route in table.configuration.routes for backend in route.targets()}
+        if self._servers.complete or all(self._servers.pool(service).servers for service in services):
+            self._serving.set()
--- /dev/null
+++ b/dunlinloft/dataplane/placement_client.py
@@ -0,0 +1,167 @@
+"""The client side of placement: requests a server from a service's owner, and reports the outcome.
+
+Placement is advice: without it in time the node chooses a server itself and only notifies the owner, which
+counts what is in flight in the fleet.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import enum
+import itertools
+from collections.abc import Collection
+from dataclasses import dataclass
+
+from msgspec import Struct
+
+from dunlinloft.coordination.placement import owner_of_service
+from dunlinloft.coordination.stream import (
+    Place,
+    PlaceBegan,
+    PlaceChosen,
+    Placed,
+    PlaceEnded,
+)
+from dunlinloft.dataplane.control_streams import ControlStreams
+from dunlinloft.dataplane.server_pool import ServerRequirements
+
+# How long an answer is waited for: a share of the request's latency target, and at least the minimum.
+TIMEOUT_TARGET_SHARE = 0.2
+MIN_TIMEOUT_MS = 20.0
+# An owner whose stream is down and that did not answer gets no request for this long.
+OWNER_SUSPENSION_MS = 250.0
+
+
+@dataclass(frozen=True, slots=True)
+class RetryPlacementLater:
+    """No server has a free slot, and the request may wait for one; request again after `wait_ms`."""
+
+    wait_ms: float
+
+
+class NoPlacement(enum.Enum):
+    """Why there is no advice; the node chooses a server itself."""
+
+    OWNER_UNAVAILABLE = "owner unavailable"  # unknown, suspended, or without a stream to it
+    TIMED_OUT = "timed out"
+    NO_SERVER = "no server"  # the owner knows none that it may name
+
+
+class PlacedRequest:
+    """A request that the owner counts as in flight at a server, until `finish` is called."""
+
+    def __init__(
+        self, client: PlacementClient, owner: str, service: str, number: int, server_id: str
+    ) -> None:
+        self._client = client
+        self._owner = owner
+        self._service = service
+        self._number = number
+        self.server_id = server_id
+        self._finished = False
+
+    def on_response_started(self) -> None:
+        """Report that the response began: the server has prefilled the prompt."""
+        if not self._finished:
+            self._client.notify(self._owner, PlaceBegan(self._service, self._number))
+
+    def finish(self, failed: bool) -> None:
+        """Report that the request is no longer in flight; only the first call counts.
+
+        Parameters
+        ----------
+        failed
+            Whether its server failed.
+        """
+        if not self._finished:
+            self._finished = True
+            self._client.notify(self._owner, PlaceEnded(self._service, self._number, failed))
+
+
+class PlacementClient:
+    """Requests placements over the control streams; used by `AttemptSequence`, fed by `NodeState`."""
+
+    def __init__(self, streams: ControlStreams) -> None:
+        self._streams = streams
+        self._pending: dict[int, asyncio.Future[Placed]] = {}  # by number
+        self._numbers = itertools.count(1)
+        self._suspended_until_ms: dict[str, float] = {}  # by owner
+
+    def notify(self, owner: str, message: Struct) -> None:
+        """Send to an owner; one that is gone no longer counts the request anyway."""
+        self._streams.send(owner, message)
+
+    def on_placed(self, owner: str, message: Placed) -> None:
+        """An owner's answer; a placement that comes too late is released."""
+        future = self._pending.pop(message.number, None)
+        if future is not None and not future.done():
+            future.set_result(message)
+        elif message.server_id:
+            self._streams.send(owner, PlaceEnded(message.service, message.number, False))
+
+    def _owner(self, service: str) -> str | None:
+        """The address of a service's owner; None before the control plane is known."""
+        replicas = self._streams.replicas
+        return None if replicas is None else owner_of_service(service, replicas.chain)
+
+    def report_choice(
+        self, service: str, requirements: ServerRequirements, server_id: str
+    ) -> PlacedRequest | None:
+        """Notify the owner which server the node chose itself; None if there is no owner to notify."""
+        owner = self._owner(service)
+        if owner is None:
+            return None
+        number = next(self._numbers)
+        message = PlaceChosen(
+            number, service, requirements.prompt_segments, requirements.max_response_tokens, server_id
+        )
+        if not self._streams.send(owner, message):
+            return None
+        return PlacedRequest(self, owner, service, number, server_id)
+
+    async def request(
+        self,
+        service: str,
+        requirements: ServerRequirements,
+        excluded: Collection[str],
+        may_wait: bool,
+        now_ms: float,
+    ) -> PlacedRequest | RetryPlacementLater | NoPlacement:
+        """Request a server from the owner.
+
+        Parameters
+        ----------
+        excluded
+            Ids of servers that must not be named.
+        may_wait
+            Whether the request would rather wait for a free slot than be declined by a full server.
+        """
+        owner = self._owner(service)
+        if owner is None or now_ms < self._suspended_until_ms.get(owner, 0.0):
+            return NoPlacement.OWNER_UNAVAILABLE
+        number = next(self._numbers)
+        future: asyncio.Future[Placed] = asyncio.get_running_loop().create_future()
+        self._pending[number] = future
+        try:
+            message = Place(
+                number,
+                service,
+                requirements.prompt_segments,
+                requirements.max_response_tokens,
+                tuple(excluded),
+                may_wait,
+            )
+            if not self._streams.send(owner, message):
+                return NoPlacement.OWNER_UNAVAILABLE
+            timeout_ms = max(MIN_TIMEOUT_MS, TIMEOUT_TARGET_SHARE * requirements.latency_target_ms)
+            async with asyncio.timeout(timeout_ms / 1_000.0):
+                placed = await future
+        except TimeoutError:
+            if not self._streams.alive(owner):
+                self._suspended_until_ms[owner] = now_ms + OWNER_SUSPENSION_MS
+            return NoPlacement.TIMED_OUT
+        finally:
+            self._pending.pop(number, None)
+        if placed.server_id:
+            return PlacedRequest(self, owner, service, number, placed.server_id)
+        return RetryPlacementLater(placed.wait_ms) if placed.wait_ms else NoPlacement.NO_SERVER
--- /dev/null
+++ b/dunlinloft/dataplane/quota_client.py
@@ -0,0 +1,187 @@
+"""The client side of tenants' quotas: charges requests at the quota's owner, or to this node's reserve."""
+
+from __future__ import annotations
+
+import asyncio
+import enum
+import itertools
+import random
+from collections.abc import Callable
+
+from msgspec import Struct
+
+from dunlinloft.coordination.quota_holder import QuotaHolder
+from dunlinloft.coordination.quotas import QuotaBounds, owner_of
+from dunlinloft.coordination.stream import QuotaGranted, TakeQuota
+from dunlinloft.dataplane.causes import Cause
+from dunlinloft.dataplane.control_streams import ControlStreams
+from dunlinloft.dataplane.quota_charge import OWNER_TIMEOUT_S, Granted, OverQuota, QuotaCharge
+from dunlinloft.transport.clock import now_ms
+
+OWNER_SUSPENSION_MS = 250.0  # an owner that did not respond in time gets no request for this long
+MAX_DENIAL_CACHE_MS = 60.0  # how long an owner's denial applies to further requests that are no smaller
+# Between two charges of a request that is retried at this node; jittered.
+MIN_RETRY_INTERVAL_MS = 20.0
+MAX_RETRY_INTERVAL_MS = 150.0
+MIN_RETRY_JITTER = 0.75
+MAX_RETRY_JITTER = 1.25
+
+
+class _Denial(Struct, frozen=True):
+    """An owner's recent denial: it applies to requests of at least this amount."""
+
+    until_ms: float
+    amount: float
+    scarce: bool
+
+
+class _Unanswered(enum.Enum):
+    """The owner's response isn't there, and the reserve was not charged for it."""
+
+    UNANSWERED = "unanswered"
+
+
+class QuotaClient:
+    """Charges requests to tenants' quotas; used by the frontend, fed by `NodeState`.
+
+    Parameters
+    ----------
+    clock
+        Monotonic, in milliseconds.
+    """
+
+    def __init__(
+        self,
+        streams: ControlStreams,
+        bounds: QuotaBounds,
+        clock: Callable[[], float] = now_ms,
+    ) -> None:
+        self._clock = clock
+        self._streams = streams
+        self._holder = QuotaHolder(bounds)
+        self._denials: dict[str, _Denial] = {}  # by tenant
+        self._pending: dict[int, asyncio.Future[QuotaGranted]] = {}  # by number
+        self._numbers = itertools.count(1)
+        self._suspended_until_ms: dict[str, float] = {}  # by owner
+
+    def owner_responds(self, owner: str, now_ms: float) -> bool:
+        """Whether an owner answers this node."""
+        return self._holder.hears(owner, now_ms)
+
+    def shares(self, now_ms: float) -> dict[str, float]:
+        """This node's standing shares of tenants' rates, by tenant."""
+        return self._holder.shares(now_ms)
+
+    def reserves(self) -> dict[str, float]:
+        """What this node drew from owners and has not spent, by tenant."""
+        return self._holder.reserves()
+
+    def on_granted(self, message: QuotaGranted) -> None:
+        """An owner's response; what comes too late is dropped, though its amount is charged.
+
+        It must not go to the reserve: the owner has not counted it as drawn, and its bucket may fill up by as
+        much again.
+        """
+        future = self._pending.pop(message.number, None)
+        if future is not None and not future.done():
+            future.set_result(message)
+
+    async def charge(self, charge: QuotaCharge) -> Granted | OverQuota:
+        """Charge a request, as often as the charge's retry duration allows."""
+        deadline_ms = self._clock() + charge.retry_duration_ms
+        while True:
+            result = await self._charge_once(charge)
+            if isinstance(result, Granted) or result.final:
+                return result
+            interval_ms = min(MAX_RETRY_INTERVAL_MS, max(MIN_RETRY_INTERVAL_MS, result.wait_ms))
+            wait_ms = interval_ms * random.uniform(MIN_RETRY_JITTER, MAX_RETRY_JITTER)
+            if self._clock() + wait_ms >= deadline_ms:
+                return result
+            await asyncio.sleep(wait_ms / 1_000.0)
+
+    async def _charge_once(self, charge: QuotaCharge) -> Granted | OverQuota:
+        tenant = charge.tenant
+        denial = self._denials.get(tenant)
+        if denial is not None and self._clock() < denial.until_ms and charge.amount >= denial.amount:
+            return OverQuota(denial.until_ms - self._clock(), Cause.QUOTA_RECENT, denial.scarce)
+        replicas = self._streams.replicas
+        owner = None if replicas is None else owner_of(tenant, replicas.chain)
+        requested_ms = self._clock()
+        response = await self._request(owner, charge)
+        if isinstance(response, Granted):
+            return response
+        if (
+            owner is None
+            or isinstance(response, _Unanswered)
+            or not response.owner
+            or not self._is_owner(owner, tenant)
+        ):
+            return self._charge_reserve(charge)
+        self._holder.answered(owner, tenant)
+        self._holder.drawn(
+            tenant, charge.limit, response.reserve, response.share, requested_ms, self._clock()
+        )
+        if response.amount < charge.amount:
+            if not charge.returned:  # what is denied to one that returned may be there for others
+                until_ms = self._clock() + min(response.wait_ms, MAX_DENIAL_CACHE_MS)
+                self._denials[tenant] = _Denial(until_ms, charge.amount, response.scarce)
+            return OverQuota(response.wait_ms, Cause.QUOTA_OWNER, response.scarce)
+        return Granted()
+
+    def _charge_reserve(self, charge: QuotaCharge) -> Granted | OverQuota:
+        """Charge this node's reserve, without the owner."""
+        wait_ms = self._holder.spend_alone(charge.tenant, charge.limit, charge.amount, self._clock())
+        return OverQuota(wait_ms, Cause.QUOTA_ALONE) if wait_ms else Granted()
+
+    def _is_owner(self, address: str, tenant: str) -> bool:
+        """Whether the replica that responded still is the owner.
+
+        If not, this node has reported its shares and reserves to the next one already.
+        """
+        replicas = self._streams.replicas
+        return replicas is not None and owner_of(tenant, replicas.chain) == address
+
+    async def _request(self, owner: str | None, charge: QuotaCharge) -> QuotaGranted | Granted | _Unanswered:
+        """The owner's response, or `Granted` if the reserve was charged meanwhile because it took long."""
+        if owner is None or self._clock() < self._suspended_until_ms.get(owner, 0.0):
+            return _Unanswered.UNANSWERED
+        number = next(self._numbers)
+        requested_ms = self._clock()
+        future: asyncio.Future[QuotaGranted] = asyncio.get_running_loop().create_future()
+        self._pending[number] = future
+        try:
+            if not self._streams.send(owner, self._message(number, charge)):
+                self._holder.unanswered(owner, charge.tenant, requested_ms)
+                return _Unanswered.UNANSWERED
+            response = await self._await_response(owner, charge, future, requested_ms)
+        finally:
+            self._pending.pop(number, None)
+        if isinstance(response, QuotaGranted) and not response.owner:
+            self._holder.unanswered(owner, charge.tenant, requested_ms)
+        return response
+
+    def _message(self, number: int, charge: QuotaCharge) -> TakeQuota:
+        tenant = charge.tenant
+        now = self._clock()
+        reserve = self._holder.wanted(tenant, charge.limit, charge.amount, now)
+        share = self._holder.held(tenant, now)
+        alone = self._holder.alone(tenant, now)
+        return TakeQuota(number, tenant, charge.amount, reserve, share, alone, charge.returned)
+
+    async def _await_response(
+        self, owner: str, charge: QuotaCharge, future: asyncio.Future[QuotaGranted], requested_ms: float
+    ) -> QuotaGranted | Granted | _Unanswered:
+        await asyncio.wait((future,), timeout=OWNER_TIMEOUT_S)
+        if future.done():
+            return future.result()
+        self._holder.unanswered(owner, charge.tenant, requested_ms)
+        result = self._charge_reserve(charge)
+        if isinstance(result, Granted):
+            return result
+        if self._streams.alive(owner) and self._holder.answers(owner, self._clock()):
+            # The owner is alive: its response is only late, and better than a refusal.
+            await asyncio.wait((future,), timeout=charge.late_response_ms / 1_000.0 - OWNER_TIMEOUT_S)
+            if future.done():
+                return future.result()
+        self._suspended_until_ms[owner] = self._clock() + OWNER_SUSPENSION_MS
+        return _Unanswered.UNANSWERED
--- /dev/null
+++ b/dunlinloft/dataplane/retry_budget.py
@@ -0,0 +1,40 @@
+"""The limits on retries: the budget that all nodes share, and the delay controller's gate."""
+
+from __future__ import annotations
+
+from dunlinloft.balancer.averages import SlidingCount
+from dunlinloft.balancer.logic import DelayController
+
+# Margins below the rule's bounds: nodes' windows are not aligned, and the number of nodes is known late.
+RATIO_MARGIN = 0.8  # of the budget's ratio
+ALLOWANCE_MARGIN = 0.6  # of its allowance, which is divided evenly among the nodes
+
+
+class RetryBudget:
+    """Bounds one service's retries from this node to its share of the fleet's budget.
+
+    Within a sliding window the fleet may retry `ratio` times its requests plus `allowance`.
+    """
+
+    def __init__(self, ratio: float, window_s: float, allowance: float) -> None:
+        self._ratio = ratio * RATIO_MARGIN
+        self._allowance = allowance * ALLOWANCE_MARGIN
+        self._requests = SlidingCount(window_s * 1_000.0)
+        self._retries = SlidingCount(window_s * 1_000.0)
+
+    def on_request(self, now_ms: float) -> None:
+        """Count a client's request."""
+        self._requests.add(now_ms)
+
+    def acquire_retry(self, node_count: int, now_ms: float) -> bool:
+        """Whether one more retry fits the budget; counts it if it does."""
+        limit = self._ratio * self._requests.count(now_ms) + self._allowance / max(1, node_count)
+        if self._retries.count(now_ms) + 1 > limit:
+            return False
+        self._retries.add(now_ms)
+        return True
+
+
+def retry_gate_opens(controller: DelayController, draw: float, now_ms: float) -> bool:
+    """Whether the delay controller grants a retry; it counts the failure. `draw` is uniform in [0, 1)."""
+    return draw < controller.retry_probability(now_ms)
--- a/dunlinloft/dataplane/routing.py
+++ b/dunlinloft/dataplane/routing.py
@@ -1,4 +1,4 @@
-"""The routing table that is in force: built aside, then swapped whole."""
+"""The routing table: a configuration indexed by host, path prefix and API key."""
 
 from __future__ import annotations
 
@@ -8,75 +8,84 @@
 from dunlinloft.balancer.logic import Rotation
 from dunlinloft.configuration import Backend, Configuration, Route, Service, Tenant
 
+TOKEN_BILLING = "token_based"  # value of a tenant's `billing_unit`; any other bills requests
+
 
 @dataclass(slots=True, eq=False)
-class Branch:
-    """One service of a route, with its place in the route's rotation."""
+class WeightedBackend:
+    """A backend of a route with its state in the route's rotation."""
 
     backend: Backend
-    turn: float | None = None
+    turn: float | None = None  # name and meaning are those of the rotation
 
 
 @dataclass(slots=True, eq=False)
 class ActiveRoute:
-    """A route in force, and the rotation between its services."""
+    """A route of the active configuration, with the rotation among its backends."""
 
     route: Route
-    branches: list[Branch]
+    backends: list[WeightedBackend]
     rotation: Rotation
 
-    def service(self) -> str:
-        """The service of the next first send, by the route's weights."""
-        if len(self.branches) == 1:
-            return self.branches[0].backend.service
-        picked = self.rotation.pick((branch, branch.backend.weight) for branch in self.branches)
+    def next_service(self) -> str:
+        """The service for the next request, by smooth weighted rotation among the backends."""
+        if len(self.backends) == 1:
+            return self.backends[0].backend.service
+        picked = self.rotation.pick((each, each.backend.weight) for each in self.backends)
         assert picked is not None
         return picked.backend.service
 
 
 class RoutingTable:
-    """A configuration, indexed by host, prefix and key."""
+    """One configuration, indexed for lookups; never changed after it is built."""
 
     def __init__(self, configuration: Configuration, rng: random.Random) -> None:
         self.configuration = configuration
         self.version = configuration.version
         self.limits = configuration.limits
         self.services: dict[str, Service] = {service.name: service for service in configuration.services}
-        self._active: dict[tuple[str, str], ActiveRoute] = {}
+        self._routes: dict[tuple[str, str], ActiveRoute] = {}  # by lower-case host and path prefix
         for route in configuration.routes:
-            branches = [Branch(backend) for backend in route.targets() if backend.weight > 0.0]
-            self._active[(route.hostname.lower(), route.path_prefix)] = ActiveRoute(
-                route, branches, Rotation(rng)
+            backends = [WeightedBackend(backend) for backend in route.targets() if backend.weight > 0.0]
+            self._routes[(route.hostname.lower(), route.path_prefix)] = ActiveRoute(
+                route, backends, Rotation(rng)
             )
-        self._holders: dict[str, Tenant] = {
+        self._tenants: dict[str, Tenant] = {
             key: tenant for tenant in configuration.tenants for key in tenant.api_keys
         }
         self.has_tenants = bool(configuration.tenants)
 
-    def find(self, host: str, path: str) -> ActiveRoute | None:
-        """The route of a host whose prefix begins the path and is longest."""
+    def match(self, host: str, path: str) -> ActiveRoute | None:
+        """The route of a host with the longest prefix of the path; None if no route matches."""
         host = host.lower()
         end = len(path)
         while True:
             end = path.rfind("/", 0, end)
             if end < 0:
                 return None
-            active = self._active.get((host, path[: end + 1]))
+            active = self._routes.get((host, path[: end + 1]))
             if active is not None:
                 return active
 
-    def holder(self, key: str) -> Tenant | None:
-        """The tenant that holds a key."""
-        return self._holders.get(key)
+    def tenant_of(self, api_key: str) -> Tenant | None:
+        """The tenant that an API key belongs to; None if the key is unknown."""
+        return self._tenants.get(api_key)
+
 
+def quota_cost(tenant: Tenant, token_usage: str | None) -> float:
+    """What a request takes of its tenant's quota, in the tenant's billing unit.
 
-def cost_of(tenant: Tenant, usage: str | None) -> float:
-    """What a request takes of its tenant's quota."""
-    if tenant.billing_unit != "token_based":
+    Parameters
+    ----------
+    token_usage
+        The `X-Token-Usage` header: comma-separated token counts. A missing or malformed one costs the
+        tenant's flat number of uncached tokens.
+    """
+    if tenant.billing_unit != TOKEN_BILLING:
         return 1.0
-    if usage is None:
+    if token_usage is None:
         return tenant.uncached_tokens
     try:
-        return float(sum(int(part) for part in usage.split(",")))
+        return float(sum(int(count) for count in token_usage.split(",")))
     except ValueError:
         return tenant.uncached_tokens
--- /dev/null
+++ b/dunlinloft/dataplane/server_response.py
@@ -0,0 +1,48 @@
+"""Reads a server's response: whether its head may be relayed, and its body chunk by chunk."""
+
+from __future__ import annotations
+
+import aiohttp
+
+from dunlinloft.dataplane.causes import Cause
+from dunlinloft.dataplane.http_headers import ATTEMPT_ID_HEADER, SIGNATURE_HEADER
+from dunlinloft.dataplane.verdict import AttemptFailure, Verdict, verdict_of_response
+
+
+def head_failure(response: aiohttp.ClientResponse, attempt_id: str | None) -> AttemptFailure | None:
+    """Why a response must not be relayed; None if it may be.
+
+    A response to another attempt, one that states that the request was not executed, and a successful one
+    without the server's signature or with a content encoding are never relayed.
+
+    Parameters
+    ----------
+    attempt_id
+        Of the request that was sent; None if the client gave none, so that there is nothing to compare.
+    """
+    echoes_attempt_id = attempt_id is None or response.headers.get(ATTEMPT_ID_HEADER) == attempt_id
+    verdict = verdict_of_response(response.status, response.headers, echoes_attempt_id)
+    if verdict is Verdict.NOT_EXECUTED:
+        return AttemptFailure(verdict, Cause.DECLINED, f"the server answered {response.status}")
+    if not echoes_attempt_id:
+        return AttemptFailure(verdict, Cause.FOREIGN, "an answer to another request")
+    if response.status < 200:
+        return AttemptFailure(
+            Verdict.MAY_HAVE_EXECUTED, Cause.FOREIGN, f"the server answered {response.status}"
+        )
+    if response.status < 300:
+        if SIGNATURE_HEADER not in response.headers:
+            return AttemptFailure(
+                Verdict.MAY_HAVE_EXECUTED, Cause.FOREIGN, "an answer without the server's stamp"
+            )
+        if "Content-Encoding" in response.headers:
+            return AttemptFailure(Verdict.MAY_HAVE_EXECUTED, Cause.FOREIGN, "an answer with an encoding")
+    return None
+
+
+async def read_chunk(response: aiohttp.ClientResponse) -> bytes | AttemptFailure:
+    """The next bytes of a response's body; empty at its regular end."""
+    try:
+        return await response.content.readany()
+    except (aiohttp.ClientError, OSError, ValueError) as error:
+        return AttemptFailure(Verdict.MAY_HAVE_EXECUTED, Cause.BROKEN, f"{type(error).__name__}: {error}")
--- /dev/null
+++ b/dunlinloft/dataplane/server_table.py
@@ -0,0 +1,132 @@
+"""All servers by service, merged from the listings of every subscribed control-plane replica."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Collection, Iterable
+
+from dunlinloft.coordination.digests import RangeDigests, range_of
+from dunlinloft.coordination.stream import ServerNews, ServerRecord
+from dunlinloft.dataplane.server_pool import ServerPool
+
+# A response this recent keeps a server in use although its heartbeats have stopped at the control plane.
+RECENT_RESPONSE_MS = 2_000.0
+
+
+class ServerTable:
+    """The service discovery state of one node.
+
+    A server stays until no replica lists it any more; a server that only missed heartbeats also stays for
+    as long as it answers this node. Fed by `ControlUpdates`; pools are read on each request. Times are
+    milliseconds of the monotonic clock.
+    """
+
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
+        self.pools: dict[str, ServerPool] = {}  # by service
+        self._listed: dict[str, dict[str, ServerRecord]] = {}  # by replica, then by server id
+        # Listed by a replica before its restart and not since; by replica, then by server id.
+        self._unconfirmed: dict[str, dict[str, ServerRecord]] = {}
+        self._stream_lost_ms: dict[str, float] = {}  # by replica whose stream has ended
+        self._unlisted: dict[str, str] = {}  # service by id of servers in use only because they answer
+        self.complete = False  # whether some replica has listed all servers that there are
+
+    def pool(self, service: str) -> ServerPool:
+        """The pool of a service; created empty if there is none."""
+        pool = self.pools.get(service)
+        if pool is None:
+            pool = ServerPool(self._rng)
+            self.pools[service] = pool
+        return pool
+
+    def digests(self) -> tuple[int, ...]:
+        """Digests of all known servers by id range; a replica sends only the ranges that differ."""
+        return RangeDigests(self._known()).whole()
+
+    def _known(self) -> Iterable[ServerRecord]:
+        return (server.record for pool in self.pools.values() for server in pool.servers.values())
+
+    def on_listing(
+        self, replica: str, complete: bool, ranges: Collection[int], records: tuple[ServerRecord, ...]
+    ) -> None:
+        """A replica listed all servers that it knows in `ranges`; its other ranges equal this table's.
+
+        Until it has been up long enough to know all servers (`complete`), none is dropped for being
+        missing from the listing.
+        """
+        self._stream_lost_ms.pop(replica, None)
+        old = self._listed.get(replica, {})
+        new = {record.id: record for record in self._known() if range_of(record.id) not in set(ranges)}
+        new.update({record.id: record for record in records})
+        self._unconfirmed[replica] = {i: record for i, record in old.items() if i not in new}
+        self._listed[replica] = {**old, **new}
+        for record in records:
+            self._put(record)
+        if complete:
+            self.on_complete(replica)
+
+    def on_complete(self, replica: str) -> None:
+        """A replica has listed all servers: drop what it listed only before its restart."""
+        self.complete = True
+        for server_id, record in self._unconfirmed.pop(replica, {}).items():
+            self._listed[replica].pop(server_id, None)
+            self._remove(server_id, record.service)
+
+    def on_update(self, replica: str, update: ServerNews, now_ms: float) -> None:
+        """Apply the changes that a replica reports."""
+        listed = self._listed.setdefault(replica, {})
+        unconfirmed = self._unconfirmed.get(replica, {})
+        for record in update.changed:
+            listed[record.id] = record
+            unconfirmed.pop(record.id, None)
+            self._put(record)
+        for server_id in update.gone:
+            listing = listed.pop(server_id, None)
+            service = self._unlisted.get(server_id) if listing is None else listing.service
+            if service is None:
+                continue
+            if server_id in update.silent and self._responds(server_id, service, now_ms):
+                self._unlisted[server_id] = service
+            else:
+                self._remove(server_id, service)
+
+    def on_stream_lost(self, replica: str, now_ms: float) -> None:
+        """A replica's stream ended: its listing stands until another replica's has long been up."""
+        self._stream_lost_ms.setdefault(replica, now_ms)
+
+    def _responds(self, server_id: str, service: str, now_ms: float) -> bool:
+        """Whether a server has answered this node recently."""
+        server = self.pool(service).servers.get(server_id)
+        return (
+            server is not None
+            and server.last_response_ms > 0.0
+            and now_ms - server.last_response_ms <= RECENT_RESPONSE_MS
+        )
+
+    def expire_unlisted(self, now_ms: float) -> None:
+        """Remove servers whose heartbeats stopped once they no longer answer; called on each tick."""
+        for server_id, service in list(self._unlisted.items()):
+            if not self._responds(server_id, service, now_ms):
+                self._remove(server_id, service)
+
+    def expire_lost_listings(self, retention_ms: float, now_ms: float) -> None:
+        """Drop listings of streams lost for `retention_ms`, provided that another stream is up."""
+        if len(self._stream_lost_ms) >= len(self._listed):
+            return
+        expired = [r for r, lost_ms in self._stream_lost_ms.items() if now_ms - lost_ms > retention_ms]
+        for replica in expired:
+            del self._stream_lost_ms[replica]
+            for record in self._listed.pop(replica, {}).values():
+                self._remove(record.id, record.service)
+
+    def _put(self, record: ServerRecord) -> None:
+        known = self.pool(record.service).servers.get(record.id)
+        self._unlisted.pop(record.id, None)
+        if known is None or record.sequence > known.record.sequence:
+            self.pool(record.service).put(record)
+
+    def _remove(self, server_id: str, service: str) -> None:
+        """Remove a server unless some replica still lists it."""
+        self._unlisted.pop(server_id, None)
+        if not any(server_id in listed for listed in self._listed.values()):
+            self.pool(service).remove(server_id)
--- /dev/null
+++ b/dunlinloft/dataplane/subscriptions.py
@@ -0,0 +1,247 @@
+"""Subscriptions to the control plane: one long-lived stream to each replica that a node receives from."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+from typing import Protocol
+
+import msgspec
+from absl import logging
+
+from dunlinloft.coordination.stream import (
+    ConfigurationId,
+    Fetch,
+    HoldsShares,
+    NodeAlive,
+    NodeEnds,
+    Replicas,
+    Subscribe,
+    ToNode,
+    Version,
+)
+from dunlinloft.dataplane.replica_streams import ReplicaStreams
+from dunlinloft.fleet.rendezvous import rank
+from dunlinloft.transport import message_stream
+from dunlinloft.transport.clock import now_ms
+from dunlinloft.transport.exceptions import ConnectError
+
+MAX_STREAMS = 9  # where there are more replicas, rendezvous hashing chooses among them
+CONFIGURATION_STREAMS = 2  # of them carry configurations; the others only announce versions
+# Streams beyond the first ones wait this long for the first to list all servers, so as not to repeat that.
+SERVER_LISTING_WAIT_MS = 300.0
+FETCH_DELAY_S = 0.15  # an announced version that has not arrived by then is fetched from its announcer
+MIN_RECONNECT_BACKOFF_S = 0.05
+MAX_RECONNECT_BACKOFF_S = 0.5
+RECONNECT_BACKOFF_FACTOR = 1.5
+HEARTBEAT_INTERVAL_S = 0.3  # of this node's keep-alives, and between looks at which streams are wanted
+RECEIVE_TIMEOUT_S = 1.5  # a stream without a message for this long is closed
+
+_decoder = msgspec.json.Decoder(ToNode)
+
+
+class Subscriber(Protocol):
+    """What subscriptions report about this node, and where they deliver messages; see `NodeState`."""
+
+    @property
+    def configuration_id(self) -> ConfigurationId:
+        """The active configuration."""
+
+    @property
+    def has_all_servers(self) -> bool:
+        """Whether some replica has listed all servers."""
+
+    def server_digests(self) -> tuple[int, ...]:
+        """Digests of the known servers, by id range."""
+
+    def owner_responds(self, replica: str, now_ms: float) -> bool:
+        """Whether a replica answers this node's quota requests."""
+
+    def quota_shares(self, now_ms: float) -> dict[str, float]:
+        """Standing shares of quotas that this node has, by tenant."""
+
+    def quota_reserves(self) -> dict[str, float]:
+        """Unspent reserves of quotas, by tenant."""
+
+    def apply(self, replica: str, message: ToNode) -> None:
+        """Take a message from a replica."""
+
+    def on_stream_lost(self, replica: str) -> None:
+        """A replica's stream ended."""
+
+
+class Subscriptions:
+    """Keeps streams to the wanted replicas: the seeds at first, then those that replicas announce.
+
+    Owns one task for each wanted replica, which connects, subscribes and receives, and reconnects with
+    backoff. Messages are delivered to the `Subscriber`; open streams are registered in `ReplicaStreams`.
+    """
+
+    def __init__(
+        self,
+        node: str,
+        zone: str,
+        seeds: Callable[[], tuple[str, ...]],
+        streams: ReplicaStreams,
+        subscriber: Subscriber,
+    ) -> None:
+        self._node = node
+        self._zone = zone
+        self._seeds = seeds
+        self._streams = streams
+        self._subscriber = subscriber
+        self._stopped = False
+        self._node_counts: dict[str, int] = {}  # number of nodes as each connected replica announces it
+        self._tasks: dict[str, asyncio.Task[None]] = {}  # by wanted replica
+        self._cancelled: set[asyncio.Task[None]] = set()  # of replicas no longer wanted
+        self._fetches: set[asyncio.Task[None]] = set()
+        self._announced: tuple[str, ...] = ()  # addresses of all replicas
+        self._started_ms = now_ms()
+
+    async def run(self) -> None:
+        """Reconcile the streams that exist with the wanted ones and send keep-alives, until `stop`.
+
+        The streams outlast this loop, so that what `stop` announces is sent; `close` ends them.
+        """
+        while not self._stopped:
+            self._reconcile()
+            for address in self._streams.addresses():
+                responds = self._subscriber.owner_responds(address, now_ms())
+                self._streams.send(address, NodeAlive(responds))
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+
+    def _reconcile(self) -> None:
+        wanted = self._wanted()
+        for address in wanted - self._tasks.keys():
+            self._tasks[address] = asyncio.create_task(self._maintain(address))
+        for address in self._tasks.keys() - wanted:
+            task = self._tasks.pop(address)
+            self._cancelled.add(task)
+            task.add_done_callback(self._cancelled.discard)
+            task.cancel()
+        self._drop_failed()
+
+    async def close(self) -> None:
+        """End all streams; to be called after `run` has ended."""
+        tasks = [*self._tasks.values(), *self._cancelled, *self._fetches]
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
+
+    def _drop_failed(self) -> None:
+        """Log streams that ended by a programming fault; they start anew at the next reconciliation."""
+        for address, task in list(self._tasks.items()):
+            if task.done():
+                del self._tasks[address]
+                if not task.cancelled() and task.exception() is not None:
+                    logging.error("event=stream_failed replica=%s", address, exc_info=task.exception())
+
+    def _wanted(self) -> set[str]:
+        """The replicas to subscribe to, and the seeds while none of those is connected."""
+        preferred = self._preference()[:MAX_STREAMS]
+        connected = any(address in self._streams for address in preferred)
+        return set(preferred) if connected else set(preferred) | set(self._seeds())
+
+    def _preference(self) -> list[str]:
+        """All replicas in this node's rendezvous order; the seeds before any replica is announced."""
+        return sorted(self._announced or self._seeds(), key=lambda address: rank(self._node, address))
+
+    async def _wait_for_server_listing(self) -> None:
+        """Let the first streams list all servers, so that the others need not."""
+        deadline_ms = now_ms() + SERVER_LISTING_WAIT_MS
+        while not self._subscriber.has_all_servers and now_ms() < deadline_ms:
+            await asyncio.sleep(SERVER_LISTING_WAIT_MS / 10_000.0)
+
+    async def _fetch(self, address: str, announced: ConfigurationId) -> None:
+        """Fetch an announced configuration unless it arrives by itself meanwhile."""
+        await asyncio.sleep(FETCH_DELAY_S)
+        active = self._subscriber.configuration_id
+        if announced.replaces(active, True):
+            self._streams.send(address, Fetch(active))
+
+    def stop(self) -> None:
+        """Announce to all replicas that this process ends, and start no stream any more."""
+        self._stopped = True
+        self._streams.broadcast(NodeEnds())
+
+    async def _maintain(self, address: str) -> None:
+        """Keep one replica's stream up, until cancelled."""
+        backoff_s = MIN_RECONNECT_BACKOFF_S
+        while True:
+            try:
+                reader, raw_writer = await message_stream.connect(address)
+            except ConnectError:
+                await asyncio.sleep(backoff_s * (0.5 + random.random()))
+                backoff_s = min(MAX_RECONNECT_BACKOFF_S, backoff_s * RECONNECT_BACKOFF_FACTOR)
+                continue
+            backoff_s = MIN_RECONNECT_BACKOFF_S
+            reason = await self._receive(address, reader, message_stream.MessageWriter(raw_writer))
+            logging.info("event=stream_ended replica=%s reason=%s", address, reason)
+            await asyncio.sleep(backoff_s * (0.5 + random.random()))
+
+    async def _receive(
+        self, address: str, reader: asyncio.StreamReader, writer: message_stream.MessageWriter
+    ) -> message_stream.StreamEnd:
+        """Subscribe on a new connection and receive until it ends; returns why it did."""
+        self._streams.open(address, writer)
+        try:
+            wants_configurations = address in self._preference()[:CONFIGURATION_STREAMS]
+            if not wants_configurations:
+                await self._wait_for_server_listing()
+            writer.send(self._subscribe_message(wants_configurations))
+            return await message_stream.read_messages(
+                reader, _decoder, lambda message: self._on_message(address, message), RECEIVE_TIMEOUT_S
+            )
+        finally:
+            writer.abort()
+            self._streams.close(address)
+            self._node_counts.pop(address, None)
+            self._subscriber.on_stream_lost(address)
+
+    def _subscribe_message(self, wants_configurations: bool) -> Subscribe:
+        return Subscribe(
+            self._node,
+            self._zone,
+            self._subscriber.configuration_id,
+            now_ms() - self._started_ms,
+            wants_configurations,
+            self._subscriber.server_digests(),
+            self._quota_holdings(),
+        )
+
+    def _on_message(self, address: str, message: ToNode) -> None:
+        self._streams.on_received(address)
+        if isinstance(message, Replicas):
+            self._on_replicas(address, message)
+        elif isinstance(message, Version):
+            self._on_version(address, message)
+        else:
+            self._subscriber.apply(address, message)
+
+    def _on_version(self, address: str, message: Version) -> None:
+        """A replica announced a configuration, which another stream usually carries."""
+        if message.id.replaces(self._subscriber.configuration_id, True):
+            task = asyncio.create_task(self._fetch(address, message.id))
+            self._fetches.add(task)
+            task.add_done_callback(self._fetches.discard)
+
+    def _on_replicas(self, address: str, message: Replicas) -> None:
+        """Take the newest view of the control plane.
+
+        The number of nodes is the largest that any connected replica knows: one that has just started knows
+        few. In a new epoch, owners change: report at once to all replicas what this node holds of quotas.
+        """
+        self._node_counts[address] = message.nodes
+        epoch = self._streams.epoch
+        if message.epoch < epoch:
+            return
+        self._streams.replicas = msgspec.structs.replace(message, nodes=max(self._node_counts.values()))
+        self._announced = message.addresses
+        if message.epoch > epoch:
+            self._streams.broadcast(self._quota_holdings())
+
+    def _quota_holdings(self) -> HoldsShares:
+        return HoldsShares(
+            self._streams.epoch, self._subscriber.quota_shares(now_ms()), self._subscriber.quota_reserves()
+        )
--- a/lab/router/bare_node.py
+++ b/lab/router/bare_node.py
@@ -11,18 +11,18 @@
 from dunlinloft.configuration import typed
 from dunlinloft.coordination.quotas import QuotaBounds
 from dunlinloft.coordination.stream import ServerRecord
-from dunlinloft.dataplane.advice import Advice
-from dunlinloft.dataplane.attempts import Serving
-from dunlinloft.dataplane.budget import RetryBudget
 from dunlinloft.dataplane.client_request import ClientRequest
-from dunlinloft.dataplane.closing import Closing
+from dunlinloft.dataplane.control_streams import NoControlStreams
 from dunlinloft.dataplane.exchange import Exchange
 from dunlinloft.dataplane.frontend import Frontend
+from dunlinloft.dataplane.graceful_shutdown import GracefulShutdown
 from dunlinloft.dataplane.metrics import Metrics
-from dunlinloft.dataplane.quota import NodeQuotas
+from dunlinloft.dataplane.placement_client import PlacementClient
+from dunlinloft.dataplane.quota_client import QuotaClient
+from dunlinloft.dataplane.retry_budget import RetryBudget
 from dunlinloft.dataplane.routing import RoutingTable
-from dunlinloft.dataplane.servers import ServicePool
-from dunlinloft.dataplane.streams import NoStreams
+from dunlinloft.dataplane.server_pool import ServerPool
+from dunlinloft.dataplane.service_context import ServiceContext
 from dunlinloft.dataplane.upstream import Upstream
 
 SERVICE = "pool"
@@ -36,23 +36,23 @@
         rng = random.Random(1)
         document = {"version": 1, "routes": routes, "services": [{"name": SERVICE}]}
         table = RoutingTable(typed(document), rng)
-        pool = ServicePool(rng)
+        pool = ServerPool(rng)
         for number, address in enumerate(addresses):
             pool.put(ServerRecord(f"i-{number}", SERVICE, address, "a", 8, "ready", 1))
-        self.closing = Closing(GRACE_MS)
+        self.shutdown = GracefulShutdown(GRACE_MS)
         self.metrics = metrics = Metrics()
         self.upstream = Upstream(16)
         budget = RetryBudget(0.2, 10.0, 1_000.0)
-        advice = Advice(NoStreams())
-        serving = Serving(SERVICE, pool, advice, self.upstream, budget, 1, rng, metrics)
-        quotas = NodeQuotas(NoStreams(), QuotaBounds(8.0, 0.1, 0.0))
+        placement = PlacementClient(NoControlStreams())
+        context = ServiceContext(SERVICE, pool, placement, self.upstream, budget, 1, rng, metrics)
+        quotas = QuotaClient(NoControlStreams(), QuotaBounds(8.0, 0.1, 0.0))
         started = asyncio.Event()
         started.set()
 
         def exchange(request: ClientRequest) -> Exchange:
-            return Exchange(request, serving, self.closing)
+            return Exchange(request, context, self.shutdown)
 
-        self.frontend = Frontend(lambda: table, quotas, exchange, self.closing, started, metrics)
+        self.frontend = Frontend(lambda: table, quotas, exchange, self.shutdown, started, metrics)
         self.server = Server(self.frontend.handle, handler_cancellation=True, access_log=None)
         self.url = ""
         self._listening: asyncio.Server | None = None
--- a/tests/test_metrics.py
+++ b/tests/test_dataplane_metrics.py
@@ -1,4 +1,4 @@
-"""A node's counters: each refusal under its cause, told in the exposition format."""
+"""A node's metrics: each refusal is counted under its cause, and the exposition format can be parsed."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
                     await answer.read()
         assert node.metrics.refusals == {(503, Cause.NO_SERVER): 2, (404, Cause.NO_ROUTE): 1}
         assert node.metrics.requests == {503: 2, 404: 1}
-        assert node.metrics.inflight == 0
+        assert node.metrics.in_flight == 0
         await node.stop()
 
     run_virtually(play())
 
 
-def test_the_exposition_can_be_read() -> None:
+def test_exposition_can_be_parsed() -> None:
     metrics = Metrics()
     metrics.requests[200] += 3
     metrics.refusals[429, Cause.QUOTA_ALONE] += 2
--- /dev/null
+++ b/tests/test_dataplane_server_table.py
@@ -0,0 +1,107 @@
+"""The server table: servers merged from the listings of several control-plane replicas."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from dunlinloft.coordination.digests import RANGES, RangeDigests, range_of
+from dunlinloft.coordination.stream import ServerNews
+from dunlinloft.dataplane.server_table import RECENT_RESPONSE_MS, ServerTable
+from tests.server_records import server_record
+
+ALL = tuple(range(RANGES))
+
+
+@pytest.fixture
+def table() -> ServerTable:
+    """A table that knows no server."""
+    return ServerTable(random.Random(1))
+
+
+def test_server_is_removed_once_no_replica_lists_it(table: ServerTable) -> None:
+    table.on_listing("one", True, ALL, (server_record(1), server_record(2)))
+    table.on_listing("other", True, ALL, (server_record(1),))
+    table.on_update("one", ServerNews((), ("i-1", "i-2")), 0.0)
+    assert set(table.pool("pool").servers) == {"i-1"}
+    table.on_update("other", ServerNews((), ("i-1",)), 0.0)
+    assert not table.pool("pool").servers
+
+
+def test_server_without_heartbeats_stays_for_as_long_as_it_responds(table: ServerTable) -> None:
+    table.on_listing("one", True, ALL, (server_record(1), server_record(2), server_record(3)))
+    servers = table.pool("pool").servers
+    for server in servers.values():
+        server.on_sent("a", 900.0)
+    servers["i-1"].on_response("a", 1_000.0)
+    servers["i-3"].on_response("a", 1_000.0)
+    # The third announces its end; the second responds to nothing.
+    table.on_update("one", ServerNews((), ("i-1", "i-2", "i-3"), ("i-1", "i-2")), 1_500.0)
+    assert set(servers) == {"i-1"}
+    servers["i-1"].on_response("b", 2_000.0)
+    table.expire_unlisted(2_000.0 + RECENT_RESPONSE_MS)
+    assert set(servers) == {"i-1"}
+    table.expire_unlisted(2_001.0 + RECENT_RESPONSE_MS)
+    assert not servers
+
+
+def test_unlisted_server_that_is_reported_anew_is_listed_as_before(table: ServerTable) -> None:
+    table.on_listing("one", True, ALL, (server_record(1),))
+    table.pool("pool").servers["i-1"].on_response("a", 1_000.0)
+    table.on_update("one", ServerNews((), ("i-1",), ("i-1",)), 1_500.0)
+    table.on_update("other", ServerNews((server_record(1, 9),), ()), 1_600.0)
+    table.expire_unlisted(60_000.0)
+    assert set(table.pool("pool").servers) == {"i-1"}
+    table.on_update("other", ServerNews((), ("i-1",)), 61_000.0)
+    assert not table.pool("pool").servers
+
+
+def test_incomplete_listing_of_a_restarted_replica_removes_nothing(table: ServerTable) -> None:
+    table.on_listing("one", True, ALL, (server_record(1), server_record(2)))
+    table.on_stream_lost("one", 0.0)
+    table.on_listing("one", False, ALL, (server_record(1, 5),))
+    assert set(table.pool("pool").servers) == {"i-1", "i-2"}
+    table.on_listing("one", True, ALL, (server_record(1, 6),))
+    assert set(table.pool("pool").servers) == {"i-1"}
+
+
+def test_listing_of_a_lost_stream_expires_while_another_stream_is_up(table: ServerTable) -> None:
+    table.on_listing("one", True, ALL, (server_record(1),))
+    table.on_stream_lost("one", 0.0)
+    table.expire_lost_listings(1_000.0, 5_000.0)
+    assert table.pool("pool").servers
+    table.on_listing("other", True, ALL, (server_record(2),))
+    table.expire_lost_listings(1_000.0, 6_000.0)
+    assert set(table.pool("pool").servers) == {"i-2"}
+
+
+def test_only_differing_ranges_are_sent_and_the_others_count_as_listed(table: ServerTable) -> None:
+    records = [server_record(number) for number in range(200)]
+    current = [*records[1:], server_record(500)]
+    table.on_listing("one", True, ALL, tuple(records))
+    remote = RangeDigests(current)
+    ranges = remote.differing(table.digests())
+    assert set(ranges) == {range_of("i-0"), range_of("i-500")}
+    sent = tuple(record for record in current if range_of(record.id) in ranges)
+    assert len(sent) < 20
+    table.on_listing("other", True, ranges, sent)
+    table.on_update("one", ServerNews((), tuple(record.id for record in records)), 0.0)
+    assert set(table.pool("pool").servers) == {record.id for record in current}
+    assert remote.differing(table.digests()) == ()
+    assert len(remote.differing(())) == RANGES
+
+
+def test_restarted_replica_that_is_complete_removes_what_it_has_not_listed_since(table: ServerTable) -> None:
+    table.on_listing("one", True, ALL, (server_record(1), server_record(2), server_record(3)))
+    table.on_stream_lost("one", 0.0)
+    table.on_listing("one", False, ALL, (server_record(1),))
+    table.on_update("one", ServerNews((server_record(2, 9),), ()), 0.0)
+    table.on_complete("one")
+    assert set(table.pool("pool").servers) == {"i-1", "i-2"}
+
+
+def test_draining_is_followed_whichever_replica_reports_it_first(table: ServerTable) -> None:
+    table.on_listing("one", True, ALL, (server_record(1, 4, "draining"),))
+    table.on_listing("other", True, ALL, (server_record(1, 3),))
+    assert table.pool("pool").servers["i-1"].record.draining
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -17,8 +17,8 @@
     Replicas,
     ServerRecord,
 )
-from dunlinloft.dataplane.advice import Advice, Advised
-from dunlinloft.dataplane.servers import ServerNeeds
+from dunlinloft.dataplane.placement_client import PlacedRequest, PlacementClient
+from dunlinloft.dataplane.server_pool import ServerRequirements
 from tests.virtual_time import run_virtually
 
 LONG = PlacementRequest((("system", 2_500), ("handbook", 3_800), ("own", 2_900)), 60)
@@ -165,7 +165,7 @@
 CHAIN = ("10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000")
 
 
-NEEDS = ServerNeeds(200.0, parts=LONG.parts, answer_tokens=60)
+NEEDS = ServerRequirements(200.0, prompt_segments=LONG.parts, max_response_tokens=60)
 
 
 class _Owner:
@@ -176,7 +176,7 @@
         self.is_alive = alive
         self.sent: list[Struct] = []
         self.replicas = Replicas(1, CHAIN, CHAIN, 10)
-        self.advice = Advice(self)
+        self.client = PlacementClient(self)
 
     def alive(self, _: str) -> bool:
         """Whether it is there."""
@@ -187,14 +187,14 @@
         if isinstance(message, Place):
             placed = Placed(message.number, message.service, "i-1")
             loop = asyncio.get_running_loop()
-            loop.call_later(self.answer_ms / 1_000.0, self.advice.on_placed, address, placed)
+            loop.call_later(self.answer_ms / 1_000.0, self.client.on_placed, address, placed)
         return True
 
     async def ask(self) -> bool:
         """Ask with an objective of 200 ms; whether advice came in time."""
         now = 1_000.0 * asyncio.get_running_loop().time()
-        advised = await self.advice.ask("pool", NEEDS, (), False, now)
-        return isinstance(advised, Advised)
+        advised = await self.client.request("pool", NEEDS, (), False, now)
+        return isinstance(advised, PlacedRequest)
 
 
 def test_advice_is_waited_for_a_fifth_of_the_objective() -> None:
@@ -221,9 +221,9 @@
 
 def test_a_choice_of_its_own_is_told_and_its_end_too() -> None:
     owner = _Owner(5.0)
-    told = owner.advice.chose("pool", NEEDS, "i-2")
+    told = owner.client.report_choice("pool", NEEDS, "i-2")
     assert told is not None
-    told.ended(False)
+    told.finish(False)
     chosen, ended = owner.sent
     assert isinstance(chosen, PlaceChosen)
     assert isinstance(ended, PlaceEnded)
--- /dev/null
+++ b/tests/test_quota_client.py
@@ -0,0 +1,219 @@
+"""A node's quota client: how long it waits for an owner, what it charges meanwhile, and when it refuses."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+import pytest
+from msgspec import Struct
+
+from dunlinloft.coordination.quota_holder import TELL_AFTER_MS
+from dunlinloft.coordination.quotas import QuotaAsk
+from dunlinloft.coordination.stream import QuotaGranted, Replicas, TakeQuota
+from dunlinloft.dataplane.quota_charge import MAX_RETRY_DURATION_MS, Granted, OverQuota, quota_charge
+from dunlinloft.dataplane.quota_client import QuotaClient
+from tests.quotas import BOUNDS, CHAIN, LIMIT, owner_address, owner_at
+from tests.virtual_time import run_virtually
+
+FEW_NODES = Replicas(1, CHAIN, CHAIN, 2)
+MANY_NODES = Replicas(1, CHAIN, CHAIN, 72)
+
+
+class _PromptOwner:
+    """Control streams to an owner that responds at once, or is unreachable."""
+
+    def __init__(self) -> None:
+        self.owner = owner_at(owner_address())
+        self.reachable = True
+        self.now = 0.0
+        self.replicas = Replicas(1, CHAIN, CHAIN, 10)
+        self.client = QuotaClient(self, BOUNDS, lambda: self.now)
+
+    def alive(self, _: str) -> bool:
+        """Whether it is reachable."""
+        return self.reachable
+
+    def send(self, address: str, message: Struct) -> bool:
+        assert isinstance(message, TakeQuota)
+        if not self.reachable:
+            return False
+        ask = QuotaAsk("node", message.tenant, message.amount, message.reserve, message.share, message.alone)
+        taken = self.owner.take(ask, True, self.now)
+        assert taken is not None
+        amount = 0.0 if taken.wait_ms else message.amount
+        self.client.on_granted(
+            QuotaGranted(message.number, "tenant", amount, taken.reserve, taken.share, taken.wait_ms)
+        )
+        return True
+
+    async def charge(self, amount: float, now_ms: float) -> Granted | OverQuota:
+        """Charge at a time."""
+        self.now = now_ms
+        return await self.client.charge(quota_charge("tenant", amount, LIMIT, 200.0, 0.0, 2_000.0))
+
+
+def test_node_reports_to_its_owner_that_it_spends_alone_and_when_that_is_over() -> None:
+    async def play() -> None:
+        streams = _PromptOwner()
+        address = owner_address()
+        for _ in range(2):  # the first reports its share, the second fills the reserve
+            assert await streams.charge(100.0, 0.0) == Granted()
+        assert streams.client.owner_responds(address, 0.0)
+        streams.reachable = False
+        assert await streams.charge(100.0, 10.0) == Granted()
+        assert streams.client.owner_responds(address, 10.0)
+        assert not streams.client.owner_responds(address, 10.0 + TELL_AFTER_MS)
+        streams.reachable = True
+        assert await streams.charge(100.0, 500.0) == Granted()
+        assert streams.client.owner_responds(address, 500.0)
+
+    asyncio.run(play())
+
+
+class _SlowOwner:
+    """Control streams to an owner that responds after a delay, in virtual time."""
+
+    def __init__(self, replicas: Replicas | None, response_ms: float, alive: bool = True) -> None:
+        self.replicas = replicas
+        self.response_ms = response_ms
+        self.requests = 0
+        self.granting = True
+        self.scarce = False
+        loop = asyncio.get_running_loop()
+        self.clock: Callable[[], float] = lambda: 1_000.0 * loop.time()
+        self.is_alive = alive
+        self.client = QuotaClient(self, BOUNDS, self.clock)
+
+    def alive(self, _: str) -> bool:
+        """Whether its stream is up."""
+        return self.is_alive
+
+    def send(self, address: str, message: Struct) -> bool:
+        assert isinstance(message, TakeQuota)
+        self.requests += 1
+        amount = message.amount if self.granting else 0.0
+        wait_ms = 0.0 if self.granting else 100.0
+        response = QuotaGranted(
+            message.number, message.tenant, amount, message.reserve, 0.5, wait_ms, scarce=self.scarce
+        )
+        loop = asyncio.get_running_loop()
+        loop.call_later(self.response_ms / 1_000.0, self.client.on_granted, response)
+        return True
+
+    async def charge(self, amount: float, waited_ms: float = 0.0) -> tuple[Granted | OverQuota, float]:
+        """Charge with a latency target of 200 ms; the result and how long it took."""
+        started_ms = self.clock()
+        result = await self.client.charge(quota_charge("tenant", amount, LIMIT, 200.0, waited_ms, 2_000.0))
+        return result, self.clock() - started_ms
+
+
+def test_late_response_is_waited_for_while_its_owner_is_alive() -> None:
+    async def play() -> None:
+        streams = _SlowOwner(MANY_NODES, 80.0)
+        result, took_ms = await streams.charge(9_000.0)
+        assert result == Granted()
+        assert took_ms == pytest.approx(80.0, abs=2.0)
+        dead = _SlowOwner(MANY_NODES, 80.0, alive=False)
+        result, took_ms = await dead.charge(9_000.0)
+        assert isinstance(result, OverQuota)
+        assert took_ms < 50.0, "its client is told to come back in a quarter of the objective"
+
+    run_virtually(play())
+
+
+def test_owner_that_never_responds_is_waited_for_only_briefly() -> None:
+    async def play() -> None:
+        streams = _SlowOwner(MANY_NODES, 10_000.0)
+        first, first_took_ms = await streams.charge(9_000.0)
+        await asyncio.sleep(0.3)  # it is suspended meanwhile
+        second, second_took_ms = await streams.charge(9_000.0)
+        assert isinstance(first, OverQuota)
+        assert isinstance(second, OverQuota)
+        assert first_took_ms == pytest.approx(100.0, abs=5.0)
+        assert second_took_ms == pytest.approx(30.0, abs=5.0), "a quarter of the objective is 50 ms"
+
+    run_virtually(play())
+
+
+def test_late_response_adds_nothing_to_the_reserve() -> None:
+    """The owner has not counted it as drawn: its bucket may hold as much again."""
+
+    async def play() -> None:
+        streams = _SlowOwner(FEW_NODES, 1.0)
+        for _ in range(2):  # the first reports its share, the second fills the reserve
+            await streams.charge(1_000.0)
+        full = streams.client.reserves()["tenant"]
+        streams.response_ms = 80.0
+        result, took_ms = await streams.charge(1_000.0)
+        assert result == Granted()
+        assert took_ms < 50.0
+        await asyncio.sleep(0.1)
+        assert streams.client.reserves()["tenant"] == full - 1_000.0
+
+    run_virtually(play())
+
+
+def test_client_that_leaves_during_its_charge_leaves_nothing_behind() -> None:
+    async def play() -> None:
+        streams = _SlowOwner(MANY_NODES, 80.0)
+        charging = asyncio.create_task(streams.charge(9_000.0))
+        await asyncio.sleep(0.05)
+        charging.cancel()
+        await asyncio.wait((charging,))
+        assert charging.cancelled()
+        assert not streams.client._pending
+        await asyncio.sleep(0.1)
+        assert streams.client.reserves() == {}
+
+    run_virtually(play())
+
+
+def test_returned_request_waits_for_an_owner_and_a_first_attempt_does_not() -> None:
+    async def play() -> None:
+        streams = _SlowOwner(None, 5.0)
+        result, took_ms = await streams.charge(9_000.0)
+        assert isinstance(result, OverQuota)
+        assert took_ms < 50.0
+        asyncio.get_running_loop().call_later(0.4, setattr, streams, "replicas", MANY_NODES)
+        result, took_ms = await streams.charge(9_000.0, waited_ms=300.0)
+        assert result == Granted()
+        assert 400.0 <= took_ms < 700.0
+
+    run_virtually(play())
+
+
+@pytest.mark.parametrize(
+    ("waited_ms", "remaining_ms", "retry_duration_ms"),
+    [(300.0, 14_000.0, MAX_RETRY_DURATION_MS), (300.0, 1_000.0, pytest.approx(450.0)), (0.0, 14_000.0, 0.0)],
+)
+def test_charge_is_not_retried_for_all_of_a_long_deadline(
+    waited_ms: float, remaining_ms: float, retry_duration_ms: float
+) -> None:
+    """Clients abandon a stream after two seconds without data, however long its deadline is."""
+    charge = quota_charge("tenant", 1.0, LIMIT, 200.0, waited_ms, remaining_ms)
+    assert charge.retry_duration_ms == retry_duration_ms
+
+
+@pytest.mark.parametrize("scarce", [True, False])
+def test_charge_to_a_scarce_quota_is_not_retried_and_to_a_short_one_it_is(scarce: bool) -> None:
+    async def play() -> None:
+        streams = _SlowOwner(MANY_NODES, 5.0)
+        streams.granting = False
+        streams.scarce = scarce
+        asyncio.get_running_loop().call_later(0.3, setattr, streams, "granting", True)
+        result, took_ms = await streams.charge(9_000.0, waited_ms=300.0)
+        assert isinstance(result, OverQuota if scarce else Granted)
+        assert (took_ms < 10.0) == scarce
+
+    run_virtually(play())
+
+
+def test_denial_of_an_owner_carries_a_wait() -> None:
+    async def play() -> None:
+        streams = _PromptOwner()
+        result = await streams.charge(150_000.0, 0.0)
+        assert isinstance(result, OverQuota)
+        assert result.wait_ms > 0.0
+
+    asyncio.run(play())
