--- a/dunlinloft/dataplane/graceful_shutdown.py
+++ b/dunlinloft/dataplane/graceful_shutdown.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-# The platform polls readiness once a second, and sends no more connections after two failures in a row.
+# For the platform to send no more connections: it polls readiness once a second, twice.
 PLATFORM_NOTICE_MS = 2_600.0
 # Requests still in flight this long before the grace period ends are abandoned, so that the process exits
 # by itself before the platform kills it.
--- a/dunlinloft/dataplane/placement_client.py
+++ b/dunlinloft/dataplane/placement_client.py
@@ -61,7 +61,7 @@
         self._finished = False
 
     def on_response_started(self) -> None:
-        """Report that the response began: the server has prefilled the prompt."""
+        """Report that the first bytes of the response came."""
         if not self._finished:
             self._client.notify(self._owner, PlaceBegan(self._service, self._number))
 
--- a/dunlinloft/dataplane/retry_budget.py
+++ b/dunlinloft/dataplane/retry_budget.py
@@ -5,9 +5,9 @@
 from dunlinloft.balancer.averages import SlidingCount
 from dunlinloft.balancer.logic import DelayController
 
-# Margins below the rule's bounds: nodes' windows are not aligned, and the number of nodes is known late.
-RATIO_MARGIN = 0.8  # of the budget's ratio
-ALLOWANCE_MARGIN = 0.6  # of its allowance, which is divided evenly among the nodes
+# Shares of the rule's bounds that are used, so that the fleet stays below them (`docs/system.md`).
+RATIO_USED = 0.8  # of the budget's ratio
+ALLOWANCE_USED = 0.6  # of its allowance, which is divided evenly among the nodes
 
 
 class RetryBudget:
@@ -17,8 +17,8 @@
     """
 
     def __init__(self, ratio: float, window_s: float, allowance: float) -> None:
-        self._ratio = ratio * RATIO_MARGIN
-        self._allowance = allowance * ALLOWANCE_MARGIN
+        self._ratio = ratio * RATIO_USED
+        self._allowance = allowance * ALLOWANCE_USED
         self._requests = SlidingCount(window_s * 1_000.0)
         self._retries = SlidingCount(window_s * 1_000.0)
 
--- a/dunlinloft/dataplane/verdict.py
+++ b/dunlinloft/dataplane/verdict.py
@@ -12,7 +12,7 @@
 from dunlinloft.dataplane.causes import Cause
 
 NOT_EXECUTED_HEADER = "X-Not-Executed"
-STATUS_MISDIRECTED = 421  # RFC 9110, section 15.5.20: the server did not process the request
+STATUS_MISDIRECTED = 421  # RFC 9110, section 15.5.20; servers here decline with it before they execute
 
 
 class Verdict(enum.Enum):
