--- /dev/null
+++ b/dunlinloft/cli/admin_client.py
@@ -0,0 +1,74 @@
+"""Requests to a node's admin endpoint."""
+
+from __future__ import annotations
+
+import json
+import time
+import urllib.error
+import urllib.request
+from collections.abc import Callable
+from typing import Any, TypeAlias
+
+from rich.console import Group
+from rich.live import Live
+from rich.markup import escape
+
+from dunlinloft.cli.consoles import stdout
+from dunlinloft.cli.exit_codes import ExitCode
+
+REQUEST_TIMEOUT_S = 3.0  # an operator waits; the endpoint answers from memory
+WATCH_INTERVAL_S = 1.0  # between two requests of a live display
+
+# A JSON object of the admin endpoint as decoded; docs/operations.md describes its fields.
+AdminDocument: TypeAlias = dict[str, Any]
+
+
+class AdminRequestError(Exception):
+    """The admin endpoint gave no usable answer; the text says why."""
+
+
+def request_document(admin: str, path: str = "/admin/fleet", method: str = "GET") -> AdminDocument:
+    """The JSON object at a path of the admin endpoint `admin` (host:port).
+
+    Raises `AdminRequestError` where there is no endpoint, or it rejects the request.
+    """
+    try:
+        request = urllib.request.Request(f"http://{admin}{path}", method=method)
+        with urllib.request.urlopen(request, timeout=REQUEST_TIMEOUT_S) as response:
+            document = json.load(response)
+    except urllib.error.HTTPError as error:
+        if error.code == 404:
+            raise AdminRequestError(
+                f"{admin}: this node has none of it: see `fleet` in its configuration"
+            ) from None
+        raise AdminRequestError(f"{admin}: {_rejection_reason(error)}") from None
+    except (OSError, ValueError) as error:
+        reason = getattr(error, "reason", error)
+        raise AdminRequestError(f"{admin}: no admin endpoint there: {reason}") from None
+    if not isinstance(document, dict):
+        raise AdminRequestError(f"{admin}: what the endpoint says is no object")
+    return document
+
+
+def _rejection_reason(error: urllib.error.HTTPError) -> str:
+    """The endpoint's own reason, with the member to ask instead where it names one."""
+    try:
+        document = json.load(error)
+        owner = f" ({document['holder']} does)" if document.get("holder") else ""
+        return f"{document['error']}{owner}"
+    except (OSError, ValueError, KeyError, TypeError):
+        return f"the endpoint says {error.code}"
+
+
+def watch_document(admin: str, path: str, render: Callable[[AdminDocument], Group]) -> ExitCode:
+    """Display the document at a path, refreshed until the operator interrupts."""
+    try:
+        with Live(console=stdout, auto_refresh=False) as live:
+            while True:
+                try:
+                    live.update(render(request_document(admin, path)), refresh=True)
+                except AdminRequestError as error:
+                    live.update(f"[red]{escape(str(error))}[/]", refresh=True)
+                time.sleep(WATCH_INTERVAL_S)
+    except KeyboardInterrupt:
+        return ExitCode.SUCCESS
--- a/dunlinloft/capacitycli.py
+++ b/dunlinloft/cli/handlers/capacity.py
@@ -1,4 +1,4 @@
-"""What `dunlinloft lab capacity` prints: each figure's samples, its line, and what that says at the size."""
+"""`dunlinloft lab capacity`: a figure's samples, the line through them, and its value at the target size."""
 
 from __future__ import annotations
 
@@ -10,86 +10,88 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from dunlinloft import fleetcli
-from dunlinloft.cli import BAD_FILE, SUCCESS, UNKEPT
-from dunlinloft.tables import PLAIN
+from dunlinloft.cli.consoles import report_invalid, stderr
+from dunlinloft.cli.exit_codes import ExitCode
+from dunlinloft.cli.handlers import fleet_members
+from dunlinloft.cli.tables import PLAIN_STYLE
 from lab.capacity import sizes
-from lab.capacity.catalogue import EXPERIMENTS as OF_THE_LAB
+from lab.capacity.catalogue import EXPERIMENTS as LAB_EXPERIMENTS
 from lab.capacity.membership import Host, fill
 from lab.capacity.model import TIMED, Experiment, Figure, Plan, Report, Row, run
 from lab.capacity.tools import best_ms
 from lab.runner import BadSeeds, read_seeds
 
-WIDTH = 190  # of the table, where nobody looks on a terminal
-err = Console(stderr=True, soft_wrap=True)
+TABLE_WIDTH = 190  # columns, where the output is no terminal
 COLUMNS = ("experiment", "figure", "unit", "means", "slope", "±", "intercept", "r²", "at", "", "±", "checked")
 
 
-def _command(members: int, seed: int) -> dict[str, float]:
-    """What `fleet members` makes of what a node tells: its time, and the bytes that it prints."""
+def _measure_fleet_members(members: int, seed: int) -> dict[str, float]:
+    """The time that `fleet members` takes to print a node's view, and the bytes printed."""
     host = Host(members)
     fill(host.core, members)
-    state = host.peers.show()[1]
+    document = host.peers.show()[1]
     printed = io.StringIO()
 
     def write() -> None:
         printed.seek(0)
-        Console(file=printed, width=WIDTH).print(fleetcli.table(state), highlight=False)
+        Console(file=printed, width=TABLE_WIDTH).print(
+            fleet_members.render_members(document), highlight=False
+        )
 
     return {"print": best_ms(write, 2), "printed": float(len(printed.getvalue()))}
 
 
-COMMAND = Experiment(
+FLEET_MEMBERS_EXPERIMENT = Experiment(
     "command", "an operator's `fleet members`", "members", sizes.SERVERS, (250, 500, 1000, 2000),
-    (20, 40, 80), (1, 2, 3), (Figure("print", "ms", TIMED), Figure("printed", "B")), _command,
+    (20, 40, 80), (1, 2, 3), (Figure("print", "ms", TIMED), Figure("printed", "B")), _measure_fleet_members,
 )  # fmt: skip
-EXPERIMENTS = OF_THE_LAB | {COMMAND.name: COMMAND}
+EXPERIMENTS = LAB_EXPERIMENTS | {FLEET_MEMBERS_EXPERIMENT.name: FLEET_MEMBERS_EXPERIMENT}
 
 
-def capacity(
+def measure_capacity(
     only: str | None, seeds: str | None, sizes: str | None, quick: bool, checks: bool, json_file: str | None
-) -> int:
-    """Measure; the exit status: 1 where a play came to no end, 2 for a name, seeds or sizes of no good."""
+) -> ExitCode:
+    """Run the experiments; fails where a run did not end. Unknown names, seeds or sizes are rejected."""
     names = only.split(",") if only else list(EXPERIMENTS)
     unknown = [name for name in names if name not in EXPERIMENTS]
     try:
-        wanted, at = (read_seeds(text) if text else [] for text in (seeds, sizes))
-    except BadSeeds as problem:
-        err.print(f"[red]{escape(str(problem))}[/]")
-        return BAD_FILE
+        wanted_seeds = read_seeds(seeds) if seeds else []
+        wanted_sizes = read_seeds(sizes) if sizes else []
+    except BadSeeds as error:
+        return report_invalid(error)
     if unknown:
-        err.print(f"[red]{escape(unknown[0])}: no such experiment; known are {', '.join(EXPERIMENTS)}[/]")
-        return BAD_FILE
-    plan = Plan([EXPERIMENTS[name] for name in names], quick, checks, wanted, at)
+        return report_invalid(f"{unknown[0]}: no such experiment; known are {', '.join(EXPERIMENTS)}")
+    plan = Plan([EXPERIMENTS[name] for name in names], quick, checks, wanted_seeds, wanted_sizes)
     report = _run(plan)
     if json_file:
         Path(json_file).write_bytes(report.write())
-    show(report)
-    return UNKEPT if report.failed else SUCCESS
+    _print_report(report)
+    return ExitCode.CHECK_FAILED if report.failed else ExitCode.SUCCESS
 
 
 def _run(plan: Plan) -> Report:
-    columns = TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn()
-    with Progress(*columns, console=err, transient=True) as progress:
-        whole = progress.add_task("", total=sum(len(plan.plays(one)) for one in plan.experiments))
+    """Run all experiments with a progress bar."""
+    columns = (TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn())
+    with Progress(*columns, console=stderr, transient=True) as progress:
+        bar = progress.add_task("", total=sum(len(plan.plays(one)) for one in plan.experiments))
         return run(
             plan,
             lambda sample: progress.update(
-                whole, advance=1, description=f"{sample.experiment} {sample.size}, seed {sample.seed}"
+                bar, advance=1, description=f"{sample.experiment} {sample.size}, seed {sample.seed}"
             ),
         )
 
 
-def show(report: Report) -> None:
-    """Print the lines, and what came to no end."""
-    table = Table(*COLUMNS, **PLAIN)
+def _print_report(report: Report) -> None:
+    """Print the fitted lines, and the runs that did not end."""
+    table = Table(*COLUMNS, **PLAIN_STYLE)
     for row in report.rows:
         table.add_row(*_cells(row))
     out = Console()
-    out = out if out.is_terminal else Console(width=WIDTH)
+    out = out if out.is_terminal else Console(width=TABLE_WIDTH)
     out.print(table)
     for problem in report.failed:
-        err.print(f"[red]{escape(problem)}[/]", highlight=False)
+        stderr.print(f"[red]{escape(problem)}[/]", highlight=False)
 
 
 def _cells(row: Row) -> list[str]:
--- /dev/null
+++ b/dunlinloft/cli/handlers/config_check.py
@@ -0,0 +1,145 @@
+"""`dunlinloft check`: everything that is wrong with a node's configuration, each problem with its path.
+
+The node's own reader decodes the file repeatedly; each time, the value that it rejects is reported and
+replaced by a valid example. So the problems are those that the node would report, one start after another.
+"""
+
+from __future__ import annotations
+
+import difflib
+import json
+import re
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any
+
+from dunlinloft.balancer.settings import Malformed
+from orchidferry.config import parse_config, parse_directory, path_in
+
+MAX_PROBLEMS = 200  # that are reported; a file with more is no configuration
+MIN_KEY_SIMILARITY = 0.8  # difflib's ratio from which an unknown key is taken for a misspelt missing one
+
+# The path in the file of each setting that the balancer's settings name otherwise.
+FILE_PATHS = {
+    "aim_ms": "objective_ms", "deadline_ms": "give_up_ms", "worth": "importance", "nodes": "siblings",
+    "number": "my_number", "tiers": "stages", "share": "fraction", "max_attempts": "permissions.max_attempts",
+    "connect_timeout_ms": "permissions.connect_timeout_ms", "keepalive_ms": "permissions.keepalive_ms",
+    "max_retry_after_ms": "permissions.max_retry_after_ms", "tick_ms": "quantum_ms",
+    "ask_every_ms": "rules.ask_every_ms", "answer_slack_ms": "rules.answer_slack_ms",
+    "drain_grace_ms": "rules.stop_sending_within_ms", "start_capacity": "rules.start_capacity",
+    "ramp_time_ms": "rules.ramp_time_ms", "overload_factor": "rules.overload_factor",
+    "overload_for_ms": "rules.overload_for_ms", "repeat_ratio": "rules.repeat_ratio",
+    "extra_floor": "rules.extra_floor", "resend_span_ms": "rules.resend_span_ms",
+    "cross_zone_price": "prices.cross_zone", "handshake_price": "prices.handshake",
+    "worst_class": "score_parts.worst_class",
+}  # fmt: skip
+
+
+class _TrackedObject(dict[str, Any]):
+    """A JSON object that records which keys its reader looked up."""
+
+    def __init__(self, pairs: list[tuple[str, Any]]) -> None:
+        super().__init__(pairs)
+        self.looked_up: set[str] = set()
+
+    def __getitem__(self, key: str) -> Any:
+        self.looked_up.add(key)
+        return super().__getitem__(key)
+
+    def get(self, key: str, default: Any = None) -> Any:
+        """As of a dict; records the key."""
+        self.looked_up.add(key)
+        return super().get(key, default)
+
+
+@dataclass
+class _Findings:
+    """Problems in the order in which the reader met them, and the paths that were replaced on the way."""
+
+    problems: list[str] = field(default_factory=list)
+    replaced: set[str] = field(default_factory=set)
+
+
+def check_file(path: Path, of_directory: bool = False) -> list[str]:
+    """All problems of a configuration file, a line each; none where a process can start with it.
+
+    `of_directory` tells a file for a process of the directory of cells from one for a node.
+    """
+    try:
+        root = json.loads(path.read_text(encoding="utf-8"), object_pairs_hook=_TrackedObject)
+    except OSError as error:
+        return [f"can't be read: {error.strerror}"]
+    except (ValueError, RecursionError) as error:
+        return [f"not JSON: {error!s:.200}"]
+    if not isinstance(root, _TrackedObject):
+        return ["must be an object"]
+    problems = _rejected_values(root, parse_directory if of_directory else parse_config)
+    return problems + _misspelt_keys(root, "")
+
+
+def _rejected_values(root: _TrackedObject, parse: Callable[[_TrackedObject], object]) -> list[str]:
+    """The values that the reader rejects; each is replaced in `root`, so that it gets to the next."""
+    findings = _Findings()
+    for _ in range(MAX_PROBLEMS):
+        try:
+            parse(root)
+        except Malformed as error:
+            if error.place is None:
+                return [*findings.problems, str(error)]
+            _replace_rejected(root, error, findings)
+        except ValueError as error:
+            return findings.problems + [_with_file_path(text, root) for text in str(error).split("; ")]
+        else:
+            break
+    return findings.problems
+
+
+def _replace_rejected(root: _TrackedObject, error: Malformed, findings: _Findings) -> None:
+    """Report a value once, and replace it by the reader's valid example."""
+    assert error.place is not None
+    container, key, example = error.place
+    path = path_in(root, container, key) or str(key)
+    if path not in findings.replaced:
+        findings.problems.append(f"{path}: {_without_key(str(error), key)}")
+    findings.replaced.add(path)
+    container[key] = _TrackedObject(list(example.items())) if isinstance(example, dict) else example
+
+
+def _without_key(text: str, key: str | int) -> str:
+    """The reader's text without the key that it begins with: the path ends in it already."""
+    return text.removeprefix(f"{key!r}").removeprefix(":").strip()
+
+
+def _with_file_path(text: str, root: _TrackedObject) -> str:
+    """A problem that the balancer's settings report in their own names, with the file's path and names."""
+    path, _, message = text.partition(": ")
+    settings = dict.get(root, "settings", {})
+    match = re.fullmatch(r"(classes|tenants)\[(.*)\](?:\.(\w+))?", path)
+    if match:
+        group, name, key = match.groups()
+        names = [item.get("name") for item in settings.get(group, []) if isinstance(item, dict)]
+        item_path = f"{group}[{names.index(name) if name in names else name}]"
+        path = f"{item_path}.{FILE_PATHS.get(key, key)}" if key else item_path
+    else:
+        path = FILE_PATHS.get(path, path)
+    for setting, file_path in FILE_PATHS.items():
+        message = re.sub(rf"\b{setting}\b", file_path, message)
+    return f"settings.{path}: {message}"
+
+
+def _misspelt_keys(value: object, path: str) -> list[str]:
+    """Keys that the reader did not look up, and that resemble one that it looked up in vain."""
+    problems: list[str] = []
+    if isinstance(value, _TrackedObject):
+        missing = [key for key in value.looked_up if key not in value]
+        for key, child in value.items():
+            child_path = f"{path}.{key}".lstrip(".")
+            similar = difflib.get_close_matches(key, missing, 1, MIN_KEY_SIMILARITY)
+            if key not in value.looked_up and similar:
+                problems.append(f"{child_path}: unknown key; did you mean {similar[0]!r}?")
+            problems += _misspelt_keys(child, child_path)
+    elif isinstance(value, list):
+        for position, child in enumerate(value):
+            problems += _misspelt_keys(child, f"{path}[{position}]")
+    return problems
--- /dev/null
+++ b/dunlinloft/cli/handlers/releases.py
@@ -0,0 +1,179 @@
+"""`dunlinloft release`: staged releases, by way of the admin endpoint of the release controller's node."""
+
+from __future__ import annotations
+
+import getpass
+import json
+import time
+import urllib.parse
+from datetime import UTC, datetime
+
+from rich.console import Group
+from rich.markup import escape
+from rich.table import Table
+
+from dunlinloft.cli.admin_client import AdminDocument, AdminRequestError, request_document, watch_document
+from dunlinloft.cli.consoles import report_invalid, stdout
+from dunlinloft.cli.exit_codes import ExitCode
+from dunlinloft.cli.tables import PLAIN_STYLE
+
+ADMIN_PATH = "/admin/releases"
+EVIDENCE_SHOWN = 6  # rows, the strongest evidence first
+STATE_COLOURS = {
+    "baking": "cyan",
+    "paused": "yellow",
+    "halted": "red",
+    "back": "red",
+    "done": "green",
+    "undone": "red",
+}
+FAILED_STATES = ("halted", "back", "undone")
+
+
+def parse_unix_time(text: str) -> float:
+    """Unix seconds of `now`, a number, or an ISO 8601 time (UTC where it names no zone).
+
+    Raises `ValueError` for anything else.
+    """
+    if text == "now":
+        return time.time()
+    try:
+        return float(text)
+    except ValueError:
+        moment = datetime.fromisoformat(text)
+    return (moment if moment.tzinfo else moment.replace(tzinfo=UTC)).timestamp()
+
+
+def start(admin: str, since: str, names: str, stages: str, bake: str, reason: str) -> ExitCode:
+    """Begin a release of the servers named, or of those started since a time."""
+    query = {"names": names, "stages": stages, "bake": bake, "why": reason, "by": _operator_name()}
+    if since:
+        try:
+            query["since"] = f"{parse_unix_time(since):.3f}"
+        except ValueError:
+            return report_invalid(
+                f"--since: {since!r} is no time; expected now, Unix seconds or 2026-12-01T08:00:00"
+            )
+    given = {key: value for key, value in query.items() if value}
+    return _post(admin, "start", given, "the release begins")
+
+
+def control(admin: str, action: str, reason: str) -> ExitCode:
+    """Send one action to the release controller: pause, resume, skip, halt or abort."""
+    query = {"what": action, "why": reason, "by": _operator_name()}
+    return _post(admin, "say", query, f"{action}: taken")
+
+
+def _operator_name() -> str:
+    try:
+        return getpass.getuser()
+    except (OSError, KeyError):  # a machine that has no name for its user
+        return "unknown"
+
+
+def _post(admin: str, path: str, query: dict[str, str], confirmation: str) -> ExitCode:
+    try:
+        request_document(admin, f"{ADMIN_PATH}/{path}?{urllib.parse.urlencode(query)}", "POST")
+    except AdminRequestError as error:
+        return report_invalid(error)
+    stdout.print(f"{confirmation}; see `release status`", highlight=False)
+    return ExitCode.SUCCESS
+
+
+def render_release(document: AdminDocument) -> Group:
+    """A release for a person to read: as a follower obeys it, or in full from its controller."""
+    if not document["steward"]:
+        return _render_follower(document)
+    if document["release"] is None:
+        return Group(f"{escape(document['self'])} is the steward; there has been no release")
+    rows = Table("evidence", "class", "new", "bad", "old", "bad", "says", **PLAIN_STYLE)
+    for evidence in document["evidence"][:EVIDENCE_SHOWN]:
+        new_ratio = evidence["new_bad"] / max(1, evidence["new"])
+        old_ratio = evidence["old_bad"] / max(1, evidence["old"])
+        rows.add_row(
+            evidence["metric"], escape(evidence["class"]), str(evidence["new"]), f"{new_ratio:.2%}",
+            str(evidence["old"]), f"{old_ratio:.2%}", f"{evidence['value']:.2f}",
+        )  # fmt: skip
+    total = f"evidence of harm in all {document['value']:.2f}; at 100 it is taken back"
+    return Group(*_release_lines(document), rows, total)
+
+
+def _render_follower(document: AdminDocument) -> Group:
+    """What a node that isn't the controller's obeys."""
+    order = document["order"]
+    controller = document["holder"] or "nobody"
+    obeyed = (
+        f"release {order['release']}, new servers get {order['share']:.0%} at most"
+        if order["release"]
+        else ""
+    )
+    lines = [
+        f"as {escape(document['self'])} obeys it: {obeyed or 'no release'}",
+        f"the steward is {escape(controller)}: ask there",
+    ]
+    if document["stale"]:
+        lines.append("[yellow]the steward is not heard: this share stays[/]")
+    return Group(*lines)
+
+
+def _release_lines(document: AdminDocument) -> list[str]:
+    """The release's state, its progress through the stages, and what stops it."""
+    plan = document["release"]
+    state = plan["state"]
+    current_stage = plan.get("stage", 0)
+    stages = " ".join(
+        f"[bold]{share:.0%}[/]" if number == current_stage else f"{share:.0%}"
+        for number, share in enumerate(plan["stages"])
+    )
+    lines = [
+        f"release {plan['id']}: [{STATE_COLOURS.get(state, 'white')}]{state}[/], "
+        f"new servers get {plan.get('share', 0.0):.0%} at most; stages {stages}",
+        f"{document['new_servers']} of {document['servers']} servers are new; "
+        f"this stage has baked {document['baked_s']:.0f} of {plan['bake_s']:.0f} s",
+        f"latest change by {escape(plan.get('by', ''))}: {escape(plan.get('why') or 'no reason given')}",
+    ]
+    if document["held"]:
+        lines.append(f"[yellow]it holds: {escape(document['held'])}[/]")
+    if document["short"] and state == "back":
+        lines.append("[red]the old servers can't bear all: calls of little worth are refused meanwhile[/]")
+    return lines
+
+
+def show_status(admin: str, as_json: bool) -> ExitCode:
+    """Print the release; fails where it is halted, taken back, undone, or its controller isn't reached."""
+    try:
+        document = request_document(admin, ADMIN_PATH)
+    except AdminRequestError as error:
+        return report_invalid(error)
+    if as_json:
+        print(json.dumps(document, indent=2))
+    else:
+        stdout.print(render_release(document), highlight=False)
+    state = (document["release"] or {}).get("state", "")
+    failed = state in FAILED_STATES or document["stale"]
+    return ExitCode.CHECK_FAILED if failed else ExitCode.SUCCESS
+
+
+def watch_status(admin: str) -> ExitCode:
+    """Display the release, refreshed until interrupted."""
+    return watch_document(admin, ADMIN_PATH, render_release)
+
+
+def show_history(admin: str) -> ExitCode:
+    """Print the releases that have ended; only the controller's node knows them."""
+    try:
+        document = request_document(admin, ADMIN_PATH)
+    except AdminRequestError as error:
+        return report_invalid(error)
+    rows = Table("release", "ended", "how", "at", "by", "why", **PLAIN_STYLE)
+    for row in document["history"]:
+        ended_at = time.strftime("%d %b %H:%M:%S", time.gmtime(row["at_s"]))
+        state = f"[{STATE_COLOURS.get(row['state'], 'white')}]{row['state']}[/]"
+        stage = f"stage {row['stage'] + 1}"
+        rows.add_row(str(row["id"]), ended_at, state, stage, escape(row["by"]), escape(row["why"]))
+    if not document["steward"]:
+        controller = escape(document["holder"] or "nobody")
+        stdout.print(f"{escape(document['self'])} is not the steward; ask {controller}")
+    else:
+        stdout.print(rows)
+    return ExitCode.SUCCESS
--- /dev/null
+++ b/dunlinloft/cli/handlers/router_fleet.py
@@ -0,0 +1,112 @@
+"""`dunlinloft lab up`: a router fleet on loopback, with simulated model servers, until Ctrl-C."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import signal
+import tempfile
+from pathlib import Path
+
+import aiohttp
+
+from dunlinloft.cli.consoles import plain_stdout
+from dunlinloft.cli.exit_codes import ExitCode
+from dunlinloft.coordination.messages import Document
+from lab.router.fleet import FRONT, RouterFleet
+from lab.router.model_server import ModelServer
+
+HOSTNAME = "assistant.example"
+API_KEY = "key-of-the-lab"
+SERVICE = "pool"
+MODEL_SERVERS = 3
+LOG_TAIL_CHARACTERS = 500  # printed of each process that did not come up
+
+
+def initial_configuration() -> Document:
+    """Routes for a resumable stream, a plain stream and a plain request, and one tenant."""
+    common = {"hostname": HOSTNAME, "service": SERVICE, "target_latency_ms": 300, "max_attempts": 2}
+    return {
+        "version": 1,
+        "routes": [
+            {**common, "name": "chat", "path_prefix": "/stream/chat/", "type": "streaming"}
+            | {"timeout_ms": 15_000, "resumable": True},
+            {**common, "name": "check", "path_prefix": "/stream/check/", "type": "streaming"}
+            | {"timeout_ms": 3_000},
+            {**common, "name": "status", "path_prefix": "/status/", "type": "unsafe", "timeout_ms": 1_500},
+        ],
+        "services": [{"name": SERVICE, "health_check_path": "/healthz", "max_connections": 64}],
+        "tenants": [{"name": "lab", "api_keys": [API_KEY]}],
+    }
+
+
+async def _serve_until(fleet: RouterFleet, stop: asyncio.Event) -> None:
+    servers = [ModelServer(f"127.{fleet.network}.2.{n}", SERVICE) for n in range(1, MODEL_SERVERS + 1)]
+    async with aiohttp.ClientSession() as session:
+        try:
+            for server in servers:
+                await server.start(fleet.control_addresses())
+            status = await fleet.put(session, initial_configuration(), 0)
+            await fleet.wait_ready(session)
+            _print_instructions(fleet, status)
+            await stop.wait()
+        finally:
+            for server in servers:
+                await server.stop()
+
+
+def _print_instructions(fleet: RouterFleet, status: int) -> None:
+    front = fleet.data[0].host
+    control = fleet.control_addresses()[0]
+    plain_stdout.print(f"first configuration: {status}")
+    for process in (*fleet.control, *fleet.data):
+        assert process.process is not None
+        plain_stdout.print(
+            f"{process.name:10} {process.host:12} pid {process.process.pid}  log {process.log}"
+        )
+    plain_stdout.print("\nask (any node will do):")
+    plain_stdout.print(
+        f"  curl -N -H 'Host: {HOSTNAME}' -H 'Api-Key: {API_KEY}' -H 'X-Attempt-Id: 1' -d hello "
+        f"http://{front}:{FRONT}/stream/chat/1"
+    )
+    plain_stdout.print("read the configuration:")
+    plain_stdout.print(f"  curl http://{control}/configuration/describe")
+    plain_stdout.print("Ctrl-C ends all.")
+
+
+async def _serve_until_signal(fleet: RouterFleet) -> None:
+    """Serve until SIGINT or SIGTERM, or until the fleet fails to come up (`TimeoutError`)."""
+    stop = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    for number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(number, stop.set)
+    work = asyncio.create_task(_serve_until(fleet, stop))
+    stopped = asyncio.create_task(stop.wait())
+    await asyncio.wait((work, stopped), return_when=asyncio.FIRST_COMPLETED)
+    if not work.done() and not stop.is_set():
+        work.cancel()
+    try:
+        with contextlib.suppress(asyncio.CancelledError):
+            await work
+    finally:
+        stopped.cancel()
+
+
+def serve(controls: int, nodes: int, network: int) -> ExitCode:
+    """Start a fleet on 127.NETWORK.x.y and serve until a signal; fails where it does not come up."""
+    with tempfile.TemporaryDirectory(prefix="dunlinloft-") as folder:
+        fleet = RouterFleet(Path(folder), network, controls, nodes)
+        fleet.start()
+        try:
+            asyncio.run(_serve_until_signal(fleet))
+        except TimeoutError:
+            plain_stdout.print("the fleet did not come up; the last words of its processes:")
+            for process in (*fleet.control, *fleet.data):
+                tail = process.log.read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
+                plain_stdout.print(f"{process.name}: {tail}")
+            return ExitCode.CHECK_FAILED
+        finally:
+            signal.signal(signal.SIGINT, signal.SIG_IGN)  # a second Ctrl-C must not leave processes behind
+            fleet.stop()
+    plain_stdout.print("all processes have ended")
+    return ExitCode.SUCCESS
--- /dev/null
+++ b/dunlinloft/cli/handlers/scenarios.py
@@ -0,0 +1,193 @@
+"""`dunlinloft lab run`, `compare`, `report` and `list`: scenarios played and their results."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from rich.markup import escape
+from rich.progress import Progress, TimeElapsedColumn
+from rich.table import Table
+
+from dunlinloft.cli.consoles import report_invalid, stderr, stdout
+from dunlinloft.cli.exit_codes import ExitCode
+from dunlinloft.cli.progress import PERCENT_COLUMNS
+from dunlinloft.cli.tables import PLAIN_STYLE
+from lab.oracle import RULES
+from lab.results import BadResults, Result, Results, read, summary, write
+from lab.runner import BadSeeds, Run, play_all, read_seeds
+from lab.scenario import SHIPPED, BadScenario, Scenario, load
+
+MAX_BREAKS_SHOWN = 12  # rule violations that are printed of a seed
+
+# A row a seed: each column's title, figure and format.
+SEED_COLUMNS = (
+    ("goodput", "goodput", ".3f"), ("worst", "worst_10s", ".3f"), ("refused", "refused", ".3f"),
+    ("lost", "lost", ".4f"), ("att/req", "attempts", ".3f"), ("p50 ms", "p50_ms", ".0f"),
+    ("p99 ms", "p99_ms", ".0f"),
+)  # fmt: skip
+CLASS_COLUMNS = (
+    ("goodput", "goodput", ".3f"), ("refused", "refused", ".3f"), ("failed", "failed", ".3f"),
+    ("lost", "lost", ".3f"), ("p50 ms", "p50_ms", ".0f"), ("p99 ms", "p99_ms", ".0f"),
+)  # fmt: skip
+
+
+def run_scenario(
+    name: str,
+    host: str,
+    seeds: str,
+    jobs: int,
+    json_file: str | None,
+    html_file: str | None,
+    logs: str | None,
+    changes: tuple[str, ...] = (),
+) -> ExitCode:
+    """Play a scenario with some of its values changed; fails where a rule or an expectation is violated."""
+    try:
+        scenario = load(name, changes)
+        wanted = read_seeds(seeds)
+        _require_playable(scenario, name, host)
+    except (BadScenario, BadSeeds) as error:
+        return report_invalid(error)
+    results = summary(scenario, host)
+    try:
+        _play(Run(scenario, host, wanted, jobs, Path(logs) if logs else None), results)
+    except KeyboardInterrupt:
+        stderr.print("interrupted; what had been started was ended")
+        return ExitCode.CHECK_FAILED
+    results.results.sort(key=lambda result: wanted.index(result.seed))
+    if json_file:
+        write(results, Path(json_file))
+    if html_file:
+        from lab.report import page
+
+        Path(html_file).write_text(page(results), encoding="utf-8")
+    _print_results(results)
+    counted = results.counted()
+    if not counted:
+        stderr.print("[red]no run counts: each of them was late or came to no end[/]")
+    successful = counted and all(result.kept() for result in results.results if result.counted)
+    return ExitCode.SUCCESS if successful else ExitCode.CHECK_FAILED
+
+
+def _require_playable(scenario: Scenario, name: str, host: str) -> None:
+    """Raises `BadScenario` where the host can't play the scenario."""
+    if host == "processes":
+        from lab.processes.day import unfit
+
+        if reason := unfit(scenario):
+            raise BadScenario(f"{name}: {reason}")
+
+
+def _play(task: Run, results: Results) -> None:
+    """Play all seeds with a progress bar; results arrive in the order in which seeds end."""
+    with Progress(*PERCENT_COLUMNS, TimeElapsedColumn(), console=stderr, transient=True) as progress:
+        bar = progress.add_task(f"{task.scenario.name}, {task.host}", total=len(task.seeds))
+        shares: dict[int, float] = {}
+
+        def advance(seed: int, share: float) -> None:
+            shares[seed] = share
+            progress.update(bar, completed=sum(shares.values()))
+
+        for result in play_all(task, advance):
+            advance(result.seed, 1.0)
+            results.results.append(result)
+
+
+def _verdict(result: Result) -> str:
+    """A seed's verdict in a word or two."""
+    if result.crashed:
+        return "[red]no result[/]"
+    if not result.counted:
+        return f"[yellow]late by {result.late_ms:.0f} ms[/]"
+    if result.broken:
+        return f"[red]broken: {', '.join(result.broken)}[/]"
+    return "[red]missed[/]" if result.missed else "[green]kept[/]"
+
+
+def _detail_lines(result: Result) -> list[str]:
+    """Rule violations and missed expectations of a seed, a line each."""
+    lines = [
+        f"at {violation.at / 1000.0:.2f} s, {violation.rule}: {violation.who}: {violation.what}"
+        for violation in result.breaks[:MAX_BREAKS_SHOWN]
+    ]
+    omitted = sum(result.broken.values()) - len(lines)
+    lines += [f"and {omitted} breaks more"] if omitted > 0 else []
+    lines += [f"{miss.figure} is {miss.got:.4f}, and {miss.wanted} was expected" for miss in result.missed]
+    lines += [result.crashed.strip()] if result.crashed else []
+    return [f"seed {result.seed}: {line}" for line in lines]
+
+
+def _print_results(results: Results) -> None:
+    """Print a row a seed, a row a request class, and what was violated."""
+    stdout.print(f"{results.scenario}, {results.host}: {results.about}", highlight=False)
+    stdout.print(_seed_table(results))
+    counted = results.counted()
+    if counted:
+        stdout.print(_class_table(counted))
+    for result in results.results:
+        for line in _detail_lines(result):
+            stdout.print(escape(line), highlight=False, soft_wrap=True)
+    for rule in sorted({rule for result in results.results for rule in result.broken}):
+        stdout.print(f"{rule}: {RULES[rule]}", highlight=False)
+
+
+def _seed_table(results: Results) -> Table:
+    table = Table("seed", *(title for title, _, _ in SEED_COLUMNS), "rules", **PLAIN_STYLE)
+    for result in results.results:
+        cells = [format(result.figures[key], form) if result.figures else "" for _, key, form in SEED_COLUMNS]
+        table.add_row(str(result.seed), *cells, _verdict(result))
+    return table
+
+
+def _class_table(counted: list[Result]) -> Table:
+    """Each class's figures, as means over the seeds that count."""
+    table = Table("class", *(title for title, _, _ in CLASS_COLUMNS), **PLAIN_STYLE)
+
+    def mean(figure: str) -> float:
+        return sum(result.figures[figure] for result in counted) / len(counted)
+
+    for name in sorted({key.split(".")[1] for key in counted[0].figures if key.startswith("class.")}):
+        cells = [format(mean(f"class.{name}.{key}"), form) for _, key, form in CLASS_COLUMNS]
+        table.add_row(name, *cells)
+    return table
+
+
+def compare(first: str, second: str) -> ExitCode:
+    """Print the same seeds of two result files side by side."""
+    from lab.compare import compare as compare_results
+
+    try:
+        rows, method = compare_results(read(Path(first)), read(Path(second)))
+    except BadResults as error:
+        return report_invalid(error)
+    stdout.print(f"A: {first}\nB: {second}", highlight=False)
+    table = Table(**PLAIN_STYLE)
+    for column in ("figure", "A", "spread of A", "B", "spread of B", "B - A", "95% of it", "verdict"):
+        table.add_column(column, justify="left" if column in ("figure", "verdict") else "right")
+    for row in rows:
+        table.add_row(*row)
+    stdout.print(table)
+    stdout.print(method)
+    return ExitCode.SUCCESS
+
+
+def write_report(results: str, html_file: str) -> ExitCode:
+    """Write a self-contained page of a result file."""
+    from lab.report import page
+
+    try:
+        text = page(read(Path(results)))
+    except BadResults as error:
+        return report_invalid(error)
+    Path(html_file).write_text(text, encoding="utf-8")
+    stdout.print(f"{html_file} is written", highlight=False)
+    return ExitCode.SUCCESS
+
+
+def list_scenarios() -> ExitCode:
+    """Print the shipped scenarios; fails where the installation has none."""
+    table = Table("scenario", "about")
+    for path in sorted(SHIPPED.glob("*.toml")):
+        table.add_row(path.stem, load(str(path)).about)
+    stdout.print(table)
+    return ExitCode.SUCCESS if table.row_count else ExitCode.CHECK_FAILED
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,8 +12,8 @@
 import pytest
 from click.testing import CliRunner
 
-from dunlinloft.capacitycli import EXPERIMENTS
 from dunlinloft.cli import main
+from dunlinloft.cli.handlers.capacity import EXPERIMENTS
 from dunlinloft.fleet.wire import MAX_STATE_BYTES, Wire
 from lab.capacity import added, chain, membership, model, shared, sizes
 from lab.capacity.model import Experiment, Figure, Plan, Sample, fit, read_report, run
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -120,17 +120,17 @@
 def test_the_command_says_what_it_looked_at_and_replays_a_trace(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    from dunlinloft import explorecli
+    from dunlinloft.cli.handlers import exploration
 
     file = tmp_path / "trace.json"
     with pytest.MonkeyPatch.context() as patch:
         half_is_enough(patch)
-        assert explorecli.explore("duties", 3, 500, 1, 20_000, 1, str(file)) == 1
-        assert explorecli.replay_file("duties", str(file)) == 1
+        assert exploration.explore("duties", 3, 500, 1, 20_000, 1, str(file)) == 1
+        assert exploration.replay_file("duties", str(file)) == 1
     said = capsys.readouterr().out
     assert "hold it" in said or "began with token" in said
-    assert explorecli.replay_file("duties", str(file)) == 0
+    assert exploration.replay_file("duties", str(file)) == 0
     file.write_text("{")
-    assert explorecli.replay_file("duties", str(file)) == 2
-    assert explorecli.explore("duties", 2, 500, 1, 0, 1, None) == 0
+    assert exploration.replay_file("duties", str(file)) == 2
+    assert exploration.explore("duties", 2, 500, 1, 0, 1, None) == 0
     assert "states" in capsys.readouterr().out
--- a/tests/test_lab_scenario.py
+++ b/tests/test_lab_scenario.py
@@ -14,8 +14,8 @@
 import pytest
 from click.testing import CliRunner
 
-from dunlinloft.check import check_file
 from dunlinloft.cli import main
+from dunlinloft.cli.handlers.config_check import check_file
 from lab.lines import Ill, Line, Lines
 from lab.names import Names
 from lab.plan import Plan
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,7 +17,7 @@
 import pytest
 import uvloop
 
-from dunlinloft.scalecli import BadOption, read_keys, read_sizes
+from dunlinloft.cli.handlers.scale import OptionError, parse_fleet_keys, parse_sizes
 from lab.scale import limits, talk
 from lab.scale.fit import fit
 from lab.scale.judge import agreed, judge
@@ -190,12 +190,12 @@
 
 
 def test_sizes_and_keys_are_read() -> None:
-    assert read_sizes("100, 50,50") == [50, 100]
-    assert read_sizes("none") == []
-    assert read_keys(('cell={"name": "{name}"}', "most=3")) == {"cell": {"name": "{name}"}, "most": 3}
+    assert parse_sizes("100, 50,50") == [50, 100]
+    assert parse_sizes("none") == []
+    assert parse_fleet_keys(('cell={"name": "{name}"}', "most=3")) == {"cell": {"name": "{name}"}, "most": 3}
     for bad in ("=3", "cell", "cell=x"):
-        with pytest.raises(BadOption):
-            read_keys((bad,))
+        with pytest.raises(OptionError):
+            parse_fleet_keys((bad,))
     template = {"a": ["{name}", {"b": "at {place}"}], "c": 3}
     assert member_keys(template, "h7", 6) == {"a": ["h7", {"b": "at 6"}], "c": 3}
 
