--- a/dunlinloft/cli/admin_client.py
+++ b/dunlinloft/cli/admin_client.py
@@ -15,6 +15,7 @@
 
 from dunlinloft.cli.consoles import stdout
 from dunlinloft.cli.exit_codes import ExitCode
+from dunlinloft.exceptions import DunlinloftError
 
 REQUEST_TIMEOUT_S = 3.0  # an operator waits; the endpoint answers from memory
 WATCH_INTERVAL_S = 1.0  # between two requests of a live display
@@ -23,7 +24,7 @@
 AdminDocument: TypeAlias = dict[str, Any]
 
 
-class AdminRequestError(Exception):
+class AdminRequestError(DunlinloftError):
     """The admin endpoint gave no usable answer; the text says why."""
 
 
--- a/dunlinloft/cli/handlers/replica_state.py
+++ b/dunlinloft/cli/handlers/replica_state.py
@@ -15,7 +15,7 @@
 from dunlinloft.controlplane.data_directory import RecoveredState
 from dunlinloft.controlplane.exceptions import StoreError
 from dunlinloft.controlplane.member_cache import MemberCache
-from dunlinloft.coordination.messages import Durable
+from dunlinloft.coordination.messages import Durable, Record
 
 DIGEST_CHARACTERS = 12  # of a history's digest that are printed
 
@@ -65,7 +65,7 @@
     version: int
     routes: int
     orders_remembered: int
-    log_records: dict[str, int]  # by the tag with which a record is encoded
+    log_records: dict[str, int]  # by the record's printed name
     servers_known: int
 
 
@@ -110,11 +110,16 @@
         version=state.version,
         routes=len(state.document.get("routes", ())),
         orders_remembered=len(state.taken),
-        log_records=dict(Counter(str(record.__struct_config__.tag) for record in log)),
+        log_records=dict(Counter(_record_name(record) for record in log)),
         servers_known=len(MemberCache(folder).read().servers),
     )
 
 
+def _record_name(record: Record) -> str:
+    """The name by which operators know a record: made of its tag, whatever its class is called."""
+    return f"{str(record.__struct_config__.tag).capitalize()}Record"
+
+
 def inspect(folder: Path, as_json: bool) -> ExitCode:
     """Print what a data directory recovers to; changes nothing."""
     try:
--- a/dunlinloft/cli/handlers/scale.py
+++ b/dunlinloft/cli/handlers/scale.py
@@ -15,6 +15,7 @@
 from dunlinloft.cli.consoles import report_invalid, stderr
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
+from dunlinloft.exceptions import DunlinloftError
 from lab.runner import BadSeeds, read_seeds
 from lab.scale.fit import Line
 from lab.scale.limits import Refused
@@ -60,7 +61,7 @@
 FleetKeys: TypeAlias = dict[str, Any]
 
 
-class OptionError(Exception):
+class OptionError(DunlinloftError):
     """An option's value that can't be parsed; the text says what was expected."""
 
 
--- a/dunlinloft/configuration.py
+++ b/dunlinloft/configuration.py
@@ -1,27 +1,32 @@
-"""The operator's configuration as the programs use it: typed, from a document that was checked before.
+"""The operator's configuration: its fields, types and defaults, defined once.
 
-`dunlinloft.validation` does the checking, on the control plane alone: a node that starts need not load it.
+`dunlinloft.validation` makes the model from these types that checks an operator's document. It runs on the
+control plane alone, and this module imports nothing of it: a node that starts must not load pydantic.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, TypeAlias
 
 import msgspec
 from msgspec import Struct
 
 from dunlinloft.coordination.messages import Document
+from dunlinloft.exceptions import ConfigurationError
+
+# What model servers of a service are started with; passed on as it is, and read by nobody here.
+RuntimeOptions: TypeAlias = dict[str, Any]
 
 
 class Backend(Struct, frozen=True):
-    """A service that a route's requests may go to."""
+    """A service that a route's requests may go to, and its weight among the route's others."""
 
     service: str
     weight: float = 1.0
 
 
-class Route(Struct, frozen=True):
-    """Which requests go where, and how."""
+class Route(Struct, frozen=True, rename={"inter_token_latency_target_ms": "gap_aim_ms"}):
+    """Which requests go to which service, with their time limit and retry policy."""
 
     name: str
     hostname: str
@@ -36,24 +41,24 @@
     public: bool = False
     session_affinity: bool = False
     resumable: bool = False
-    gap_aim_ms: float | None = None
+    inter_token_latency_target_ms: float | None = None
 
     def targets(self) -> tuple[Backend, ...]:
-        """The services and their weights."""
+        """The services that requests may go to, with their weights."""
         return self.backends or (Backend(self.service or ""),)
 
 
 class Service(Struct, frozen=True):
-    """A service that servers register for."""
+    """A service that model servers register for."""
 
     name: str
     health_check_path: str = "/"
     max_connections: int = 64
-    runtime: dict[str, Any] | None = None
+    runtime: RuntimeOptions | None = None
 
 
 class Limits(Struct, frozen=True):
-    """What a client may send, and how long it may take."""
+    """Limits on what a client may send, and on how long it may take to."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -62,7 +67,7 @@
 
 
 class Tenant(Struct, frozen=True):
-    """Who holds which keys, and what it may ask in a second."""
+    """A customer: its API keys and its rate limit, in requests or tokens a second."""
 
     name: str
     api_keys: tuple[str, ...] = ()
@@ -74,7 +79,7 @@
 
 
 class Configuration(Struct, frozen=True):
-    """A whole configuration."""
+    """A complete configuration."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -83,13 +88,9 @@
     tenants: tuple[Tenant, ...] = ()
 
 
-class NotTyped(Exception):
-    """A document that the types don't fit; the text has the path."""
-
-
-def typed(document: Document) -> Configuration:
-    """The typed form of a checked document. Raises `NotTyped`."""
+def to_configuration(document: Document) -> Configuration:
+    """The typed form of a document that was validated before. Raises `ConfigurationError`."""
     try:
         return msgspec.convert(document, Configuration, strict=False)
     except msgspec.ValidationError as error:
-        raise NotTyped(str(error)) from None
+        raise ConfigurationError(str(error)) from None
--- a/dunlinloft/controlplane/commit_handler.py
+++ b/dunlinloft/controlplane/commit_handler.py
@@ -4,11 +4,12 @@
 
 from absl import logging
 
-from dunlinloft.configuration import NotTyped, typed
+from dunlinloft.configuration import to_configuration
 from dunlinloft.controlplane.node_publisher import NodePublisher
 from dunlinloft.controlplane.placement_service import PlacementService
 from dunlinloft.controlplane.quota_service import QuotaService
 from dunlinloft.coordination.messages import ChainState, Entry
+from dunlinloft.exceptions import ConfigurationError
 
 
 class CommitHandler:
@@ -27,8 +28,8 @@
         """
         self._publisher.publish_state(state, entry)
         try:
-            configuration = typed(state.document)
-        except NotTyped as error:
+            configuration = to_configuration(state.document)
+        except ConfigurationError as error:
             logging.error("event=configuration_refused version=%d error=%s", state.version, error)
         else:
             self._quotas.configure(configuration)
--- a/dunlinloft/controlplane/components.py
+++ b/dunlinloft/controlplane/components.py
@@ -61,7 +61,7 @@
         Member(settings.control_address(settings.ip_address), incarnation),
         settings.counts_for_quorum,
         durable,
-        settings.seeds(),
+        settings.seed_addresses(),
         settings.fault_tolerance.hosts_lost,
         _validate,
         random.Random(secrets.randbits(64)),
@@ -91,7 +91,9 @@
     publisher = NodePublisher()
     nodes = Nodes()
     quotas = QuotaService(address, settings.timing_bounds, started_ms, nodes, replica, peers.send)
-    placements = Placements(random.Random(secrets.randbits(64)), 1_000.0 * settings.timing_bounds.again_s)
+    placements = Placements(
+        random.Random(secrets.randbits(64)), 1_000.0 * settings.timing_bounds.prefix_reuse_s
+    )
     placement = PlacementService(placements)
     registry.restore(members.servers, now_ms())
     nodes.seen(members.nodes, now_ms())
@@ -123,6 +125,6 @@
 
 def _validate(document: Document, order: Order) -> Valid | Invalid:
     """Validate an order; what that needs is imported with the first one, so that a start is quick."""
-    from dunlinloft.validation import judge
+    from dunlinloft.validation import validate
 
-    return judge(document, order)
+    return validate(document, order)
--- a/dunlinloft/controlplane/process.py
+++ b/dunlinloft/controlplane/process.py
@@ -16,7 +16,7 @@
 from dunlinloft.controlplane.peer_connections import PeerConnections
 from dunlinloft.controlplane.stream_server import serve_streams
 from dunlinloft.coordination.replica import FIRST_INCARNATION, first_view
-from dunlinloft.settings import Settings, host_port
+from dunlinloft.settings import Settings, split_host_port
 from dunlinloft.transport.aiohttp_import import import_aiohttp
 from dunlinloft.transport.clock import now_ms
 from dunlinloft.transport.tasks import BackgroundTasks, run_essential
@@ -65,9 +65,9 @@
         peers = await stack.enter_async_context(PeerConnections())
         components = build_components(settings, self._started_ms, replica, disk, peers, members)
         address = settings.control_address(settings.ip_address)
-        begins = settings.bootstrap and holds_state and address in settings.seeds()
-        components.replica_host.begin(first_view(settings.seeds()) if begins else None)
-        host, port = host_port(address)
+        begins = settings.bootstrap and holds_state and address in settings.seed_addresses()
+        components.replica_host.begin(first_view(settings.seed_addresses()) if begins else None)
+        host, port = split_host_port(address)
         await stack.enter_async_context(serve_streams(components.stream_services(), host, port))
         logging.info("event=started node=%s member=%s", settings.node_name, replica.me.id)
         tasks = await stack.enter_async_context(BackgroundTasks())
@@ -103,7 +103,7 @@
     registrar = components.registrar
     api = HttpApi(components.replica_host.call, registrar.heartbeat, registrar.deregister)
     server = Server(api.handle, access_log=None)
-    host, port = host_port(address)
+    host, port = split_host_port(address)
     loop = asyncio.get_running_loop()
     listener = await loop.create_server(server, host, port, backlog=HTTP_LISTEN_BACKLOG)
     try:
--- a/dunlinloft/controlplane/quota_service.py
+++ b/dunlinloft/controlplane/quota_service.py
@@ -14,6 +14,7 @@
 from dunlinloft.coordination.quotas import NodeHoldings, QuotaAsk, QuotaLimit, QuotaOwner
 from dunlinloft.coordination.replica import Replica
 from dunlinloft.coordination.stream import HoldsShares, QuotaGranted, QuotasHandedOver, TakeQuota
+from dunlinloft.quota_bounds import quota_bounds
 from dunlinloft.settings import TimingBounds
 from dunlinloft.transport.clock import now_ms
 
@@ -44,7 +45,7 @@
     ) -> None:
         self._replica = replica
         self._send = send
-        self._owner = QuotaOwner(address, started_ms, bounds.quota_bounds(), nodes, replica.lease_over)
+        self._owner = QuotaOwner(address, started_ms, quota_bounds(bounds), nodes, replica.lease_over)
 
     def configure(self, configuration: Configuration) -> None:
         """Apply the tenants' limits of a committed configuration."""
--- a/dunlinloft/dataplane/active_configuration.py
+++ b/dunlinloft/dataplane/active_configuration.py
@@ -12,11 +12,12 @@
 
 from absl import logging
 
-from dunlinloft.configuration import NotTyped, typed
+from dunlinloft.configuration import to_configuration
 from dunlinloft.coordination.durable import changed
 from dunlinloft.coordination.messages import Document, Order
 from dunlinloft.coordination.stream import ConfigurationId, Delta, Whole
 from dunlinloft.dataplane.routing import RoutingTable
+from dunlinloft.exceptions import ConfigurationError
 
 # How long the first configuration waits for a confirmed one if its sender is not in contact with a majority.
 CONFIRMATION_WAIT_MS = 120.0
@@ -68,8 +69,8 @@
         if self.table is not None and not offered.replaces(self.id, confirmed):
             return
         try:
-            configuration = typed(document)
-        except NotTyped as error:
+            configuration = to_configuration(document)
+        except ConfigurationError as error:
             logging.error("event=configuration_refused version=%s error=%s", offered.version, error)
             return
         self.table = RoutingTable(configuration, self._rng)
--- a/dunlinloft/dataplane/live_settings.py
+++ b/dunlinloft/dataplane/live_settings.py
@@ -4,7 +4,8 @@
 
 from absl import logging
 
-from dunlinloft.settings import Settings, SettingsError, read_settings
+from dunlinloft.exceptions import SettingsError
+from dunlinloft.settings import Settings, read_settings
 from dunlinloft.transport.clock import now_ms
 
 SEED_RELOAD_INTERVAL_MS = 2_000.0  # between reads of the file while the seeds are in use
@@ -26,7 +27,7 @@
         if now_ms() - self._read_ms > SEED_RELOAD_INTERVAL_MS:
             self.reload()
             self._read_ms = now_ms()
-        return self.current.seeds()
+        return self.current.seed_addresses()
 
     def reload(self) -> None:
         """Read the file again (also the SIGHUP handler); settings that can't be read change nothing."""
--- a/dunlinloft/dataplane/process.py
+++ b/dunlinloft/dataplane/process.py
@@ -27,7 +27,8 @@
 from dunlinloft.dataplane.server_table import ServerTable
 from dunlinloft.dataplane.service_context import ServiceContexts
 from dunlinloft.dataplane.subscriptions import Subscriptions
-from dunlinloft.settings import Settings, host_port
+from dunlinloft.quota_bounds import quota_bounds
+from dunlinloft.settings import Settings, split_host_port
 from dunlinloft.transport.clock import now_ms
 from dunlinloft.transport.tasks import BackgroundTasks, run_essential
 
@@ -54,7 +55,7 @@
         configuration = ActiveConfiguration(rng)
         servers = ServerTable(rng)
         streams = ReplicaStreams()
-        quotas = QuotaClient(streams, bounds.quota_bounds())
+        quotas = QuotaClient(streams, quota_bounds(bounds))
         placement = PlacementClient(streams)
         self._state = NodeState(configuration, servers, quotas, placement, streams, self._serving)
         self._subscriptions = Subscriptions(
@@ -107,11 +108,11 @@
         loop = asyncio.get_running_loop()
         addresses = self._settings.current.listeners_config
         assert addresses.frontend is not None
-        host, port = host_port(addresses.frontend)
+        host, port = split_host_port(addresses.frontend)
         frontend_listener = await loop.create_server(frontend_server, host, port, backlog=LISTEN_BACKLOG)
         listeners.enter_context(contextlib.closing(frontend_listener))
         if addresses.readiness is not None:
-            host, port = host_port(addresses.readiness)
+            host, port = split_host_port(addresses.readiness)
             readiness_server = Server(self._on_readiness, access_log=None)
             listeners.enter_context(
                 contextlib.closing(await loop.create_server(readiness_server, host, port))
--- a/dunlinloft/settings.py
+++ b/dunlinloft/settings.py
@@ -1,4 +1,8 @@
-"""A process's settings: the TOML file that DUNLINLOFT_CONFIG names, read and checked."""
+"""A process's settings: the TOML file that DUNLINLOFT_CONFIG names, decoded and checked.
+
+Both programs read it at their start; `dunlinloft.transport.program` and the programs may import this module,
+which imports none of them. Field names are the keys of the file unless `rename` says otherwise.
+"""
 
 from __future__ import annotations
 
@@ -8,18 +12,14 @@
 import msgspec
 from msgspec import Struct
 
-from dunlinloft.coordination.quotas import QuotaBounds
-
-VARIABLE = "DUNLINLOFT_CONFIG"
-CONTROL_PORT = 0  # place in the internal port range
+from dunlinloft.exceptions import SettingsError
 
-
-class SettingsError(Exception):
-    """Settings that can't be used; the text says where and what was expected."""
+SETTINGS_VARIABLE = "DUNLINLOFT_CONFIG"  # the environment variable that names the settings file
+CONTROL_PORT_OFFSET = 0  # of the control plane's listener in the internal port range
 
 
 class Listeners(Struct, frozen=True):
-    """Addresses to listen on, host:port."""
+    """Addresses to listen on, as host:port; None where the process has no such listener."""
 
     frontend: str | None = None
     readiness: str | None = None
@@ -27,7 +27,7 @@
 
 
 class ProcessLimits(Struct, frozen=True):
-    """What the machine gives the process."""
+    """Resources that the machine grants the process."""
 
     memory_mb: int = 256
     max_open_files: int = 1_024
@@ -35,13 +35,13 @@
 
 
 class FaultTolerance(Struct, frozen=True):
-    """What may be lost at once."""
+    """Losses at one time that the deployment must survive."""
 
     hosts_lost: int = 0
 
 
-class TimingBounds(Struct, frozen=True):
-    """The deployment's bounds: milliseconds and seconds as named."""
+class TimingBounds(Struct, frozen=True, rename={"prefix_reuse_s": "again_s"}):
+    """The deployment's bounds on times, retries and quotas."""
 
     grace_period_s: float = 8.0
     drain_timeout_ms: float = 2_000.0
@@ -52,15 +52,12 @@
     quota_interval_s: float = 8.0
     quota_overshoot: float = 0.1
     quota_tolerance: float = 0.0
-    again_s: float = 3.0
-
-    def quota_bounds(self) -> QuotaBounds:
-        """The figures of the rule on tenants' quotas."""
-        return QuotaBounds(self.quota_interval_s, self.quota_overshoot, self.quota_tolerance)
+    # A server that has a prompt's prefix cached is preferred for so long after the prefix's last use.
+    prefix_reuse_s: float = 3.0
 
 
 class Settings(Struct, frozen=True):
-    """The settings of one process; fields that aren't named here are ignored: the platform may add some."""
+    """The settings of one process. Unknown keys are ignored, as the platform may add some."""
 
     node_name: str
     ip_address: str
@@ -77,19 +74,19 @@
     limits: ProcessLimits = ProcessLimits()
     fault_tolerance: FaultTolerance = FaultTolerance()
     timing_bounds: TimingBounds = TimingBounds()
-    path: str | None = None  # where it was read from
+    path: str | None = None  # the file that the settings were read from
 
     def control_address(self, host: str) -> str:
-        """Where the control plane on a host listens for nodes and replicas."""
-        return f"{host}:{self.internal_port_range[0] + CONTROL_PORT}"
+        """The host:port at which a control plane on `host` listens for nodes and replicas."""
+        return f"{host}:{self.internal_port_range[0] + CONTROL_PORT_OFFSET}"
 
-    def seeds(self) -> tuple[str, ...]:
-        """The control planes named by the seeds, where they listen for nodes and replicas."""
+    def seed_addresses(self) -> tuple[str, ...]:
+        """The host:port of each seed's control plane, for nodes and replicas."""
         return tuple(self.control_address(seed.rsplit(":", 1)[0]) for seed in self.seed_nodes)
 
 
 def read_settings(path: str) -> Settings:
-    """The settings in a file. Raises `SettingsError`."""
+    """Read and check a settings file. Raises `SettingsError`."""
     try:
         with Path(path).open("rb") as file:
             return msgspec.convert({**tomllib.load(file), "path": path}, Settings)
@@ -99,7 +96,7 @@
         raise SettingsError(f"{path}: {error}") from None
 
 
-def host_port(address: str) -> tuple[str, int]:
-    """The parts of host:port."""
+def split_host_port(address: str) -> tuple[str, int]:
+    """The host and the port of `host:port`."""
     host, port = address.rsplit(":", 1)
     return host, int(port)
--- a/dunlinloft/transport/program.py
+++ b/dunlinloft/transport/program.py
@@ -11,12 +11,15 @@
 
 from absl import app, flags, logging
 
-from dunlinloft.settings import VARIABLE, Settings, SettingsError, read_settings
+from dunlinloft.exceptions import SettingsError
+from dunlinloft.settings import SETTINGS_VARIABLE, Settings, read_settings
 
 EXIT_BAD_SETTINGS = 2
 STARTUP_DELAY_S = 0.35  # how long a process that nothing waits for leaves the processor to others at a start
 
-_SETTINGS = flags.DEFINE_string("settings", None, f"The settings file; else the one that {VARIABLE} names.")
+_SETTINGS = flags.DEFINE_string(
+    "settings", None, f"The settings file; else the one that {SETTINGS_VARIABLE} names."
+)
 
 
 class Program(Protocol):
@@ -47,9 +50,9 @@
             raise app.UsageError(f"no argument expected, got {arguments[1]!r}")
         logging.set_verbosity(logging.INFO)
         logging.use_python_logging(quiet=True)
-        path = _SETTINGS.value or os.environ.get(VARIABLE)
+        path = _SETTINGS.value or os.environ.get(SETTINGS_VARIABLE)
         if path is None:
-            sys.exit(f"--settings or {VARIABLE}: the path of a settings file expected")
+            sys.exit(f"--settings or {SETTINGS_VARIABLE}: the path of a settings file expected")
         try:
             settings = read_settings(path)
         except SettingsError as error:
--- a/dunlinloft/validation.py
+++ b/dunlinloft/validation.py
@@ -1,176 +1,190 @@
-"""What is checked of an operator's configuration before it is taken."""
+"""Validation of an operator's order before the control plane accepts it.
 
-from __future__ import annotations
+The pydantic models are made from the types of `dunlinloft.configuration`, so that fields and defaults are
+defined once; this module adds what the types don't say. `Replica` is given `validate`.
 
-from typing import Any
+Only the control plane, the lab and tests may import this module: it loads pydantic.
+"""
 
-from pydantic import BaseModel, ConfigDict, ValidationError, field_validator, model_validator
+from __future__ import annotations
 
-from dunlinloft.configuration import NotTyped, typed
+import types
+import typing
+from collections.abc import Callable
+from typing import Annotated, Any, TypeAlias, TypeVar
+
+import msgspec
+from msgspec import NODEFAULT, Struct
+from pydantic import (
+    AfterValidator,
+    BaseModel,
+    ConfigDict,
+    Field,
+    ValidationError,
+    create_model,
+    model_validator,
+)
+from pydantic_core import ErrorDetails
+
+from dunlinloft.configuration import Backend, Configuration, Route, to_configuration
 from dunlinloft.coordination.calls import Invalid, Valid
 from dunlinloft.coordination.durable import changed
 from dunlinloft.coordination.messages import Document, Order
+from dunlinloft.exceptions import ConfigurationError
+
+MAX_ERRORS_SHOWN = 3
+
+Value = TypeVar("Value")
+# A rule raises `ValueError` with a text for operators.
+FieldRule: TypeAlias = Callable[[float], float]
+ModelRule: TypeAlias = Callable[[Any], None]
+
+
+def _not_negative(weight: float) -> float:
+    if weight < 0.0:
+        raise ValueError("a weight of 0 or more expected")
+    return weight
+
 
-ERRORS_SHOWN = 3
+def _positive(timeout_ms: float) -> float:
+    if timeout_ms <= 0.0:
+        raise ValueError("more than 0 expected")
+    return timeout_ms
 
 
-class Part(BaseModel):
-    """A part of a configuration; fields that are not known are kept aside."""
+def _has_target(route: Route) -> None:
+    if route.service is None and not sum(backend.weight for backend in route.backends) > 0.0:
+        raise ValueError("a service, or backends whose weights don't sum to 0, expected")
+
+
+def _is_consistent(configuration: Configuration) -> None:
+    """Routes name known services, and no two have the same host and prefix; tenants share no API key."""
+    services = {service.name for service in configuration.services}
+    matches: set[tuple[str, str]] = set()
+    for route in configuration.routes:
+        for service in [backend.service for backend in route.backends] or [route.service or ""]:
+            if service not in services:
+                raise ValueError(f"routes.{route.name}: service {service!r} is not known")
+        match = (route.hostname.lower(), route.path_prefix)
+        if match in matches:
+            raise ValueError(f"routes.{route.name}: another route has this host and prefix")
+        matches.add(match)
+    owners: dict[str, str] = {}
+    for tenant in configuration.tenants:
+        for key in tenant.api_keys:
+            if owners.setdefault(key, tenant.name) != tenant.name:
+                raise ValueError(f"tenants.{tenant.name}: shares a key with {owners[key]}")
+
+
+FIELD_RULES: dict[tuple[type[Struct], str], FieldRule] = {
+    (Backend, "weight"): _not_negative,
+    (Route, "timeout_ms"): _positive,
+}
+# Fields that are checked before a type's others: the first errors are the ones that operators are shown.
+CHECKED_FIRST: dict[type[Struct], tuple[str, ...]] = {Route: ("name", "hostname", "path_prefix", "type")}
+MODEL_RULES: dict[type[Struct], ModelRule] = {Route: _has_target, Configuration: _is_consistent}
+
+
+class _Model(BaseModel):
+    """Base of all models. Unknown fields are ignored here; the document itself keeps them."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
-class Backend(Part):
-    """A service that a route's requests may go to."""
-
-    service: str
-    weight: float = 1.0
-
-    @field_validator("weight")
-    @classmethod
-    def _not_negative(cls, weight: float) -> float:
-        if weight < 0.0:
-            raise ValueError("a weight of 0 or more expected")
-        return weight
-
-
-class Route(Part):
-    """Which requests go where, and how."""
-
-    name: str
-    hostname: str
-    path_prefix: str
-    type: str = "unsafe"
-    timeout_ms: float
-    target_latency_ms: float = 1_000.0
-    priority: int = 5
-    service: str | None = None
-    backends: tuple[Backend, ...] = ()
-    max_attempts: int = 1
-    public: bool = False
-    session_affinity: bool = False
-    resumable: bool = False
-    gap_aim_ms: float | None = None
-
-    @field_validator("timeout_ms")
-    @classmethod
-    def _some_time(cls, timeout_ms: float) -> float:
-        if timeout_ms <= 0.0:
-            raise ValueError("more than 0 expected")
-        return timeout_ms
-
-    @model_validator(mode="after")
-    def _goes_somewhere(self) -> Route:
-        if self.service is None and not sum(backend.weight for backend in self.backends) > 0.0:
-            raise ValueError("a service, or backends whose weights don't sum to 0, expected")
-        return self
-
-    def targets(self) -> tuple[Backend, ...]:
-        """The services and their weights."""
-        return self.backends or (Backend(service=self.service or ""),)
-
-
-class Service(Part):
-    """A service that servers register for."""
-
-    name: str
-    health_check_path: str = "/"
-    max_connections: int = 64
-    runtime: dict[str, Any] | None = None
-
-
-class Limits(Part):
-    """What a client may send, and how long it may take."""
-
-    max_header_bytes: int = 16_384
-    max_body_bytes: int = 4_194_304
-    header_timeout_ms: float = 3_000.0
-    idle_timeout_ms: float = 15_000.0
-
-
-class Tenant(Part):
-    """Who holds which keys, and what it may ask in a second."""
-
-    name: str
-    api_keys: tuple[str, ...] = ()
-    priority: int | None = None
-    billing_unit: str = "requests"
-    uncached_tokens: float = 1.0
-    rate_per_s: float = 0.0
-    burst: float = 0.0
-
-
-class Configuration(Part):
-    """A whole configuration."""
-
-    version: int
-    routes: tuple[Route, ...] = ()
-    services: tuple[Service, ...] = ()
-    limits: Limits = Limits()
-    tenants: tuple[Tenant, ...] = ()
-
-    @model_validator(mode="after")
-    def _consistent(self) -> Configuration:
-        services = {service.name for service in self.services}
-        places: set[tuple[str, str]] = set()
-        for route in self.routes:
-            for backend in route.targets():
-                if backend.service not in services:
-                    raise ValueError(f"routes.{route.name}: service {backend.service!r} is not known")
-            place = (route.hostname.lower(), route.path_prefix)
-            if place in places:
-                raise ValueError(f"routes.{route.name}: another route has this host and prefix")
-            places.add(place)
-        holders: dict[str, str] = {}
-        for tenant in self.tenants:
-            for key in tenant.api_keys:
-                if holders.setdefault(key, tenant.name) != tenant.name:
-                    raise ValueError(f"tenants.{tenant.name}: shares a key with {holders[key]}")
-        return self
-
-
-def parsed(document: Document) -> Configuration | Invalid:
-    """The typed form of a document, or what is wrong with it, each error with its path."""
+class _ModelFactory:
+    """Makes the pydantic model of a msgspec type and of those that its fields refer to."""
+
+    def __init__(self) -> None:
+        self._models: dict[type[Struct], type[BaseModel]] = {}
+
+    def model_of(self, struct: type[Struct]) -> type[BaseModel]:
+        """The model with the fields, encoded names and defaults of `struct`, and its rules."""
+        if struct not in self._models:
+            self._models[struct] = self._make(struct)
+        return self._models[struct]
+
+    def _make(self, struct: type[Struct]) -> type[BaseModel]:
+        annotations = typing.get_type_hints(struct)
+        fields: dict[str, Any] = {}
+        checked_first = CHECKED_FIRST.get(struct, ())
+        for field in sorted(
+            msgspec.structs.fields(struct), key=lambda field: field.name not in checked_first
+        ):
+            annotation = self._model_annotation(annotations[field.name])
+            if rule := FIELD_RULES.get((struct, field.name)):
+                annotation = Annotated[annotation, AfterValidator(rule)]
+            default = ... if field.default is NODEFAULT else field.default
+            fields[field.name] = (annotation, Field(default, alias=field.encode_name))
+        validators: dict[str, Any] = {}
+        if model_rule := MODEL_RULES.get(struct):
+            validators["check"] = model_validator(mode="after")(_checked(model_rule))
+        return create_model(struct.__name__, __base__=_Model, __validators__=validators, **fields)
+
+    def _model_annotation(self, annotation: Any) -> Any:
+        """An annotation with each msgspec type in it replaced by its model."""
+        if isinstance(annotation, type) and issubclass(annotation, Struct):
+            return self.model_of(annotation)
+        arguments = typing.get_args(annotation)
+        if isinstance(annotation, types.UnionType) or not arguments:
+            return annotation
+        return typing.get_origin(annotation)[tuple(map(self._model_annotation, arguments))]
+
+
+def _checked(rule: ModelRule) -> Callable[[Value], Value]:
+    """A rule in the form of a validator."""
+
+    def check(model: Value) -> Value:
+        rule(model)
+        return model
+
+    return check
+
+
+_CONFIGURATION_MODEL = _ModelFactory().model_of(Configuration)
+
+
+def _document_error(document: Document) -> str | None:
+    """What is wrong with a document, each error with its path; None where nothing is."""
     try:
-        return Configuration.model_validate(document)
+        _CONFIGURATION_MODEL.model_validate(document)
     except ValidationError as error:
-        return Invalid("; ".join(_error_line(e) for e in error.errors()[:ERRORS_SHOWN]))
+        return "; ".join(_error_text(details) for details in error.errors()[:MAX_ERRORS_SHOWN])
+    try:
+        to_configuration(document)
+    except ConfigurationError as error:
+        return str(error)
+    return None
 
 
-def _error_line(error: Any) -> str:
-    path = ".".join(str(step) for step in error["loc"])
-    return f"{path}: {error['msg']}" if path else str(error["msg"])
+def _error_text(details: ErrorDetails) -> str:
+    path = ".".join(str(step) for step in details["loc"])
+    return f"{path}: {details['msg']}" if path else details["msg"]
 
 
-def judge(document: Document, order: Order) -> Valid | Invalid:
-    """Whether an order may be taken on top of a document."""
+def validate(document: Document, order: Order) -> Valid | Invalid:
+    """Whether an order may be accepted on top of a document; `Invalid` has the errors for the operator."""
     version = order.body.get("version")
     if not isinstance(version, int) or isinstance(version, bool):
         return Invalid("version: a whole number expected")
     if order.kind == "update":
-        wrong = _update_error(order.body)
-        if wrong is not None:
-            return Invalid(wrong)
+        update_error = _update_error(order.body)
+        if update_error is not None:
+            return Invalid(update_error)
     elif not isinstance(order.body.get("routes"), list) or not isinstance(order.body.get("services"), list):
         return Invalid("routes, services: lists expected")
-    after = changed(document, order)
-    result = parsed(after)
-    if isinstance(result, Invalid):
-        return result
-    try:
-        typed(after)
-    except NotTyped as error:
-        return Invalid(str(error))
-    return Valid(version)
+    error = _document_error(changed(document, order))
+    return Valid(version) if error is None else Invalid(error)
 
 
 def _update_error(body: Document) -> str | None:
-    upsert, delete = body.get("upsert", {}), body.get("delete", {})
+    """What is wrong with the shape of an update, so that it can't be applied; None where nothing is."""
+    upsert = body.get("upsert", {})
+    delete = body.get("delete", {})
     if not isinstance(upsert, dict) or not isinstance(delete, dict):
         return "upsert, delete: objects expected"
     for name, items in upsert.items():
         if isinstance(items, list):
-            if not all(isinstance(i, dict) and isinstance(i.get("name"), str) for i in items):
+            if not all(isinstance(item, dict) and isinstance(item.get("name"), str) for item in items):
                 return f"upsert.{name}: items with a name expected"
         elif not isinstance(items, dict):
             return f"upsert.{name}: a list expected"
--- a/lab/control/cluster.py
+++ b/lab/control/cluster.py
@@ -19,7 +19,7 @@
 from dunlinloft.coordination.actions import Action, Commit, Persist, Reply, Send
 from dunlinloft.coordination.messages import Durable, Member, Order, Record, ReplicaMessage
 from dunlinloft.coordination.replica import FIRST_INCARNATION, Replica, first_view
-from dunlinloft.validation import judge
+from dunlinloft.validation import validate
 from lab.control.rules import Rules
 
 TICK_MS = 50.0
@@ -120,7 +120,7 @@
         me = Member(address, durable.incarnation)
         rng = random.Random(self.rng.getrandbits(64))
         machine.replica = Replica(
-            me, machine.counts, durable, self.told, self.tolerance, judge, rng, self.now
+            me, machine.counts, durable, self.told, self.tolerance, validate, rng, self.now
         )
         life = machine.life
         first = first_view(self.seeds) if bootstrap and address in self.seeds else None
--- a/lab/router/bare_node.py
+++ b/lab/router/bare_node.py
@@ -8,7 +8,7 @@
 
 from aiohttp.web_server import Server
 
-from dunlinloft.configuration import typed
+from dunlinloft.configuration import to_configuration
 from dunlinloft.coordination.quotas import QuotaBounds
 from dunlinloft.coordination.stream import ServerRecord
 from dunlinloft.dataplane.client_request import ClientRequest
@@ -35,7 +35,7 @@
     def __init__(self, routes: list[dict[str, Any]], addresses: list[str]) -> None:
         rng = random.Random(1)
         document = {"version": 1, "routes": routes, "services": [{"name": SERVICE}]}
-        table = RoutingTable(typed(document), rng)
+        table = RoutingTable(to_configuration(document), rng)
         pool = ServerPool(rng)
         for number, address in enumerate(addresses):
             pool.put(ServerRecord(f"i-{number}", SERVICE, address, "a", 8, "ready", 1))
--- a/tests/test_control_world.py
+++ b/tests/test_control_world.py
@@ -26,7 +26,7 @@
     View,
 )
 from dunlinloft.coordination.replica import Replica, first_view
-from dunlinloft.validation import judge
+from dunlinloft.validation import validate
 from lab.control.cluster import Cluster
 from lab.control.operators import Operator, small_order
 from lab.control.rules import Broken
@@ -326,7 +326,7 @@
     for life in range(2):
         # The disk has not taken the promise: after the restart it is unknown.
         durable = Durable(me.incarnation, view=view)
-        replica = Replica(me, True, durable, (), 1, judge, random.Random(life), 0.0)
+        replica = Replica(me, True, durable, (), 1, validate, random.Random(life), 0.0)
         replica.begin(None)
         replica._voting.propose(view, View(2, view.roster, (me, second), 2))
         prepares = [a.message for a in replica._actions if isinstance(a, Send)]
@@ -352,7 +352,7 @@
 def test_an_acceptance_of_a_former_lifes_ballot_decides_nothing() -> None:
     view = first_view(("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"))
     me, second, third = view.roster
-    replica = Replica(me, True, Durable(me.incarnation, view=view), (), 1, judge, random.Random(1), 0.0)
+    replica = Replica(me, True, Durable(me.incarnation, view=view), (), 1, validate, random.Random(1), 0.0)
     replica.begin(None)
     wanted = View(2, view.roster, (me, second), 2)
     ballot = replica._voting.propose(view, wanted)
@@ -372,7 +372,7 @@
     for life in range(2):
         view = first_view(("10.0.0.1:1", "10.0.0.2:1"))
         link, _ = _held(view, view.chain[1], ChainState())
-        calls = Calls(view.chain[1], link, judge, lambda _: None, lambda *_: None, random.Random(life))
+        calls = Calls(view.chain[1], link, validate, lambda _: None, lambda *_: None, random.Random(life))
         nonces.add(calls._nonce)
     assert len(nonces) == 2
 
@@ -559,7 +559,7 @@
     assert not behind.chain.stop_uncommitted(), "it takes part no more, and knows no more"
     wanted = View(view.epoch + 1, view.roster, (outside, behind.me), 1, (), behind.me.id)
     durable = Durable(behind.me.incarnation, view=view, accepted=(Ballot(1, "x"), wanted))
-    again = Replica(behind.me, True, durable, (), 1, judge, random.Random(1), cluster.now)
+    again = Replica(behind.me, True, durable, (), 1, validate, random.Random(1), cluster.now)
     assert again.chain.epoch == 0
     head = cluster.machines[view.chain[0].address].replica
     assert head is not None
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -6,11 +6,13 @@
 
 import pytest
 
+from dunlinloft.configuration import to_configuration
 from dunlinloft.controlplane.http_api import parse_document
 from dunlinloft.coordination.calls import Invalid, Valid
 from dunlinloft.coordination.durable import changed
 from dunlinloft.coordination.messages import Document, Order
-from dunlinloft.validation import judge
+from dunlinloft.exceptions import ConfigurationError
+from dunlinloft.validation import validate
 
 
 def _route(name: str = "r", **more: Any) -> dict[str, Any]:
@@ -35,7 +37,7 @@
 
 
 def _judged(body: Document, kind: str = "replace", document: Document | None = None) -> Valid | Invalid:
-    return judge(document or {}, Order(kind, 0, "digest", body))
+    return validate(document or {}, Order(kind, 0, "digest", body))
 
 
 def test_a_proper_configuration_is_taken_with_fields_that_are_not_known() -> None:
@@ -105,3 +107,78 @@
 )
 def test_an_update_whose_result_would_be_invalid_is_refused(update: Document) -> None:
     assert isinstance(_judged(update, "update", _document(limits={"max_body_bytes": 10})), Invalid)
+
+
+@pytest.mark.parametrize(
+    ("wrong", "texts"),
+    [
+        (_route(gap_aim_ms=None), []),
+        (
+            _route(gap_aim_ms="x"),
+            ["routes.0.gap_aim_ms: Input should be a valid number, unable to parse string as a number"],
+        ),
+        (
+            {"name": "r", "service": "s"},
+            [
+                "routes.0.hostname: Field required",
+                "routes.0.path_prefix: Field required",
+                "routes.0.timeout_ms: Field required",
+            ],
+        ),
+        (
+            _route(type=1, timeout_ms=None),
+            [
+                "routes.0.type: Input should be a valid string",
+                "routes.0.timeout_ms: Input should be a valid number",
+            ],
+        ),
+        (_route(timeout_ms=-1), ["routes.0.timeout_ms: Value error, more than 0 expected"]),
+        (
+            _route(backends=[{"service": "s", "weight": -1}]),
+            ["routes.0.backends.0.weight: Value error, a weight of 0 or more expected"],
+        ),
+        (
+            _route(service=None),
+            ["routes.0: Value error, a service, or backends whose weights don't sum to 0, expected"],
+        ),
+        (7, ["routes.0: Input should be a valid dictionary or instance of Route"]),
+        (_route(priority=True), ["Expected `int`, got `bool` - at `$.routes[0].priority`"]),
+        (_route(service="x"), ["Value error, routes.r: service 'x' is not known"]),
+    ],
+)
+def test_the_error_of_a_route_names_its_path_and_what_was_expected(wrong: Any, texts: list[str]) -> None:
+    assert _judged(_document(routes=[wrong])) == (Invalid("; ".join(texts)) if texts else Valid(3))
+
+
+@pytest.mark.parametrize(
+    ("wrong", "texts"),
+    [
+        (
+            {"limits": {"max_body_bytes": 2.5}},
+            ["limits.max_body_bytes: Input should be a valid integer, got a number with a fractional part"],
+        ),
+        (
+            {"tenants": [{"api_keys": "k"}]},
+            ["tenants.0.name: Field required", "tenants.0.api_keys: Input should be a valid tuple"],
+        ),
+        (
+            {"routes": [{}], "services": [{}]},
+            [
+                "routes.0.name: Field required",
+                "routes.0.hostname: Field required",
+                "routes.0.path_prefix: Field required",
+            ],
+        ),
+    ],
+    ids=["limits", "tenants", "the first three alone"],
+)
+def test_the_errors_of_a_document_name_their_paths(wrong: Document, texts: list[str]) -> None:
+    assert _judged(_document(**wrong)) == Invalid("; ".join(texts))
+
+
+def test_operators_field_names_are_decoded_into_the_types_names() -> None:
+    configuration = to_configuration(_document(routes=[_route(gap_aim_ms=40)]))
+    assert configuration.routes[0].inter_token_latency_target_ms == 40.0
+    assert configuration.tenants[0].api_keys == ("k",)
+    with pytest.raises(ConfigurationError, match=r"\$\.routes\[0\]\.gap_aim_ms"):
+        to_configuration(_document(routes=[_route(gap_aim_ms=[])]))
