--- a/dunlinloft/__main__.py
+++ b/dunlinloft/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m dunlinloft`."""
+"""`python -m dunlinloft`: the command line."""
 
 from dunlinloft.cli import main
 
