--- a/dunlinloft/fleet/__init__.py
+++ b/dunlinloft/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""Decides about the fleet: who is in it. Pure: events in, actions out; no I/O, no clock, no sockets."""
+"""State machines of the fleet, without I/O, clocks or sockets: events in, actions out.
+
+Shared by all: `interface`, `timers`, `messages`, `wire`, `rendezvous` and `member_count` (shares of budgets).
+"""
--- a/dunlinloft/fleet/membership/local_member.py
+++ b/dunlinloft/fleet/membership/local_member.py
@@ -4,6 +4,7 @@
 
 import random
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.membership.local_health import LocalHealth
@@ -33,6 +34,13 @@
     incarnation: int
 
 
+class Divergence(NamedTuple):
+    """How many members' views differ from ours, and for how long the longest has (ms)."""
+
+    members: int
+    longest_ms: float
+
+
 class LocalMember:
     """State that all parts of the membership share, and the means to send, to set timers and to log."""
 
@@ -68,11 +76,11 @@
         """Digest of the names and incarnations of all members that are alive: equal where views agree."""
         return self.view.digest ^ (self._digest_bits if self.status == ALIVE and not self.muted else 0)
 
-    def divergence(self, now: float) -> tuple[int, float]:
-        """How many members' views differ from this one, and for how long the longest has (ms)."""
+    def divergence(self, now: float) -> Divergence:
+        """How far the views of other members, by the digests in their headers, differ from this one."""
         members = self.view.members.values()
         since = [m.diverged_since_ms for m in members if m.is_alive() and m.diverged_since_ms >= 0.0]
-        return len(since), max((now - at_ms for at_ms in since), default=0.0)
+        return Divergence(len(since), max((now - at_ms for at_ms in since), default=0.0))
 
     def own_record(self, include_metadata: bool = True) -> Record:
         """The record of this process itself."""
--- a/dunlinloft/fleet/membership/member.py
+++ b/dunlinloft/fleet/membership/member.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from dunlinloft.fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, MetadataValue, Record
+from dunlinloft.fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, MetadataValue, Precedence, Record
 from dunlinloft.fleet.rendezvous import rank
 
 # Independent suspecters that are kept and sent; `suspicion.FULL_CONFIRMATIONS` need no more.
@@ -62,7 +62,7 @@
         self._rtt_ms = INITIAL_RTT_MS
         self._rtt_deviation_ms = INITIAL_RTT_DEVIATION_MS
 
-    def precedence(self) -> tuple[int, bool, int, int]:
+    def precedence(self) -> Precedence:
         """As `Record.precedence`."""
         return self.incarnation, self.status == LEFT, self.revision, self.status
 
