--- a/dunlinloft/dataplane/active_configuration.py
+++ b/dunlinloft/dataplane/active_configuration.py
@@ -26,7 +26,7 @@
 class ActiveConfiguration:
     """Owns the active routing table and decides when another configuration replaces it.
 
-    Fed by `ControlUpdates`; the frontend reads `table` on each request.
+    Fed by `NodeState`; the frontend reads `table` on each request.
     """
 
     def __init__(self, rng: random.Random) -> None:
--- a/dunlinloft/dataplane/exceptions.py
+++ b/dunlinloft/dataplane/exceptions.py
@@ -8,11 +8,13 @@
 
 from typing import TYPE_CHECKING
 
+from dunlinloft.exceptions import DunlinloftError
+
 if TYPE_CHECKING:
     from dunlinloft.dataplane.refusal import Refusal
 
 
-class DataPlaneError(Exception):
+class DataPlaneError(DunlinloftError):
     """Base of all exceptions that the data plane raises."""
 
 
--- a/dunlinloft/dataplane/server_table.py
+++ b/dunlinloft/dataplane/server_table.py
@@ -17,7 +17,7 @@
     """The service discovery state of one node.
 
     A server stays until no replica lists it any more; a server that only missed heartbeats also stays for
-    as long as it answers this node. Fed by `ControlUpdates`; pools are read on each request. Times are
+    as long as it answers this node. Fed by `NodeState`; pools are read on each request. Times are
     milliseconds of the monotonic clock.
     """
 
