--- a/dunlinloft/cli/handlers/replica_state.py
+++ b/dunlinloft/cli/handlers/replica_state.py
@@ -15,7 +15,7 @@
 from dunlinloft.controlplane.data_directory import RecoveredState
 from dunlinloft.controlplane.exceptions import StoreError
 from dunlinloft.controlplane.member_cache import MemberCache
-from dunlinloft.coordination.messages import Durable, Record
+from dunlinloft.coordination.records import DurableState, Record
 
 DIGEST_CHARACTERS = 12  # of a history's digest that are printed
 
@@ -40,7 +40,7 @@
     """A data directory and the newest state that it recovers to."""
 
     folder: Path
-    durable: Durable
+    durable: DurableState
 
     @property
     def highest_epoch(self) -> int:
@@ -104,12 +104,12 @@
         roster=[] if view is None else [member.id for member in view.roster],
         chain=[] if view is None else [member.id for member in view.chain],
         promised=None if durable.promised is None else msgspec.to_builtins(durable.promised),
-        accepted_epoch=None if durable.accepted is None else durable.accepted[1].epoch,
+        accepted_epoch=None if durable.accepted is None else durable.accepted.view.epoch,
         sequence=state.sequence,
         committed=durable.committed_digest == durable.state.chain_digest,
         version=state.version,
         routes=len(state.document.get("routes", ())),
-        orders_remembered=len(state.taken),
+        orders_remembered=len(state.applied),
         log_records=dict(Counter(_record_name(record) for record in log)),
         servers_known=len(MemberCache(folder).read().servers),
     )
@@ -202,8 +202,8 @@
     return found
 
 
-def _highest_epoch(durable: Durable) -> int:
-    accepted = 0 if durable.accepted is None else durable.accepted[1].epoch
+def _highest_epoch(durable: DurableState) -> int:
+    accepted = 0 if durable.accepted is None else durable.accepted.view.epoch
     return max(accepted, 0 if durable.view is None else durable.view.epoch)
 
 
--- a/dunlinloft/cli/handlers/router_fleet.py
+++ b/dunlinloft/cli/handlers/router_fleet.py
@@ -12,7 +12,7 @@
 
 from dunlinloft.cli.consoles import plain_stdout
 from dunlinloft.cli.exit_codes import ExitCode
-from dunlinloft.coordination.messages import Document
+from dunlinloft.coordination.state import Document
 from lab.router.fleet import FRONT, RouterFleet
 from lab.router.model_server import ModelServer
 
--- a/dunlinloft/configuration.py
+++ b/dunlinloft/configuration.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from dunlinloft.coordination.messages import Document
+from dunlinloft.coordination.state import Document
 from dunlinloft.exceptions import ConfigurationError
 
 # What model servers of a service are started with; passed on as it is, and read by nobody here.
--- a/dunlinloft/controlplane/commit_handler.py
+++ b/dunlinloft/controlplane/commit_handler.py
@@ -8,7 +8,7 @@
 from dunlinloft.controlplane.node_publisher import NodePublisher
 from dunlinloft.controlplane.placement_service import PlacementService
 from dunlinloft.controlplane.quota_service import QuotaService
-from dunlinloft.coordination.messages import ChainState, Entry
+from dunlinloft.coordination.state import ChainState, LogEntry
 from dunlinloft.exceptions import ConfigurationError
 
 
@@ -20,7 +20,7 @@
         self._quotas = quotas
         self._placement = placement
 
-    def on_commit(self, state: ChainState, entry: Entry | None) -> None:
+    def on_commit(self, state: ChainState, entry: LogEntry | None) -> None:
         """Handle a committed state; `entry` is what made it of the one before, where that is known.
 
         A configuration that this program can't use is logged; nodes get it all the same, as they may run
--- a/dunlinloft/controlplane/components.py
+++ b/dunlinloft/controlplane/components.py
@@ -16,12 +16,14 @@
 from dunlinloft.controlplane.replica_host import ReplicaHost
 from dunlinloft.controlplane.server_registrar import ServerRegistrar
 from dunlinloft.controlplane.stream_session import StreamServices
-from dunlinloft.coordination.calls import Invalid, Valid
-from dunlinloft.coordination.messages import Document, Durable, Member, Order
 from dunlinloft.coordination.nodes import Nodes
 from dunlinloft.coordination.placement import Placements
-from dunlinloft.coordination.registry import Registry
+from dunlinloft.coordination.records import DurableState
+from dunlinloft.coordination.registry import ServerRegistry
 from dunlinloft.coordination.replica import Replica
+from dunlinloft.coordination.state import ConfigurationChange, Document
+from dunlinloft.coordination.verdicts import Invalid, Valid
+from dunlinloft.coordination.views import Member
 from dunlinloft.settings import Settings
 from dunlinloft.transport.clock import now_ms
 
@@ -35,7 +37,7 @@
     disk: DiskWriter
     peers: PeerConnections
     nodes: Nodes
-    registry: Registry
+    registry: ServerRegistry
     registrar: ServerRegistrar
     publisher: NodePublisher
     quotas: QuotaService
@@ -54,7 +56,7 @@
         )
 
 
-def build_replica(settings: Settings, durable: Durable) -> Replica:
+def build_replica(settings: Settings, durable: DurableState) -> Replica:
     """The replica's state machine, with the durable state that was recovered."""
     incarnation = durable.incarnation or secrets.token_hex(8)
     return Replica(
@@ -87,7 +89,7 @@
         The servers and nodes known before this start.
     """
     address = settings.control_address(settings.ip_address)
-    registry = Registry(settings.heartbeat_interval_ms, started_ms)
+    registry = ServerRegistry(settings.heartbeat_interval_ms, started_ms)
     publisher = NodePublisher()
     nodes = Nodes()
     quotas = QuotaService(address, settings.timing_bounds, started_ms, nodes, replica, peers.send)
@@ -103,8 +105,8 @@
         registry,
         publisher,
         placements,
-        lambda: replica.contact(now_ms()),
-        replica.addresses,
+        lambda: replica.view_in_contact(now_ms()),
+        replica.peer_addresses,
         peers.send,
     )
     commits = CommitHandler(publisher, quotas, placement)
@@ -123,7 +125,7 @@
     )
 
 
-def _validate(document: Document, order: Order) -> Valid | Invalid:
+def _validate(document: Document, order: ConfigurationChange) -> Valid | Invalid:
     """Validate an order; what that needs is imported with the first one, so that a start is quick."""
     from dunlinloft.validation import validate
 
--- a/dunlinloft/controlplane/data_directory.py
+++ b/dunlinloft/controlplane/data_directory.py
@@ -20,8 +20,7 @@
 from msgspec import Struct
 
 from dunlinloft.controlplane.exceptions import UnsupportedFormatError
-from dunlinloft.coordination import durable as durables
-from dunlinloft.coordination.messages import Durable, Record
+from dunlinloft.coordination.records import DurableState, Record, apply_record
 
 FORMAT_VERSION = 1
 SLOTS = (0, 1)
@@ -34,7 +33,7 @@
 
     format: int
     generation: int
-    durable: Durable
+    durable: DurableState
 
 
 class LogRecord(Struct, frozen=True):
@@ -49,7 +48,7 @@
 class RecoveredState:
     """What a data directory recovers to, and the slot that is in use."""
 
-    durable: Durable
+    durable: DurableState
     slot: int
     generation: int
 
@@ -159,5 +158,5 @@
     if newest is None:
         return None
     for record in read_log(log_path(folder, slot), newest.generation):
-        durables.apply(newest.durable, record)
+        apply_record(newest.durable, record)
     return RecoveredState(newest.durable, slot, newest.generation)
--- a/dunlinloft/controlplane/disk_writer.py
+++ b/dunlinloft/controlplane/disk_writer.py
@@ -13,7 +13,7 @@
 from dunlinloft.controlplane.member_cache import CachedMembers, MemberCache
 from dunlinloft.controlplane.store import ReplicaStore
 from dunlinloft.coordination.actions import Persist
-from dunlinloft.coordination.messages import Durable, Record
+from dunlinloft.coordination.records import DurableState, Record
 
 DISK_RETRY_INTERVAL_S = 0.2  # after a write that the disk refused
 
@@ -34,7 +34,7 @@
     def __init__(
         self,
         executor: ThreadPoolExecutor,
-        durable: Durable,
+        durable: DurableState,
         store: ReplicaStore | None = None,
         cache: MemberCache | None = None,
     ) -> None:
@@ -112,7 +112,7 @@
     """
     with ThreadPoolExecutor(1, "disk") as executor:
         if folder is None:
-            yield DiskWriter(executor, Durable(first_incarnation or ""))
+            yield DiskWriter(executor, DurableState(first_incarnation or ""))
             return
         store = await _open_store(executor, folder, first_incarnation)
         try:
--- a/dunlinloft/controlplane/http_api.py
+++ b/dunlinloft/controlplane/http_api.py
@@ -20,9 +20,9 @@
 
 from dunlinloft.controlplane.exceptions import BodyTooLargeError
 from dunlinloft.coordination.actions import Reply
-from dunlinloft.coordination.calls import Invalid
-from dunlinloft.coordination.messages import Document, Order
+from dunlinloft.coordination.state import ConfigurationChange, Document
 from dunlinloft.coordination.stream import ServerRecord
+from dunlinloft.coordination.verdicts import Invalid
 
 MAX_CONFIGURATION_BYTES = 32 * 1024 * 1024
 MAX_HEARTBEAT_BYTES = 256 * 1024
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        call: Callable[[Order | None], Awaitable[Reply]],
+        call: Callable[[ConfigurationChange | None], Awaitable[Reply]],
         heartbeat: Callable[[ServerRecord], Awaitable[bool]],
         deregister: Callable[[str], Awaitable[bool]],
     ) -> None:
@@ -119,7 +119,7 @@
             return json_response(400, document.reason)
         # The digest covers the bytes as they were sent: the same bytes resent are the same order.
         digest = hashlib.blake2b(f"{kind}/{int(base)}/".encode() + data, digest_size=16).hexdigest()
-        reply = await self._call(Order(kind, int(base), digest, document))
+        reply = await self._call(ConfigurationChange(kind, int(base), digest, document))
         return json_response(reply.status, reply.reason)
 
     async def _on_describe(self) -> StreamResponse:
--- a/dunlinloft/controlplane/loops.py
+++ b/dunlinloft/controlplane/loops.py
@@ -47,11 +47,11 @@
         while True:
             components.replica_host.tick()
             self._follow_view()
-            components.publisher.set_confirmed(components.replica.confirmed(now_ms()))
+            components.publisher.set_confirmed(components.replica.is_confirmed(now_ms()))
             components.quotas.refill()
             components.registry.expire(now_ms())
             components.registrar.publish_changes()
-            if not self._completeness_published and components.registry.complete(now_ms()):
+            if not self._completeness_published and components.registry.is_complete(now_ms()):
                 self._completeness_published = True
                 components.publisher.publish_servers_complete()
             await asyncio.sleep(TICK_INTERVAL_S)
@@ -91,7 +91,7 @@
             components.nodes.forget(now_ms())
             components.quotas.drop_expired()
             frame = message_stream.encode_frame(NodesSeen(components.nodes.known(now_ms())))
-            for address in components.replica.addresses():
+            for address in components.replica.peer_addresses():
                 components.peers.send_frame(address, frame)
 
     async def _cache_members(self) -> None:
--- a/dunlinloft/controlplane/node_publisher.py
+++ b/dunlinloft/controlplane/node_publisher.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from dunlinloft.coordination.messages import ChainState, Entry
+from dunlinloft.coordination.state import ChainState, LogEntry
 from dunlinloft.coordination.stream import (
     ConfigurationId,
     Delta,
@@ -45,7 +45,7 @@
         self._state = ChainState()
         self._id = ConfigurationId()
         self._base_id = ConfigurationId()  # of the configuration that `_update` changed
-        self._update: Entry | None = None
+        self._update: LogEntry | None = None
         self._confirmed = False
         self._frames_by_form: dict[bool, bytes] = {}  # of the state: True as a delta, False in full
         self._replicas: Replicas | None = None
@@ -65,7 +65,7 @@
         """Remove a node whose stream ended."""
         self.subscriptions.discard(subscription)
 
-    def publish_state(self, state: ChainState, entry: Entry | None) -> None:
+    def publish_state(self, state: ChainState, entry: LogEntry | None) -> None:
         """Publish a newly committed state.
 
         Parameters
@@ -77,7 +77,7 @@
         if state.sequence <= self._state.sequence:
             return
         follows = state.sequence == self._state.sequence + 1
-        is_update = entry is not None and entry.order.kind == "update" and follows
+        is_update = entry is not None and entry.change.kind == "update" and follows
         self._update = entry if is_update else None
         self._base_id = self._id
         self._state = state
@@ -147,5 +147,5 @@
 
     def _state_message(self, as_delta: bool) -> Delta | Whole:
         if as_delta and self._update is not None:
-            return Delta(self._base_id, self._id, self._confirmed, self._update.order.body)
+            return Delta(self._base_id, self._id, self._confirmed, self._update.change.body)
         return Whole(self._id, self._confirmed, self._state.document)
--- a/dunlinloft/controlplane/process.py
+++ b/dunlinloft/controlplane/process.py
@@ -15,7 +15,7 @@
 from dunlinloft.controlplane.loops import PeriodicLoops
 from dunlinloft.controlplane.peer_connections import PeerConnections
 from dunlinloft.controlplane.stream_server import serve_streams
-from dunlinloft.coordination.replica import FIRST_INCARNATION, first_view
+from dunlinloft.coordination.views import FIRST_INCARNATION, initial_view
 from dunlinloft.settings import Settings, split_host_port
 from dunlinloft.transport.aiohttp_import import import_aiohttp
 from dunlinloft.transport.clock import now_ms
@@ -66,7 +66,7 @@
         components = build_components(settings, self._started_ms, replica, disk, peers, members)
         address = settings.control_address(settings.ip_address)
         begins = settings.bootstrap and holds_state and address in settings.seed_addresses()
-        components.replica_host.begin(first_view(settings.seed_addresses()) if begins else None)
+        components.replica_host.begin(initial_view(settings.seed_addresses()) if begins else None)
         host, port = split_host_port(address)
         await stack.enter_async_context(serve_streams(components.stream_services(), host, port))
         logging.info("event=started node=%s member=%s", settings.node_name, replica.me.id)
--- a/dunlinloft/controlplane/quota_service.py
+++ b/dunlinloft/controlplane/quota_service.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 
 from dunlinloft.configuration import Configuration
-from dunlinloft.coordination.messages import View
 from dunlinloft.coordination.nodes import Nodes
 from dunlinloft.coordination.quotas import NodeHoldings, QuotaAsk, QuotaLimit, QuotaOwner
 from dunlinloft.coordination.replica import Replica
 from dunlinloft.coordination.stream import HoldsShares, QuotaGranted, QuotasHandedOver, TakeQuota
+from dunlinloft.coordination.views import View
 from dunlinloft.quota_bounds import quota_bounds
 from dunlinloft.settings import TimingBounds
 from dunlinloft.transport.clock import now_ms
@@ -45,7 +45,7 @@
     ) -> None:
         self._replica = replica
         self._send = send
-        self._owner = QuotaOwner(address, started_ms, quota_bounds(bounds), nodes, replica.lease_over)
+        self._owner = QuotaOwner(address, started_ms, quota_bounds(bounds), nodes, replica.lease_expired)
 
     def configure(self, configuration: Configuration) -> None:
         """Apply the tenants' limits of a committed configuration."""
@@ -61,7 +61,7 @@
 
     def refill(self) -> None:
         """Refill quotas for the time that has passed; called with every tick."""
-        self._owner.settle(self._replica.leased(now_ms()), now_ms())
+        self._owner.settle(self._replica.has_lease(now_ms()), now_ms())
 
     def drop_expired(self) -> None:
         """Drop shares and holdings that have ended; called every second or so."""
@@ -97,7 +97,7 @@
             message.alone,
             message.returned,
         )
-        taken = self._owner.take(request, self._replica.leased(now), now)
+        taken = self._owner.take(request, self._replica.has_lease(now), now)
         if taken is None:
             return QuotaGranted(message.number, message.tenant, 0.0, 0.0, 0.0, 0.0, False)
         amount = 0.0 if taken.wait_ms else message.amount
--- a/dunlinloft/controlplane/replica_host.py
+++ b/dunlinloft/controlplane/replica_host.py
@@ -12,9 +12,11 @@
 from dunlinloft.controlplane.disk_writer import DiskWriter
 from dunlinloft.controlplane.peer_connections import PeerConnections
 from dunlinloft.coordination.actions import Action, Commit, Persist, Reply, Send
-from dunlinloft.coordination.messages import ChainState, Entry, Order, ReplicaMessage, View
+from dunlinloft.coordination.messages import ReplicaMessage
 from dunlinloft.coordination.replica import Replica
+from dunlinloft.coordination.state import ChainState, ConfigurationChange, LogEntry
 from dunlinloft.coordination.stream import ToControl
+from dunlinloft.coordination.views import View
 from dunlinloft.transport.clock import now_ms
 
 LEAVE_POLL_INTERVAL_S = 0.01
@@ -34,7 +36,7 @@
         replica: Replica,
         disk: DiskWriter,
         peers: PeerConnections,
-        on_commit: Callable[[ChainState, Entry | None], None],
+        on_commit: Callable[[ChainState, LogEntry | None], None],
     ) -> None:
         self._replica = replica
         self._disk = disk
@@ -43,9 +45,9 @@
         self._calls: dict[str, asyncio.Future[Reply]] = {}  # the operator's calls in flight, by token
         self._call_numbers = itertools.count(1)
 
-    def begin(self, first_view: View | None) -> None:
+    def begin(self, initial_view: View | None) -> None:
         """Start the replica, with the view to begin with where this is the first start of all."""
-        self._perform(self._replica.begin(first_view))
+        self._perform(self._replica.start(initial_view))
 
     def handle(self, message: ToControl) -> None:
         """Hand the replica a message; it ignores those that are not from a replica."""
@@ -57,15 +59,15 @@
 
     def on_persisted(self, token: int) -> None:
         """Report to the replica that a record is durable; called by `DiskWriter`."""
-        self._perform(self._replica.persisted(token, now_ms()))
+        self._perform(self._replica.on_persisted(token, now_ms()))
 
-    async def call(self, order: Order | None) -> Reply:
+    async def call(self, order: ConfigurationChange | None) -> Reply:
         """Make an operator's call, a read where `order` is None; return its outcome, 503 after a time-out."""
         token = f"{self._replica.me.id}/{next(self._call_numbers)}/{secrets.token_hex(4)}"
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
         self._calls[token] = future
         try:
-            self._perform(self._replica.call(token, order, now_ms()))
+            self._perform(self._replica.begin_call(token, order, now_ms()))
             return await future
         finally:
             self._calls.pop(token, None)
@@ -78,7 +80,7 @@
         """
         self._perform(self._replica.leave(now_ms()))
         deadline_s = time.monotonic() + timeout_s
-        while time.monotonic() < deadline_s and not self._replica.may_end():
+        while time.monotonic() < deadline_s and not self._replica.can_stop():
             await asyncio.sleep(LEAVE_POLL_INTERVAL_S)
 
     def _perform(self, actions: list[Action]) -> None:
@@ -94,4 +96,4 @@
                         future.set_result(action)
                 case Commit():
                     state = action.state
-                    self._on_commit(state, self._replica.chain.entry_at(state.sequence))
+                    self._on_commit(state, self._replica.chain.recent_entry(state.sequence))
--- a/dunlinloft/controlplane/server_registrar.py
+++ b/dunlinloft/controlplane/server_registrar.py
@@ -16,11 +16,10 @@
 from msgspec import Struct
 
 from dunlinloft.controlplane.node_publisher import NodePublisher
-from dunlinloft.coordination.agreement import majority_of
-from dunlinloft.coordination.messages import View
 from dunlinloft.coordination.placement import Placements
-from dunlinloft.coordination.registry import Registry
+from dunlinloft.coordination.registry import ServerRegistry
 from dunlinloft.coordination.stream import Beats, BeatsTaken, ServerNews, ServerRecord
+from dunlinloft.coordination.views import View, majority_of
 from dunlinloft.transport.clock import now_ms
 
 REPLICATION_TIMEOUT_S = 0.8  # for a majority to take that a server leaves; the server waits a second
@@ -61,7 +60,7 @@
     def __init__(
         self,
         address: str,
-        registry: Registry,
+        registry: ServerRegistry,
         publisher: NodePublisher,
         placements: Placements,
         in_contact: Callable[[], View | None],
@@ -81,7 +80,7 @@
 
     async def heartbeat(self, record: ServerRecord) -> bool:
         """Handle a server's heartbeat; True where it may be acknowledged."""
-        self._registry.beat(record, now_ms())
+        self._registry.on_heartbeat(record, now_ms())
         self.publish_changes()
         view = self._in_contact()
         if view is None:
@@ -92,7 +91,7 @@
 
     async def deregister(self, server_id: str) -> bool:
         """Handle a server's deregistration; True where it may be acknowledged."""
-        self._registry.leave(server_id, now_ms())
+        self._registry.on_deregistration(server_id, now_ms())
         self.publish_changes()
         view = self._in_contact()
         if view is None:
@@ -134,9 +133,9 @@
         """Apply heartbeats that another control plane received, and acknowledge them where it wants that."""
         now = now_ms()
         for record in message.records:
-            self._registry.beat(record, now, relayed=True)
+            self._registry.on_heartbeat(record, now, relayed=True)
         for server_id in message.gone:
-            self._registry.leave(server_id, now, relayed=True)
+            self._registry.on_deregistration(server_id, now, relayed=True)
         self.publish_changes()
         if message.number:
             self._send(message.sender, BeatsTaken(self._address, message.number))
@@ -149,17 +148,18 @@
 
     def publish_changes(self) -> None:
         """Send nodes and other control planes what changed since the last call."""
-        changed, left = self._registry.take_news()
-        if changed or left:
+        changes = self._registry.drain_changes()
+        if changes.changed or changes.removed:
             self._replicated &= self._registry.records.keys()
-            self._publisher.publish_servers(ServerNews(changed, left, self._registry.take_silent()))
+            expired = self._registry.drain_expired()
+            self._publisher.publish_servers(ServerNews(changes.changed, changes.removed, expired))
             self._placements.follow(self._registry.records.values())
             self.relay_heartbeats()
 
     def relay_heartbeats(self) -> None:
         """Send other control planes the heartbeats that were received here since the last call."""
-        records, left = self._registry.take_beats()
-        if records or left:
-            message = Beats(records, left)
+        received = self._registry.drain_heartbeats()
+        if received.records or received.deregistered:
+            message = Beats(received.records, received.deregistered)
             for address in self._peer_addresses():
                 self._send(address, message)
--- a/dunlinloft/controlplane/store.py
+++ b/dunlinloft/controlplane/store.py
@@ -19,8 +19,8 @@
     recover,
     snapshot_path,
 )
-from dunlinloft.coordination import durable as durables
-from dunlinloft.coordination.messages import Durable, Member, Record, View
+from dunlinloft.coordination.records import DurableState, Record, apply_record
+from dunlinloft.coordination.views import Member, View
 
 MAX_LOG_BYTES = 4 * 1024 * 1024  # a longer log is compacted into the other slot: it bounds time to recover
 NEW_EPOCHS_FILE = "begun-anew.log"  # one line for each epoch that an operator began from this directory
@@ -53,7 +53,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         recovered = recover(folder)
         if recovered is None:
-            recovered = RecoveredState(Durable(first_incarnation or secrets.token_hex(8)), 1, 0)
+            recovered = RecoveredState(DurableState(first_incarnation or secrets.token_hex(8)), 1, 0)
         self.durable = recovered.durable
         self._slot = recovered.slot
         self._generation = recovered.generation
@@ -97,7 +97,7 @@
         self._log_bytes += len(data)
         self._next_number = number
         for record in records:
-            durables.apply(self.durable, record)
+            apply_record(self.durable, record)
 
     def write_snapshot(self) -> None:
         """Write `durable` as it is now to the other slot. Raises `OSError`."""
--- a/dunlinloft/controlplane/stream_session.py
+++ b/dunlinloft/controlplane/stream_session.py
@@ -10,7 +10,7 @@
 from dunlinloft.controlplane.replica_host import ReplicaHost
 from dunlinloft.controlplane.server_registrar import ServerRegistrar
 from dunlinloft.coordination.nodes import Nodes
-from dunlinloft.coordination.registry import Registry
+from dunlinloft.coordination.registry import ServerRegistry
 from dunlinloft.coordination.stream import (
     Beats,
     BeatsTaken,
@@ -40,7 +40,7 @@
 
     replica_host: ReplicaHost
     nodes: Nodes
-    registry: Registry
+    registry: ServerRegistry
     registrar: ServerRegistrar
     publisher: NodePublisher
     quotas: QuotaService
@@ -98,7 +98,7 @@
         services.quotas.node_subscribed(message.node, message.uptime_ms, message.shares)
         services.registrar.publish_changes()
         ranges = services.registry.digests.differing(message.digests)
-        servers = Servers(services.registry.complete(now), ranges, services.registry.in_ranges(ranges))
+        servers = Servers(services.registry.is_complete(now), ranges, services.registry.in_ranges(ranges))
         services.publisher.subscribe(subscription, servers)
 
     def _handle_node(
--- a/dunlinloft/coordination/__init__.py
+++ b/dunlinloft/coordination/__init__.py
@@ -1,1 +1,17 @@
-"""Coordination parts that others may embed. Pure: no sockets, clocks, files or random source of their own."""
+"""The control plane's coordination, as pure state machines: events in, actions out.
+
+Nothing here owns a socket, a file, a clock, a random source or a task; a host passes time and chance in and
+performs the returned `actions`. `dunlinloft.controlplane` hosts it on sockets and disks, the simulation in
+virtual time.
+
+- Replicated state: `replica` composes the chain (`chain`), the Paxos round that decides the next view
+  (`voting`, `proposal`), failure detection and leases (`failure_detector`), the planning of views
+  (`view_planning`, `view_reconciler`) and operators' calls (`calls`, `change_queue`, `tail_reads`,
+  `epoch_confirmation`).
+- Data: `views`, `state`, `history`, `document_changes`, `records` (on disk) and `messages` (on the wire).
+- Servers: `registry` and `digests`. Nodes, quotas and placement: `nodes`, `quotas`, `placement`.
+- `stream` has the messages between control planes and data-plane nodes.
+
+Imports nothing of the other packages; `dunlinloft.controlplane`, `dunlinloft.dataplane` and the simulation
+import it.
+"""
--- a/dunlinloft/coordination/actions.py
+++ b/dunlinloft/coordination/actions.py
@@ -1,34 +1,36 @@
-"""What the pure parts ask their host to do, and the events that it hands them."""
+"""Actions: what the state machines ask their host to do, in the order in which they are listed."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from dunlinloft.coordination.messages import ChainState, Document, Record, ReplicaMessage
+from dunlinloft.coordination.messages import ReplicaMessage
+from dunlinloft.coordination.records import Record
+from dunlinloft.coordination.state import ChainState, Document
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message; it may get lost."""
+    """Send a message to a replica; it may get lost."""
 
-    address: str
+    address: str  # host:port of its internal listener
     message: ReplicaMessage
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write a record and sync it, in the order asked for; then hand over `Persisted`."""
+    """Append a record to the disk and sync it, in the order asked for; then call `Replica.on_persisted`."""
 
-    token: int
+    token: int  # names the write when it is reported
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answer the operator's call that came with this token."""
+    """Reply to the operator's call that came with this token."""
 
     token: str
-    status: int  # of HTTP; 503 where it isn't known what became of it
+    status: int  # a `call_status.CallStatus`, as in HTTP
     reason: str
     version: int
     document: Document | None
@@ -36,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """A state that can't be lost any more: the data plane may have it."""
+    """A state was committed: it can no longer be lost, and the data plane may have it."""
 
     state: ChainState
 
--- a/dunlinloft/coordination/chain.py
+++ b/dunlinloft/coordination/chain.py
@@ -1,8 +1,10 @@
-"""Chain replication within one epoch: the head appends, the tail commits, offers let a successor catch up.
+"""Chain replication within one epoch: the head appends, the tail commits, a successor catches up.
 
-What is committed is on as many disks as `copies` says: a tail commits only where so many members of this
-epoch, itself included, are known to be equal. Members before a synced tail hold what it holds, so its place
-in the chain is that number. A chain's length says nothing: its last members may still be catching up.
+Follows van Renesse and Schneider, "Chain Replication for Supporting High Throughput and Availability" (OSDI
+2004). Different from there, what is committed is on a given number of disks, `min_synced`: a tail commits
+only where so many members of this epoch, itself included, are known to be equal. Members before a synced tail
+hold what it holds, so its position in the chain tells that number. A chain's length says nothing: its last
+members may still be catching up.
 """
 
 from __future__ import annotations
@@ -11,278 +13,305 @@
 from collections.abc import Callable
 
 from dunlinloft.coordination.actions import Action, Commit, Send
-from dunlinloft.coordination.durable import after_entry, continues
-from dunlinloft.coordination.messages import (
-    Append,
-    ChainState,
+from dunlinloft.coordination.chain_messages import (
+    AppendEntries,
     Committed,
+    InstallSnapshot,
+    PredecessorPosition,
+    SuccessorPosition,
+)
+from dunlinloft.coordination.history import is_next_entry, state_after
+from dunlinloft.coordination.records import (
     CommittedRecord,
-    Durable,
-    Entry,
+    DurableState,
     EntryRecord,
-    Have,
-    Install,
-    InstallRecord,
-    Member,
-    Offer,
     Record,
+    SnapshotRecord,
     SyncedRecord,
-    View,
 )
+from dunlinloft.coordination.state import ChainState, LogEntry
+from dunlinloft.coordination.views import Member, View
+
+MAX_RECENT_ENTRIES = 64  # in memory, for a successor that is a little behind; an older one gets a snapshot
+POSITION_RESEND_INTERVAL_MS = 200.0  # between positions sent to a successor that may not have got something
 
-RECENT_MOST = 64  # entries kept for a successor that is a little behind
-OFFER_MS = 200.0  # what may have been lost is offered again after so long
+NO_SEQUENCE = -1  # no position known yet; an empty state has sequence 0
 
 PersistThen = Callable[[Record, Callable[[], None]], None]
+"""Appends a record to the disk and calls the second argument once it is there."""
 
 
-class ChainLink:
-    """A replica's place in an epoch's chain. `persist` runs its second argument once the record lasts."""
+class ChainReplica:
+    """A replica's part in an epoch's chain. Owned by `Replica`; `Calls` appends at the head and reads."""
 
     def __init__(
         self,
         me: Member,
-        durable: Durable,
+        durable: DurableState,
         emit: Callable[[Action], None],
         persist: PersistThen,
-        copies: int,
+        min_synced: int,
     ) -> None:
-        """`copies` is on how many disks something has to be before it counts as committed."""
-        self._copies = copies
-        self._place: int | None = None
+        """Begin outside of any epoch.
+
+        Parameters
+        ----------
+        me : this replica.
+        durable : what its disk holds.
+        emit : takes the actions for the host.
+        persist : see `PersistThen`.
+        min_synced : on how many disks an entry has to be before it counts as committed.
+        """
+        self._min_synced = min_synced
+        self._position: int | None = None  # in the chain; None where it is not in it
         self._me = me
         self._emit = emit
         self._persist = persist
         self.state = durable.state  # all that is on disk here
-        known = durable.committed_digest == durable.state.chain_digest
-        self.committed = durable.state if known else ChainState()
+        is_committed = durable.committed_digest == durable.state.chain_digest
+        self.committed = durable.state if is_committed else ChainState()
         self.epoch = 0
         self.synced = False  # equal to the predecessor in this epoch, or head
         self.synced_epoch = durable.synced_epoch  # the last in which it was found equal, as is on disk
-        self._storing = False
-        self._epoch_committed = -1  # the sequence up to which this epoch's tail has committed
-        self._uncommitted: dict[int, ChainState] = {}
-        self._recent: deque[Entry] = deque(maxlen=RECENT_MOST)
+        self._writing = False  # a record that changes the state is on its way to the disk
+        self._epoch_committed = NO_SEQUENCE  # the sequence up to which this epoch's tail has committed
+        self._uncommitted: dict[int, ChainState] = {}  # by sequence
+        self._recent: deque[LogEntry] = deque(maxlen=MAX_RECENT_ENTRIES)
         self._predecessor: Member | None = None
         self._successor: Member | None = None
-        self._successor_at = -1
+        self._successor_sequence = NO_SEQUENCE
         self._successor_synced = False
-        self._offered_ms = 0.0
+        self._position_sent_ms = 0.0
 
-    def enter(self, view: View) -> None:
-        """Take the place that a view gives; the view is on disk."""
-        place = self._place = view.place(self._me.id)
+    # The epoch.
+
+    def enter_epoch(self, view: View) -> None:
+        """Take the position that a view gives. The view is on disk."""
+        self._position = view.position_of(self._me.id)
+        position = self._position
         self.epoch = view.epoch
-        self.synced = place == 0
-        self._predecessor = self._successor = None
-        self._successor_at = -1
+        self.synced = position == 0
+        self._predecessor = None
+        self._successor = None
+        self._successor_sequence = NO_SEQUENCE
         self._successor_synced = False
-        self._offered_ms = 0.0
-        self._epoch_committed = -1
-        if place is None:
+        self._position_sent_ms = 0.0
+        self._epoch_committed = NO_SEQUENCE
+        if position is None:
             return
-        if place > 0:
-            self._predecessor = view.chain[place - 1]
-        if place + 1 < len(view.chain):
-            self._successor = view.chain[place + 1]
+        if position > 0:
+            self._predecessor = view.chain[position - 1]
+        if position + 1 < len(view.chain):
+            self._successor = view.chain[position + 1]
         self._on_progress()
 
-    def leave(self) -> None:
+    def leave_epoch(self) -> None:
         """Take part in no epoch until the next view is on disk."""
         self.epoch = 0
         self.synced = False
-        self._epoch_committed = -1
-        self._predecessor = self._successor = None
+        self._epoch_committed = NO_SEQUENCE
+        self._predecessor = None
+        self._successor = None
 
-    def stop_uncommitted(self) -> bool:
+    def seal_epoch(self) -> bool:
         """Take no further part in this epoch, if it can't have committed anything without this replica.
 
         Whatever it commits went through each member of its chain, found equal on disk; a member behind the
-        head that was not found equal, and isn't just being found so, ends that possibility.
+        head that was not found equal, and isn't just being found so, ends that possibility. Returns whether
+        it does.
         """
-        if self.synced or self._storing or not self.epoch or not self._place:
+        if self.synced or self._writing or not self.epoch or not self._position:
             return False
         if self.synced_epoch >= self.epoch:
             return False
-        self.leave()
+        self.leave_epoch()
         return True
 
     @property
-    def settled(self) -> bool:
-        """Whether all that is held was committed by this epoch's tail."""
-        return self.synced and self._epoch_committed == self.state.sequence and not self._storing
+    def fully_committed(self) -> bool:
+        """Whether everything held here was committed by this epoch's tail."""
+        return self.synced and self._epoch_committed == self.state.sequence and not self._writing
 
     @property
     def is_tail(self) -> bool:
         """Whether it commits and answers reads: the last member, behind enough others that are equal."""
-        enough = self._place is not None and self._place + 1 >= self._copies
+        enough = self._position is not None and self._position + 1 >= self._min_synced
         return self.synced and self._successor is None and enough
 
-    def append(self, entry: Entry) -> None:
+    # Appending and committing.
+
+    def append(self, entry: LogEntry) -> None:
         """Append an entry here; as the head, or as what the predecessor sent."""
-        self._storing = True
+        self._writing = True
         epoch = self.epoch
-        self._persist(EntryRecord(entry), lambda: self._appended(entry, epoch))
+        self._persist(EntryRecord(entry), lambda: self._on_appended(entry, epoch))
 
-    def _appended(self, entry: Entry, epoch: int) -> None:
-        self._storing = False
-        self._take(after_entry(self.state, entry))
+    def _on_appended(self, entry: LogEntry, epoch: int) -> None:
+        self._writing = False
+        self._set_state(state_after(self.state, entry))
         self._recent.append(entry)
         if epoch != self.epoch:
             return
         if self._successor is not None and self._successor_synced:
-            self._emit(Send(self._successor.address, Append(self._me, self.epoch, (entry,))))
+            self._emit(Send(self._successor.address, AppendEntries(self._me, self.epoch, (entry,))))
         self._on_progress()
 
-    def _take(self, state: ChainState) -> None:
+    def _set_state(self, state: ChainState) -> None:
         self.state = state
         self._uncommitted[state.sequence] = state
 
     def _on_progress(self) -> None:
-        """After a change: tell the neighbours, and commit where this is the tail."""
+        """After a change: acknowledge to the predecessor, and commit where this is the tail."""
         if not self.synced:
             return
         if self._predecessor is not None:
-            self._tell_have()
+            self._send_position_to_predecessor()
         if self.is_tail:
             self._commit(self.state.sequence)
 
-    def _tell_have(self) -> None:
-        if self._predecessor is not None:
-            have = Have(self._me, self.epoch, self.state.sequence, self.state.chain_digest)
-            self._emit(Send(self._predecessor.address, have))
-
     def _commit(self, sequence: int) -> None:
         state = self.state if sequence == self.state.sequence else self._uncommitted.get(sequence)
         self._epoch_committed = max(self._epoch_committed, sequence)
         if state is not None and state.sequence > self.committed.sequence:
             self.committed = state
             self._emit(Commit(state))
-            # So that after a restart it is told at once, before the chain has met again.
+            # On disk so that after a restart the data plane gets it at once, before the chain works again.
             self._persist(CommittedRecord(state.chain_digest), lambda: None)
         self._uncommitted = {n: s for n, s in self._uncommitted.items() if n > sequence}
-        self._tell_committed()
+        self._send_committed()
 
-    def _tell_committed(self) -> None:
+    def _send_committed(self) -> None:
         if self._predecessor is not None and self._epoch_committed >= 0:
-            told = Committed(self._me, self.epoch, self.committed.sequence)
-            self._emit(Send(self._predecessor.address, told))
+            committed = Committed(self._me, self.epoch, self.committed.sequence)
+            self._emit(Send(self._predecessor.address, committed))
+
+    def recent_entry(self, sequence: int) -> LogEntry | None:
+        """A recent entry; None where it is no longer in memory."""
+        return next((entry for entry in self._recent if entry.sequence == sequence), None)
+
+    # Towards the successor.
 
     def on_tick(self, now_ms: float) -> None:
-        """Offer again what the successor may not have got."""
-        if not self.synced or self._successor is None or now_ms - self._offered_ms < OFFER_MS:
+        """Send the position again where the successor may not have got something."""
+        if not self.synced or self._successor is None:
+            return
+        if now_ms - self._position_sent_ms < POSITION_RESEND_INTERVAL_MS:
             return
-        behind = self._successor_at != self.state.sequence or not self._successor_synced
+        behind = self._successor_sequence != self.state.sequence or not self._successor_synced
         if behind or self._epoch_committed != self.state.sequence:
-            self._offered_ms = now_ms
-            self._offer()
+            self._position_sent_ms = now_ms
+            self._send_position_to_successor()
 
-    def _offer(self) -> None:
+    def _send_position_to_successor(self) -> None:
         if self._successor is not None:
-            offer = Offer(self._me, self.epoch, self.state.sequence, self.state.chain_digest)
-            self._emit(Send(self._successor.address, offer))
-
-    def on_offer(self, offer: Offer) -> None:
-        """What the predecessor holds: the same as here, or something to catch up with."""
-        if not self._from(offer.sender, offer.epoch, self._predecessor) or self._storing:
-            return
-        if (offer.sequence, offer.chain_digest) != (self.state.sequence, self.state.chain_digest):
-            self._tell_have()
-        elif self.synced:
-            self._on_progress()
-            self._tell_committed()
-        else:
-            self._storing = True
-            epoch = self.epoch
-            self._persist(SyncedRecord(epoch), lambda: self._now_synced(epoch))
-
-    def _now_synced(self, epoch: int) -> None:
-        self._storing = False
-        self.synced_epoch = max(self.synced_epoch, epoch)
-        if epoch == self.epoch:
-            self.synced = True
-            self._on_progress()
+            position = PredecessorPosition(self._me, self.epoch, self.state.sequence, self.state.chain_digest)
+            self._emit(Send(self._successor.address, position))
 
-    def on_have(self, have: Have) -> None:
-        """What the successor holds."""
-        if not self._from(have.sender, have.epoch, self._successor) or not self.synced:
+    def on_successor_position(self, position: SuccessorPosition) -> None:
+        """Take the successor's acknowledgement, or send what it lacks."""
+        if not self._is_from(position.sender, position.epoch, self._successor) or not self.synced:
             return
         assert self._successor is not None
-        if (have.sequence, have.chain_digest) == (self.state.sequence, self.state.chain_digest):
-            self._successor_at = have.sequence
+        if (position.sequence, position.chain_digest) == (self.state.sequence, self.state.chain_digest):
+            self._successor_sequence = position.sequence
             if not self._successor_synced:
                 self._successor_synced = True
-                self._offer()
+                self._send_position_to_successor()
             return
-        missing = self._after(have.sequence, have.chain_digest)
+        missing = self._entries_after(position.sequence, position.chain_digest)
         if missing is None:
-            self._emit(Send(self._successor.address, Install(self._me, self.epoch, self.state)))
+            snapshot = InstallSnapshot(self._me, self.epoch, self.state)
+            self._emit(Send(self._successor.address, snapshot))
         elif missing:
-            self._emit(Send(self._successor.address, Append(self._me, self.epoch, missing)))
+            self._emit(Send(self._successor.address, AppendEntries(self._me, self.epoch, missing)))
 
-    def _after(self, sequence: int, chain_digest: str) -> tuple[Entry, ...] | None:
-        """The entries after a point of this history; None where that point isn't known."""
+    def _entries_after(self, sequence: int, chain_digest: str) -> tuple[LogEntry, ...] | None:
+        """The entries after a point of this history; None where that point is not in memory."""
         entries = list(self._recent)
-        for place, entry in enumerate(entries):
+        for index, entry in enumerate(entries):
             if (entry.sequence, entry.chain_digest) == (sequence, chain_digest):
-                return tuple(entries[place + 1 :])
+                return tuple(entries[index + 1 :])
         return None
 
-    def entry_at(self, sequence: int) -> Entry | None:
-        """A recent entry; None where it isn't kept any more."""
-        return next((entry for entry in self._recent if entry.sequence == sequence), None)
+    def on_committed(self, committed: Committed) -> None:
+        """Take from the successor that the tail has committed up to a sequence."""
+        if self._is_from(committed.sender, committed.epoch, self._successor) and self.synced:
+            self._commit(committed.sequence)
+
+    # Towards the predecessor.
+
+    def _send_position_to_predecessor(self) -> None:
+        if self._predecessor is not None:
+            position = SuccessorPosition(self._me, self.epoch, self.state.sequence, self.state.chain_digest)
+            self._emit(Send(self._predecessor.address, position))
 
-    def on_append(self, append: Append) -> None:
-        """Entries from the predecessor; one that doesn't follow is left to its next offer."""
-        if not self._from(append.sender, append.epoch, self._predecessor) or self._storing:
+    def on_predecessor_position(self, position: PredecessorPosition) -> None:
+        """Compare with the predecessor: ask for what is missing, or become synced where both are equal."""
+        if not self._is_from(position.sender, position.epoch, self._predecessor) or self._writing:
+            return
+        if (position.sequence, position.chain_digest) != (self.state.sequence, self.state.chain_digest):
+            self._send_position_to_predecessor()
+        elif self.synced:
+            self._on_progress()
+            self._send_committed()
+        else:
+            self._writing = True
+            epoch = self.epoch
+            self._persist(SyncedRecord(epoch), lambda: self._on_synced(epoch))
+
+    def _on_synced(self, epoch: int) -> None:
+        self._writing = False
+        self.synced_epoch = max(self.synced_epoch, epoch)
+        if epoch == self.epoch:
+            self.synced = True
+            self._on_progress()
+
+    def on_append_entries(self, append: AppendEntries) -> None:
+        """Append the predecessor's entries; for one that does not follow, wait for its next position."""
+        if not self._is_from(append.sender, append.epoch, self._predecessor) or self._writing:
             return
         following = [entry for entry in append.entries if entry.sequence > self.state.sequence]
         if not following or following[0].sequence != self.state.sequence + 1:
-            self._tell_have()
+            self._send_position_to_predecessor()
             return
         self._append_all(following, self.epoch)
 
-    def _append_all(self, entries: list[Entry], epoch: int) -> None:
+    def _append_all(self, entries: list[LogEntry], epoch: int) -> None:
+        """Append one entry after the other, each once the one before it is on disk."""
         first, rest = entries[0], entries[1:]
-        if not continues(self.state, first):
-            self._tell_have()
+        if not is_next_entry(self.state, first):
+            self._send_position_to_predecessor()
+            return
+        self._writing = True
+        self._persist(EntryRecord(first), lambda: self._on_first_appended(first, rest, epoch))
+
+    def _on_first_appended(self, first: LogEntry, rest: list[LogEntry], epoch: int) -> None:
+        self._on_appended(first, epoch)
+        if epoch != self.epoch:
             return
-        self._storing = True
-
-        def appended() -> None:
-            self._appended(first, epoch)
-            if epoch != self.epoch:
-                return
-            if rest:
-                self._append_all(rest, epoch)
-            elif not self.synced:
-                self._tell_have()
-
-        self._persist(EntryRecord(first), appended)
-
-    def on_install(self, install: Install) -> None:
-        """The predecessor's whole state replaces this one."""
-        if not self._from(install.sender, install.epoch, self._predecessor) or self._storing:
+        if rest:
+            self._append_all(rest, epoch)
+        elif not self.synced:
+            self._send_position_to_predecessor()
+
+    def on_install_snapshot(self, install: InstallSnapshot) -> None:
+        """Replace the state by the predecessor's, unless that is older than what is committed here."""
+        if not self._is_from(install.sender, install.epoch, self._predecessor) or self._writing:
             return
         if install.state.sequence < self.committed.sequence:
             return
-        self._storing = True
+        self._writing = True
         epoch = self.epoch
+        self._persist(SnapshotRecord(install.state), lambda: self._on_installed(install.state, epoch))
 
-        def installed() -> None:
-            self._storing = False
-            self._recent.clear()
-            self._uncommitted.clear()
-            self._take(install.state)
-            if epoch == self.epoch:
-                self._tell_have()
-
-        self._persist(InstallRecord(install.state), installed)
-
-    def on_committed(self, committed: Committed) -> None:
-        """The tail has everything up to there."""
-        if self._from(committed.sender, committed.epoch, self._successor) and self.synced:
-            self._commit(committed.sequence)
+    def _on_installed(self, state: ChainState, epoch: int) -> None:
+        self._writing = False
+        self._recent.clear()
+        self._uncommitted.clear()
+        self._set_state(state)
+        if epoch == self.epoch:
+            self._send_position_to_predecessor()
 
-    def _from(self, sender: Member, epoch: int, expected: Member | None) -> bool:
+    def _is_from(self, sender: Member, epoch: int, expected: Member | None) -> bool:
+        """Whether a message is of this epoch and from the neighbour that it should come from."""
         return epoch == self.epoch != 0 and expected is not None and sender.id == expected.id
--- a/dunlinloft/coordination/digests.py
+++ b/dunlinloft/coordination/digests.py
@@ -1,7 +1,8 @@
-"""Range digests: two sides that know many servers find out in one message which ranges of them differ.
+"""Range digests: two sides that know many servers find in one message which ranges of them differ.
 
 Servers fall into ranges by a hash of their id. A range's digest is the exclusive or of its records' digests,
 so that it follows each change in constant time and doesn't depend on the order in which servers became known.
+Both sides of a stream compute the same digests: ranges and hashes are part of the protocol.
 """
 
 from __future__ import annotations
@@ -12,41 +13,45 @@
 
 from dunlinloft.coordination.stream import ServerRecord
 
-RANGES = 64
+RANGE_COUNT = 64
+DIGEST_BYTES = 7  # so that a digest fits a signed 64-bit integer
 
 
 def range_of(server_id: str) -> int:
     """The range that a server falls into."""
-    return zlib.crc32(server_id.encode()) % RANGES
+    return zlib.crc32(server_id.encode()) % RANGE_COUNT
 
 
 def digest_of(record: ServerRecord) -> int:
-    """Of what a node has to know of a server: not of what every heartbeat changes."""
+    """The digest of what a node has to know of a server, without what every heartbeat changes."""
     text = f"{record.id}|{record.service}|{record.address}|{record.zone}|{record.capacity}|{record.state}"
-    return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=7).digest(), "big")
+    return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).digest(), "big")
 
 
 class RangeDigests:
-    """The digests of a set of records, kept up to date."""
+    """The digests of a set of records, updated with each change."""
 
     def __init__(self, records: Iterable[ServerRecord] = ()) -> None:
-        self._ranges = [0] * RANGES
+        self._ranges = [0] * RANGE_COUNT
         for record in records:
             self.toggle(record)
 
     def toggle(self, record: ServerRecord | None) -> None:
-        """Put a record in, or take it out again."""
+        """Put a record in, or take it out again; None does nothing."""
         if record is not None:
             self._ranges[range_of(record.id)] ^= digest_of(record)
 
-    def whole(self) -> tuple[int, ...]:
-        """All ranges' digests."""
+    def values(self) -> tuple[int, ...]:
+        """All ranges' digests, by range."""
         return tuple(self._ranges)
 
     def differing(self, others: tuple[int, ...]) -> tuple[int, ...]:
-        """The ranges in which another side, with these digests, knows something else."""
-        if len(others) != RANGES:
-            return tuple(range(RANGES))
+        """The ranges in which another side, with these digests, knows something else.
+
+        All of them where the other side counts other ranges, as a node without any digests does.
+        """
+        if len(others) != RANGE_COUNT:
+            return tuple(range(RANGE_COUNT))
         return tuple(
-            n for n, (mine, other) in enumerate(zip(self._ranges, others, strict=True)) if mine != other
+            n for n, (own, other) in enumerate(zip(self._ranges, others, strict=True)) if own != other
         )
--- /dev/null
+++ b/dunlinloft/coordination/heartbeat_exchange.py
@@ -0,0 +1,115 @@
+"""Sends and takes heartbeats: to whom, what they say, and what is learned of further replicas."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from dunlinloft.coordination.failure_detector import FailureDetector
+from dunlinloft.coordination.heartbeat_messages import Heartbeat
+from dunlinloft.coordination.messages import ReplicaMessage
+from dunlinloft.coordination.views import Member, View
+from dunlinloft.coordination.voting_messages import Decided
+
+HEARTBEAT_INTERVAL_MS = 150.0  # four within `failure_detector.SUSPECT_TIMEOUT_MS`
+MAX_KNOWN_ADDRESSES = 4_096  # of control planes, in memory and in a heartbeat
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicaStatus:
+    """What a replica says of itself in a heartbeat; the fields are those of `Heartbeat`."""
+
+    healthy: bool
+    leaving: bool
+    epoch: int
+    synced_epoch: int
+    lease_epoch: int
+
+
+class HeartbeatExchange:
+    """The heartbeats of one replica, and the addresses of all others that it knows. Owned by `Replica`.
+
+    `status` and `view` are called for each heartbeat.
+    """
+
+    def __init__(
+        self,
+        me: Member,
+        quorum_eligible: bool,
+        seeds: tuple[str, ...],
+        failure_detector: FailureDetector,
+        status: Callable[[float], ReplicaStatus],
+        view: Callable[[], View | None],
+        send: Callable[[str, ReplicaMessage], None],
+        now_ms: float,
+    ) -> None:
+        self._me = me
+        self._quorum_eligible = quorum_eligible
+        self._seeds = seeds
+        self._failure_detector = failure_detector
+        self._status = status
+        self._view = view
+        self._send = send
+        self._started_ms = now_ms
+        self._sent_ms = -HEARTBEAT_INTERVAL_MS
+        self._known_addresses: set[str] = set()
+
+    def on_tick(self, now_ms: float) -> None:
+        """Send heartbeats where they are due."""
+        if now_ms - self._sent_ms >= HEARTBEAT_INTERVAL_MS:
+            self._sent_ms = now_ms
+            self.send_to_all(now_ms)
+            self._failure_detector.forget_stale(now_ms)
+
+    def send_with_next_tick(self) -> None:
+        """Have heartbeats sent with the next tick, as there is something new in them."""
+        self._sent_ms = -HEARTBEAT_INTERVAL_MS
+
+    def send_to_all(self, now_ms: float) -> None:
+        """Send a heartbeat to every known replica at once."""
+        heartbeat = self.own_heartbeat(now_ms)
+        for address in sorted(self.peer_addresses()):
+            self._send(address, heartbeat)
+
+    def own_heartbeat(self, now_ms: float) -> Heartbeat:
+        """This replica's heartbeat as it is now."""
+        status = self._status(now_ms)
+        return Heartbeat(
+            sender=self._me,
+            quorum_eligible=self._quorum_eligible,
+            healthy=status.healthy,
+            leaving=status.leaving,
+            epoch=status.epoch,
+            synced_epoch=status.synced_epoch,
+            lease_epoch=status.lease_epoch,
+            sent_ms=now_ms,
+            echoes=self._failure_detector.echoes(now_ms),
+            known_addresses=tuple(sorted(self.peer_addresses()))[:MAX_KNOWN_ADDRESSES],
+            uptime_ms=now_ms - self._started_ms,
+        )
+
+    def on_heartbeat(self, heartbeat: Heartbeat, now_ms: float) -> None:
+        """Take a replica's heartbeat; a replica seen for the first time gets one at once."""
+        sender = heartbeat.sender
+        if sender.id == self._me.id:
+            return
+        if sender.id not in self._failure_detector.peers:
+            self._send(sender.address, self.own_heartbeat(now_ms))
+        self._failure_detector.on_heartbeat(heartbeat, now_ms)
+        if sender.address != self._me.address:
+            self._known_addresses.add(sender.address)
+        if heartbeat.quorum_eligible and len(self._known_addresses) < MAX_KNOWN_ADDRESSES:
+            self._known_addresses |= set(heartbeat.known_addresses) - {self._me.address}
+        view = self._view()
+        if view is not None and heartbeat.epoch < view.epoch:
+            self._send(sender.address, Decided(self._me, view))
+
+    def peer_addresses(self) -> set[str]:
+        """The addresses of all replicas that get heartbeats."""
+        result = self._known_addresses | set(self._seeds)
+        view = self._view()
+        if view is not None:
+            result |= {member.address for member in view.roster}
+        result |= {peer.heartbeat.sender.address for peer in self._failure_detector.peers.values()}
+        result.discard(self._me.address)
+        return result
--- a/dunlinloft/coordination/registry.py
+++ b/dunlinloft/coordination/registry.py
@@ -1,45 +1,70 @@
-"""The servers that there are, from their heartbeats: soft state, merged between control planes."""
+"""The registry of servers, from their heartbeats: soft state that control planes merge with one another."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 import msgspec
 
 from dunlinloft.coordination.digests import RangeDigests, range_of
 from dunlinloft.coordination.stream import ServerRecord
 
-EXPIRE_BEATS = 3.5  # heartbeat intervals without a word, after which a server counts as gone
-STOOD_STILL_MS = 500.0  # between two looks, after which this process must have stood still
-GONE_KEPT_MS = 120_000.0  # so long a server that left isn't taken up again by a late word
+EXPIRY_INTERVALS = 3.5  # heartbeat intervals without a heartbeat, after which a server is dropped
+COMPLETE_INTERVALS = 1.5  # heartbeat intervals since the start, by when every live server has sent one
+PROCESS_PAUSE_THRESHOLD_MS = (
+    500.0  # between two calls of `expire`, above which this process was itself paused
+)
+TOMBSTONE_RETENTION_MS = 120_000.0  # for which late heartbeats of a deregistered server are ignored
+
+
+@dataclass(frozen=True, slots=True)
+class RegistryChanges:
+    """What changed in the registry, for data-plane nodes."""
+
+    changed: tuple[ServerRecord, ...] = ()
+    removed: tuple[str, ...] = ()  # ids of servers that deregistered or expired
+
 
+@dataclass(frozen=True, slots=True)
+class ReceivedHeartbeats:
+    """What servers themselves sent to this control plane, for other control planes."""
 
-class Registry:
-    """Servers by id. Changes are collected until they are taken for distribution."""
+    records: tuple[ServerRecord, ...] = ()
+    deregistered: tuple[str, ...] = ()  # ids
 
-    def __init__(self, heartbeat_ms: float, now_ms: float) -> None:
-        self._expire_ms = EXPIRE_BEATS * heartbeat_ms
-        self._complete_ms = now_ms + 1.5 * heartbeat_ms
-        self._expired_ms = now_ms
+
+class ServerRegistry:
+    """Servers by id, and the changes since they were last drained. Owned by `ControlPlane`.
+
+    Times are in milliseconds of a monotonic clock.
+    """
+
+    def __init__(self, heartbeat_interval_ms: float, now_ms: float) -> None:
+        self._expiry_ms = EXPIRY_INTERVALS * heartbeat_interval_ms
+        self._complete_at_ms = now_ms + COMPLETE_INTERVALS * heartbeat_interval_ms
+        self._last_expire_ms = now_ms
         self.records: dict[str, ServerRecord] = {}
         self.digests = RangeDigests()
-        self._heard_ms: dict[str, float] = {}
-        self._gone_ms: dict[str, float] = {}
+        self._received_ms: dict[str, float] = {}  # by server: its last heartbeat
+        self._tombstones_ms: dict[str, float] = {}  # by deregistered server: since when
+        # What is to be drained, by server id; dicts in place of sets, to keep the order.
         self._changed: dict[str, None] = {}
-        self._left: dict[str, None] = {}
-        self._beats: dict[str, None] = {}
-        self._told_gone: dict[str, None] = {}
-        self._silent: set[str] = set()
+        self._removed: dict[str, None] = {}
+        self._received: dict[str, None] = {}
+        self._deregistered: dict[str, None] = {}
+        self._expired: set[str] = set()
 
-    def complete(self, now_ms: float) -> bool:
-        """Whether every server that lives has had the time to be heard."""
-        return now_ms >= self._complete_ms
+    def is_complete(self, now_ms: float) -> bool:
+        """Whether every live server has had time to send a heartbeat since this process began."""
+        return now_ms >= self._complete_at_ms
 
     def restore(self, records: tuple[ServerRecord, ...], now_ms: float) -> None:
-        """Take what was known before a restart; whoever isn't heard of in time is dropped."""
+        """Take what was known before a restart; a server without a heartbeat in time expires."""
         for record in records:
             self._put(record, now_ms)
 
     def in_ranges(self, ranges: tuple[int, ...]) -> tuple[ServerRecord, ...]:
-        """The servers in these ranges."""
+        """The servers in these digest ranges."""
         wanted = set(ranges)
         return tuple(record for record in self.records.values() if range_of(record.id) in wanted)
 
@@ -47,80 +72,87 @@
         self.digests.toggle(self.records.get(record.id))
         self.digests.toggle(record)
         self.records[record.id] = record
-        self._heard_ms[record.id] = now_ms
+        self._received_ms[record.id] = now_ms
 
-    def beat(self, record: ServerRecord, now_ms: float, relayed: bool = False) -> None:
-        """Take a heartbeat; `relayed` by another control plane."""
-        if record.id in self._gone_ms:
+    def on_heartbeat(self, record: ServerRecord, now_ms: float, relayed: bool = False) -> None:
+        """Take a server's heartbeat; `relayed` where another control plane received it.
+
+        One that is late, or of a deregistered server, changes nothing. A draining server stays draining.
+        """
+        if record.id in self._tombstones_ms:
             return
         known = self.records.get(record.id)
         if known is not None and record.sequence <= known.sequence:
             if record.sequence == known.sequence and not relayed:
-                self._heard_ms[record.id] = now_ms
+                self._received_ms[record.id] = now_ms
             return
         if known is not None and known.draining and not record.draining:
             record = msgspec.structs.replace(record, state=known.state)
         self._put(record, now_ms)
         if not relayed:
-            self._beats[record.id] = None
+            self._received[record.id] = None
         if known is None or _differs(known, record):
             self._changed[record.id] = None
 
-    def leave(self, server_id: str, now_ms: float, relayed: bool = False) -> None:
-        """A server said that it ends."""
-        self._gone_ms[server_id] = now_ms
+    def on_deregistration(self, server_id: str, now_ms: float, relayed: bool = False) -> None:
+        """Remove a server that deregistered; `relayed` where another control plane was told."""
+        self._tombstones_ms[server_id] = now_ms
         if not relayed:
-            self._told_gone[server_id] = None
-        self._drop(server_id)
+            self._deregistered[server_id] = None
+        self._remove(server_id)
 
-    def _drop(self, server_id: str) -> None:
+    def _remove(self, server_id: str) -> None:
         record = self.records.pop(server_id, None)
         if record is not None:
             self.digests.toggle(record)
-            self._heard_ms.pop(server_id, None)
+            self._received_ms.pop(server_id, None)
             self._changed.pop(server_id, None)
-            self._beats.pop(server_id, None)
-            self._left[server_id] = None
+            self._received.pop(server_id, None)
+            self._removed[server_id] = None
 
     def expire(self, now_ms: float) -> None:
-        """Drop what has been silent for too long, and forget those long gone; to be called often.
+        """Remove servers without a heartbeat for too long, and old tombstones; to be called often.
 
-        Where it was not called for long this process stood still itself, and heard nobody for that reason.
+        Where it was not called for long, this process itself was paused and received nothing for that reason:
+        no server is charged with that time.
         """
-        stood_still_ms = now_ms - self._expired_ms
-        self._expired_ms = now_ms
-        if stood_still_ms > STOOD_STILL_MS:
-            self._heard_ms = {i: heard + stood_still_ms for i, heard in self._heard_ms.items()}
-        for server_id in [i for i, heard in self._heard_ms.items() if now_ms - heard > self._expire_ms]:
-            self._drop(server_id)
-            self._silent.add(server_id)
-        for server_id in [i for i, gone in self._gone_ms.items() if now_ms - gone > GONE_KEPT_MS]:
-            del self._gone_ms[server_id]
-
-    def take_news(self) -> tuple[tuple[ServerRecord, ...], tuple[str, ...]]:
-        """What changed since the last call: for data-plane nodes."""
+        paused_ms = now_ms - self._last_expire_ms
+        self._last_expire_ms = now_ms
+        if paused_ms > PROCESS_PAUSE_THRESHOLD_MS:
+            self._received_ms = {i: received + paused_ms for i, received in self._received_ms.items()}
+        overdue = [i for i, received in self._received_ms.items() if now_ms - received > self._expiry_ms]
+        for server_id in overdue:
+            self._remove(server_id)
+            self._expired.add(server_id)
+        outdated = [i for i, since in self._tombstones_ms.items() if now_ms - since > TOMBSTONE_RETENTION_MS]
+        for server_id in outdated:
+            del self._tombstones_ms[server_id]
+
+    def drain_changes(self) -> RegistryChanges:
+        """Return what changed since the last call, for data-plane nodes."""
         changed = tuple(self.records[i] for i in self._changed if i in self.records)
-        left = tuple(self._left)
+        removed = tuple(self._removed)
         self._changed.clear()
-        self._left.clear()
-        return changed, left
+        self._removed.clear()
+        return RegistryChanges(changed, removed)
 
-    def take_silent(self) -> tuple[str, ...]:
-        """Those of the last news that went without a word: nobody said that they end."""
-        silent = tuple(sorted(self._silent))
-        self._silent.clear()
-        return silent
+    def drain_expired(self) -> tuple[str, ...]:
+        """Return the servers, by id, that expired since the last call: they did not deregister."""
+        expired = tuple(sorted(self._expired))
+        self._expired.clear()
+        return expired
 
-    def take_beats(self) -> tuple[tuple[ServerRecord, ...], tuple[str, ...]]:
-        """What was heard here since the last call: for other control planes."""
-        beats = tuple(self.records[i] for i in self._beats if i in self.records)
-        gone = tuple(self._told_gone)
-        self._beats.clear()
-        self._told_gone.clear()
-        return beats, gone
+    def drain_heartbeats(self) -> ReceivedHeartbeats:
+        """Return what servers themselves sent here since the last call, for other control planes."""
+        records = tuple(self.records[i] for i in self._received if i in self.records)
+        deregistered = tuple(self._deregistered)
+        self._received.clear()
+        self._deregistered.clear()
+        return ReceivedHeartbeats(records, deregistered)
 
 
 def _differs(old: ServerRecord, new: ServerRecord) -> bool:
+    """Whether two records differ in more than what every heartbeat changes."""
     return msgspec.structs.replace(old, sequence=new.sequence, warmup_remaining_ms=0.0) != (
         msgspec.structs.replace(new, warmup_remaining_ms=0.0)
     )
--- a/dunlinloft/coordination/replica.py
+++ b/dunlinloft/coordination/replica.py
@@ -1,7 +1,7 @@
-"""A replica of the control plane: agreed views, the chain, and the operator's calls, as one state machine.
+"""A replica of the control plane as one state machine: agreed views, the chain, and operators' calls.
 
-Hand it messages, ticks and `persisted`; do what it says, in order. Times are in milliseconds of a steady
-clock.
+Hand it messages, ticks and `on_persisted`, and perform the actions that it returns, in order. Times are in
+milliseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -9,334 +9,275 @@
 import random
 from collections.abc import Callable
 
-from dunlinloft.coordination.actions import Action, Commit, Persist, Send
-from dunlinloft.coordination.agreement import majority_of
-from dunlinloft.coordination.calls import Calls, Validate
-from dunlinloft.coordination.chain import ChainLink
-from dunlinloft.coordination.liveness import Liveness
-from dunlinloft.coordination.membership import Observation, wanted_view
-from dunlinloft.coordination.messages import (
+from dunlinloft.coordination.actions import Action, Commit, Send
+from dunlinloft.coordination.call_messages import CallResult, ForwardedCall
+from dunlinloft.coordination.calls import Calls
+from dunlinloft.coordination.chain import ChainReplica
+from dunlinloft.coordination.chain_messages import (
+    AppendEntries,
+    Committed,
+    InstallSnapshot,
+    PredecessorPosition,
+    SuccessorPosition,
+)
+from dunlinloft.coordination.failure_detector import FailureDetector
+from dunlinloft.coordination.heartbeat_exchange import HeartbeatExchange, ReplicaStatus
+from dunlinloft.coordination.heartbeat_messages import Heartbeat
+from dunlinloft.coordination.messages import ReplicaMessage
+from dunlinloft.coordination.pending_writes import PendingWrites
+from dunlinloft.coordination.records import DurableState, Record
+from dunlinloft.coordination.state import ConfigurationChange
+from dunlinloft.coordination.verdicts import Validator
+from dunlinloft.coordination.view_reconciler import ViewReconciler
+from dunlinloft.coordination.views import Member, View
+from dunlinloft.coordination.voting import Voting, VotingHooks
+from dunlinloft.coordination.voting_messages import (
     Accept,
     Accepted,
-    Answer,
-    Append,
-    Ask,
-    Committed,
-    Confirm,
-    Confirmed,
+    ConfirmEpoch,
     Decided,
-    Denied,
-    Durable,
-    Have,
-    Install,
-    Member,
-    Offer,
-    Order,
-    Ping,
+    EpochConfirmed,
     Prepare,
-    Promise,
-    Record,
-    ReplicaMessage,
-    View,
+    PrepareResponse,
+    ProposalRejected,
 )
-from dunlinloft.coordination.voting import Voting
-
-PING_MS = 150.0
-START_MS = 800.0  # after its start, others that start too are given so long before they count as down
-DISK_MS = 300.0  # a write that takes longer shows a disk in trouble
-LEASES_END_MS = 750.0  # so long after a view was learned, leases of earlier ones have ended
-HELD_MOST = 4_096  # addresses known at most
-
-FIRST_INCARNATION = "0"  # of all replicas at the first start, so that all know the first view
-
 
-def first_view(addresses: tuple[str, ...]) -> View:
-    """The view that all replicas named by the seeds begin with, at the first start of all."""
-    members = tuple(Member(address, FIRST_INCARNATION) for address in sorted(addresses))
-    return View(1, members, members, len(members))
+EARLIER_LEASES_END_MS = 750.0
+"""Since a view was learned, until no lease of an earlier one is left. Longer than
+`failure_detector.LEASE_DURATION_MS`, as that runs on the clock of who has the lease."""
 
 
 class Replica:
-    """One replica. `counts` says whether it may vote and hold state; others pass calls on."""
+    """One replica. Owns its parts and connects them; `ControlPlane` or a simulated machine hosts it."""
 
     def __init__(
         self,
         me: Member,
-        counts: bool,
-        durable: Durable,
+        quorum_eligible: bool,
+        durable: DurableState,
         seeds: tuple[str, ...],
         tolerance: int,
-        validate: Validate,
+        validate: Validator,
         rng: random.Random,
         now_ms: float,
     ) -> None:
+        """Recover from what the disk holds; `start` comes next.
+
+        Parameters
+        ----------
+        me : this incarnation of the replica's disk.
+        quorum_eligible : whether it may vote and hold state; others only forward calls.
+        durable : what its disk holds.
+        seeds : addresses of replicas to send heartbeats to at first.
+        tolerance : how many replicas may be lost at once without losing what was acknowledged.
+        validate : checks a configuration change at the head.
+        rng : draws nonces and backoffs.
+        now_ms : the time.
+        """
         self.me = me
-        self._counts = counts
-        self._durable = durable
-        self._seeds = seeds
+        self._quorum_eligible = quorum_eligible
         self._tolerance = tolerance
         self._actions: list[Action] = []
-        self._waiting: dict[int, tuple[float, Callable[[], None]]] = {}
-        self._token = 0
-        self._now = self._started_ms = now_ms
-        self.liveness = Liveness(me)
-        self.known: set[str] = set()
-        self._pinged_ms = -PING_MS
+        self._now_ms = now_ms
         self._leaving = False
-        self.chain = ChainLink(me, durable, self._actions_append, self._persist, tolerance + 1)
-        self.calls = Calls(me, self.chain, validate, self._actions_append, self._send, rng)
-        self._voting = Voting(
+        self._writes = PendingWrites(self._emit)
+        self.failure_detector = FailureDetector(me)
+        self.chain = ChainReplica(me, durable, self._emit, self._persist, min_synced=tolerance + 1)
+        self._calls = Calls(me, self.chain, validate, self._emit, self._send, rng)
+        hooks = VotingHooks(
+            send=self._send,
+            persist=self._persist,
+            on_view_learned=self._on_view_learned,
+            on_view_durable=self._on_view_durable,
+            seal_epoch=self.chain.seal_epoch,
+        )
+        self._voting = Voting(me, quorum_eligible, durable, rng, now_ms, hooks)
+        self._heartbeats = HeartbeatExchange(
             me,
-            counts,
-            durable,
-            rng,
-            now_ms,
+            quorum_eligible,
+            seeds,
+            self.failure_detector,
+            self._status,
+            lambda: self._voting.view,
             self._send,
-            self._persist,
-            self._left,
-            self._entered,
-            self.chain.stop_uncommitted,
+            now_ms,
+        )
+        self._reconciler = ViewReconciler(
+            me, tolerance, self._voting, self.failure_detector, self._heartbeats, now_ms
         )
-        stopped = durable.accepted is not None and durable.accepted[1].witness == me.id
-        if self.view is not None and not stopped:
-            self.chain.enter(self.view)
+        sealed = durable.accepted is not None and durable.accepted.view.sealed_by == me.id
+        if self.view is not None and not sealed:
+            self.chain.enter_epoch(self.view)
 
     @property
     def view(self) -> View | None:
         """The view in force, as far as is known here."""
         return self._voting.view
 
-    # What the host calls.
+    # Events.
 
-    def handle(self, message: ReplicaMessage, now_ms: float) -> list[Action]:
-        """Take a message."""
-        self._now = now_ms
-        self._dispatch(message)
-        return self._done()
-
-    def begin(self, first: View | None) -> list[Action]:
-        """To be called once, first. `first` is the view to begin with at the first start of all.
+    def start(self, initial: View | None) -> list[Action]:
+        """Begin; called once, before all other events.
 
-        It is put on disk like any other: a replica that is started again may be told other seeds.
+        `initial` is the view to begin with at the first start of all. It is put on disk like any other: a
+        replica that is started again may be given other seeds.
         """
-        if first is not None and self.view is None:
-            self._voting.learn(first, self._now)
+        if initial is not None and self.view is None:
+            self._voting.learn(initial, self._now_ms)
         if self.chain.committed.sequence:
-            self._actions.append(Commit(self.chain.committed))
-        return self._done()
+            self._emit(Commit(self.chain.committed))
+        return self._finish_event()
+
+    def handle(self, message: ReplicaMessage, now_ms: float) -> list[Action]:
+        """Take a message from another replica."""
+        self._now_ms = now_ms
+        self._dispatch(message)
+        return self._finish_event()
 
     def tick(self, now_ms: float) -> list[Action]:
-        """To be called every 50 ms or so."""
-        self._now = now_ms
-        if now_ms - self._pinged_ms >= PING_MS:
-            self._pinged_ms = now_ms
-            self._ping_all()
-            self.liveness.forget(now_ms)
-        self._follow_wanted()
+        """Let time pass; called every 50 ms or so."""
+        self._now_ms = now_ms
+        self._heartbeats.on_tick(now_ms)
+        self._reconciler.on_tick(now_ms)
         self.chain.on_tick(now_ms)
-        return self._done()
+        return self._finish_event()
+
+    def on_persisted(self, token: int, now_ms: float) -> list[Action]:
+        """Take the report that the record of a `Persist` action is on disk."""
+        self._now_ms = now_ms
+        self._writes.on_persisted(token)
+        return self._finish_event()
 
-    def persisted(self, token: int, now_ms: float) -> list[Action]:
-        """A record asked for is on disk."""
-        self._now = now_ms
-        _, then = self._waiting.pop(token)
-        then()
-        return self._done()
+    def begin_call(self, token: str, change: ConfigurationChange | None, now_ms: float) -> list[Action]:
+        """Take an operator's call that came in here: a change, or a read where `change` is None.
 
-    def call(self, token: str, order: Order | None, now_ms: float) -> list[Action]:
-        """An operator's call that came here: an order, or a read where `order` is None."""
-        self._now = now_ms
-        self.calls.begin(token, order, now_ms)
-        return self._done()
+        A `Reply` action with the token follows, within `calls.CALL_TIMEOUT_MS` or so.
+        """
+        self._now_ms = now_ms
+        self._calls.begin(token, change, now_ms)
+        return self._finish_event()
 
-    def leased(self, now_ms: float) -> bool:
-        """Whether roles of the epoch may be used here: no later view was agreed a moment ago.
+    def leave(self, now_ms: float) -> list[Action]:
+        """Announce that this process shuts down: others replace it in the next view, see `can_stop`."""
+        self._now_ms = now_ms
+        self._leaving = True
+        self._heartbeats.send_to_all(now_ms)
+        return self._finish_event()
+
+    # Questions of the host. They change nothing.
+
+    def has_lease(self, now_ms: float) -> bool:
+        """Whether singleton roles of the epoch may be used here: no later view was decided a moment ago.
 
         Its own acceptance of a later view ends its lease: that may be what made up the later view's majority.
         """
         view = self.view
-        if view is None or self._voting.lease_epoch != view.epoch or not self._voting.votes:
+        if view is None or self._voting.lease_epoch != view.epoch or not self._voting.is_voter:
             return False
-        return self.liveness.leased(view, now_ms)
+        return self.failure_detector.has_lease(view, now_ms)
 
-    def lease_over(self, address: str, now_ms: float) -> bool:
-        """Whether who was at an address can use no role of the view before any more.
+    def lease_expired(self, address: str, now_ms: float) -> bool:
+        """Whether the member that was at an address can use no lease of the previous view any more.
 
-        Nor can anybody use one of a still earlier view, as the view before has to be older than any lease.
+        Nor can anybody use one of a still earlier view, as the previous view has to be older than any lease.
         """
-        view, before = self.view, self._voting.before
-        if view is None or before is None or self._voting.epoch_on_disk != view.epoch:
+        view, previous = self.view, self._voting.previous_view
+        if view is None or previous is None or self._voting.epoch_on_disk != view.epoch:
+            return False
+        if self._voting.entered_ms - self._voting.previous_entered_ms < EARLIER_LEASES_END_MS:
             return False
-        if self._voting.entered_ms - self._voting.before_ms < LEASES_END_MS:
+        member = next((m for m in previous.chain if m.address == address), None)
+        if member is None:
             return False
-        member = next((m for m in before.chain if m.address == address), None)
-        return member is not None and self.liveness.lease_over(member, before, view.epoch, now_ms)
+        return self.failure_detector.lease_expired(member, previous, view.epoch, now_ms)
 
-    def contact(self, now_ms: float) -> View | None:
-        """The view, while a majority of its roster hears this replica; it need not vote itself."""
-        if self.view is None or not self.liveness.in_contact(self.view, now_ms):
+    def view_in_contact(self, now_ms: float) -> View | None:
+        """The view, while a majority of its roster receives from this replica; it need not vote itself."""
+        if self.view is None or not self.failure_detector.has_majority_contact(self.view, now_ms):
             return None
         return self.view
 
-    def confirmed(self, now_ms: float) -> bool:
-        """Whether what is committed here is as new as a majority knows: to be told to nodes."""
-        return self.chain.synced and self.contact(now_ms) is not None
-
-    def healthy(self, now_ms: float) -> bool:
-        """Whether the disk answers."""
-        slow = any(now_ms - since_ms > DISK_MS for since_ms, _ in self._waiting.values())
-        return self._counts and not slow
-
-    def leave(self, now_ms: float) -> list[Action]:
-        """This process is to end: others take its place by agreement, in the next view."""
-        self._now = now_ms
-        self._leaving = True
-        self._ping_all()
-        return self._done()
+    def is_confirmed(self, now_ms: float) -> bool:
+        """Whether what is committed here is as new as a majority knows: nodes are told so."""
+        return self.chain.synced and self.view_in_contact(now_ms) is not None
 
-    def may_end(self) -> bool:
-        """Whether others can do without it: it is in no chain, and enough have the view that says so on disk.
+    def can_stop(self) -> bool:
+        """Whether others can do without this process: it is in no chain, and enough have that on disk.
 
-        So many that one of them is left after the losses that may come at once.
+        Enough are so many that one of them is left after the losses that may come at once.
         """
         view = self.view
-        if view is None or not self._counts:
+        if view is None or not self._quorum_eligible:
             return True
-        if view.place(self.me.id) is not None:
+        if view.position_of(self.me.id) is not None:
             return False
         others = [member for member in view.roster if member.id != self.me.id]
-        peers = self.liveness.peers
-        told = sum(m.id in peers and peers[m.id].ping.epoch >= view.epoch for m in others)
-        return told >= min(self._tolerance + 1, len(others))
-
-    def addresses(self) -> set[str]:
-        """All replicas worth a heartbeat."""
-        result = self.known | set(self._seeds)
-        if self.view is not None:
-            result |= {member.address for member in self.view.roster}
-        result |= {peer.ping.sender.address for peer in self.liveness.peers.values()}
-        result.discard(self.me.address)
-        return result
-
-    # The rest is inside.
-
-    def _done(self) -> list[Action]:
-        self.calls.follow(self.view, self._now)
+        peers = self.failure_detector.peers
+        informed = sum(m.id in peers and peers[m.id].heartbeat.epoch >= view.epoch for m in others)
+        return informed >= min(self._tolerance + 1, len(others))
+
+    def peer_addresses(self) -> set[str]:
+        """The addresses of all other control planes that are known."""
+        return self._heartbeats.peer_addresses()
+
+    # Effects of the parts.
+
+    def _emit(self, action: Action) -> None:
+        self._actions.append(action)
+
+    def _finish_event(self) -> list[Action]:
+        self._calls.advance(self.view, self._now_ms)
         actions = self._actions[:]
         self._actions.clear()
         return actions
 
-    def _actions_append(self, action: Action) -> None:
-        self._actions.append(action)
-
-    def _persist(self, record: Record, then: Callable[[], None]) -> None:
-        self._token += 1
-        self._waiting[self._token] = (self._now, then)
-        self._actions.append(Persist(self._token, record))
+    def _persist(self, record: Record, on_durable: Callable[[], None]) -> None:
+        self._writes.persist(record, on_durable, self._now_ms)
 
     def _send(self, address: str, message: ReplicaMessage) -> None:
         if address == self.me.address:
             self._dispatch(message)
         else:
-            self._actions.append(Send(address, message))
+            self._emit(Send(address, message))
+
+    def _status(self, now_ms: float) -> ReplicaStatus:
+        return ReplicaStatus(
+            healthy=self._quorum_eligible and not self._writes.is_stalled(now_ms),
+            leaving=self._leaving,
+            epoch=self._voting.epoch_on_disk,
+            synced_epoch=self.chain.synced_epoch,
+            lease_epoch=self._voting.lease_epoch,
+        )
+
+    def _on_view_learned(self) -> None:
+        self.chain.leave_epoch()
+        self._calls.on_view_changed()
+
+    def _on_view_durable(self, view: View) -> None:
+        self.chain.enter_epoch(view)
+        self._heartbeats.send_with_next_tick()  # so that all others know soon that it is on disk here
 
     def _dispatch(self, message: ReplicaMessage) -> None:
         match message:
-            case Ping():
-                self._on_ping(message)
-            case Prepare() | Promise() | Accept() | Accepted() | Denied() | Decided() | Confirm():
-                self._voting.handle(message, self._now)
-            case Offer():
-                self.chain.on_offer(message)
-            case Have():
-                self.chain.on_have(message)
-            case Append():
-                self.chain.on_append(message)
-            case Install():
-                self.chain.on_install(message)
+            case Heartbeat():
+                self._heartbeats.on_heartbeat(message, self._now_ms)
+            case Prepare() | PrepareResponse() | Accept() | Accepted() | ProposalRejected():
+                self._voting.handle(message, self._now_ms)
+            case Decided() | ConfirmEpoch():
+                self._voting.handle(message, self._now_ms)
+            case PredecessorPosition():
+                self.chain.on_predecessor_position(message)
+            case SuccessorPosition():
+                self.chain.on_successor_position(message)
+            case AppendEntries():
+                self.chain.on_append_entries(message)
+            case InstallSnapshot():
+                self.chain.on_install_snapshot(message)
             case Committed():
                 self.chain.on_committed(message)
-            case Confirmed():
-                self.calls.on_confirmed(message)
-            case Ask():
-                self.calls.on_ask(message, self._now)
-            case Answer():
-                self.calls.on_answer(message)
-
-    # Heartbeats.
-
-    def _my_ping(self) -> Ping:
-        echoes = self.liveness.echoes(self._now)
-        known = tuple(sorted(self.addresses()))[:HELD_MOST]
-        healthy = self.healthy(self._now)
-        return Ping(
-            self.me,
-            self._counts,
-            healthy,
-            self._leaving,
-            self._voting.epoch_on_disk,
-            self.chain.synced_epoch,
-            self._voting.lease_epoch,
-            self._now,
-            echoes,
-            known,
-            self._now - self._started_ms,
-        )
-
-    def _ping_all(self) -> None:
-        ping = self._my_ping()
-        for address in sorted(self.addresses()):
-            self._send(address, ping)
-
-    def _on_ping(self, ping: Ping) -> None:
-        if ping.sender.id == self.me.id:
-            return
-        if ping.sender.id not in self.liveness.peers:
-            self._send(ping.sender.address, self._my_ping())
-        self.liveness.heard(ping, self._now)
-        if ping.sender.address != self.me.address:
-            self.known.add(ping.sender.address)
-        if ping.counts and len(self.known) < HELD_MOST:
-            self.known |= set(ping.known) - {self.me.address}
-        if self.view is not None and ping.epoch < self.view.epoch:
-            self._send(ping.sender.address, Decided(self.me, self.view))
-
-    # Views.
-
-    def _follow_wanted(self) -> None:
-        """The loop that turns the wanted view into the view in force."""
-        view = self.view
-        if not self._voting.may_propose(self._now) or view is None:
-            return
-        if self._now - self._started_ms < START_MS:
-            return
-        heard = sum(self.liveness.hears(member.id, self._now) for member in view.roster)
-        wanted = wanted_view(self._observation(view)) if heard >= majority_of(view) else None
-        if wanted is None and heard >= majority_of(view):
-            # A ballot that stopped halfway is brought to an end: until then its voters confirm nothing.
-            wanted = self._voting.undecided
-        self._voting.follow(wanted, self._turn(view), self._now)
-
-    def _observation(self, view: View) -> Observation:
-        pings = {member_id: peer.ping for member_id, peer in self.liveness.peers.items()}
-        pings[self.me.id] = self._my_ping()
-        entered_ms = self._voting.entered_ms
-        return Observation(view, self.me, pings, self.liveness, self._tolerance, entered_ms, self._now)
-
-    def _turn(self, view: View) -> int:
-        """How many before this replica are alive to propose."""
-        order = [*view.chain, *(member for member in view.roster if view.place(member.id) is None)]
-        turn = 0
-        for member in order:
-            if member.id == self.me.id:
-                break
-            turn += self.liveness.reachable(member.id, self._now)
-        return turn
-
-    def _entered(self, view: View) -> None:
-        self.chain.enter(view)
-        self._pinged_ms = -PING_MS  # all hear of it with the next tick
-
-    def _left(self) -> None:
-        self.chain.leave()
-        self.calls.moved()
+            case EpochConfirmed():
+                self._calls.on_epoch_confirmed(message)
+            case ForwardedCall():
+                self._calls.on_forwarded_call(message, self._now_ms)
+            case CallResult():
+                self._calls.on_result(message)
--- a/dunlinloft/coordination/stream.py
+++ b/dunlinloft/coordination/stream.py
@@ -6,7 +6,8 @@
 
 from msgspec import Struct
 
-from dunlinloft.coordination.messages import Document, ReplicaMessage
+from dunlinloft.coordination.messages import ReplicaMessage
+from dunlinloft.coordination.state import Document
 
 
 class ServerRecord(Struct, frozen=True):
--- a/dunlinloft/dataplane/active_configuration.py
+++ b/dunlinloft/dataplane/active_configuration.py
@@ -13,8 +13,8 @@
 from absl import logging
 
 from dunlinloft.configuration import to_configuration
-from dunlinloft.coordination.durable import changed
-from dunlinloft.coordination.messages import Document, Order
+from dunlinloft.coordination.document_changes import apply_change
+from dunlinloft.coordination.state import ChangeKind, ConfigurationChange, Document
 from dunlinloft.coordination.stream import ConfigurationId, Delta, Whole
 from dunlinloft.dataplane.routing import RoutingTable
 from dunlinloft.exceptions import ConfigurationError
@@ -49,8 +49,8 @@
     def on_delta(self, message: Delta) -> None:
         """A control plane sent a change to the configuration that it believes active here."""
         if self.table is not None and self.id == message.base:
-            order = Order("update", message.base.version, "", message.body)
-            self._activate(message.id, changed(self._document, order), message.confirmed)
+            order = ConfigurationChange(ChangeKind.UPDATE, message.base.version, "", message.body)
+            self._activate(message.id, apply_change(self._document, order), message.confirmed)
 
     def on_tick(self, now_ms: float) -> bool:
         """Activate the unconfirmed candidate once its wait is over; returns whether that happened."""
--- a/dunlinloft/dataplane/server_table.py
+++ b/dunlinloft/dataplane/server_table.py
@@ -41,7 +41,7 @@
 
     def digests(self) -> tuple[int, ...]:
         """Digests of all known servers by id range; a replica sends only the ranges that differ."""
-        return RangeDigests(self._known()).whole()
+        return RangeDigests(self._known()).values()
 
     def _known(self) -> Iterable[ServerRecord]:
         return (server.record for pool in self.pools.values() for server in pool.servers.values())
--- a/dunlinloft/validation.py
+++ b/dunlinloft/validation.py
@@ -27,9 +27,9 @@
 from pydantic_core import ErrorDetails
 
 from dunlinloft.configuration import Backend, Configuration, Route, to_configuration
-from dunlinloft.coordination.calls import Invalid, Valid
-from dunlinloft.coordination.durable import changed
-from dunlinloft.coordination.messages import Document, Order
+from dunlinloft.coordination.document_changes import apply_change
+from dunlinloft.coordination.state import ConfigurationChange, Document
+from dunlinloft.coordination.verdicts import Invalid, Valid
 from dunlinloft.exceptions import ConfigurationError
 
 MAX_ERRORS_SHOWN = 3
@@ -161,7 +161,7 @@
     return f"{path}: {details['msg']}" if path else details["msg"]
 
 
-def validate(document: Document, order: Order) -> Valid | Invalid:
+def validate(document: Document, order: ConfigurationChange) -> Valid | Invalid:
     """Whether an order may be accepted on top of a document; `Invalid` has the errors for the operator."""
     version = order.body.get("version")
     if not isinstance(version, int) or isinstance(version, bool):
@@ -172,7 +172,7 @@
             return Invalid(update_error)
     elif not isinstance(order.body.get("routes"), list) or not isinstance(order.body.get("services"), list):
         return Invalid("routes, services: lists expected")
-    error = _document_error(changed(document, order))
+    error = _document_error(apply_change(document, order))
     return Valid(version) if error is None else Invalid(error)
 
 
--- a/lab/control/cluster.py
+++ b/lab/control/cluster.py
@@ -15,10 +15,12 @@
 
 import msgspec
 
-from dunlinloft.coordination import durable as durables
 from dunlinloft.coordination.actions import Action, Commit, Persist, Reply, Send
-from dunlinloft.coordination.messages import Durable, Member, Order, Record, ReplicaMessage
-from dunlinloft.coordination.replica import FIRST_INCARNATION, Replica, first_view
+from dunlinloft.coordination.messages import ReplicaMessage
+from dunlinloft.coordination.records import DurableState, Record, apply_record
+from dunlinloft.coordination.replica import Replica
+from dunlinloft.coordination.state import ConfigurationChange
+from dunlinloft.coordination.views import FIRST_INCARNATION, Member, initial_view
 from dunlinloft.validation import validate
 from lab.control.rules import Rules
 
@@ -33,7 +35,7 @@
 
     address: str
     counts: bool = True  # its loss is counted: it has a disk, votes and holds state
-    durable: Durable | None = None  # what is on its disk; None: nothing
+    durable: DurableState | None = None  # what is on its disk; None: nothing
     replica: Replica | None = None  # None: its process is down
     life: int = 0  # of its process
     frozen: bool = False
@@ -49,7 +51,7 @@
 class Client:
     """An operator's order, sent again until something clear comes back."""
 
-    order: Order
+    order: ConfigurationChange
     done: Callable[[int], None]
     attempts: int = 0
 
@@ -113,18 +115,18 @@
         machine.writing = machine.frozen = False
         if machine.durable is None:
             incarnation = FIRST_INCARNATION if bootstrap else f"{self.rng.getrandbits(64):016x}"
-            machine.durable = Durable(incarnation)
+            machine.durable = DurableState(incarnation)
         durable = _copied(machine.durable)
         if not machine.counts:
-            durable = Durable(f"{self.rng.getrandbits(64):016x}")
+            durable = DurableState(f"{self.rng.getrandbits(64):016x}")
         me = Member(address, durable.incarnation)
         rng = random.Random(self.rng.getrandbits(64))
         machine.replica = Replica(
             me, machine.counts, durable, self.told, self.tolerance, validate, rng, self.now
         )
         life = machine.life
-        first = first_view(self.seeds) if bootstrap and address in self.seeds else None
-        self._perform(machine, machine.replica.begin(first))
+        first = initial_view(self.seeds) if bootstrap and address in self.seeds else None
+        self._perform(machine, machine.replica.start(first))
         self.after(self.rng.uniform(0.0, TICK_MS), lambda: self._tick(machine, life))
 
     def power_off(self, address: str) -> None:
@@ -132,7 +134,7 @@
         machine = self.machines[address]
         if machine.durable is not None and machine.replica is not None and not machine.stalled:
             for _, record in machine.queue[: self.rng.randint(0, len(machine.queue))]:
-                durables.apply(machine.durable, record)
+                apply_record(machine.durable, record)
         self.kill(address)
 
     def add(self, address: str) -> None:
@@ -197,7 +199,7 @@
     def _look_to_end(self, machine: Machine, life: int) -> None:
         if machine.replica is None or machine.life != life:
             return
-        if not machine.frozen and machine.replica.may_end():
+        if not machine.frozen and machine.replica.can_stop():
             self.kill(machine.address)
         else:
             self.after(TICK_MS, lambda: self._look_to_end(machine, life))
@@ -286,18 +288,20 @@
             return
         batch, machine.queue = machine.queue, []
         for _, record in batch:
-            durables.apply(machine.durable, record)
+            apply_record(machine.durable, record)
         for token, _ in batch:
             self._guarded(machine, life, lambda token=token: self._persisted(machine, token))  # type: ignore[misc]
         self._write(machine)
 
     def _persisted(self, machine: Machine, token: int) -> None:
         assert machine.replica is not None
-        self._perform(machine, machine.replica.persisted(token, self.now))
+        self._perform(machine, machine.replica.on_persisted(token, self.now))
 
     # Operators.
 
-    def call(self, address: str, order: Order | None, taker: Callable[[Reply | None], None]) -> None:
+    def call(
+        self, address: str, order: ConfigurationChange | None, taker: Callable[[Reply | None], None]
+    ) -> None:
         """An operator's call to one machine; no answer within a second is None."""
         machine = self.machines[address]
         token = f"call-{next(self._tokens)}"
@@ -314,11 +318,13 @@
 
         def begin() -> None:
             assert machine.replica is not None
-            self._perform(machine, machine.replica.call(token, order, self.now))
+            self._perform(machine, machine.replica.begin_call(token, order, self.now))
 
         self._guarded(machine, machine.life, begin)
 
-    def order(self, order: Order, ended: Callable[[int], None], tries: int = 40, last: str = "") -> None:
+    def order(
+        self, order: ConfigurationChange, ended: Callable[[int], None], tries: int = 40, last: str = ""
+    ) -> None:
         """Send an order until the answer is clear, each time to another machine than the `last`.
 
         The status that ended it is told; 0 where none did.
@@ -341,6 +347,6 @@
         self.call(address, order, taker)
 
 
-def _copied(durable: Durable) -> Durable:
+def _copied(durable: DurableState) -> DurableState:
     """What a process reads from a disk: not the same objects."""
-    return msgspec.convert(msgspec.to_builtins(copy.copy(durable)), Durable)
+    return msgspec.convert(msgspec.to_builtins(copy.copy(durable)), DurableState)
--- a/lab/control/operators.py
+++ b/lab/control/operators.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dunlinloft.coordination.actions import Reply
-from dunlinloft.coordination.messages import Order
+from dunlinloft.coordination.state import ConfigurationChange
 from lab.control.cluster import Cluster
 
 READ_MS = 200.0
@@ -11,10 +11,10 @@
 AGAIN_SHARE = 0.2  # of acknowledged orders are sent once more
 
 
-def small_order(version: int, base: int, text: str = "", kind: str = "replace") -> Order:
+def small_order(version: int, base: int, text: str = "", kind: str = "replace") -> ConfigurationChange:
     """An order with an empty configuration; `text` tells it from others with the same numbers."""
     body = {"version": version, "routes": [], "services": [], "note": text}
-    return Order(kind, base, f"{kind}/{base}/{version}/{text}", body)
+    return ConfigurationChange(kind, base, f"{kind}/{base}/{version}/{text}", body)
 
 
 class Operator:
@@ -45,7 +45,7 @@
 
         cluster.order(order, ended)
 
-    def _on_acked(self, order: Order, took_ms: float) -> None:
+    def _on_acked(self, order: ConfigurationChange, took_ms: float) -> None:
         cluster = self.cluster
         self.acked += 1
         self.version = order.body["version"]
--- a/lab/control/quota_cluster.py
+++ b/lab/control/quota_cluster.py
@@ -118,7 +118,7 @@
     def _lease_over(self, address: str) -> Callable[[str, float], bool]:
         def over(owner: str, now_ms: float) -> bool:
             replica = self.machines[address].replica
-            return replica is not None and replica.lease_over(owner, now_ms)
+            return replica is not None and replica.lease_expired(owner, now_ms)
 
         return over
 
@@ -139,7 +139,7 @@
         side = self.sides[machine.address]
         chain = tuple(member.address for member in replica.view.chain)
         self._follow_chain(machine.address)
-        side.owner.settle(replica.leased(self.now), self.now)
+        side.owner.settle(replica.has_lease(self.now), self.now)
         side.nodes.forget(self.now)
         side.owner.forget(self.now)
         told = Replicas(replica.view.epoch, chain, chain, side.nodes.count())
@@ -269,7 +269,7 @@
             machine = self.machines[owner]
             assert machine.replica is not None
             self._follow_chain(owner)
-            taken = side.owner.take(ask, machine.replica.leased(self.now), self.now)
+            taken = side.owner.take(ask, machine.replica.has_lease(self.now), self.now)
             if taken is not None:
                 self._granted(machine.replica)
             self._to_node(owner, node, lambda: answered(taken))
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -7,8 +7,8 @@
 from msgspec import Struct
 
 from dunlinloft.controlplane.node_publisher import NodePublisher, NodeSubscription
-from dunlinloft.coordination.durable import after_entry, next_entry
-from dunlinloft.coordination.messages import ChainState, Order
+from dunlinloft.coordination.history import next_entry, state_after
+from dunlinloft.coordination.state import ChainState, ConfigurationChange
 from dunlinloft.coordination.stream import ConfigurationId, Servers, Version
 
 NONE = ConfigurationId()
@@ -30,12 +30,12 @@
         self.sent.append(frame)
 
 
-def _order(version: int, base: int, kind: str = "update", text: str = "") -> Order:
-    return Order(kind, base, f"{version}/{text}", {"version": version, "note": text})
+def _order(version: int, base: int, kind: str = "update", text: str = "") -> ConfigurationChange:
+    return ConfigurationChange(kind, base, f"{version}/{text}", {"version": version, "note": text})
 
 
-def _state(state: ChainState, order: Order) -> ChainState:
-    return after_entry(state, next_entry(state, order.body["version"], order))
+def _state(state: ChainState, order: ConfigurationChange) -> ChainState:
+    return state_after(state, next_entry(state, order.body["version"], order))
 
 
 def _subscribed(publisher: NodePublisher, held: ConfigurationId) -> _RecordingWriter:
@@ -70,7 +70,7 @@
     same = _subscribed(publisher, ConfigurationId(5, first.chain_digest))
     order = _order(6, 5)
     entry = next_entry(first, 6, order)
-    publisher.publish_state(after_entry(first, entry), entry)
+    publisher.publish_state(state_after(first, entry), entry)
     assert b'"delta"' in same.sent[-1]
     other = _RecordingWriter()
     lost = ConfigurationId(5, "lost")
--- a/tests/test_control_machine.py
+++ b/tests/test_control_machine.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from dunlinloft.coordination.actions import Reply
-from dunlinloft.coordination.messages import Order
+from dunlinloft.coordination.state import ChangeKind, ConfigurationChange
 from lab.control.cluster import Cluster
 
 RUNS = int(os.environ.get("CONTROL_RUNS", "25"))  # docs/lab.md tells how to play thousands
@@ -33,7 +33,7 @@
         self.number += 1
         version = self.version + step
         body = {"version": version, "routes": [], "services": [], "note": self.number}
-        order = Order("replace", self.version, f"order {self.number}", body)
+        order = ConfigurationChange(ChangeKind.REPLACE, self.version, f"order {self.number}", body)
 
         def ended(status: int) -> None:
             if status == 200:
--- a/tests/test_control_planted.py
+++ b/tests/test_control_planted.py
@@ -7,19 +7,22 @@
 import pytest
 
 from dunlinloft.coordination.actions import Reply
+from dunlinloft.coordination.call_messages import ForwardedCall
 from dunlinloft.coordination.calls import Calls
-from dunlinloft.coordination.chain import ChainLink
-from dunlinloft.coordination.messages import Ask, ChainState, Order
+from dunlinloft.coordination.chain import ChainReplica
+from dunlinloft.coordination.change_queue import ChangeQueue
+from dunlinloft.coordination.epoch_confirmation import EpochConfirmation
+from dunlinloft.coordination.state import ChainState, ChangeKind, ConfigurationChange
 from lab.control.cluster import Cluster
 from lab.control.rules import Broken, Rules
 
 
-def _order(version: int, base: int, text: str = "") -> Order:
+def _order(version: int, base: int, text: str = "") -> ConfigurationChange:
     body = {"version": version, "routes": [], "services": []}
-    return Order("replace", base, f"{base}/{version}/{text}", body)
+    return ConfigurationChange(ChangeKind.REPLACE, base, f"{base}/{version}/{text}", body)
 
 
-def _put(cluster: Cluster, order: Order, copies: bool = True) -> None:
+def _put(cluster: Cluster, order: ConfigurationChange, copies: bool = True) -> None:
     """Send an order, and check its copies once it is acknowledged."""
 
     def ended(status: int) -> None:
@@ -94,7 +97,7 @@
     cluster.run(3_000.0)
 
 
-def _commit_at_once(link: ChainLink) -> None:
+def _commit_at_once(link: ChainReplica) -> None:
     link._commit(link.state.sequence)
 
 
@@ -113,7 +116,7 @@
 
 
 def test_a_commit_with_too_few_copies_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ChainLink, "_on_progress", _commit_at_once)
+    monkeypatch.setattr(ChainReplica, "_on_progress", _commit_at_once)
     with pytest.raises(Broken, match="committed with 1 copies"):
         _acknowledged_on_one_disk()
 
@@ -125,49 +128,49 @@
 
 def test_a_head_that_commits_alone_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     _without_the_first_checker(monkeypatch)
-    monkeypatch.setattr(ChainLink, "_on_progress", _commit_at_once)
+    monkeypatch.setattr(ChainReplica, "_on_progress", _commit_at_once)
     with pytest.raises(Broken, match="acknowledged with 1 copies"):
         _acknowledged_on_one_disk()
 
 
 def test_two_histories_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     _without_the_first_checker(monkeypatch)
-    monkeypatch.setattr(ChainLink, "_on_progress", _commit_at_once)
+    monkeypatch.setattr(ChainReplica, "_on_progress", _commit_at_once)
     with pytest.raises(Broken, match="two histories"):
         _loss_of_the_one_that_acknowledged()
 
 
 def test_a_read_without_confirmation_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Calls, "_confirmed", lambda *_: True)
+    monkeypatch.setattr(EpochConfirmation, "is_confirmed", lambda *_: True)
     with pytest.raises(Broken, match="was read"):
         _read_at_a_stale_tail()
 
 
 def test_orders_that_are_not_remembered_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def forgetful(self: Calls, view: Any) -> bool:
+    def forgetful(self: ChangeQueue) -> bool:
         self._chain.state = ChainState(
             self._chain.state.sequence,
             self._chain.state.chain_digest,
             self._chain.state.version,
             self._chain.state.document,
         )
-        return real(self, view)
+        return real(self)
 
-    real = Calls._start_next
-    monkeypatch.setattr(Calls, "_start_next", forgetful)
+    real = ChangeQueue._start_next
+    monkeypatch.setattr(ChangeQueue, "_start_next", forgetful)
     with pytest.raises(Broken, match="was refused with 412"):
         _the_same_order_again()
 
 
 def test_two_on_one_version_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def careless(self: Calls, ask: Any, now_ms: float) -> None:
-        if ask.order is not None:
+        if ask.change is not None:
             version = self._chain.state.version
-            order = Order("replace", version, ask.order.digest, ask.order.body)
-            ask = Ask(ask.sender, ask.token, order)
+            order = ConfigurationChange(ChangeKind.REPLACE, version, ask.change.digest, ask.change.body)
+            ask = ForwardedCall(ask.sender, ask.token, order)
         real(self, ask, now_ms)
 
-    real = Calls.on_ask
-    monkeypatch.setattr(Calls, "on_ask", careless)
+    real = Calls.on_forwarded_call
+    monkeypatch.setattr(Calls, "on_forwarded_call", careless)
     with pytest.raises(Broken, match="two orders on version 0"):
         _two_orders_on_one_version()
--- a/tests/test_control_quotas.py
+++ b/tests/test_control_quotas.py
@@ -169,7 +169,7 @@
     replica = cluster.machines[owner].replica
     assert replica is not None
     assert replica.view is not None
-    assert replica.view.place(replica.me.id) is not None, "it is in the chain again"
+    assert replica.view.position_of(replica.me.id) is not None, "it is in the chain again"
     assert sum(node.refused for node in cluster.nodes.values()) - refused <= 3
 
 
--- a/tests/test_control_replicas.py
+++ b/tests/test_control_replicas.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dunlinloft.coordination.actions import Reply
-from dunlinloft.coordination.replica import first_view
+from dunlinloft.coordination.views import initial_view
 from lab.control.cluster import Cluster
 from lab.control.operators import Operator
 
@@ -136,7 +136,7 @@
     cluster.run(50.0)
     for machine in cluster.machines.values():
         assert machine.durable is not None
-        assert machine.durable.view == first_view(cluster.seeds)
+        assert machine.durable.view == initial_view(cluster.seeds)
 
 
 @pytest.mark.parametrize("planned", [True, False])
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -11,13 +11,17 @@
 from dunlinloft.controlplane import store as store_module
 from dunlinloft.controlplane.exceptions import StoreError
 from dunlinloft.controlplane.store import ReplicaStore
-from dunlinloft.coordination.durable import next_entry
-from dunlinloft.coordination.messages import Ballot, ChainState, Entry, EntryRecord, Order, PromiseRecord
+from dunlinloft.coordination.history import next_entry
+from dunlinloft.coordination.records import EntryRecord, PrepareRecord
+from dunlinloft.coordination.state import ChainState, ChangeKind, ConfigurationChange, LogEntry
+from dunlinloft.coordination.views import ProposalNumber
 
 
-def _entry(state: ChainState, version: int) -> Entry:
+def _entry(state: ChainState, version: int) -> LogEntry:
     body = {"version": version, "routes": [], "services": []}
-    return next_entry(state, version, Order("replace", state.version, f"digest-{version}", body))
+    return next_entry(
+        state, version, ConfigurationChange(ChangeKind.REPLACE, state.version, f"digest-{version}", body)
+    )
 
 
 def _fill(store: ReplicaStore, versions: range) -> None:
@@ -28,12 +32,12 @@
 def test_appended_records_are_recovered_after_a_restart(tmp_path: Path) -> None:
     store = ReplicaStore(tmp_path, "0")
     _fill(store, range(1, 8))
-    store.append([PromiseRecord(Ballot(3, "somebody"))])
+    store.append([PrepareRecord(ProposalNumber(3, "somebody"))])
     store.close()
     again = ReplicaStore(tmp_path, None)
     assert again.durable.incarnation == "0"
     assert again.durable.state.version == 7
-    assert again.durable.promised == Ballot(3, "somebody")
+    assert again.durable.promised == ProposalNumber(3, "somebody")
 
 
 def test_an_empty_disk_that_is_not_the_first_begins_a_new_incarnation(tmp_path: Path) -> None:
--- a/tests/test_control_world.py
+++ b/tests/test_control_world.py
@@ -7,25 +7,17 @@
 
 import pytest
 
-from dunlinloft.coordination import membership
+from dunlinloft.coordination import view_planning
 from dunlinloft.coordination.actions import Action, Reply, Send
 from dunlinloft.coordination.calls import Calls
-from dunlinloft.coordination.chain import ChainLink
-from dunlinloft.coordination.durable import after_entry, continues, next_entry
-from dunlinloft.coordination.messages import (
-    Accept,
-    Accepted,
-    Append,
-    Ballot,
-    ChainState,
-    Durable,
-    Member,
-    Offer,
-    Prepare,
-    Promise,
-    View,
-)
-from dunlinloft.coordination.replica import Replica, first_view
+from dunlinloft.coordination.chain import ChainReplica
+from dunlinloft.coordination.chain_messages import AppendEntries, PredecessorPosition
+from dunlinloft.coordination.history import is_next_entry, next_entry, state_after
+from dunlinloft.coordination.records import DurableState
+from dunlinloft.coordination.replica import Replica
+from dunlinloft.coordination.state import ChainState
+from dunlinloft.coordination.views import AcceptedProposal, Member, ProposalNumber, View, initial_view
+from dunlinloft.coordination.voting_messages import Accept, Accepted, Prepare, PrepareResponse
 from dunlinloft.validation import validate
 from lab.control.cluster import Cluster
 from lab.control.operators import Operator, small_order
@@ -88,7 +80,7 @@
         cluster.run(1_200.0)
         contact = cluster.machines[address].replica
         assert contact is not None
-        assert contact.contact(cluster.now) is None, "it acknowledges no heartbeat"
+        assert contact.view_in_contact(cluster.now) is None, "it acknowledges no heartbeat"
     assert set(statuses) == {503}
     assert len(statuses) == 28
     cluster.heal()
@@ -284,53 +276,53 @@
 # What the review found in the code.
 
 
-def _held(link_view: View, me: Member, state: ChainState) -> tuple[ChainLink, list[Action]]:
+def _held(link_view: View, me: Member, state: ChainState) -> tuple[ChainReplica, list[Action]]:
     """A chain link whose disk answers at once."""
     actions: list[Action] = []
-    durable = Durable(me.incarnation, state=state, committed_digest=state.chain_digest)
-    link = ChainLink(me, durable, actions.append, lambda _, then: then(), 2)
-    link.enter(link_view)
+    durable = DurableState(me.incarnation, state=state, committed_digest=state.chain_digest)
+    link = ChainReplica(me, durable, actions.append, lambda _, then: then(), 2)
+    link.enter_epoch(link_view)
     return link, actions
 
 
 def test_a_head_alone_commits_nothing_and_is_not_settled_by_the_length_of_its_chain() -> None:
-    view = first_view(("10.0.0.1:1", "10.0.0.2:1"))
+    view = initial_view(("10.0.0.1:1", "10.0.0.2:1"))
     head = view.chain[0]
     link, _ = _held(View(2, view.roster, (head,), 1), head, ChainState())
-    assert not link.settled
+    assert not link.fully_committed
     assert not link.is_tail
     link.append(next_entry(ChainState(), 1, small_order(1, 0)))
     assert link.committed.sequence == 0
     # A longer chain, whose second member has still to catch up, changes nothing.
-    link.enter(View(3, view.roster, view.chain, 1))
-    assert not link.settled
+    link.enter_epoch(View(3, view.roster, view.chain, 1))
+    assert not link.fully_committed
 
 
 def test_an_entry_that_continues_another_history_is_not_taken() -> None:
-    view = first_view(("10.0.0.1:1", "10.0.0.2:1"))
+    view = initial_view(("10.0.0.1:1", "10.0.0.2:1"))
     head, tail = view.chain
-    ours = after_entry(ChainState(), next_entry(ChainState(), 1, small_order(1, 0, "ours")))
-    theirs = after_entry(ChainState(), next_entry(ChainState(), 1, small_order(1, 0, "theirs")))
+    ours = state_after(ChainState(), next_entry(ChainState(), 1, small_order(1, 0, "ours")))
+    theirs = state_after(ChainState(), next_entry(ChainState(), 1, small_order(1, 0, "theirs")))
     link, actions = _held(view, tail, ours)
     entry = next_entry(theirs, 2, small_order(2, 1))
-    assert not continues(ours, entry)
-    link.on_append(Append(head, 1, (entry,)))
+    assert not is_next_entry(ours, entry)
+    link.on_append_entries(AppendEntries(head, 1, (entry,)))
     assert link.state == ours
     assert any(isinstance(action, Send) for action in actions), "it says what it holds"
 
 
 def test_a_ballot_of_a_former_life_is_not_used_again() -> None:
-    view = first_view(("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"))
+    view = initial_view(("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"))
     me, second, third = view.roster
     ballots = set()
     for life in range(2):
         # The disk has not taken the promise: after the restart it is unknown.
-        durable = Durable(me.incarnation, view=view)
+        durable = DurableState(me.incarnation, view=view)
         replica = Replica(me, True, durable, (), 1, validate, random.Random(life), 0.0)
-        replica.begin(None)
+        replica.start(None)
         replica._voting.propose(view, View(2, view.roster, (me, second), 2))
         prepares = [a.message for a in replica._actions if isinstance(a, Send)]
-        ballots |= {message.ballot for message in prepares if isinstance(message, Prepare)}
+        ballots |= {message.proposal_number for message in prepares if isinstance(message, Prepare)}
         assert third.address in {a.address for a in replica._actions if isinstance(a, Send)}
     assert len(ballots) == 2
 
@@ -342,22 +334,24 @@
     assert me is not None
     assert second is not None
     assert me.view is not None
-    assert me.leased(cluster.now)
+    assert me.has_lease(cluster.now)
     later = View(2, me.view.roster, me.view.chain[1:], 2)
-    me.handle(Accept(second.me, Ballot(9, "second"), later), cluster.now)
+    me.handle(Accept(second.me, ProposalNumber(9, "second"), later), cluster.now)
     # The third still echoes what it hears, in this epoch; with the second it decided the later view.
-    assert not me.leased(cluster.now)
+    assert not me.has_lease(cluster.now)
 
 
 def test_an_acceptance_of_a_former_lifes_ballot_decides_nothing() -> None:
-    view = first_view(("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"))
+    view = initial_view(("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"))
     me, second, third = view.roster
-    replica = Replica(me, True, Durable(me.incarnation, view=view), (), 1, validate, random.Random(1), 0.0)
-    replica.begin(None)
+    replica = Replica(
+        me, True, DurableState(me.incarnation, view=view), (), 1, validate, random.Random(1), 0.0
+    )
+    replica.start(None)
     wanted = View(2, view.roster, (me, second), 2)
     ballot = replica._voting.propose(view, wanted)
     for voter in (second, third):
-        replica.handle(Promise(voter, 2, ballot, None), 1.0)
+        replica.handle(PrepareResponse(voter, 2, ballot, None), 1.0)
     former = type(ballot)(ballot.number, f"{me.id}/another life")
     for voter in (second, third):
         replica.handle(Accepted(voter, 2, former), 2.0)
@@ -370,10 +364,10 @@
 def test_a_late_confirmation_for_a_former_life_confirms_nothing() -> None:
     nonces = set()
     for life in range(2):
-        view = first_view(("10.0.0.1:1", "10.0.0.2:1"))
+        view = initial_view(("10.0.0.1:1", "10.0.0.2:1"))
         link, _ = _held(view, view.chain[1], ChainState())
         calls = Calls(view.chain[1], link, validate, lambda _: None, lambda *_: None, random.Random(life))
-        nonces.add(calls._nonce)
+        nonces.add(calls._changes._confirmation._last_nonce)
     assert len(nonces) == 2
 
 
@@ -417,26 +411,26 @@
 
 
 def test_a_chain_whose_length_stands_for_copies_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def alone(self: ChainLink) -> bool:
+    def alone(self: ChainReplica) -> bool:
         return self.synced and self._successor is None
 
-    monkeypatch.setattr(ChainLink, "is_tail", property(alone))
+    monkeypatch.setattr(ChainReplica, "is_tail", property(alone))
     # Chains of one are not proposed any more: that they are is part of the fault.
-    monkeypatch.setattr(membership, "may_commit", lambda chain, _: bool(chain))
+    monkeypatch.setattr(view_planning, "can_commit", lambda chain, _: bool(chain))
     with pytest.raises(Broken, match="committed with 1 copies"):
         _order_at_a_head_alone()
 
 
 def test_a_chain_that_never_catches_up_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ChainLink, "on_install", lambda *_: None)
+    monkeypatch.setattr(ChainReplica, "on_install_snapshot", lambda *_: None)
     _caught("although nothing fails any more", range(0, 40))
 
 
 def test_the_shortest_schedule_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    def forgetful(self: ChainLink, offer: Offer) -> None:
+    def forgetful(self: ChainReplica, offer: PredecessorPosition) -> None:
         """Nobody finds itself equal: after the first loss there is no tail."""
 
-    monkeypatch.setattr(ChainLink, "on_offer", forgetful)
+    monkeypatch.setattr(ChainReplica, "on_predecessor_position", forgetful)
     result = played(1)
     assert "although nothing fails any more" in result.broken
     assert len(result.schedule) <= 1
@@ -519,10 +513,10 @@
         assert behind is not None
         assert behind.view is not None
         view = behind.view
-        if view.outside and view.place(behind.me.id) and behind.chain.epoch == view.epoch:
-            assert [member.address for member in view.outside] == [second]
+        if view.detached and view.position_of(behind.me.id) and behind.chain.epoch == view.epoch:
+            assert [member.address for member in view.detached] == [second]
             assert not behind.chain.synced
-            return cluster, behind, view.outside[0]
+            return cluster, behind, view.detached[0]
     raise AssertionError("no view left a complete member outside")
 
 
@@ -532,7 +526,7 @@
     view = behind.view
     assert view is not None
     wanted = View(view.epoch + 1, view.roster, (outside, behind.me), 1, (), behind.me.id)
-    accept = Accept(behind.me, Ballot(50, behind.me.id), wanted)
+    accept = Accept(behind.me, ProposalNumber(50, behind.me.id), wanted)
     cluster._perform(cluster.machines[behind.me.address], behind.handle(accept, cluster.now))
     for version in range(9, 15):
         cluster.order(small_order(version, version - 1), lambda _: None)
@@ -546,7 +540,7 @@
 
 
 def test_a_witness_that_goes_on_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ChainLink, "stop_uncommitted", lambda _: True)
+    monkeypatch.setattr(ChainReplica, "seal_epoch", lambda _: True)
     with pytest.raises(Broken, match="after its witness had accepted"):
         _order_beside_a_witness()
 
@@ -555,15 +549,17 @@
     cluster, behind, outside = _with_a_member_outside()
     view = behind.view
     assert view is not None
-    assert behind.chain.stop_uncommitted()
-    assert not behind.chain.stop_uncommitted(), "it takes part no more, and knows no more"
+    assert behind.chain.seal_epoch()
+    assert not behind.chain.seal_epoch(), "it takes part no more, and knows no more"
     wanted = View(view.epoch + 1, view.roster, (outside, behind.me), 1, (), behind.me.id)
-    durable = Durable(behind.me.incarnation, view=view, accepted=(Ballot(1, "x"), wanted))
+    durable = DurableState(
+        behind.me.incarnation, view=view, accepted=AcceptedProposal(ProposalNumber(1, "x"), wanted)
+    )
     again = Replica(behind.me, True, durable, (), 1, validate, random.Random(1), cluster.now)
     assert again.chain.epoch == 0
     head = cluster.machines[view.chain[0].address].replica
     assert head is not None
-    assert not head.chain.stop_uncommitted(), "it holds what the epoch may have committed"
+    assert not head.chain.seal_epoch(), "it holds what the epoch may have committed"
 
 
 def test_a_machine_counts_as_lost_until_its_successor_has_had_its_time() -> None:
--- a/tests/test_dataplane_server_table.py
+++ b/tests/test_dataplane_server_table.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from dunlinloft.coordination.digests import RANGES, RangeDigests, range_of
+from dunlinloft.coordination.digests import RANGE_COUNT, RangeDigests, range_of
 from dunlinloft.coordination.stream import ServerNews
 from dunlinloft.dataplane.server_table import RECENT_RESPONSE_MS, ServerTable
 from tests.server_records import server_record
 
-ALL = tuple(range(RANGES))
+ALL = tuple(range(RANGE_COUNT))
 
 
 @pytest.fixture
@@ -89,7 +89,7 @@
     table.on_update("one", ServerNews((), tuple(record.id for record in records)), 0.0)
     assert set(table.pool("pool").servers) == {record.id for record in current}
     assert remote.differing(table.digests()) == ()
-    assert len(remote.differing(())) == RANGES
+    assert len(remote.differing(())) == RANGE_COUNT
 
 
 def test_restarted_replica_that_is_complete_removes_what_it_has_not_listed_since(table: ServerTable) -> None:
--- a/tests/test_disk_writer.py
+++ b/tests/test_disk_writer.py
@@ -15,7 +15,7 @@
 from dunlinloft.controlplane.member_cache import CachedMembers
 from dunlinloft.controlplane.store import ReplicaStore
 from dunlinloft.coordination.actions import Persist
-from dunlinloft.coordination.messages import Record, SyncedRecord
+from dunlinloft.coordination.records import Record, SyncedRecord
 from dunlinloft.coordination.stream import NodeSeen
 
 
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -28,7 +28,7 @@
 
 from dunlinloft import configuration, settings
 from dunlinloft.controlplane import data_directory, http_api, member_cache, store
-from dunlinloft.coordination import durable, stream
+from dunlinloft.coordination import history, stream
 from dunlinloft.fleet import messages as member_messages
 from dunlinloft.fleet import wire
 from dunlinloft.fleet.cells import cut
@@ -365,7 +365,7 @@
         record for record in data_directory.read_log(DATA_DIRECTORY / "log-1", 2) if hasattr(record, "entry")
     ]
     before = msgspec.convert(state, type(data_directory.recover(DATA_DIRECTORY).durable.state))  # type: ignore[union-attr]
-    assert appended and durable.continues(before, appended[0].entry)
+    assert appended and history.is_next_entry(before, appended[0].entry)
 
 
 def test_known_members_of_the_version_before_are_read_and_written_again(tmp_path: Path) -> None:
--- a/tests/test_quota_windows.py
+++ b/tests/test_quota_windows.py
@@ -8,15 +8,12 @@
 import pytest
 
 from dunlinloft.coordination import quota_holder, quotas
-from dunlinloft.coordination.liveness import Liveness
-from dunlinloft.coordination.messages import Member, Ping, View
+from dunlinloft.coordination.failure_detector import FailureDetector
+from dunlinloft.coordination.heartbeat_messages import Heartbeat
 from dunlinloft.coordination.quota_holder import QuotaHolder
 from dunlinloft.coordination.quota_shares import TenantShares
-from dunlinloft.coordination.quotas import (
-    QuotaBounds,
-    QuotaLimit,
-    QuotaOwner,
-)
+from dunlinloft.coordination.quotas import QuotaBounds, QuotaLimit, QuotaOwner
+from dunlinloft.coordination.views import Member, View
 from lab.control.quota_cluster import QuotaCluster, traffic
 from lab.control.rules import Broken
 from tests.quotas import BOUNDS, CHAIN, LARGE, LIMIT, SMALL, owner_address
@@ -186,7 +183,7 @@
 
 
 def test_a_lease_that_is_taken_for_over_too_early_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Liveness, "lease_over", lambda *_: True)
+    monkeypatch.setattr(FailureDetector, "lease_expired", lambda *_: True)
     with pytest.raises(Broken, match="granted after epoch"):
         _an_owner_is_left_out_and_cut_off()
 
@@ -207,7 +204,7 @@
         for address in others:
             replica = cluster.machines[address].replica
             assert replica is not None
-            if replica.lease_over(owner, cluster.now):
+            if replica.lease_expired(owner, cluster.now):
                 assert replica.view is not None
                 assert replica.view.epoch > epoch
                 over.setdefault(address, cluster.now - 3_000.0)
@@ -219,15 +216,16 @@
     me, voter, owner = (Member(address, "0") for address in CHAIN)
     before = View(1, (me, voter, owner), (me, voter, owner), 3)
     for uptime_ms, over in ((50.0, False), (5_000.0, True)):
-        liveness = Liveness(me)
+        liveness = FailureDetector(me)
 
         def heard(sender: Member, epoch: int, echoes: tuple[Member, ...], now: float, up: float) -> None:
             stamps = {member.id: now for member in echoes}
-            liveness.heard(Ping(sender, True, True, False, epoch, 0, epoch, now, stamps, (), up), now)  # noqa: B023
+            beat = Heartbeat(sender, True, True, False, epoch, 0, epoch, now, stamps, (), up)
+            liveness.on_heartbeat(beat, now)  # noqa: B023
 
         heard(owner, 1, (me, voter), 0.0, 5_000.0)
         heard(voter, 1, (me, owner), 0.0, 5_000.0)
         heard(voter, 2, (me,), 650.0, uptime_ms)
-        assert not liveness.lease_over(owner, before, 2, 700.0)
+        assert not liveness.lease_expired(owner, before, 2, 700.0)
         heard(voter, 2, (me,), 790.0, uptime_ms + 140.0)
-        assert liveness.lease_over(owner, before, 2, 800.0) == over
+        assert liveness.lease_expired(owner, before, 2, 800.0) == over
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dunlinloft.coordination.registry import Registry
+from dunlinloft.coordination.registry import ReceivedHeartbeats, RegistryChanges, ServerRegistry
 from dunlinloft.coordination.stream import ServerRecord
 
 
@@ -12,7 +12,7 @@
     return ServerRecord(server_id, "pool", "10.0.0.1:80", "a", 12, state, sequence)
 
 
-def _pass_time(registry: Registry, start_ms: float, end_ms: float) -> None:
+def _pass_time(registry: ServerRegistry, start_ms: float, end_ms: float) -> None:
     """Look for silent servers as often as the control plane does."""
     now = start_ms
     while now < end_ms:
@@ -21,41 +21,41 @@
 
 
 def test_a_late_heartbeat_changes_nothing() -> None:
-    registry = Registry(1_000.0, 0.0)
-    registry.beat(_record(5, "draining"), 10.0)
-    registry.beat(_record(4), 20.0)
+    registry = ServerRegistry(1_000.0, 0.0)
+    registry.on_heartbeat(_record(5, "draining"), 10.0)
+    registry.on_heartbeat(_record(4), 20.0)
     assert registry.records["i-1"].draining
 
 
 def test_draining_is_told_once_and_never_taken_back() -> None:
-    registry = Registry(1_000.0, 0.0)
-    registry.beat(_record(1), 0.0)
-    assert registry.take_news() == ((_record(1),), ())
-    registry.beat(_record(2), 100.0)
-    assert registry.take_news() == ((), ())
-    registry.beat(_record(3, "draining"), 200.0)
-    assert [record.state for record in registry.take_news()[0]] == ["draining"]
-    registry.beat(_record(4), 300.0)
+    registry = ServerRegistry(1_000.0, 0.0)
+    registry.on_heartbeat(_record(1), 0.0)
+    assert registry.drain_changes() == RegistryChanges((_record(1),), ())
+    registry.on_heartbeat(_record(2), 100.0)
+    assert registry.drain_changes() == RegistryChanges((), ())
+    registry.on_heartbeat(_record(3, "draining"), 200.0)
+    assert [record.state for record in registry.drain_changes().changed] == ["draining"]
+    registry.on_heartbeat(_record(4), 300.0)
     assert registry.records["i-1"].draining
 
 
 def test_silence_ends_a_server_and_a_word_brings_it_back() -> None:
-    registry = Registry(1_000.0, 0.0)
-    registry.beat(_record(1), 0.0)
+    registry = ServerRegistry(1_000.0, 0.0)
+    registry.on_heartbeat(_record(1), 0.0)
     _pass_time(registry, 0.0, 3_000.0)
     assert registry.records
     _pass_time(registry, 3_000.0, 4_000.0)
     assert not registry.records
-    assert registry.take_news() == ((), ("i-1",))
-    assert registry.take_silent() == ("i-1",)
-    assert registry.take_silent() == ()
-    registry.beat(_record(2), 5_000.0)
-    assert registry.take_news() == ((_record(2),), ())
+    assert registry.drain_changes() == RegistryChanges((), ("i-1",))
+    assert registry.drain_expired() == ("i-1",)
+    assert registry.drain_expired() == ()
+    registry.on_heartbeat(_record(2), 5_000.0)
+    assert registry.drain_changes() == RegistryChanges((_record(2),), ())
 
 
 def test_a_process_that_stood_still_takes_nobody_for_gone() -> None:
-    registry = Registry(1_000.0, 0.0)
-    registry.beat(_record(1), 0.0)
+    registry = ServerRegistry(1_000.0, 0.0)
+    registry.on_heartbeat(_record(1), 0.0)
     _pass_time(registry, 0.0, 1_000.0)
     registry.expire(9_000.0)
     assert registry.records
@@ -64,36 +64,36 @@
 
 
 def test_who_left_is_not_taken_up_again_by_a_late_word() -> None:
-    registry = Registry(1_000.0, 0.0)
-    registry.beat(_record(1), 0.0)
-    registry.leave("i-1", 100.0)
-    registry.beat(_record(2), 200.0, relayed=True)
+    registry = ServerRegistry(1_000.0, 0.0)
+    registry.on_heartbeat(_record(1), 0.0)
+    registry.on_deregistration("i-1", 100.0)
+    registry.on_heartbeat(_record(2), 200.0, relayed=True)
     assert not registry.records
-    assert registry.take_news() == ((), ("i-1",))
-    assert registry.take_silent() == ()
+    assert registry.drain_changes() == RegistryChanges((), ("i-1",))
+    assert registry.drain_expired() == ()
 
 
 def test_two_registries_come_to_the_same_list() -> None:
-    one, other = Registry(1_000.0, 0.0), Registry(1_000.0, 0.0)
-    one.beat(_record(1), 0.0)
-    other.beat(_record(1, server_id="i-2"), 0.0)
+    one, other = ServerRegistry(1_000.0, 0.0), ServerRegistry(1_000.0, 0.0)
+    one.on_heartbeat(_record(1), 0.0)
+    other.on_heartbeat(_record(1, server_id="i-2"), 0.0)
     for source, target in ((one, other), (other, one)):
-        records, gone = source.take_beats()
-        for record in records:
-            target.beat(record, 10.0, relayed=True)
-        for server_id in gone:
-            target.leave(server_id, 10.0, relayed=True)
+        received = source.drain_heartbeats()
+        for record in received.records:
+            target.on_heartbeat(record, 10.0, relayed=True)
+        for server_id in received.deregistered:
+            target.on_deregistration(server_id, 10.0, relayed=True)
     assert one.records == other.records
     assert set(one.records) == {"i-1", "i-2"}
-    assert one.take_beats() == ((), ())
+    assert one.drain_heartbeats() == ReceivedHeartbeats((), ())
 
 
 def test_what_was_known_before_a_restart_stands_until_its_silence_shows() -> None:
-    registry = Registry(1_000.0, 0.0)
+    registry = ServerRegistry(1_000.0, 0.0)
     registry.restore((_record(7), _record(3, server_id="i-2")), 0.0)
-    assert not registry.complete(100.0)
+    assert not registry.is_complete(100.0)
     _pass_time(registry, 0.0, 3_000.0)
-    registry.beat(_record(8), 3_000.0)
+    registry.on_heartbeat(_record(8), 3_000.0)
     _pass_time(registry, 3_000.0, 3_600.0)
     assert registry.records == {"i-1": _record(8)}
     assert msgspec.structs.asdict(registry.records["i-1"])["sequence"] == 8
--- a/tests/test_server_registrar.py
+++ b/tests/test_server_registrar.py
@@ -10,16 +10,16 @@
 
 from dunlinloft.controlplane.node_publisher import NodePublisher
 from dunlinloft.controlplane.server_registrar import REPLICATION_TIMEOUT_S, ServerRegistrar
-from dunlinloft.coordination.liveness import CONTACT_MS, Liveness
-from dunlinloft.coordination.messages import Member, Ping, View
+from dunlinloft.coordination.failure_detector import CONTACT_TIMEOUT_MS, FailureDetector
+from dunlinloft.coordination.heartbeat_messages import Heartbeat
 from dunlinloft.coordination.placement import Placements
-from dunlinloft.coordination.registry import Registry
-from dunlinloft.coordination.replica import first_view
+from dunlinloft.coordination.registry import ServerRegistry
 from dunlinloft.coordination.stream import Beats, BeatsTaken, ServerRecord
+from dunlinloft.coordination.views import Member, View, initial_view
 from tests.virtual_time import VirtualLoop
 
 ADDRESSES = ("10.0.0.1:7680", "10.0.0.2:7680", "10.0.0.3:7680")
-VIEW = first_view(ADDRESSES)
+VIEW = initial_view(ADDRESSES)
 
 
 def _record(sequence: int, state: str = "ready") -> ServerRecord:
@@ -35,7 +35,7 @@
         self.view: View | None = VIEW
         self.announced: list[str] = []
         rng: Any = None
-        self.registry = Registry(1_000.0, 0.0)
+        self.registry = ServerRegistry(1_000.0, 0.0)
         self.registrar = ServerRegistrar(
             me,
             self.registry,
@@ -122,18 +122,18 @@
     assert others.registry.records["i-1"].draining
 
 
-def _ping(sender: Member, echoes: dict[str, float]) -> Ping:
-    return Ping(sender, True, True, False, 1, 1, 1, 0.0, echoes, ())
+def _ping(sender: Member, echoes: dict[str, float]) -> Heartbeat:
+    return Heartbeat(sender, True, True, False, 1, 1, 1, 0.0, echoes, ())
 
 
 def test_contact_is_counted_from_when_a_stamp_was_sent() -> None:
     me, second, third = VIEW.roster
-    liveness = Liveness(me)
-    assert not liveness.in_contact(VIEW, 0.0)
-    liveness.heard(_ping(second, {me.id: 1_000.0}), 1_900.0)
-    assert liveness.in_contact(VIEW, 1_900.0)
-    assert not liveness.in_contact(VIEW, 1_000.0 + CONTACT_MS)
-    liveness.heard(_ping(third, {me.id: 2_000.0}), 2_100.0)
-    assert liveness.in_contact(VIEW, 2_900.0)
+    liveness = FailureDetector(me)
+    assert not liveness.has_majority_contact(VIEW, 0.0)
+    liveness.on_heartbeat(_ping(second, {me.id: 1_000.0}), 1_900.0)
+    assert liveness.has_majority_contact(VIEW, 1_900.0)
+    assert not liveness.has_majority_contact(VIEW, 1_000.0 + CONTACT_TIMEOUT_MS)
+    liveness.on_heartbeat(_ping(third, {me.id: 2_000.0}), 2_100.0)
+    assert liveness.has_majority_contact(VIEW, 2_900.0)
     # Frozen for long, and awake again: it has heard nobody since.
-    assert not liveness.in_contact(VIEW, 30_000.0)
+    assert not liveness.has_majority_contact(VIEW, 30_000.0)
--- a/tests/test_statecli.py
+++ b/tests/test_statecli.py
@@ -12,10 +12,11 @@
 from dunlinloft.controlplane import data_directory
 from dunlinloft.controlplane.member_cache import CachedMembers, MemberCache
 from dunlinloft.controlplane.store import ReplicaStore
-from dunlinloft.coordination.durable import next_entry
-from dunlinloft.coordination.messages import CommittedRecord, EntryRecord, Member, Order, View, ViewRecord
-from dunlinloft.coordination.replica import first_view
+from dunlinloft.coordination.history import next_entry
+from dunlinloft.coordination.records import CommittedRecord, EntryRecord, ViewRecord
+from dunlinloft.coordination.state import ChangeKind, ConfigurationChange
 from dunlinloft.coordination.stream import ServerRecord
+from dunlinloft.coordination.views import Member, View, initial_view
 from lab.control.cluster import Cluster
 from lab.control.operators import small_order
 
@@ -24,10 +25,16 @@
 def folder(tmp_path: Path) -> Path:
     """A directory after one change."""
     store = ReplicaStore(tmp_path, "0")
-    order = Order("replace", 0, "digest", {"version": 7, "routes": [{"name": "r"}], "services": []})
+    order = ConfigurationChange(
+        ChangeKind.REPLACE, 0, "digest", {"version": 7, "routes": [{"name": "r"}], "services": []}
+    )
     entry = next_entry(store.durable.state, 7, order)
     store.append(
-        [ViewRecord(first_view(("10.0.0.1:7000",))), EntryRecord(entry), CommittedRecord(entry.chain_digest)]
+        [
+            ViewRecord(initial_view(("10.0.0.1:7000",))),
+            EntryRecord(entry),
+            CommittedRecord(entry.chain_digest),
+        ]
     )
     store.close()
     server = ServerRecord("i-1", "pool", "10.0.0.9:80", "a", 4, "ready", 1)
--- a/tests/test_stream_session.py
+++ b/tests/test_stream_session.py
@@ -13,7 +13,7 @@
 from dunlinloft.controlplane.stream_session import StreamServices, StreamSession
 from dunlinloft.coordination.nodes import Nodes
 from dunlinloft.coordination.placement import Placements
-from dunlinloft.coordination.registry import Registry
+from dunlinloft.coordination.registry import ServerRegistry
 from dunlinloft.coordination.stream import (
     Beats,
     ConfigurationId,
@@ -71,7 +71,7 @@
             StreamServices(
                 cast(Any, self.replica_host),
                 self.nodes,
-                Registry(1_000.0, 0.0),
+                ServerRegistry(1_000.0, 0.0),
                 cast(Any, self.registrar),
                 self.publisher,
                 cast(Any, self.quotas),
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -8,9 +8,9 @@
 
 from dunlinloft.configuration import to_configuration
 from dunlinloft.controlplane.http_api import parse_document
-from dunlinloft.coordination.calls import Invalid, Valid
-from dunlinloft.coordination.durable import changed
-from dunlinloft.coordination.messages import Document, Order
+from dunlinloft.coordination.document_changes import apply_change
+from dunlinloft.coordination.state import ConfigurationChange, Document
+from dunlinloft.coordination.verdicts import Invalid, Valid
 from dunlinloft.exceptions import ConfigurationError
 from dunlinloft.validation import validate
 
@@ -37,7 +37,7 @@
 
 
 def _judged(body: Document, kind: str = "replace", document: Document | None = None) -> Valid | Invalid:
-    return validate(document or {}, Order(kind, 0, "digest", body))
+    return validate(document or {}, ConfigurationChange(kind, 0, "digest", body))
 
 
 def test_a_proper_configuration_is_taken_with_fields_that_are_not_known() -> None:
@@ -85,7 +85,7 @@
         "delete": {"tenants": ["t"]},
     }
     assert _judged(update, "update", document) == Valid(5)
-    after = changed(document, Order("update", 3, "d", update))
+    after = apply_change(document, ConfigurationChange("update", 3, "d", update))
     assert [(route["name"], route["timeout_ms"]) for route in after["routes"]] == [("r", 7), ("new", 100)]
     assert after["tenants"] == []
     assert after["services"] == document["services"]
