--- a/dunlinloft/controlplane/components.py
+++ b/dunlinloft/controlplane/components.py
@@ -125,8 +125,8 @@
     )
 
 
-def _validate(document: Document, order: ConfigurationChange) -> Valid | Invalid:
-    """Validate an order; what that needs is imported with the first one, so that a start is quick."""
+def _validate(document: Document, change: ConfigurationChange) -> Valid | Invalid:
+    """Validate a change; what that needs is imported with the first one, so that a start is quick."""
     from dunlinloft.validation import validate
 
-    return validate(document, order)
+    return validate(document, change)
--- a/dunlinloft/controlplane/http_api.py
+++ b/dunlinloft/controlplane/http_api.py
@@ -3,7 +3,7 @@
 =========================================  ==================================================
 POST /instances/{server id}/heartbeat      a server's heartbeat
 POST /instances/{server id}/deregister     a server ends
-POST /configuration/replace, .../update    an operator's order; `X-Base-Version` names its base
+POST /configuration/replace, .../update    an operator's change; `X-Base-Version` names its base
 GET /configuration/describe                the committed configuration
 =========================================  ==================================================
 """
@@ -54,7 +54,7 @@
     Parameters
     ----------
     call:
-        Makes an operator's call, a read where the order is None (`ReplicaHost.call`).
+        Makes an operator's call, a read where the change is None (`ReplicaHost.call`).
     heartbeat, deregister:
         Handle a server's call; True where it may be acknowledged (`ServerRegistrar`).
     """
@@ -85,7 +85,7 @@
                 await read_body(request, MAX_HEARTBEAT_BYTES)
                 return _acknowledgement(await self._deregister(server_id))
             case ("POST", ["configuration", ("replace" | "update") as kind]):
-                return await self._on_order(request, kind)
+                return await self._on_change(request, kind)
             case ("GET", ["configuration", "describe"]):
                 return await self._on_describe()
         return json_response(404, "no such call")
@@ -109,7 +109,7 @@
         )
         return _acknowledgement(await self._heartbeat(record))
 
-    async def _on_order(self, request: BaseRequest, kind: str) -> StreamResponse:
+    async def _on_change(self, request: BaseRequest, kind: str) -> StreamResponse:
         data = await read_body(request, MAX_CONFIGURATION_BYTES)
         base = request.headers.get(BASE_VERSION_HEADER, "")
         if not base.isdecimal():
@@ -117,7 +117,7 @@
         document = parse_document(data)
         if isinstance(document, Invalid):
             return json_response(400, document.reason)
-        # The digest covers the bytes as they were sent: the same bytes resent are the same order.
+        # The digest covers the bytes as they were sent: the same bytes resent are the same change.
         digest = hashlib.blake2b(f"{kind}/{int(base)}/".encode() + data, digest_size=16).hexdigest()
         reply = await self._call(ConfigurationChange(kind, int(base), digest, document))
         return json_response(reply.status, reply.reason)
@@ -145,7 +145,7 @@
 
 
 def parse_document(data: bytes) -> Document | Invalid:
-    """Parse the body of an order; `Invalid` says what is wrong with it."""
+    """Parse the body of a change; `Invalid` says what is wrong with it."""
     try:
         document = json.loads(data)
     except (ValueError, RecursionError):
--- a/dunlinloft/controlplane/node_publisher.py
+++ b/dunlinloft/controlplane/node_publisher.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from dunlinloft.coordination.state import ChainState, LogEntry
+from dunlinloft.coordination.state import ChainState, ChangeKind, LogEntry
 from dunlinloft.coordination.stream import (
     ConfigurationId,
     Delta,
@@ -77,7 +77,7 @@
         if state.sequence <= self._state.sequence:
             return
         follows = state.sequence == self._state.sequence + 1
-        is_update = entry is not None and entry.change.kind == "update" and follows
+        is_update = entry is not None and entry.change.kind == ChangeKind.UPDATE and follows
         self._update = entry if is_update else None
         self._base_id = self._id
         self._state = state
--- a/dunlinloft/controlplane/replica_host.py
+++ b/dunlinloft/controlplane/replica_host.py
@@ -61,13 +61,13 @@
         """Report to the replica that a record is durable; called by `DiskWriter`."""
         self._perform(self._replica.on_persisted(token, now_ms()))
 
-    async def call(self, order: ConfigurationChange | None) -> Reply:
-        """Make an operator's call, a read where `order` is None; return its outcome, 503 after a time-out."""
+    async def call(self, change: ConfigurationChange | None) -> Reply:
+        """Make an operator's call, a read where `change` is None; its outcome is 503 where time runs out."""
         token = f"{self._replica.me.id}/{next(self._call_numbers)}/{secrets.token_hex(4)}"
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
         self._calls[token] = future
         try:
-            self._perform(self._replica.begin_call(token, order, now_ms()))
+            self._perform(self._replica.begin_call(token, change, now_ms()))
             return await future
         finally:
             self._calls.pop(token, None)
