--- /dev/null
+++ b/tests/replicas.py
@@ -0,0 +1,74 @@
+"""Simulated control planes in the states that tests of replicas begin with."""
+
+from __future__ import annotations
+
+from dunlinloft.coordination.actions import Action
+from dunlinloft.coordination.chain import ChainReplica
+from dunlinloft.coordination.records import DurableState
+from dunlinloft.coordination.state import ChainState
+from dunlinloft.coordination.views import Member, View
+from lab.control.cluster import Cluster
+from lab.control.operators import Operator, small_order
+
+ACK_TIMEOUT_MS = 4_000.0  # `ack_timeout_ms`
+SYNC_TIMEOUT_MS = 4_000.0  # `sync_timeout_s`
+
+
+def running_cluster(seed: int, size: int = 3, operators: int = 1) -> tuple[Cluster, list[Operator]]:
+    """A cluster whose operators have sent changes for 2 s."""
+    cluster = Cluster(seed, size)
+    running = [Operator(cluster) for _ in range(operators)]
+    for operator in running:
+        cluster.after(300.0, operator.change)
+        operator.read()
+    cluster.run(2_000.0)
+    return cluster, running
+
+
+def acknowledged(operators: list[Operator]) -> int:
+    """How many changes of these operators were acknowledged."""
+    return sum(operator.acked for operator in operators)
+
+
+def assert_progress(cluster: Cluster, operators: list[Operator], within_ms: float = ACK_TIMEOUT_MS) -> None:
+    """Some change is acknowledged within a time."""
+    before = acknowledged(operators)
+    cluster.run(within_ms)
+    assert acknowledged(operators) > before, "no change was acknowledged"
+
+
+def current_view(cluster: Cluster) -> View:
+    """The latest view that any live replica knows."""
+    views = [m.replica.view for m in cluster.machines.values() if m.replica is not None]
+    return max((view for view in views if view is not None), key=lambda view: view.epoch)
+
+
+def cluster_without(seed: int, position: int) -> Cluster:
+    """A cluster of three of which the member at a position is down, with a view without it."""
+    cluster = Cluster(seed)
+    cluster.run(500.0)
+    cluster.kill(cluster.seeds[position])
+    cluster.run(1_500.0)
+    return cluster
+
+
+def send_changes_to_a_lone_head() -> None:
+    """Changes at a head whose only live peer has a stalled disk, while a third member is down."""
+    cluster = cluster_without(90, 2)
+    head, second, _ = cluster.seeds
+    cluster.stall(second, True)
+    for number in range(80):
+        for version in range(1, 9):
+            cluster.call(head, small_order(version, version - 1), lambda _: None)
+        cluster.run(20.0)
+        if number == 35:
+            cluster.stall(second, False)  # by now it has voted for a chain without itself
+
+
+def chain_replica(view: View, me: Member, state: ChainState) -> tuple[ChainReplica, list[Action]]:
+    """A chain replica in an epoch, whose disk answers at once; and the actions that it emits."""
+    actions: list[Action] = []
+    durable = DurableState(me.incarnation, state=state, committed_digest=state.chain_digest)
+    chain = ChainReplica(me, durable, actions.append, lambda _, then: then(), 2)
+    chain.enter_epoch(view)
+    return chain, actions
--- /dev/null
+++ b/tests/test_chain_replication.py
@@ -0,0 +1,57 @@
+"""Chain replication: what a head and a tail may commit, and which entries a successor takes."""
+
+from __future__ import annotations
+
+import pytest
+
+from dunlinloft.coordination import view_planning
+from dunlinloft.coordination.actions import Send
+from dunlinloft.coordination.chain import ChainReplica
+from dunlinloft.coordination.chain_messages import AppendEntries
+from dunlinloft.coordination.history import is_next_entry, next_entry, state_after
+from dunlinloft.coordination.state import ChainState
+from dunlinloft.coordination.views import View, initial_view
+from lab.control.operators import small_order
+from lab.control.rules import Broken
+from tests.replicas import chain_replica, send_changes_to_a_lone_head
+
+
+def test_a_head_without_a_synced_successor_commits_nothing_whatever_its_chains_length() -> None:
+    view = initial_view(("10.0.0.1:1", "10.0.0.2:1"))
+    head = view.chain[0]
+    chain, _ = chain_replica(View(2, view.roster, (head,), 1), head, ChainState())
+    assert not chain.fully_committed
+    assert not chain.is_tail
+    chain.append(next_entry(ChainState(), 1, small_order(1, 0)))
+    assert chain.committed.sequence == 0
+    # A longer chain, whose second member has still to catch up, changes nothing.
+    chain.enter_epoch(View(3, view.roster, view.chain, 1))
+    assert not chain.fully_committed
+
+
+def test_an_entry_of_another_history_is_not_appended() -> None:
+    view = initial_view(("10.0.0.1:1", "10.0.0.2:1"))
+    head, tail = view.chain
+    ours = state_after(ChainState(), next_entry(ChainState(), 1, small_order(1, 0, "ours")))
+    theirs = state_after(ChainState(), next_entry(ChainState(), 1, small_order(1, 0, "theirs")))
+    chain, actions = chain_replica(view, tail, ours)
+    entry = next_entry(theirs, 2, small_order(2, 1))
+    assert not is_next_entry(ours, entry)
+    chain.on_append_entries(AppendEntries(head, 1, (entry,)))
+    assert chain.state == ours
+    assert any(isinstance(action, Send) for action in actions), "it sends its position"
+
+
+def test_a_head_without_a_synced_successor_acknowledges_nothing() -> None:
+    send_changes_to_a_lone_head()
+
+
+def test_a_commit_by_chain_length_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    def commits_by_length(self: ChainReplica) -> bool:
+        return self.synced and self._successor is None
+
+    monkeypatch.setattr(ChainReplica, "is_tail", property(commits_by_length))
+    # Chains of one are no longer proposed: that they are is part of the fault.
+    monkeypatch.setattr(view_planning, "can_commit", lambda chain, _: bool(chain))
+    with pytest.raises(Broken, match="committed with 1 copies"):
+        send_changes_to_a_lone_head()
--- /dev/null
+++ b/tests/test_view_agreement.py
@@ -0,0 +1,145 @@
+"""Agreement on views: proposals and confirmations across restarts, leases, and sealed epochs."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from dunlinloft.coordination.actions import Send
+from dunlinloft.coordination.calls import Calls
+from dunlinloft.coordination.chain import ChainReplica
+from dunlinloft.coordination.records import DurableState
+from dunlinloft.coordination.replica import Replica
+from dunlinloft.coordination.state import ChainState
+from dunlinloft.coordination.views import AcceptedProposal, Member, ProposalNumber, View, initial_view
+from dunlinloft.coordination.voting_messages import Accept, Accepted, Prepare, PrepareResponse
+from dunlinloft.validation import validate
+from lab.control.cluster import Cluster
+from lab.control.operators import small_order
+from lab.control.rules import Broken
+from tests.replicas import chain_replica, cluster_without
+
+
+def test_a_restarted_proposer_uses_no_proposal_number_again() -> None:
+    view = initial_view(("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"))
+    me, second, third = view.roster
+    numbers = set()
+    for process in range(2):
+        # The promise is not on disk yet: after the restart it is unknown.
+        durable = DurableState(me.incarnation, view=view)
+        replica = Replica(me, True, durable, (), 1, validate, random.Random(process), 0.0)
+        replica.start(None)
+        replica._voting.propose(view, View(2, view.roster, (me, second), 2))
+        prepares = [a.message for a in replica._actions if isinstance(a, Send)]
+        numbers |= {message.proposal_number for message in prepares if isinstance(message, Prepare)}
+        assert third.address in {a.address for a in replica._actions if isinstance(a, Send)}
+    assert len(numbers) == 2
+
+
+def test_accepting_a_later_view_ends_the_lease() -> None:
+    cluster = Cluster(91)
+    cluster.run(1_000.0)
+    me, second, _ = (cluster.machines[address].replica for address in cluster.seeds)
+    assert me is not None
+    assert second is not None
+    assert me.view is not None
+    assert me.has_lease(cluster.now)
+    later = View(2, me.view.roster, me.view.chain[1:], 2)
+    me.handle(Accept(second.me, ProposalNumber(9, "second"), later), cluster.now)
+    # The third still echoes its heartbeats in this epoch; with the second it decided the later view.
+    assert not me.has_lease(cluster.now)
+
+
+def test_an_acceptance_from_before_a_restart_decides_nothing() -> None:
+    view = initial_view(("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"))
+    me, second, third = view.roster
+    replica = Replica(
+        me, True, DurableState(me.incarnation, view=view), (), 1, validate, random.Random(1), 0.0
+    )
+    replica.start(None)
+    desired = View(2, view.roster, (me, second), 2)
+    number = replica._voting.propose(view, desired)
+    for voter in (second, third):
+        replica.handle(PrepareResponse(voter, 2, number, None), 1.0)
+    stale = type(number)(number.number, f"{me.id}/another process")
+    for voter in (second, third):
+        replica.handle(Accepted(voter, 2, stale), 2.0)
+    assert replica.view == view
+    for voter in (second, third):
+        replica.handle(Accepted(voter, 2, number), 3.0)
+    assert replica.view == desired
+
+
+def test_nonces_of_confirmations_differ_between_processes() -> None:
+    nonces = set()
+    for process in range(2):
+        view = initial_view(("10.0.0.1:1", "10.0.0.2:1"))
+        chain, _ = chain_replica(view, view.chain[1], ChainState())
+        calls = Calls(view.chain[1], chain, validate, lambda _: None, lambda *_: None, random.Random(process))
+        nonces.add(calls._changes._confirmation._last_nonce)
+    assert len(nonces) == 2
+
+
+def _cluster_with_a_detached_member() -> tuple[Cluster, Replica, Member]:
+    """A chain of a synced head and a member behind it that is catching up; and a detached synced member."""
+    cluster = cluster_without(91, 2)
+    _, second, third = cluster.seeds
+    for version in range(1, 9):
+        cluster.order(small_order(version, version - 1), lambda _: None)
+        cluster.run(300.0)
+    cluster.stall(second, True)
+    cluster.start(third)
+    for _ in range(4_000):
+        cluster.run(0.5)
+        behind = cluster.machines[third].replica
+        assert behind is not None
+        assert behind.view is not None
+        view = behind.view
+        if view.detached and view.position_of(behind.me.id) and behind.chain.epoch == view.epoch:
+            assert [member.address for member in view.detached] == [second]
+            assert not behind.chain.synced
+            return cluster, behind, view.detached[0]
+    raise AssertionError("no view left a synced member detached")
+
+
+def _send_changes_beside_a_sealer() -> None:
+    """The member behind seals the epoch while the head, which has everything, still runs."""
+    cluster, behind, detached = _cluster_with_a_detached_member()
+    view = behind.view
+    assert view is not None
+    desired = View(view.epoch + 1, view.roster, (detached, behind.me), 1, (), behind.me.id)
+    accept = Accept(behind.me, ProposalNumber(50, behind.me.id), desired)
+    cluster._perform(cluster.machines[behind.me.address], behind.handle(accept, cluster.now))
+    for version in range(9, 15):
+        cluster.order(small_order(version, version - 1), lambda _: None)
+        cluster.run(300.0)
+    cluster.stall(detached.address, False)
+    cluster.run(5_000.0)
+
+
+def test_a_sealer_stops_its_epoch_before_others_rely_on_it() -> None:
+    _send_changes_beside_a_sealer()
+
+
+def test_a_sealer_that_does_not_stop_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(ChainReplica, "seal_epoch", lambda _: True)
+    with pytest.raises(Broken, match="after its witness had accepted"):
+        _send_changes_beside_a_sealer()
+
+
+def test_a_synced_member_cannot_seal_and_a_sealer_stays_stopped_after_a_restart() -> None:
+    cluster, behind, detached = _cluster_with_a_detached_member()
+    view = behind.view
+    assert view is not None
+    assert behind.chain.seal_epoch()
+    assert not behind.chain.seal_epoch(), "it takes no further part, and so can tell nothing more"
+    desired = View(view.epoch + 1, view.roster, (detached, behind.me), 1, (), behind.me.id)
+    durable = DurableState(
+        behind.me.incarnation, view=view, accepted=AcceptedProposal(ProposalNumber(1, "x"), desired)
+    )
+    restarted = Replica(behind.me, True, durable, (), 1, validate, random.Random(1), cluster.now)
+    assert restarted.chain.epoch == 0
+    head = cluster.machines[view.chain[0].address].replica
+    assert head is not None
+    assert not head.chain.seal_epoch(), "it has what the epoch may have committed"
