--- a/dunlinloft/controlplane/components.py
+++ b/dunlinloft/controlplane/components.py
@@ -16,8 +16,8 @@
 from dunlinloft.controlplane.replica_host import ReplicaHost
 from dunlinloft.controlplane.server_registrar import ServerRegistrar
 from dunlinloft.controlplane.stream_session import StreamServices
-from dunlinloft.coordination.nodes import Nodes
-from dunlinloft.coordination.placement import Placements
+from dunlinloft.coordination.node_registry import NodeRegistry
+from dunlinloft.coordination.placement.directory import PlacementDirectory
 from dunlinloft.coordination.records import DurableState
 from dunlinloft.coordination.registry import ServerRegistry
 from dunlinloft.coordination.replica import Replica
@@ -36,7 +36,7 @@
     replica_host: ReplicaHost
     disk: DiskWriter
     peers: PeerConnections
-    nodes: Nodes
+    nodes: NodeRegistry
     registry: ServerRegistry
     registrar: ServerRegistrar
     publisher: NodePublisher
@@ -91,15 +91,15 @@
     address = settings.control_address(settings.ip_address)
     registry = ServerRegistry(settings.heartbeat_interval_ms, started_ms)
     publisher = NodePublisher()
-    nodes = Nodes()
+    nodes = NodeRegistry()
     quotas = QuotaService(address, settings.timing_bounds, started_ms, nodes, replica, peers.send)
-    placements = Placements(
+    placements = PlacementDirectory(
         random.Random(secrets.randbits(64)), 1_000.0 * settings.timing_bounds.prefix_reuse_s
     )
     placement = PlacementService(placements)
     registry.restore(members.servers, now_ms())
-    nodes.seen(members.nodes, now_ms())
-    placements.follow(registry.records.values())
+    nodes.merge(members.nodes, now_ms())
+    placements.update_servers(registry.records.values())
     registrar = ServerRegistrar(
         address,
         registry,
--- a/dunlinloft/controlplane/loops.py
+++ b/dunlinloft/controlplane/loops.py
@@ -11,7 +11,7 @@
 
 from dunlinloft.controlplane.components import Components
 from dunlinloft.controlplane.member_cache import CachedMembers
-from dunlinloft.coordination.stream import Alive, NodesSeen, Replicas
+from dunlinloft.coordination.stream import ControlKeepalive, ControlPlaneView, NodeSightings
 from dunlinloft.transport import message_stream
 from dunlinloft.transport.clock import now_ms
 
@@ -66,7 +66,7 @@
         chain = tuple(member.address for member in view.chain)
         components.quotas.follow_view(view)
         components.publisher.publish_replicas(
-            Replicas(view.epoch, addresses, chain, components.nodes.count())
+            ControlPlaneView(view.epoch, addresses, chain, components.nodes.active_count())
         )
 
     async def _relay_heartbeats(self) -> None:
@@ -78,7 +78,7 @@
 
     async def _keep_alive(self) -> None:
         """Show all subscribed nodes that this replica is there."""
-        frame = message_stream.encode_frame(Alive())
+        frame = message_stream.encode_frame(ControlKeepalive())
         while True:
             await asyncio.sleep(KEEPALIVE_INTERVAL_S)
             self._components.publisher.broadcast(frame)
@@ -88,9 +88,9 @@
         components = self._components
         while True:
             await asyncio.sleep(NODE_EXCHANGE_INTERVAL_S)
-            components.nodes.forget(now_ms())
+            components.nodes.expire(now_ms())
             components.quotas.drop_expired()
-            frame = message_stream.encode_frame(NodesSeen(components.nodes.known(now_ms())))
+            frame = message_stream.encode_frame(NodeSightings(components.nodes.sightings(now_ms())))
             for address in components.replica.peer_addresses():
                 components.peers.send_frame(address, frame)
 
@@ -100,8 +100,10 @@
         cached_names: set[str] = set()
         while True:
             await asyncio.sleep(MEMBER_CACHE_INTERVAL_S)
-            names = {*components.registry.records, *components.nodes.names()}
+            names = {*components.registry.records, *components.nodes.active_names()}
             if cached_names != names:
                 cached_names = names
                 servers = tuple(components.registry.records.values())
-                await components.disk.write_members(CachedMembers(servers, components.nodes.known(now_ms())))
+                await components.disk.write_members(
+                    CachedMembers(servers, components.nodes.sightings(now_ms()))
+                )
--- a/dunlinloft/controlplane/member_cache.py
+++ b/dunlinloft/controlplane/member_cache.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from dunlinloft.controlplane.exceptions import MemberCacheError
-from dunlinloft.coordination.stream import NodeSeen, ServerRecord
+from dunlinloft.coordination.stream import NodeSighting, ServerRecord
 
 FORMAT_VERSION = 2
 
@@ -23,7 +23,7 @@
     """The servers and data-plane nodes that were known at one time."""
 
     servers: tuple[ServerRecord, ...] = ()
-    nodes: tuple[NodeSeen, ...] = ()
+    nodes: tuple[NodeSighting, ...] = ()
 
 
 class _CacheFile(Struct, frozen=True):
--- a/dunlinloft/controlplane/node_publisher.py
+++ b/dunlinloft/controlplane/node_publisher.py
@@ -10,14 +10,14 @@
 
 from dunlinloft.coordination.state import ChainState, ChangeKind, LogEntry
 from dunlinloft.coordination.stream import (
+    ConfigurationAnnouncement,
+    ConfigurationDelta,
     ConfigurationId,
-    Delta,
-    Replicas,
-    ServerNews,
-    Servers,
-    ServersComplete,
-    Version,
-    Whole,
+    ControlPlaneView,
+    FullConfiguration,
+    ServerSnapshot,
+    ServerSnapshotComplete,
+    ServerUpdates,
 )
 from dunlinloft.transport import message_stream
 
@@ -48,9 +48,9 @@
         self._update: LogEntry | None = None
         self._confirmed = False
         self._frames_by_form: dict[bool, bytes] = {}  # of the state: True as a delta, False in full
-        self._replicas: Replicas | None = None
+        self._replicas: ControlPlaneView | None = None
 
-    def subscribe(self, subscription: NodeSubscription, servers: Servers) -> None:
+    def subscribe(self, subscription: NodeSubscription, servers: ServerSnapshot) -> None:
         """Add a node, and send it what it lacks: the replicas, servers, then the configuration."""
         self.subscriptions.add(subscription)
         if self._replicas is not None:
@@ -59,7 +59,7 @@
         if subscription.receives_configurations:
             self._send_state(subscription)
         elif self._id.version:
-            subscription.writer.send(Version(self._id))
+            subscription.writer.send(ConfigurationAnnouncement(self._id))
 
     def unsubscribe(self, subscription: NodeSubscription) -> None:
         """Remove a node whose stream ended."""
@@ -106,12 +106,12 @@
         subscription.sent_id = current_id
         self._send_state(subscription)
 
-    def publish_servers(self, update: ServerNews) -> None:
+    def publish_servers(self, update: ServerUpdates) -> None:
         """Publish which servers were added, changed or removed, if any were."""
-        if update.changed or update.gone:
+        if update.changed or update.removed:
             self.broadcast(message_stream.encode_frame(update))
 
-    def publish_replicas(self, replicas: Replicas) -> None:
+    def publish_replicas(self, replicas: ControlPlaneView) -> None:
         """Publish the control plane's membership, where it changed."""
         if replicas != self._replicas:
             self._replicas = replicas
@@ -119,7 +119,7 @@
 
     def publish_servers_complete(self) -> None:
         """Publish that every live server has had the time to register here."""
-        self.broadcast(message_stream.encode_frame(ServersComplete()))
+        self.broadcast(message_stream.encode_frame(ServerSnapshotComplete()))
 
     def broadcast(self, frame: bytes) -> None:
         """Send one encoded message to every node."""
@@ -127,7 +127,7 @@
             subscription.writer.send_frame(frame)
 
     def _publish_current(self) -> None:
-        notice = message_stream.encode_frame(Version(self._id))
+        notice = message_stream.encode_frame(ConfigurationAnnouncement(self._id))
         for subscription in self.subscriptions:
             if subscription.receives_configurations:
                 self._send_state(subscription)
@@ -135,7 +135,7 @@
                 subscription.writer.send_frame(notice)
 
     def _send_state(self, subscription: NodeSubscription) -> None:
-        if not self._id.version or not self._id.replaces(subscription.sent_id, self._confirmed):
+        if not self._id.version or not self._id.supersedes(subscription.sent_id, self._confirmed):
             return
         as_delta = self._update is not None and self._base_id == subscription.sent_id
         frame = self._frames_by_form.get(as_delta)
@@ -145,7 +145,7 @@
         subscription.sent_id = self._id
         subscription.writer.send_frame(frame)
 
-    def _state_message(self, as_delta: bool) -> Delta | Whole:
+    def _state_message(self, as_delta: bool) -> ConfigurationDelta | FullConfiguration:
         if as_delta and self._update is not None:
-            return Delta(self._base_id, self._id, self._confirmed, self._update.change.body)
-        return Whole(self._id, self._confirmed, self._state.document)
+            return ConfigurationDelta(self._base_id, self._id, self._confirmed, self._update.change.body)
+        return FullConfiguration(self._id, self._confirmed, self._state.document)
--- a/dunlinloft/controlplane/placement_service.py
+++ b/dunlinloft/controlplane/placement_service.py
@@ -7,8 +7,16 @@
 from __future__ import annotations
 
 from dunlinloft.configuration import Configuration, Service
-from dunlinloft.coordination.placement import PlacementRequest, Placements
-from dunlinloft.coordination.stream import Place, PlaceBegan, PlaceChosen, Placed, PlaceEnded
+from dunlinloft.coordination.placement.demand import PlacementDemand
+from dunlinloft.coordination.placement.directory import PlacementDirectory
+from dunlinloft.coordination.placement.service import PlacementId
+from dunlinloft.coordination.stream import (
+    LocalPlacement,
+    PlacementCompleted,
+    PlacementQuery,
+    PlacementReply,
+    PrefillCompleted,
+)
 from dunlinloft.transport.clock import now_ms
 
 NO_CAPACITY_RETRY_MS = 30.0  # delay of a request that rather waits than fails, where no server has a slot
@@ -20,40 +28,45 @@
     A request is identified by the stream it came on (`stream_number`) and its number there.
     """
 
-    def __init__(self, placements: Placements) -> None:
+    def __init__(self, placements: PlacementDirectory) -> None:
         self._placements = placements
 
     def configure(self, configuration: Configuration) -> None:
         """Apply the size of the servers' prefix caches from a committed configuration."""
-        self._placements.set_memory(_cache_tokens_by_service(configuration.services))
+        self._placements.set_kv_cache_tokens(_cache_tokens_by_service(configuration.services))
 
-    def choose_server(self, stream_number: int, message: Place) -> Placed:
+    def choose_server(self, stream_number: int, message: PlacementQuery) -> PlacementReply:
         """Choose the server that a request should go to."""
-        request = PlacementRequest(message.parts, message.answer_tokens, message.patient)
-        ticket = (stream_number, message.number)
+        request = PlacementDemand(
+            message.prompt_segments, message.max_output_tokens, message.wait_for_capacity
+        )
+        placement_id = PlacementId(stream_number, message.request_id)
         service = self._placements.service(message.service)
-        server_id = service.place(ticket, request, message.avoided, now_ms())
-        wait_ms = NO_CAPACITY_RETRY_MS if server_id is None and message.patient else 0.0
-        return Placed(message.number, message.service, server_id or "", wait_ms)
+        server_id = service.assign(placement_id, request, message.excluded_servers, now_ms())
+        wait_ms = NO_CAPACITY_RETRY_MS if server_id is None and message.wait_for_capacity else 0.0
+        return PlacementReply(message.request_id, message.service, server_id or "", wait_ms)
 
-    def on_chosen(self, stream_number: int, message: PlaceChosen) -> None:
+    def on_chosen(self, stream_number: int, message: LocalPlacement) -> None:
         """Record that a node chose a server by itself, as no advice came in time."""
-        request = PlacementRequest(message.parts, message.answer_tokens)
+        request = PlacementDemand(message.prompt_segments, message.max_output_tokens)
         service = self._placements.service(message.service)
-        service.chosen((stream_number, message.number), request, message.server_id, now_ms())
+        placement_id = PlacementId(stream_number, message.request_id)
+        service.on_local_placement(placement_id, request, message.server_id, now_ms())
 
-    def on_decode_started(self, stream_number: int, message: PlaceBegan) -> None:
+    def on_decode_started(self, stream_number: int, message: PrefillCompleted) -> None:
         """Record that the first token of a placed request's answer came: its prefill is over."""
-        self._placements.service(message.service).began((stream_number, message.number))
+        self._placements.service(message.service).on_prefill_completed(
+            PlacementId(stream_number, message.request_id)
+        )
 
-    def on_finished(self, stream_number: int, message: PlaceEnded) -> None:
+    def on_finished(self, stream_number: int, message: PlacementCompleted) -> None:
         """Record that a placed request is no longer in flight."""
         service = self._placements.service(message.service)
-        service.ended((stream_number, message.number), message.failed, now_ms())
+        service.on_completed(PlacementId(stream_number, message.request_id), message.server_failed, now_ms())
 
     def on_stream_closed(self, stream_number: int) -> None:
         """Drop the requests of a stream that ended: nothing more will be received about them."""
-        self._placements.stream_lost(stream_number, now_ms())
+        self._placements.on_stream_lost(stream_number, now_ms())
 
 
 def _cache_tokens_by_service(services: tuple[Service, ...]) -> dict[str, int]:
--- a/dunlinloft/controlplane/quota_service.py
+++ b/dunlinloft/controlplane/quota_service.py
@@ -1,7 +1,7 @@
 """Tenants' quotas as this control plane serves them to data-plane nodes.
 
 Quotas are sharded over the chain by tenant; each has one owner, which grants only under its lease. The rules
-are in `dunlinloft.coordination.quotas`.
+are in `dunlinloft.coordination.quota`.
 """
 
 from __future__ import annotations
@@ -9,10 +9,12 @@
 from collections.abc import Callable
 
 from dunlinloft.configuration import Configuration
-from dunlinloft.coordination.nodes import Nodes
-from dunlinloft.coordination.quotas import NodeHoldings, QuotaAsk, QuotaLimit, QuotaOwner
+from dunlinloft.coordination.node_registry import NodeRegistry
+from dunlinloft.coordination.quota.bounds import QuotaLimit
+from dunlinloft.coordination.quota.demand import NotQuotaOwner, QuotaDemand, QuotaHoldings
+from dunlinloft.coordination.quota.owner import QuotaOwner
 from dunlinloft.coordination.replica import Replica
-from dunlinloft.coordination.stream import HoldsShares, QuotaGranted, QuotasHandedOver, TakeQuota
+from dunlinloft.coordination.stream import QuotaGrant, QuotaHandover, QuotaHoldingsReport, QuotaRequest
 from dunlinloft.coordination.views import View
 from dunlinloft.quota_bounds import quota_bounds
 from dunlinloft.settings import TimingBounds
@@ -39,9 +41,9 @@
         address: str,
         bounds: TimingBounds,
         started_ms: float,
-        nodes: Nodes,
+        nodes: NodeRegistry,
         replica: Replica,
-        send: Callable[[str, QuotasHandedOver], None],
+        send: Callable[[str, QuotaHandover], None],
     ) -> None:
         self._replica = replica
         self._send = send
@@ -57,52 +59,52 @@
         """Take over the quotas that this replica owns by a view, and hand over those it no longer owns."""
         chain = tuple(member.address for member in view.chain)
         for given_up in self._owner.set_chain(view.epoch, chain, now_ms()):
-            self._send(given_up.owner, QuotasHandedOver(view.epoch, given_up.levels))
+            self._send(given_up.new_owner, QuotaHandover(view.epoch, given_up.levels))
 
     def refill(self) -> None:
         """Refill quotas for the time that has passed; called with every tick."""
-        self._owner.settle(self._replica.has_lease(now_ms()), now_ms())
+        self._owner.refill(self._replica.has_lease(now_ms()), now_ms())
 
     def drop_expired(self) -> None:
         """Drop shares and holdings that have ended; called every second or so."""
-        self._owner.forget(now_ms())
+        self._owner.expire(now_ms())
 
-    def node_subscribed(self, node: str, uptime_ms: float, holdings: HoldsShares) -> None:
+    def node_subscribed(self, node: str, uptime_ms: float, holdings: QuotaHoldingsReport) -> None:
         """Register a node whose stream began."""
-        self._owner.node_seen(uptime_ms, now_ms())
+        self._owner.on_node_subscribed(uptime_ms, now_ms())
         self.set_holdings(node, holdings)
 
-    def set_holdings(self, node: str, message: HoldsShares) -> None:
+    def set_holdings(self, node: str, message: QuotaHoldingsReport) -> None:
         """Record a node's quota shares and reserves."""
-        holdings = NodeHoldings(message.epoch, message.shares, message.reserves)
-        self._owner.holds(node, holdings, now_ms())
+        holdings = QuotaHoldings(message.epoch, message.shares, message.reserves)
+        self._owner.on_holdings(node, holdings, now_ms())
 
-    def on_handed_over(self, message: QuotasHandedOver) -> None:
+    def on_handed_over(self, message: QuotaHandover) -> None:
         """Record the remaining levels of quotas that another replica owned until now."""
-        self._owner.hand_over(message.epoch, message.levels)
+        self._owner.on_handover(message.epoch, message.levels)
 
-    def grant(self, node: str, message: TakeQuota) -> QuotaGranted:
+    def grant(self, node: str, message: QuotaRequest) -> QuotaGrant:
         """Answer a node's request for a part of a tenant's quota."""
         now = now_ms()
         view = self._replica.view
         if view is not None:
             # The view may have been learned since the last tick: it ends what was owned by the one before.
             self.follow_view(view)
-        request = QuotaAsk(
+        request = QuotaDemand(
             node,
             message.tenant,
             message.amount,
-            message.reserve,
-            message.share,
-            message.alone,
-            message.returned,
+            message.wanted_reserve,
+            message.current_share,
+            message.autonomous,
+            message.is_retry,
         )
-        taken = self._owner.take(request, self._replica.has_lease(now), now)
-        if taken is None:
-            return QuotaGranted(message.number, message.tenant, 0.0, 0.0, 0.0, 0.0, False)
+        taken = self._owner.handle_request(request, self._replica.has_lease(now), now)
+        if isinstance(taken, NotQuotaOwner):
+            return QuotaGrant(message.request_id, message.tenant, 0.0, 0.0, 0.0, 0.0, False)
         amount = 0.0 if taken.wait_ms else message.amount
-        return QuotaGranted(
-            message.number,
+        return QuotaGrant(
+            message.request_id,
             message.tenant,
             amount,
             taken.reserve,
--- a/dunlinloft/controlplane/replica_host.py
+++ b/dunlinloft/controlplane/replica_host.py
@@ -15,7 +15,7 @@
 from dunlinloft.coordination.messages import ReplicaMessage
 from dunlinloft.coordination.replica import Replica
 from dunlinloft.coordination.state import ChainState, ConfigurationChange, LogEntry
-from dunlinloft.coordination.stream import ToControl
+from dunlinloft.coordination.stream import ControlPlaneInbound
 from dunlinloft.coordination.views import View
 from dunlinloft.transport.clock import now_ms
 
@@ -49,7 +49,7 @@
         """Start the replica, with the view to begin with where this is the first start of all."""
         self._perform(self._replica.start(initial_view))
 
-    def handle(self, message: ToControl) -> None:
+    def handle(self, message: ControlPlaneInbound) -> None:
         """Hand the replica a message; it ignores those that are not from a replica."""
         self._perform(self._replica.handle(cast(ReplicaMessage, message), now_ms()))
 
--- a/dunlinloft/controlplane/server_registrar.py
+++ b/dunlinloft/controlplane/server_registrar.py
@@ -16,9 +16,9 @@
 from msgspec import Struct
 
 from dunlinloft.controlplane.node_publisher import NodePublisher
-from dunlinloft.coordination.placement import Placements
+from dunlinloft.coordination.placement.directory import PlacementDirectory
 from dunlinloft.coordination.registry import ServerRegistry
-from dunlinloft.coordination.stream import Beats, BeatsTaken, ServerNews, ServerRecord
+from dunlinloft.coordination.stream import ServerHeartbeats, ServerHeartbeatsAck, ServerRecord, ServerUpdates
 from dunlinloft.coordination.views import View, majority_of
 from dunlinloft.transport.clock import now_ms
 
@@ -62,7 +62,7 @@
         address: str,
         registry: ServerRegistry,
         publisher: NodePublisher,
-        placements: Placements,
+        placements: PlacementDirectory,
         in_contact: Callable[[], View | None],
         peer_addresses: Callable[[], set[str]],
         send: Callable[[str, Struct], None],
@@ -106,7 +106,7 @@
         replication = _Replication(view, set())
         self._replications[number] = replication
         replication.acknowledge(self._address)
-        message = Beats(records, left, self._address, number)
+        message = ServerHeartbeats(records, left, self._address, number)
         try:
             async with asyncio.timeout(REPLICATION_TIMEOUT_S):
                 while not replication.majority_reached.is_set():
@@ -118,7 +118,7 @@
         self._replicated.add(server_id)
         return True
 
-    async def _send_round(self, replication: _Replication, message: Beats) -> None:
+    async def _send_round(self, replication: _Replication, message: ServerHeartbeats) -> None:
         """Send to all that have not acknowledged, and wait for a majority or the time to resend."""
         for member in replication.view.roster:
             if member.address not in replication.acknowledged_by:
@@ -129,20 +129,20 @@
         except TimeoutError:
             return
 
-    def on_relayed_heartbeats(self, message: Beats) -> None:
+    def on_relayed_heartbeats(self, message: ServerHeartbeats) -> None:
         """Apply heartbeats that another control plane received, and acknowledge them where it wants that."""
         now = now_ms()
         for record in message.records:
             self._registry.on_heartbeat(record, now, relayed=True)
-        for server_id in message.gone:
+        for server_id in message.removed:
             self._registry.on_deregistration(server_id, now, relayed=True)
         self.publish_changes()
-        if message.number:
-            self._send(message.sender, BeatsTaken(self._address, message.number))
+        if message.announcement_id:
+            self._send(message.sender, ServerHeartbeatsAck(self._address, message.announcement_id))
 
-    def on_replication_acknowledged(self, message: BeatsTaken) -> None:
+    def on_replication_acknowledged(self, message: ServerHeartbeatsAck) -> None:
         """Record that another control plane has what was replicated to it."""
-        replication = self._replications.get(message.number)
+        replication = self._replications.get(message.announcement_id)
         if replication is not None:
             replication.acknowledge(message.sender)
 
@@ -152,14 +152,14 @@
         if changes.changed or changes.removed:
             self._replicated &= self._registry.records.keys()
             expired = self._registry.drain_expired()
-            self._publisher.publish_servers(ServerNews(changes.changed, changes.removed, expired))
-            self._placements.follow(self._registry.records.values())
+            self._publisher.publish_servers(ServerUpdates(changes.changed, changes.removed, expired))
+            self._placements.update_servers(self._registry.records.values())
             self.relay_heartbeats()
 
     def relay_heartbeats(self) -> None:
         """Send other control planes the heartbeats that were received here since the last call."""
         received = self._registry.drain_heartbeats()
         if received.records or received.deregistered:
-            message = Beats(received.records, received.deregistered)
+            message = ServerHeartbeats(received.records, received.deregistered)
             for address in self._peer_addresses():
                 self._send(address, message)
--- a/dunlinloft/controlplane/stream_server.py
+++ b/dunlinloft/controlplane/stream_server.py
@@ -11,14 +11,14 @@
 from absl import logging
 
 from dunlinloft.controlplane.stream_session import StreamServices, StreamSession
-from dunlinloft.coordination.stream import ToControl
+from dunlinloft.coordination.stream import ControlPlaneInbound
 from dunlinloft.transport import message_stream
 from dunlinloft.transport.tasks import BackgroundTasks
 
 STREAM_IDLE_TIMEOUT_S = 2.0  # nodes and replicas send something each 0.3 s; a stream idle for longer is ended
 LISTEN_BACKLOG = 512  # connections not accepted yet: all nodes may reconnect at once
 
-_decoder = msgspec.json.Decoder(ToControl)
+_decoder = msgspec.json.Decoder(ControlPlaneInbound)
 
 
 class StreamServer:
--- a/dunlinloft/controlplane/stream_session.py
+++ b/dunlinloft/controlplane/stream_session.py
@@ -9,26 +9,26 @@
 from dunlinloft.controlplane.quota_service import QuotaService
 from dunlinloft.controlplane.replica_host import ReplicaHost
 from dunlinloft.controlplane.server_registrar import ServerRegistrar
-from dunlinloft.coordination.nodes import Nodes
+from dunlinloft.coordination.node_registry import NodeRegistry
 from dunlinloft.coordination.registry import ServerRegistry
 from dunlinloft.coordination.stream import (
-    Beats,
-    BeatsTaken,
-    Fetch,
-    Held,
-    HoldsShares,
-    NodeAlive,
-    NodeEnds,
-    NodesSeen,
-    Place,
-    PlaceBegan,
-    PlaceChosen,
-    PlaceEnded,
-    QuotasHandedOver,
-    Servers,
+    ConfigurationApplied,
+    ControlPlaneInbound,
+    FetchConfiguration,
+    LocalPlacement,
+    NodeKeepalive,
+    NodeShutdown,
+    NodeSightings,
+    PlacementCompleted,
+    PlacementQuery,
+    PrefillCompleted,
+    QuotaHandover,
+    QuotaHoldingsReport,
+    QuotaRequest,
+    ServerHeartbeats,
+    ServerHeartbeatsAck,
+    ServerSnapshot,
     Subscribe,
-    TakeQuota,
-    ToControl,
 )
 from dunlinloft.transport.clock import now_ms
 from dunlinloft.transport.message_stream import MessageWriter
@@ -39,7 +39,7 @@
     """What messages are handed to; shared by all sessions."""
 
     replica_host: ReplicaHost
-    nodes: Nodes
+    nodes: NodeRegistry
     registry: ServerRegistry
     registrar: ServerRegistrar
     publisher: NodePublisher
@@ -65,18 +65,23 @@
         self._services = services
         self._subscription: NodeSubscription | None = None
 
-    def handle(self, message: ToControl) -> None:
+    def handle(self, message: ControlPlaneInbound) -> None:
         """Dispatch one message."""
         match message:
             case Subscribe():
                 self._subscribe(message)
-            case Fetch() | Held() | HoldsShares() | NodeEnds() | NodeAlive() | TakeQuota() if (
-                self._subscription is not None
-            ):
+            case (
+                FetchConfiguration()
+                | ConfigurationApplied()
+                | QuotaHoldingsReport()
+                | NodeShutdown()
+                | NodeKeepalive()
+                | QuotaRequest()
+            ) if self._subscription is not None:
                 self._handle_node(self._subscription, message)
-            case Place() | PlaceChosen() | PlaceBegan() | PlaceEnded():
+            case PlacementQuery() | LocalPlacement() | PrefillCompleted() | PlacementCompleted():
                 self._handle_placement(message)
-            case Beats() | BeatsTaken() | QuotasHandedOver() | NodesSeen():
+            case ServerHeartbeats() | ServerHeartbeatsAck() | QuotaHandover() | NodeSightings():
                 self._handle_peer(message)
             case _:
                 self._services.replica_host.handle(message)
@@ -90,57 +95,72 @@
     def _subscribe(self, message: Subscribe) -> None:
         services = self._services
         subscription = NodeSubscription(
-            message.node, self._writer, message.held, message.held, message.wants_configurations
+            message.node,
+            self._writer,
+            message.configuration_id,
+            message.configuration_id,
+            message.wants_configurations,
         )
         self._subscription = subscription
         now = now_ms()
-        services.nodes.heard(message.node, False, now)
-        services.quotas.node_subscribed(message.node, message.uptime_ms, message.shares)
+        services.nodes.on_message(message.node, False, now)
+        services.quotas.node_subscribed(message.node, message.uptime_ms, message.quota_holdings)
         services.registrar.publish_changes()
-        ranges = services.registry.digests.differing(message.digests)
-        servers = Servers(services.registry.is_complete(now), ranges, services.registry.in_ranges(ranges))
+        ranges = services.registry.digests.differing(message.server_digests)
+        servers = ServerSnapshot(
+            services.registry.is_complete(now), ranges, services.registry.in_ranges(ranges)
+        )
         services.publisher.subscribe(subscription, servers)
 
     def _handle_node(
         self,
         subscription: NodeSubscription,
-        message: Fetch | Held | HoldsShares | NodeEnds | NodeAlive | TakeQuota,
+        message: FetchConfiguration
+        | ConfigurationApplied
+        | QuotaHoldingsReport
+        | NodeShutdown
+        | NodeKeepalive
+        | QuotaRequest,
     ) -> None:
         services = self._services
         match message:
-            case Fetch():
-                services.publisher.resend_after(subscription, message.held)
-            case Held():
+            case FetchConfiguration():
+                services.publisher.resend_after(subscription, message.current)
+            case ConfigurationApplied():
                 subscription.acknowledged_id = message.id
-            case HoldsShares():
+            case QuotaHoldingsReport():
                 services.quotas.set_holdings(subscription.node, message)
-            case NodeEnds():
-                services.nodes.ended(subscription.node, now_ms())
-            case NodeAlive():
-                services.nodes.heard(subscription.node, message.hears, now_ms())
-            case TakeQuota():
+            case NodeShutdown():
+                services.nodes.on_shutdown(subscription.node, now_ms())
+            case NodeKeepalive():
+                services.nodes.on_message(subscription.node, message.receives_replies, now_ms())
+            case QuotaRequest():
                 self._writer.send(services.quotas.grant(subscription.node, message))
 
-    def _handle_placement(self, message: Place | PlaceChosen | PlaceBegan | PlaceEnded) -> None:
+    def _handle_placement(
+        self, message: PlacementQuery | LocalPlacement | PrefillCompleted | PlacementCompleted
+    ) -> None:
         placement = self._services.placement
         match message:
-            case Place():
+            case PlacementQuery():
                 self._writer.send(placement.choose_server(self._number, message))
-            case PlaceChosen():
+            case LocalPlacement():
                 placement.on_chosen(self._number, message)
-            case PlaceBegan():
+            case PrefillCompleted():
                 placement.on_decode_started(self._number, message)
-            case PlaceEnded():
+            case PlacementCompleted():
                 placement.on_finished(self._number, message)
 
-    def _handle_peer(self, message: Beats | BeatsTaken | QuotasHandedOver | NodesSeen) -> None:
+    def _handle_peer(
+        self, message: ServerHeartbeats | ServerHeartbeatsAck | QuotaHandover | NodeSightings
+    ) -> None:
         services = self._services
         match message:
-            case Beats():
+            case ServerHeartbeats():
                 services.registrar.on_relayed_heartbeats(message)
-            case BeatsTaken():
+            case ServerHeartbeatsAck():
                 services.registrar.on_replication_acknowledged(message)
-            case QuotasHandedOver():
+            case QuotaHandover():
                 services.quotas.on_handed_over(message)
-            case NodesSeen():
-                services.nodes.seen(message.nodes, now_ms())
+            case NodeSightings():
+                services.nodes.merge(message.nodes, now_ms())
--- /dev/null
+++ b/dunlinloft/coordination/placement/cost.py
@@ -0,0 +1,43 @@
+"""What a request would wait for, and waste, at a server, in prompt tokens to process."""
+
+from __future__ import annotations
+
+from dunlinloft.coordination.placement.demand import KeyedRequest
+from dunlinloft.coordination.placement.server_load import LONG_PROMPT_TOKENS, ServerLoad
+
+# Fraction of its tokens to prefill that a long prompt costs for each short prompt that it slows down.
+INTERFERENCE_FRACTION = 0.15
+# Fraction of a server's recent long prefill that a short prompt expects to be slowed down by.
+RECENT_PREFILL_FRACTION = 0.25
+# Times its tokens that a shared segment costs where it was used a moment ago and would be prefilled again.
+REPEATED_PREFILL_MULTIPLE = 4.0
+# For each request in flight, where nothing is known of the prompt. In tokens.
+UNKNOWN_PROMPT_COST_TOKENS = 800.0
+# Of a server without free capacity, and of one that failed within `FAILURE_PENALTY_MS`: chosen only where
+# there is no other. In tokens.
+FULL_SERVER_COST_TOKENS = 1e6
+FAILED_SERVER_COST_TOKENS = 1e5
+FAILURE_PENALTY_MS = 1_000.0
+
+
+def placement_cost(load: ServerLoad, request: KeyedRequest, recent_segments: int, now_ms: float) -> float:
+    """Return the cost of a request at a server, in prompt tokens.
+
+    `recent_segments` is how many leading segments of its prompt were used a moment ago somewhere in the
+    service.
+    """
+    cached_segments = load.prefix_cache.hit_segments(request.keys)
+    miss_tokens = sum(key.tokens for key in request.keys[cached_segments:])
+    repeated_tokens = sum(key.tokens for key in request.keys[cached_segments:recent_segments])
+    cost = load.pending_prefill_tokens + miss_tokens + (REPEATED_PREFILL_MULTIPLE - 1.0) * repeated_tokens
+    if request.prompt_tokens < LONG_PROMPT_TOKENS:
+        cost += RECENT_PREFILL_FRACTION * load.recent_long_prefill.value(now_ms)
+    else:
+        cost += INTERFERENCE_FRACTION * miss_tokens * load.short_prompts_in_flight
+    if not request.prompt_tokens:
+        cost += UNKNOWN_PROMPT_COST_TOKENS * load.in_flight
+    if load.is_full(request.total_tokens):
+        cost += FULL_SERVER_COST_TOKENS * (1.0 + load.in_flight / max(1, load.record.capacity))
+    if now_ms - load.failed_ms < FAILURE_PENALTY_MS:
+        cost += FAILED_SERVER_COST_TOKENS
+    return cost
--- /dev/null
+++ b/dunlinloft/coordination/quota/owner.py
@@ -0,0 +1,221 @@
+"""The owner's side of tenants' quotas: refills buckets, grants nodes' requests, accounts for what nodes hold.
+
+See the package for why the bound on each window holds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from dunlinloft.coordination.node_registry import NodeRegistry
+from dunlinloft.coordination.quota.bounds import BucketStart, QuotaBounds, QuotaLimit
+from dunlinloft.coordination.quota.bucket import QuotaBucket
+from dunlinloft.coordination.quota.demand import NotQuotaOwner, QuotaDecision, QuotaDemand, QuotaHoldings
+from dunlinloft.coordination.quota.ownership import OwnershipChange, QuotaOwnership, ReleasedQuotas
+from dunlinloft.coordination.quota.shares import MAX_SHARE_MULTIPLE, TenantShares
+
+# A node that started at most so long before its owner started together with it, as after a power cut.
+FLEET_RESTART_WINDOW_MS = 2_000.0
+# Buckets are refilled in steps of at least so long: its cost grows with nodes, not with requests.
+REFILL_INTERVAL_MS = 10.0
+# Multiple of its amount that has to be there for a retry: that request is late, and whatever is short goes to
+# first attempts, which can be answered in time (docs/deciding.md, round 11).
+RETRY_LEVEL_MULTIPLE = 4.0
+# Multiple of a tenant's rate that first attempts alone request, from where on waiting is of no use.
+SCARCITY_DEMAND_MULTIPLE = 1.15
+
+
+class QuotaOwner:
+    """The quotas that one control plane owns.
+
+    Owned by the control plane's roles, which call it with each message of a node or replica and with each
+    tick. It holds no clock: every call says the time. The `NodeRegistry` is kept up to date by the host.
+    """
+
+    def __init__(
+        self,
+        address: str,
+        started_ms: float,
+        bounds: QuotaBounds,
+        nodes: NodeRegistry,
+        lease_expired: Callable[[str, float], bool] = lambda *_: False,
+    ) -> None:
+        """Start without limits, and without a chain.
+
+        Parameters
+        ----------
+        address
+            This control plane's.
+        started_ms
+            When its process started.
+        lease_expired
+            Tells whether the previous owner, at an address, can grant no more at a time in ms.
+        """
+        self._started_ms = started_ms
+        self._bounds = bounds
+        self._nodes = nodes
+        self._ownership = QuotaOwnership(address, lease_expired)
+        self._limits: dict[str, QuotaLimit] = {}  # by tenant
+        self._buckets: dict[str, QuotaBucket] = {}  # by tenant that may be granted from
+        self._holdings: dict[str, QuotaHoldings] = {}  # by node
+        # Owner and nodes started together, as far as is known: nothing was spent while they were down.
+        self._fleet_restarted = True
+        self._refilled_ms = started_ms
+        self._was_leased = False  # at the last refill
+        self._node_count = 1
+
+    # What the host learns: nodes, limits, chains.
+
+    def on_node_subscribed(self, uptime_ms: float, now_ms: float) -> None:
+        """Take a node's subscription. One that ran before this owner may have spent meanwhile."""
+        if now_ms - uptime_ms >= self._started_ms - FLEET_RESTART_WINDOW_MS:
+            return
+        if self._fleet_restarted:
+            self._fleet_restarted = False
+            for tenant, bucket in self._buckets.items():
+                level = self._bounds.initial_level(self._limits[tenant], BucketStart.AFTER_WAIT)
+                bucket.level = min(bucket.level, level)
+
+    def set_limits(self, limits: dict[str, QuotaLimit]) -> None:
+        """Take the limits of all tenants that have one."""
+        self._limits = limits
+        for tenant in [name for name in self._buckets if name not in limits]:
+            del self._buckets[tenant]
+        for tenant, bucket in self._buckets.items():
+            bucket.base_capacity = self._bounds.base_capacity(limits[tenant])
+            bucket.reserve_pool = self._bounds.reserve_pool(limits[tenant])
+            bucket.level = min(bucket.level, bucket.capacity)
+
+    def set_chain(self, epoch: int, chain: tuple[str, ...], now_ms: float) -> list[ReleasedQuotas]:
+        """Take the control planes among which quotas are sharded now.
+
+        Returns what this owner has to hand over to others; what came over is waited for.
+        """
+        change = self._ownership.set_chain(epoch, chain, self._limits, now_ms)
+        if change is None:
+            return []
+        released = self._release(change)
+        for tenant in change.gained:
+            self._buckets.pop(tenant, None)
+        if change.gained and not change.first_chain:
+            self._fleet_restarted = False
+        return released
+
+    def _release(self, change: OwnershipChange) -> list[ReleasedQuotas]:
+        by_owner: dict[str, ReleasedQuotas] = {}
+        for tenant, new_owner in change.lost.items():
+            bucket = self._buckets.pop(tenant, None)
+            if bucket is not None and new_owner is not None and not change.epoch_skipped:
+                released = by_owner.setdefault(new_owner, ReleasedQuotas(new_owner))
+                released.levels[tenant] = bucket.level
+        return list(by_owner.values())
+
+    def on_handover(self, epoch: int, levels: dict[str, float]) -> None:
+        """Take quotas that the previous owner gave up for an epoch, which may not be known here yet."""
+        self._ownership.on_handover(epoch, levels)
+
+    def on_holdings(self, node: str, holdings: QuotaHoldings, now_ms: float) -> None:
+        """Take a node's report of what it holds; an older one than is known is ignored."""
+        known = self._holdings.get(node)
+        if known is not None and known.epoch > holdings.epoch:
+            return
+        self._holdings[node] = holdings
+        for tenant, bucket in self._buckets.items():
+            self._account(tenant, bucket, node, holdings, now_ms)
+
+    def _account(
+        self, tenant: str, bucket: QuotaBucket, node: str, holdings: QuotaHoldings, now_ms: float
+    ) -> None:
+        """Count a node's holdings in a bucket, unless the report is from before the tenant came here."""
+        owned_since = self._ownership.owned_since(tenant)
+        if holdings.epoch >= (self._ownership.epoch if owned_since is None else owned_since):
+            bucket.shares.on_report(node, holdings.shares.get(tenant, 0.0), False, now_ms)
+            # Only the first report counts: whatever the node holds beyond it was drawn here since.
+            bucket.reported_reserves.setdefault(node, holdings.reserves.get(tenant, 0.0))
+
+    # Time.
+
+    def refill(self, leased: bool, now_ms: float) -> None:
+        """Fill the buckets for the time since the last call, and open those that may be; called each tick.
+
+        Time counts only where the lease was held at both its ends: without an owner, nodes spend the whole
+        rate.
+        """
+        elapsed_s = max(0.0, now_ms - self._refilled_ms) / 1_000.0
+        if leased and self._was_leased:
+            disconnected = self._nodes.disconnected(now_ms)
+            for tenant, bucket in self._buckets.items():
+                owner_share = 1.0 - bucket.shares.autonomous_fraction(disconnected)
+                bucket.fill(self._limits[tenant].rate_per_s * owner_share * elapsed_s)
+        self._refilled_ms = max(self._refilled_ms, now_ms)
+        self._was_leased = leased
+        if leased:
+            self._open_buckets(now_ms)
+        self._update_unreported()
+
+    def _open_buckets(self, now_ms: float) -> None:
+        for tenant, limit in self._limits.items():
+            if tenant in self._buckets or not self._ownership.may_grant(tenant, now_ms):
+                continue
+            level = self._ownership.handed_over_level(tenant)
+            if level is None:
+                start = (
+                    BucketStart.FLEET_RESTART if self._fleet_restarted else self._ownership.start_of(tenant)
+                )
+                level = self._bounds.initial_level(limit, start)
+            pool = self._bounds.reserve_pool(limit)
+            unreported = 0.0 if self._fleet_restarted else pool
+            bucket = QuotaBucket(
+                self._bounds.base_capacity(limit),
+                pool,
+                level,
+                TenantShares(),
+                unreported_reserves=unreported,
+            )
+            self._buckets[tenant] = bucket
+            for node, holdings in self._holdings.items():
+                self._account(tenant, bucket, node, holdings, now_ms)
+
+    def _start_of(self, tenant: str) -> BucketStart:
+        return BucketStart.FLEET_RESTART if self._fleet_restarted else self._ownership.start_of(tenant)
+
+    def _update_unreported(self) -> None:
+        """Bound what those nodes may hold that have not reported since a tenant's quota came here."""
+        nodes = self._nodes.active_names()
+        self._node_count = max(1, len(nodes))
+        reported = [self._holdings[node].epoch if node in self._holdings else -1 for node in nodes]
+        for tenant, bucket in self._buckets.items():
+            since = self._ownership.owned_since(tenant) or 0
+            missing = 0 if self._fleet_restarted else sum(epoch < since for epoch in reported)
+            bucket.shares.max_unreported = min(1.0, MAX_SHARE_MULTIPLE * missing / max(1, len(nodes)))
+            bucket.unreported_reserves = bucket.reserve_pool * bucket.shares.max_unreported
+
+    def expire(self, now_ms: float) -> None:
+        """Drop shares that have expired, and holdings of nodes that left; called periodically."""
+        names = set(self._nodes.active_names())
+        self._holdings = {node: holdings for node, holdings in self._holdings.items() if node in names}
+        for bucket in self._buckets.values():
+            bucket.shares.expire(now_ms)
+
+    # Requests.
+
+    def handle_request(
+        self, demand: QuotaDemand, leased: bool, now_ms: float
+    ) -> QuotaDecision | NotQuotaOwner:
+        """Decide on a node's request; `leased` tells whether this replica holds its lease now."""
+        limit = self._limits.get(demand.tenant)
+        if limit is None or not leased or not self._ownership.may_grant(demand.tenant, now_ms):
+            return NotQuotaOwner()
+        if demand.tenant not in self._buckets or now_ms - self._refilled_ms >= REFILL_INTERVAL_MS:
+            self.refill(leased, now_ms)
+        bucket = self._buckets[demand.tenant]
+        bucket.shares.on_report(demand.node, demand.current_share, demand.autonomous, now_ms)
+        if not demand.is_retry:
+            bucket.first_attempt_demand.add(demand.amount, now_ms)
+        scarce = bucket.first_attempt_demand.rate_per_s(now_ms) > SCARCITY_DEMAND_MULTIPLE * limit.rate_per_s
+        required_multiple = RETRY_LEVEL_MULTIPLE if demand.is_retry else 1.0
+        wait_ms = bucket.withdraw(demand.amount, limit.rate_per_s, required_multiple)
+        reserve = 0.0 if wait_ms else bucket.draw_reserve(demand.wanted_reserve)
+        spent = 0.0 if wait_ms else demand.amount
+        share = bucket.shares.grant(demand.node, spent, self._node_count, now_ms)
+        return QuotaDecision(wait_ms, reserve, share, scarce)
--- /dev/null
+++ b/dunlinloft/coordination/quota/shares.py
@@ -0,0 +1,122 @@
+"""Standing shares of one tenant's rate: which fraction each node may spend without the quota's owner.
+
+The shares that are outstanding never add up to more than one:
+
+- A share expires on its node's clock `SHARE_LIFETIME_MS` after the node sent the request that the owner last
+  answered; the owner counts it as outstanding for `SHARE_ACCOUNTING_MS` after it received that request.
+- A share that shrinks counts with its old size until the node reports the new one.
+- What a previous owner may have granted counts until every node has reported what it holds.
+
+Shares follow what nodes spend. Times are in milliseconds of a steady clock.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from dunlinloft.coordination.decaying_sum import DecayingSum
+
+SHARE_LIFETIME_MS = 15_000.0
+SHARE_ACCOUNTING_MS = 20_000.0  # longer: a message may be delayed for long, and clocks drift apart
+# Time constant of recent usage: it averages over some requests even of a slow tenant, and follows a shift of
+# its traffic.
+USAGE_DECAY_MS = 4_000.0
+# Fraction of the rate that is split evenly, so that a node whose traffic has just begun has something.
+EVEN_SPLIT_FRACTION = 0.25
+# A share is at most this multiple of an even split, so that one that was not reported is bounded.
+MAX_SHARE_MULTIPLE = 3.0
+
+
+@dataclass(slots=True)
+class _NodeShare:
+    """One node's share: as the owner granted it last, and as the node reported it last."""
+
+    usage: DecayingSum
+    granted: float = 0.0
+    reported: float = 0.0
+    reported_ms: float = 0.0
+
+    @property
+    def outstanding(self) -> float:
+        """What the node may be spending: a grant may not have arrived, or not be reported yet."""
+        return max(self.granted, self.reported)
+
+
+class TenantShares:
+    """The shares of one tenant's rate, as its quota's owner counts them.
+
+    Attributes
+    ----------
+    max_unreported
+        Upper bound of what a previous owner granted to nodes that have not reported; set by the owner.
+    """
+
+    def __init__(self) -> None:
+        self._by_node: dict[str, _NodeShare] = {}
+        self._autonomous: set[str] = set()
+        self._usage = DecayingSum(USAGE_DECAY_MS)  # of all nodes
+        self._outstanding = 0.0  # of all nodes
+        self._accounted = 0.0  # of a previous owner's shares: those whose nodes have reported
+        self.max_unreported = 1.0
+
+    def on_report(self, node: str, share: float, autonomous: bool, now_ms: float) -> None:
+        """Take a node's report of the share that it holds, and whether it spends that without this owner."""
+        node_share = self._by_node.get(node)
+        if node_share is None:
+            node_share = _NodeShare(DecayingSum(USAGE_DECAY_MS))
+            self._by_node[node] = node_share
+            self._accounted += share
+        outstanding_before = node_share.outstanding
+        node_share.reported = share
+        if autonomous:
+            self._autonomous.add(node)
+        else:
+            self._autonomous.discard(node)
+        node_share.reported_ms = now_ms
+        self._outstanding += node_share.outstanding - outstanding_before
+
+    def grant(self, node: str, spent: float, node_count: int, now_ms: float) -> float:
+        """Return the share that a node holds from now on; it has just reported, and spent an amount."""
+        node_share = self._by_node[node]
+        node_share.usage.add(spent, now_ms)
+        self._usage.add(spent, now_ms)
+        outstanding_before = node_share.outstanding
+        free = 1.0 - (self._outstanding - outstanding_before) - self._unreported()
+        # What the node holds already may stay: that counts as outstanding in any case.
+        permitted = max(free, node_share.reported)
+        node_share.granted = max(0.0, min(self._target(node_share, node_count, now_ms), permitted))
+        self._outstanding += node_share.outstanding - outstanding_before
+        return node_share.granted
+
+    def _target(self, node_share: _NodeShare, node_count: int, now_ms: float) -> float:
+        total_usage = self._usage.value(now_ms)
+        even = 1.0 / node_count
+        by_usage = node_share.usage.value(now_ms) / total_usage if total_usage else even
+        return min(
+            MAX_SHARE_MULTIPLE * even,
+            EVEN_SPLIT_FRACTION * even + (1.0 - EVEN_SPLIT_FRACTION) * by_usage,
+        )
+
+    def autonomous_fraction(self, disconnected: Iterable[str]) -> float:
+        """Return the fraction of the rate that nodes may spend without the owner now.
+
+        That is the shares of the `disconnected` nodes, of those that reported to spend theirs, and of those
+        that have not reported.
+        """
+        node_shares = (self._by_node.get(node) for node in self._autonomous.union(disconnected))
+        outstanding = sum(node_share.outstanding for node_share in node_shares if node_share is not None)
+        return min(1.0, outstanding + self._unreported())
+
+    def _unreported(self) -> float:
+        """Return what a previous owner may have granted to nodes that have not reported yet."""
+        return max(0.0, min(self.max_unreported, 1.0 - self._accounted))
+
+    def expire(self, now_ms: float) -> None:
+        """Drop shares that have expired at their nodes; called periodically."""
+        oldest_ms = now_ms - SHARE_ACCOUNTING_MS
+        expired = [node for node, share in self._by_node.items() if share.reported_ms < oldest_ms]
+        for node in expired:
+            del self._by_node[node]
+            self._autonomous.discard(node)
+        self._outstanding = sum(node_share.outstanding for node_share in self._by_node.values())
--- /dev/null
+++ b/dunlinloft/coordination/stream/__init__.py
@@ -0,0 +1,110 @@
+"""The messages between control plane and data-plane nodes, and of roles between replicas, as JSON lines.
+
+Each module holds the messages of one concern; this one exports them all, and the unions that the two programs
+decode. The encoded form is kept by each class's `tag` and each field's `name`: replicas and nodes of
+different releases run side by side, so neither may change, nor may the order of the fields.
+"""
+
+from dunlinloft.coordination.messages import ReplicaMessage
+from dunlinloft.coordination.stream.configuration import (
+    ConfigurationAnnouncement,
+    ConfigurationApplied,
+    ConfigurationDelta,
+    ConfigurationId,
+    FetchConfiguration,
+    FullConfiguration,
+)
+from dunlinloft.coordination.stream.placement import (
+    LocalPlacement,
+    PlacementCompleted,
+    PlacementQuery,
+    PlacementReply,
+    PrefillCompleted,
+)
+from dunlinloft.coordination.stream.quota import (
+    QuotaGrant,
+    QuotaHandover,
+    QuotaHoldingsReport,
+    QuotaRequest,
+)
+from dunlinloft.coordination.stream.servers import (
+    ServerHeartbeats,
+    ServerHeartbeatsAck,
+    ServerRecord,
+    ServerSnapshot,
+    ServerSnapshotComplete,
+    ServerUpdates,
+)
+from dunlinloft.coordination.stream.subscription import (
+    ControlKeepalive,
+    ControlPlaneView,
+    NodeKeepalive,
+    NodeShutdown,
+    NodeSighting,
+    NodeSightings,
+    Subscribe,
+)
+
+NodeToControl = (
+    Subscribe
+    | QuotaHoldingsReport
+    | FetchConfiguration
+    | ConfigurationApplied
+    | NodeKeepalive
+    | NodeShutdown
+    | QuotaRequest
+    | PlacementQuery
+    | LocalPlacement
+    | PrefillCompleted
+    | PlacementCompleted
+)
+ControlToNode = (
+    ControlPlaneView
+    | FullConfiguration
+    | ConfigurationDelta
+    | ConfigurationAnnouncement
+    | ServerSnapshot
+    | ServerSnapshotComplete
+    | ServerUpdates
+    | QuotaGrant
+    | PlacementReply
+    | ControlKeepalive
+)
+# All that a control plane's listener accepts, from replicas and from nodes.
+ControlPlaneInbound = (
+    ReplicaMessage | QuotaHandover | ServerHeartbeats | ServerHeartbeatsAck | NodeSightings | NodeToControl
+)
+
+__all__ = [
+    "ConfigurationAnnouncement",
+    "ConfigurationApplied",
+    "ConfigurationDelta",
+    "ConfigurationId",
+    "ControlKeepalive",
+    "ControlPlaneInbound",
+    "ControlPlaneView",
+    "ControlToNode",
+    "FetchConfiguration",
+    "FullConfiguration",
+    "LocalPlacement",
+    "NodeKeepalive",
+    "NodeShutdown",
+    "NodeSighting",
+    "NodeSightings",
+    "NodeToControl",
+    "PlacementCompleted",
+    "PlacementQuery",
+    "PlacementReply",
+    "PrefillCompleted",
+    "QuotaGrant",
+    "QuotaHandover",
+    "QuotaHoldingsReport",
+    "QuotaRequest",
+    "ServerHeartbeats",
+    "ServerHeartbeatsAck",
+    "ServerRecord",
+    "ServerSnapshot",
+    "ServerSnapshotComplete",
+    "ServerUpdates",
+    "Subscribe",
+]
--- a/dunlinloft/dataplane/active_configuration.py
+++ b/dunlinloft/dataplane/active_configuration.py
@@ -15,7 +15,7 @@
 from dunlinloft.configuration import to_configuration
 from dunlinloft.coordination.document_changes import apply_change
 from dunlinloft.coordination.state import ChangeKind, ConfigurationChange, Document
-from dunlinloft.coordination.stream import ConfigurationId, Delta, Whole
+from dunlinloft.coordination.stream import ConfigurationDelta, ConfigurationId, FullConfiguration
 from dunlinloft.dataplane.routing import RoutingTable
 from dunlinloft.exceptions import ConfigurationError
 
@@ -34,10 +34,10 @@
         self.table: RoutingTable | None = None  # None until the first configuration is active
         self.id = ConfigurationId()
         self._document: Document = {}
-        self._candidate: Whole | None = None  # unconfirmed, while no configuration is active
+        self._candidate: FullConfiguration | None = None  # unconfirmed, while no configuration is active
         self._candidate_since_ms = 0.0
 
-    def on_snapshot(self, message: Whole, now_ms: float) -> None:
+    def on_snapshot(self, message: FullConfiguration, now_ms: float) -> None:
         """A control plane sent a complete configuration."""
         if self.table is not None or message.confirmed:
             self._activate(message.id, message.document, message.confirmed)
@@ -46,7 +46,7 @@
                 self._candidate_since_ms = now_ms
             self._candidate = message
 
-    def on_delta(self, message: Delta) -> None:
+    def on_delta(self, message: ConfigurationDelta) -> None:
         """A control plane sent a change to the configuration that it believes active here."""
         if self.table is not None and self.id == message.base:
             order = ConfigurationChange(ChangeKind.UPDATE, message.base.version, "", message.body)
@@ -66,7 +66,7 @@
 
     def _activate(self, offered: ConfigurationId, document: Document, confirmed: bool) -> None:
         """Build the table of a newer configuration, then swap it in at once."""
-        if self.table is not None and not offered.replaces(self.id, confirmed):
+        if self.table is not None and not offered.supersedes(self.id, confirmed):
             return
         try:
             configuration = to_configuration(document)
--- a/dunlinloft/dataplane/frontend.py
+++ b/dunlinloft/dataplane/frontend.py
@@ -12,7 +12,7 @@
 from aiohttp.web_response import StreamResponse
 
 from dunlinloft.configuration import Limits, Tenant
-from dunlinloft.coordination.quotas import QuotaLimit
+from dunlinloft.coordination.quota.bounds import QuotaLimit
 from dunlinloft.dataplane.causes import Cause
 from dunlinloft.dataplane.client_request import ClientRequest
 from dunlinloft.dataplane.client_wait import ClientWaitEstimator
--- a/dunlinloft/dataplane/node_state.py
+++ b/dunlinloft/dataplane/node_state.py
@@ -5,17 +5,17 @@
 import asyncio
 
 from dunlinloft.coordination.stream import (
-    Alive,
+    ConfigurationApplied,
+    ConfigurationDelta,
     ConfigurationId,
-    Delta,
-    Held,
-    Placed,
-    QuotaGranted,
-    ServerNews,
-    Servers,
-    ServersComplete,
-    ToNode,
-    Whole,
+    ControlKeepalive,
+    ControlToNode,
+    FullConfiguration,
+    PlacementReply,
+    QuotaGrant,
+    ServerSnapshot,
+    ServerSnapshotComplete,
+    ServerUpdates,
 )
 from dunlinloft.dataplane.active_configuration import ActiveConfiguration
 from dunlinloft.dataplane.placement_client import PlacementClient
@@ -82,26 +82,26 @@
         """A replica's stream ended."""
         self._servers.on_stream_lost(replica, now_ms())
 
-    def apply(self, replica: str, message: ToNode) -> None:
+    def apply(self, replica: str, message: ControlToNode) -> None:
         """Dispatch a message from a replica to the part of the node that it concerns."""
         match message:
-            case Whole():
+            case FullConfiguration():
                 self._configuration.on_snapshot(message, now_ms())
                 self._acknowledge()
-            case Delta():
+            case ConfigurationDelta():
                 self._configuration.on_delta(message)
                 self._acknowledge()
-            case Servers():
+            case ServerSnapshot():
                 self._servers.on_listing(replica, message.complete, message.ranges, message.records)
-            case ServersComplete():
+            case ServerSnapshotComplete():
                 self._servers.on_complete(replica)
-            case ServerNews():
+            case ServerUpdates():
                 self._servers.on_update(replica, message, now_ms())
-            case Placed():
+            case PlacementReply():
                 self._placement.on_placed(replica, message)
-            case QuotaGranted():
+            case QuotaGrant():
                 self._quotas.on_granted(message)
-            case Alive():
+            case ControlKeepalive():
                 pass
         self._check_ready_to_serve()
 
@@ -116,7 +116,7 @@
     def _acknowledge(self) -> None:
         """Acknowledge the active configuration to all replicas."""
         if self._configuration.table is not None:
-            self._streams.broadcast(Held(self._configuration.id))
+            self._streams.broadcast(ConfigurationApplied(self._configuration.id))
 
     def _check_ready_to_serve(self) -> None:
         """Begin to serve with a configuration and servers for all its routes, or with all that there are."""
--- a/dunlinloft/dataplane/placement_client.py
+++ b/dunlinloft/dataplane/placement_client.py
@@ -14,13 +14,13 @@
 
 from msgspec import Struct
 
-from dunlinloft.coordination.placement import owner_of_service
+from dunlinloft.coordination.placement.directory import placement_owner_address
 from dunlinloft.coordination.stream import (
-    Place,
-    PlaceBegan,
-    PlaceChosen,
-    Placed,
-    PlaceEnded,
+    LocalPlacement,
+    PlacementCompleted,
+    PlacementQuery,
+    PlacementReply,
+    PrefillCompleted,
 )
 from dunlinloft.dataplane.control_streams import ControlStreams
 from dunlinloft.dataplane.server_pool import ServerRequirements
@@ -63,7 +63,7 @@
     def on_response_started(self) -> None:
         """Report that the first bytes of the response came."""
         if not self._finished:
-            self._client.notify(self._owner, PlaceBegan(self._service, self._number))
+            self._client.notify(self._owner, PrefillCompleted(self._service, self._number))
 
     def finish(self, failed: bool) -> None:
         """Report that the request is no longer in flight; only the first call counts.
@@ -75,7 +75,7 @@
         """
         if not self._finished:
             self._finished = True
-            self._client.notify(self._owner, PlaceEnded(self._service, self._number, failed))
+            self._client.notify(self._owner, PlacementCompleted(self._service, self._number, failed))
 
 
 class PlacementClient:
@@ -83,7 +83,7 @@
 
     def __init__(self, streams: ControlStreams) -> None:
         self._streams = streams
-        self._pending: dict[int, asyncio.Future[Placed]] = {}  # by number
+        self._pending: dict[int, asyncio.Future[PlacementReply]] = {}  # by number
         self._numbers = itertools.count(1)
         self._suspended_until_ms: dict[str, float] = {}  # by owner
 
@@ -91,18 +91,18 @@
         """Send to an owner; one that is gone no longer counts the request anyway."""
         self._streams.send(owner, message)
 
-    def on_placed(self, owner: str, message: Placed) -> None:
+    def on_placed(self, owner: str, message: PlacementReply) -> None:
         """An owner's answer; a placement that comes too late is released."""
-        future = self._pending.pop(message.number, None)
+        future = self._pending.pop(message.request_id, None)
         if future is not None and not future.done():
             future.set_result(message)
         elif message.server_id:
-            self._streams.send(owner, PlaceEnded(message.service, message.number, False))
+            self._streams.send(owner, PlacementCompleted(message.service, message.request_id, False))
 
     def _owner(self, service: str) -> str | None:
         """The address of a service's owner; None before the control plane is known."""
         replicas = self._streams.replicas
-        return None if replicas is None else owner_of_service(service, replicas.chain)
+        return None if replicas is None else placement_owner_address(service, replicas.chain)
 
     def report_choice(
         self, service: str, requirements: ServerRequirements, server_id: str
@@ -112,7 +112,7 @@
         if owner is None:
             return None
         number = next(self._numbers)
-        message = PlaceChosen(
+        message = LocalPlacement(
             number, service, requirements.prompt_segments, requirements.max_response_tokens, server_id
         )
         if not self._streams.send(owner, message):
@@ -140,10 +140,10 @@
         if owner is None or now_ms < self._suspended_until_ms.get(owner, 0.0):
             return NoPlacement.OWNER_UNAVAILABLE
         number = next(self._numbers)
-        future: asyncio.Future[Placed] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[PlacementReply] = asyncio.get_running_loop().create_future()
         self._pending[number] = future
         try:
-            message = Place(
+            message = PlacementQuery(
                 number,
                 service,
                 requirements.prompt_segments,
--- a/dunlinloft/dataplane/quota_charge.py
+++ b/dunlinloft/dataplane/quota_charge.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from dunlinloft.coordination.quotas import QuotaLimit
+from dunlinloft.coordination.quota.bounds import QuotaLimit
 from dunlinloft.dataplane.causes import Cause
 
 # How long the owner's response is waited for before the node's reserve is spent instead.
--- a/dunlinloft/dataplane/quota_client.py
+++ b/dunlinloft/dataplane/quota_client.py
@@ -10,9 +10,10 @@
 
 from msgspec import Struct
 
-from dunlinloft.coordination.quota_holder import QuotaHolder
-from dunlinloft.coordination.quotas import QuotaBounds, owner_of
-from dunlinloft.coordination.stream import QuotaGranted, TakeQuota
+from dunlinloft.coordination.quota.bounds import QuotaBounds
+from dunlinloft.coordination.quota.ownership import quota_owner_address
+from dunlinloft.coordination.quota.reserves import NodeReserves
+from dunlinloft.coordination.stream import QuotaGrant, QuotaRequest
 from dunlinloft.dataplane.causes import Cause
 from dunlinloft.dataplane.control_streams import ControlStreams
 from dunlinloft.dataplane.quota_charge import OWNER_TIMEOUT_S, Granted, OverQuota, QuotaCharge
@@ -58,15 +59,15 @@
     ) -> None:
         self._clock = clock
         self._streams = streams
-        self._holder = QuotaHolder(bounds)
+        self._holder = NodeReserves(bounds)
         self._denials: dict[str, _Denial] = {}  # by tenant
-        self._pending: dict[int, asyncio.Future[QuotaGranted]] = {}  # by number
+        self._pending: dict[int, asyncio.Future[QuotaGrant]] = {}  # by number
         self._numbers = itertools.count(1)
         self._suspended_until_ms: dict[str, float] = {}  # by owner
 
     def owner_responds(self, owner: str, now_ms: float) -> bool:
         """Whether an owner answers this node."""
-        return self._holder.hears(owner, now_ms)
+        return self._holder.receives_replies(owner, now_ms)
 
     def shares(self, now_ms: float) -> dict[str, float]:
         """This node's standing shares of tenants' rates, by tenant."""
@@ -76,13 +77,13 @@
         """What this node drew from owners and has not spent, by tenant."""
         return self._holder.reserves()
 
-    def on_granted(self, message: QuotaGranted) -> None:
+    def on_granted(self, message: QuotaGrant) -> None:
         """An owner's response; what comes too late is dropped, though its amount is charged.
 
         It must not go to the reserve: the owner has not counted it as drawn, and its bucket may fill up by as
         much again.
         """
-        future = self._pending.pop(message.number, None)
+        future = self._pending.pop(message.request_id, None)
         if future is not None and not future.done():
             future.set_result(message)
 
@@ -105,7 +106,7 @@
         if denial is not None and self._clock() < denial.until_ms and charge.amount >= denial.amount:
             return OverQuota(denial.until_ms - self._clock(), Cause.QUOTA_RECENT, denial.scarce)
         replicas = self._streams.replicas
-        owner = None if replicas is None else owner_of(tenant, replicas.chain)
+        owner = None if replicas is None else quota_owner_address(tenant, replicas.chain)
         requested_ms = self._clock()
         response = await self._request(owner, charge)
         if isinstance(response, Granted):
@@ -113,12 +114,12 @@
         if (
             owner is None
             or isinstance(response, _Unanswered)
-            or not response.owner
+            or not response.is_owner
             or not self._is_owner(owner, tenant)
         ):
             return self._charge_reserve(charge)
-        self._holder.answered(owner, tenant)
-        self._holder.drawn(
+        self._holder.on_owner_reply(owner, tenant)
+        self._holder.on_grant(
             tenant, charge.limit, response.reserve, response.share, requested_ms, self._clock()
         )
         if response.amount < charge.amount:
@@ -130,7 +131,7 @@
 
     def _charge_reserve(self, charge: QuotaCharge) -> Granted | OverQuota:
         """Charge this node's reserve, without the owner."""
-        wait_ms = self._holder.spend_alone(charge.tenant, charge.limit, charge.amount, self._clock())
+        wait_ms = self._holder.spend_without_owner(charge.tenant, charge.limit, charge.amount, self._clock())
         return OverQuota(wait_ms, Cause.QUOTA_ALONE) if wait_ms else Granted()
 
     def _is_owner(self, address: str, tenant: str) -> bool:
@@ -139,46 +140,46 @@
         If not, this node has reported its shares and reserves to the next one already.
         """
         replicas = self._streams.replicas
-        return replicas is not None and owner_of(tenant, replicas.chain) == address
+        return replicas is not None and quota_owner_address(tenant, replicas.chain) == address
 
-    async def _request(self, owner: str | None, charge: QuotaCharge) -> QuotaGranted | Granted | _Unanswered:
+    async def _request(self, owner: str | None, charge: QuotaCharge) -> QuotaGrant | Granted | _Unanswered:
         """The owner's response, or `Granted` if the reserve was charged meanwhile because it took long."""
         if owner is None or self._clock() < self._suspended_until_ms.get(owner, 0.0):
             return _Unanswered.UNANSWERED
         number = next(self._numbers)
         requested_ms = self._clock()
-        future: asyncio.Future[QuotaGranted] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[QuotaGrant] = asyncio.get_running_loop().create_future()
         self._pending[number] = future
         try:
             if not self._streams.send(owner, self._message(number, charge)):
-                self._holder.unanswered(owner, charge.tenant, requested_ms)
+                self._holder.on_owner_unavailable(owner, charge.tenant, requested_ms)
                 return _Unanswered.UNANSWERED
             response = await self._await_response(owner, charge, future, requested_ms)
         finally:
             self._pending.pop(number, None)
-        if isinstance(response, QuotaGranted) and not response.owner:
-            self._holder.unanswered(owner, charge.tenant, requested_ms)
+        if isinstance(response, QuotaGrant) and not response.is_owner:
+            self._holder.on_owner_unavailable(owner, charge.tenant, requested_ms)
         return response
 
-    def _message(self, number: int, charge: QuotaCharge) -> TakeQuota:
+    def _message(self, number: int, charge: QuotaCharge) -> QuotaRequest:
         tenant = charge.tenant
         now = self._clock()
-        reserve = self._holder.wanted(tenant, charge.limit, charge.amount, now)
-        share = self._holder.held(tenant, now)
-        alone = self._holder.alone(tenant, now)
-        return TakeQuota(number, tenant, charge.amount, reserve, share, alone, charge.returned)
+        reserve = self._holder.wanted_reserve(tenant, charge.limit, charge.amount, now)
+        share = self._holder.current_share(tenant, now)
+        alone = self._holder.autonomous(tenant, now)
+        return QuotaRequest(number, tenant, charge.amount, reserve, share, alone, charge.returned)
 
     async def _await_response(
-        self, owner: str, charge: QuotaCharge, future: asyncio.Future[QuotaGranted], requested_ms: float
-    ) -> QuotaGranted | Granted | _Unanswered:
+        self, owner: str, charge: QuotaCharge, future: asyncio.Future[QuotaGrant], requested_ms: float
+    ) -> QuotaGrant | Granted | _Unanswered:
         await asyncio.wait((future,), timeout=OWNER_TIMEOUT_S)
         if future.done():
             return future.result()
-        self._holder.unanswered(owner, charge.tenant, requested_ms)
+        self._holder.on_owner_unavailable(owner, charge.tenant, requested_ms)
         result = self._charge_reserve(charge)
         if isinstance(result, Granted):
             return result
-        if self._streams.alive(owner) and self._holder.answers(owner, self._clock()):
+        if self._streams.alive(owner) and self._holder.replied_recently(owner, self._clock()):
             # The owner is alive: its response is only late, and better than a refusal.
             await asyncio.wait((future,), timeout=charge.late_response_ms / 1_000.0 - OWNER_TIMEOUT_S)
             if future.done():
--- a/dunlinloft/dataplane/replica_streams.py
+++ b/dunlinloft/dataplane/replica_streams.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from dunlinloft.coordination.stream import Replicas
+from dunlinloft.coordination.stream import ControlPlaneView
 from dunlinloft.transport.clock import now_ms
 from dunlinloft.transport.message_stream import MessageWriter
 
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self._writers: dict[str, MessageWriter] = {}
         self._received_ms: dict[str, float] = {}  # last message, or the opening, of each stream
-        self.replicas: Replicas | None = None  # as announced last; None before that
+        self.replicas: ControlPlaneView | None = None  # as announced last; None before that
 
     def __contains__(self, address: object) -> bool:
         """Whether a stream to a replica is open."""
--- a/dunlinloft/dataplane/server_table.py
+++ b/dunlinloft/dataplane/server_table.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection, Iterable
 
 from dunlinloft.coordination.digests import RangeDigests, range_of
-from dunlinloft.coordination.stream import ServerNews, ServerRecord
+from dunlinloft.coordination.stream import ServerRecord, ServerUpdates
 from dunlinloft.dataplane.server_pool import ServerPool
 
 # A response this recent keeps a server in use although its heartbeats have stopped at the control plane.
@@ -72,7 +72,7 @@
             self._listed[replica].pop(server_id, None)
             self._remove(server_id, record.service)
 
-    def on_update(self, replica: str, update: ServerNews, now_ms: float) -> None:
+    def on_update(self, replica: str, update: ServerUpdates, now_ms: float) -> None:
         """Apply the changes that a replica reports."""
         listed = self._listed.setdefault(replica, {})
         unconfirmed = self._unconfirmed.get(replica, {})
@@ -80,12 +80,12 @@
             listed[record.id] = record
             unconfirmed.pop(record.id, None)
             self._put(record)
-        for server_id in update.gone:
+        for server_id in update.removed:
             listing = listed.pop(server_id, None)
             service = self._unlisted.get(server_id) if listing is None else listing.service
             if service is None:
                 continue
-            if server_id in update.silent and self._responds(server_id, service, now_ms):
+            if server_id in update.timed_out and self._responds(server_id, service, now_ms):
                 self._unlisted[server_id] = service
             else:
                 self._remove(server_id, service)
--- a/dunlinloft/dataplane/subscriptions.py
+++ b/dunlinloft/dataplane/subscriptions.py
@@ -11,15 +11,15 @@
 from absl import logging
 
 from dunlinloft.coordination.stream import (
+    ConfigurationAnnouncement,
     ConfigurationId,
-    Fetch,
-    HoldsShares,
-    NodeAlive,
-    NodeEnds,
-    Replicas,
+    ControlPlaneView,
+    ControlToNode,
+    FetchConfiguration,
+    NodeKeepalive,
+    NodeShutdown,
+    QuotaHoldingsReport,
     Subscribe,
-    ToNode,
-    Version,
 )
 from dunlinloft.dataplane.replica_streams import ReplicaStreams
 from dunlinloft.fleet.rendezvous import rank
@@ -38,7 +38,7 @@
 HEARTBEAT_INTERVAL_S = 0.3  # of this node's keep-alives, and between looks at which streams are wanted
 RECEIVE_TIMEOUT_S = 1.5  # a stream without a message for this long is closed
 
-_decoder = msgspec.json.Decoder(ToNode)
+_decoder = msgspec.json.Decoder(ControlToNode)
 
 
 class Subscriber(Protocol):
@@ -64,7 +64,7 @@
     def quota_reserves(self) -> dict[str, float]:
         """Unspent reserves of quotas, by tenant."""
 
-    def apply(self, replica: str, message: ToNode) -> None:
+    def apply(self, replica: str, message: ControlToNode) -> None:
         """Take a message from a replica."""
 
     def on_stream_lost(self, replica: str) -> None:
@@ -108,7 +108,7 @@
             self._reconcile()
             for address in self._streams.addresses():
                 responds = self._subscriber.owner_responds(address, now_ms())
-                self._streams.send(address, NodeAlive(responds))
+                self._streams.send(address, NodeKeepalive(responds))
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     def _reconcile(self) -> None:
@@ -157,13 +157,13 @@
         """Fetch an announced configuration unless it arrives by itself meanwhile."""
         await asyncio.sleep(FETCH_DELAY_S)
         active = self._subscriber.configuration_id
-        if announced.replaces(active, True):
-            self._streams.send(address, Fetch(active))
+        if announced.supersedes(active, True):
+            self._streams.send(address, FetchConfiguration(active))
 
     def stop(self) -> None:
         """Announce to all replicas that this process ends, and start no stream any more."""
         self._stopped = True
-        self._streams.broadcast(NodeEnds())
+        self._streams.broadcast(NodeShutdown())
 
     async def _maintain(self, address: str) -> None:
         """Keep one replica's stream up, until cancelled."""
@@ -210,38 +210,38 @@
             self._quota_holdings(),
         )
 
-    def _on_message(self, address: str, message: ToNode) -> None:
+    def _on_message(self, address: str, message: ControlToNode) -> None:
         self._streams.on_received(address)
-        if isinstance(message, Replicas):
+        if isinstance(message, ControlPlaneView):
             self._on_replicas(address, message)
-        elif isinstance(message, Version):
+        elif isinstance(message, ConfigurationAnnouncement):
             self._on_version(address, message)
         else:
             self._subscriber.apply(address, message)
 
-    def _on_version(self, address: str, message: Version) -> None:
+    def _on_version(self, address: str, message: ConfigurationAnnouncement) -> None:
         """A replica announced a configuration, which another stream usually carries."""
-        if message.id.replaces(self._subscriber.configuration_id, True):
+        if message.id.supersedes(self._subscriber.configuration_id, True):
             task = asyncio.create_task(self._fetch(address, message.id))
             self._fetches.add(task)
             task.add_done_callback(self._fetches.discard)
 
-    def _on_replicas(self, address: str, message: Replicas) -> None:
+    def _on_replicas(self, address: str, message: ControlPlaneView) -> None:
         """Take the newest view of the control plane.
 
         The number of nodes is the largest that any connected replica knows: one that has just started knows
         few. In a new epoch, owners change: report at once to all replicas what this node holds of quotas.
         """
-        self._node_counts[address] = message.nodes
+        self._node_counts[address] = message.node_count
         epoch = self._streams.epoch
         if message.epoch < epoch:
             return
-        self._streams.replicas = msgspec.structs.replace(message, nodes=max(self._node_counts.values()))
+        self._streams.replicas = msgspec.structs.replace(message, node_count=max(self._node_counts.values()))
         self._announced = message.addresses
         if message.epoch > epoch:
             self._streams.broadcast(self._quota_holdings())
 
-    def _quota_holdings(self) -> HoldsShares:
-        return HoldsShares(
+    def _quota_holdings(self) -> QuotaHoldingsReport:
+        return QuotaHoldingsReport(
             self._streams.epoch, self._subscriber.quota_shares(now_ms()), self._subscriber.quota_reserves()
         )
--- a/dunlinloft/quota_bounds.py
+++ b/dunlinloft/quota_bounds.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from dunlinloft.coordination.quotas import QuotaBounds
+from dunlinloft.coordination.quota.bounds import QuotaBounds
 from dunlinloft.settings import TimingBounds
 
 
--- a/lab/behaviour_runs.py
+++ b/lab/behaviour_runs.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from dunlinloft.balancer.logic import DelayController
-from dunlinloft.coordination.quotas import QuotaBounds, QuotaLimit
+from dunlinloft.coordination.quota.bounds import QuotaBounds, QuotaLimit
 from lab.balancer_driver import BalancerDriver
 from lab.control import world as control_world
 from lab.control.quota_cluster import QuotaCluster, traffic
--- a/lab/control/quota_cluster.py
+++ b/lab/control/quota_cluster.py
@@ -7,19 +7,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from dunlinloft.coordination.nodes import Nodes
-from dunlinloft.coordination.quota_holder import QuotaHolder
-from dunlinloft.coordination.quotas import (
-    NodeHoldings,
-    QuotaAsk,
-    QuotaBounds,
-    QuotaLimit,
-    QuotaOwner,
-    QuotaTaken,
-    owner_of,
-)
+from dunlinloft.coordination.node_registry import NodeRegistry
+from dunlinloft.coordination.quota.bounds import QuotaBounds, QuotaLimit
+from dunlinloft.coordination.quota.demand import NotQuotaOwner, QuotaDecision, QuotaDemand, QuotaHoldings
+from dunlinloft.coordination.quota.owner import QuotaOwner
+from dunlinloft.coordination.quota.ownership import quota_owner_address
+from dunlinloft.coordination.quota.reserves import NodeReserves
 from dunlinloft.coordination.replica import Replica
-from dunlinloft.coordination.stream import NodeSeen, Replicas
+from dunlinloft.coordination.stream import ControlPlaneView, NodeSighting
 from lab.control.cluster import DELAY_MS, TICK_MS, Cluster, Machine
 from lab.control.rules import Broken
 
@@ -42,9 +37,9 @@
     """The rule: what is spent in any window stays within the limit."""
 
     def __init__(self, bounds: QuotaBounds, limit: QuotaLimit) -> None:
-        whole = limit.rate_per_s * bounds.interval_s + limit.burst
+        whole = limit.rate_per_s * bounds.window_s + limit.burst
         self.allowed = whole * (1.0 + bounds.overshoot) + bounds.tolerance
-        self._window_ms = 1_000.0 * bounds.interval_s
+        self._window_ms = 1_000.0 * bounds.window_s
         self._spent: deque[Spent] = deque()
         self._sum = 0.0
         self.worst = 0.0
@@ -68,7 +63,7 @@
 
     life: int
     owner: QuotaOwner
-    nodes: Nodes
+    nodes: NodeRegistry
 
 
 @dataclass(slots=True)
@@ -76,9 +71,9 @@
     """One data-plane node, and what it knows of the control plane."""
 
     name: str
-    holder: QuotaHolder
+    holder: NodeReserves
     began_ms: float
-    replicas: Replicas | None = None
+    replicas: ControlPlaneView | None = None
     counts: dict[str, int] = field(default_factory=dict)
     subscribed: dict[str, int] = field(default_factory=dict)  # by replica: the life that it subscribed to
     silent_until_ms: dict[str, float] = field(default_factory=dict)
@@ -100,7 +95,7 @@
         self._owners: dict[int, str] = {}  # by epoch: who decided
         self._owning_epoch = 0  # the latest whose owner has decided
         self.nodes: dict[str, QuotaNode] = {}
-        self._remembered: dict[str, tuple[NodeSeen, ...]] = {}  # on each machine's disk
+        self._remembered: dict[str, tuple[NodeSighting, ...]] = {}  # on each machine's disk
         super().__init__(seed, size)
         for number in range(nodes):
             self.start_node(f"node-{number}")
@@ -108,8 +103,8 @@
 
     def start(self, address: str, bootstrap: bool = False) -> None:
         """Start a replica's process, and its side of quotas."""
-        nodes = Nodes()
-        nodes.seen(self._remembered.get(address, ()), self.now)
+        nodes = NodeRegistry()
+        nodes.merge(self._remembered.get(address, ()), self.now)
         owner = QuotaOwner(address, self.now, self.bounds, nodes, self._lease_over(address))
         owner.set_limits({TENANT: self.limit})
         super().start(address, bootstrap)
@@ -124,7 +119,7 @@
 
     def start_node(self, name: str) -> None:
         """Start a node, or start it again: it holds nothing then."""
-        node = QuotaNode(name, QuotaHolder(self.bounds), self.now)
+        node = QuotaNode(name, NodeReserves(self.bounds), self.now)
         self.nodes[name] = node
         self.after(self.rng.uniform(0.0, ALIVE_MS), lambda: self._alive(node))
 
@@ -139,10 +134,10 @@
         side = self.sides[machine.address]
         chain = tuple(member.address for member in replica.view.chain)
         self._follow_chain(machine.address)
-        side.owner.settle(replica.has_lease(self.now), self.now)
-        side.nodes.forget(self.now)
-        side.owner.forget(self.now)
-        told = Replicas(replica.view.epoch, chain, chain, side.nodes.count())
+        side.owner.refill(replica.has_lease(self.now), self.now)
+        side.nodes.expire(self.now)
+        side.owner.expire(self.now)
+        told = ControlPlaneView(replica.view.epoch, chain, chain, side.nodes.active_count())
         for node in list(self.nodes.values()):
             if node.subscribed.get(machine.address) == life:
                 self._to_node(machine.address, node, lambda node=node: self._told(machine, node, told))  # type: ignore[misc]
@@ -156,27 +151,27 @@
         for given_up in self.sides[address].owner.set_chain(epoch, chain, self.now):
             self._to_replica(
                 address,
-                given_up.owner,
-                lambda side, levels=given_up.levels: side.owner.hand_over(epoch, levels),  # type: ignore[misc]
+                given_up.new_owner,
+                lambda side, levels=given_up.levels: side.owner.on_handover(epoch, levels),  # type: ignore[misc]
             )
 
-    def _told(self, machine: Machine, node: QuotaNode, told: Replicas) -> None:
-        node.counts[machine.address] = told.nodes
+    def _told(self, machine: Machine, node: QuotaNode, told: ControlPlaneView) -> None:
+        node.counts[machine.address] = told.node_count
         epoch = 0 if node.replicas is None else node.replicas.epoch
         if told.epoch < epoch:
             return
         most = max(node.counts.values())
-        node.replicas = Replicas(told.epoch, told.addresses, told.chain, most)
+        node.replicas = ControlPlaneView(told.epoch, told.addresses, told.chain, most)
         if told.epoch > epoch:
             holdings = self._holdings(node)
             for address in self.machines:
                 self._to_replica(
-                    node.name, address, lambda side: side.owner.holds(node.name, holdings, self.now)
+                    node.name, address, lambda side: side.owner.on_holdings(node.name, holdings, self.now)
                 )
 
-    def _holdings(self, node: QuotaNode) -> NodeHoldings:
+    def _holdings(self, node: QuotaNode) -> QuotaHoldings:
         epoch = 0 if node.replicas is None else node.replicas.epoch
-        return NodeHoldings(epoch, node.holder.shares(self.now), node.holder.reserves())
+        return QuotaHoldings(epoch, node.holder.shares(self.now), node.holder.reserves())
 
     def _gossip(self) -> None:
         """Replicas tell each other of the nodes that they hear."""
@@ -184,9 +179,9 @@
             if machine.replica is None or machine.frozen:
                 continue
             nodes = self.sides[source].nodes
-            known = self._remembered[source] = nodes.known(self.now)
+            known = self._remembered[source] = nodes.sightings(self.now)
             for target in self.machines:
-                self._to_replica(source, target, lambda side, known=known: side.nodes.seen(known, self.now))  # type: ignore[misc]
+                self._to_replica(source, target, lambda side, known=known: side.nodes.merge(known, self.now))  # type: ignore[misc]
         self.after(GOSSIP_MS, self._gossip)
 
     # Messages.
@@ -212,7 +207,7 @@
         if not self._running(node):
             return
         for address in self.machines:
-            hears = node.holder.hears(address, self.now)
+            hears = node.holder.receives_replies(address, self.now)
             self._to_replica(
                 node.name,
                 address,
@@ -223,10 +218,10 @@
     def _heard(self, side: OwnerSide, node: QuotaNode, address: str, hears: bool) -> None:
         if node.subscribed.get(address) != side.life:
             node.subscribed[address] = side.life
-            side.owner.holds(node.name, self._holdings(node), self.now)
-            side.owner.node_seen(self.now - node.began_ms, self.now)
+            side.owner.on_holdings(node.name, self._holdings(node), self.now)
+            side.owner.on_node_subscribed(self.now - node.began_ms, self.now)
             hears = False
-        side.nodes.heard(node.name, hears, self.now)
+        side.nodes.on_message(node.name, hears, self.now)
 
     # Spending.
 
@@ -234,22 +229,26 @@
         """A request of the tenant at a node."""
         node = self.nodes[name]
         replicas = node.replicas
-        owner = None if replicas is None else owner_of(TENANT, replicas.chain)
+        owner = None if replicas is None else quota_owner_address(TENANT, replicas.chain)
         if owner is None or self.now < node.silent_until_ms.get(owner, 0.0):
             self._alone(node, amount)
             return
         asked_ms = self.now
         answers = itertools.count()
 
-        def answered(taken: QuotaTaken | None) -> None:
+        def answered(taken: QuotaDecision | NotQuotaOwner) -> None:
             if not self._running(node) or next(answers):
                 return
-            if taken is None or node.replicas is None or owner_of(TENANT, node.replicas.chain) != owner:
-                node.holder.unanswered(owner, TENANT, asked_ms)
+            if (
+                isinstance(taken, NotQuotaOwner)
+                or node.replicas is None
+                or quota_owner_address(TENANT, node.replicas.chain) != owner
+            ):
+                node.holder.on_owner_unavailable(owner, TENANT, asked_ms)
                 self._alone(node, amount)
                 return
-            node.holder.answered(owner, TENANT)
-            node.holder.drawn(TENANT, self.limit, taken.reserve, taken.share, asked_ms, self.now)
+            node.holder.on_owner_reply(owner, TENANT)
+            node.holder.on_grant(TENANT, self.limit, taken.reserve, taken.share, asked_ms, self.now)
             if taken.wait_ms:
                 node.refused += 1
                 return
@@ -258,19 +257,19 @@
         def late() -> None:
             if self._running(node) and not next(answers):
                 node.silent_until_ms[owner] = self.now + SILENT_MS
-                node.holder.unanswered(owner, TENANT, asked_ms)
+                node.holder.on_owner_unavailable(owner, TENANT, asked_ms)
                 self._alone(node, amount)
 
-        wanted = node.holder.wanted(TENANT, self.limit, amount, self.now)
-        held, alone = node.holder.held(TENANT, self.now), node.holder.alone(TENANT, self.now)
-        ask = QuotaAsk(name, TENANT, amount, wanted, held, alone)
+        wanted = node.holder.wanted_reserve(TENANT, self.limit, amount, self.now)
+        held, alone = node.holder.current_share(TENANT, self.now), node.holder.autonomous(TENANT, self.now)
+        ask = QuotaDemand(name, TENANT, amount, wanted, held, alone)
 
         def take(side: OwnerSide) -> None:
             machine = self.machines[owner]
             assert machine.replica is not None
             self._follow_chain(owner)
-            taken = side.owner.take(ask, machine.replica.has_lease(self.now), self.now)
-            if taken is not None:
+            taken = side.owner.handle_request(ask, machine.replica.has_lease(self.now), self.now)
+            if not isinstance(taken, NotQuotaOwner):
                 self._granted(machine.replica)
             self._to_node(owner, node, lambda: answered(taken))
 
@@ -288,7 +287,7 @@
             raise Broken(f"{first} and {replica.me.address} granted in epoch {self._owning_epoch}")
 
     def _alone(self, node: QuotaNode, amount: float) -> None:
-        wait_ms = node.holder.spend_alone(TENANT, self.limit, amount, self.now)
+        wait_ms = node.holder.spend_without_owner(TENANT, self.limit, amount, self.now)
         if wait_ms:
             node.refused += 1
         else:
--- a/lab/observation.py
+++ b/lab/observation.py
@@ -22,7 +22,8 @@
 import msgspec
 
 from dunlinloft.balancer.logic import Balancer
-from dunlinloft.coordination.quotas import QuotaOwner
+from dunlinloft.coordination.quota.demand import NotQuotaOwner
+from dunlinloft.coordination.quota.owner import QuotaOwner
 from lab.control.cluster import Cluster
 from lab.control.quota_cluster import QuotaCluster
 from lab.virtual import duties, meeting, shared
@@ -95,7 +96,12 @@
         Tap(Cluster, Cluster._perform, lambda cluster, args, _: (cluster.now, args[0].address, args[1])),
         Tap(Cluster, Cluster._arrive, lambda cluster, args, _: (cluster.now, *args)),
         Tap(QuotaCluster, QuotaCluster._spent, lambda world, args, _: (world.now, args[0].name, args[1])),
-        Tap(QuotaOwner, QuotaOwner.take, lambda owner, args, taken: (*args, taken), returned=True),
+        Tap(
+            QuotaOwner,
+            QuotaOwner.handle_request,
+            lambda owner, args, decision: (*args, None if decision == NotQuotaOwner() else decision),
+            returned=True,
+        ),
         # Days of nodes, servers and callers.
         Tap(VirtualHost, VirtualHost.after, lambda host, args, _: (host.now(), args[0])),
         Tap(World, World.tell, lambda host, args, _: (_values(args[0]),)),
--- a/lab/router/bare_node.py
+++ b/lab/router/bare_node.py
@@ -9,7 +9,7 @@
 from aiohttp.web_server import Server
 
 from dunlinloft.configuration import to_configuration
-from dunlinloft.coordination.quotas import QuotaBounds
+from dunlinloft.coordination.quota.bounds import QuotaBounds
 from dunlinloft.coordination.stream import ServerRecord
 from dunlinloft.dataplane.client_request import ClientRequest
 from dunlinloft.dataplane.control_streams import NoControlStreams
--- a/tests/test_active_configuration.py
+++ b/tests/test_active_configuration.py
@@ -7,21 +7,21 @@
 
 import pytest
 
-from dunlinloft.coordination.stream import ConfigurationId, Delta, Whole
+from dunlinloft.coordination.stream import ConfigurationDelta, ConfigurationId, FullConfiguration
 from dunlinloft.dataplane.active_configuration import CONFIRMATION_WAIT_MS, ActiveConfiguration
 
 Start = Callable[..., ActiveConfiguration]
 
 
-def _snapshot(version: int, history: str = "one", confirmed: bool = True) -> Whole:
-    return Whole(ConfigurationId(version, history), confirmed, {"version": version, "note": ""})
+def _snapshot(version: int, history: str = "one", confirmed: bool = True) -> FullConfiguration:
+    return FullConfiguration(ConfigurationId(version, history), confirmed, {"version": version, "note": ""})
 
 
 @pytest.fixture
 def start() -> Start:
     """Starts a node that receives these snapshots at once."""
 
-    def started(*snapshots: Whole) -> ActiveConfiguration:
+    def started(*snapshots: FullConfiguration) -> ActiveConfiguration:
         configuration = ActiveConfiguration(random.Random(1))
         for snapshot in snapshots:
             configuration.on_snapshot(snapshot, 0.0)
@@ -38,17 +38,17 @@
 def test_of_two_configurations_with_one_version_the_confirmed_one_is_activated(start: Start) -> None:
     configuration = start(_snapshot(5, "lost"))
     configuration.on_snapshot(_snapshot(5, "taken", confirmed=False), 1.0)
-    assert configuration.id.history == "lost"
+    assert configuration.id.history_digest == "lost"
     configuration.on_snapshot(_snapshot(5, "taken"), 2.0)
-    assert configuration.id.history == "taken"
+    assert configuration.id.history_digest == "taken"
 
 
 def test_delta_to_another_history_is_not_applied(start: Start) -> None:
     configuration = start(_snapshot(5, "lost"))
     next_id = ConfigurationId(6, "next")
-    configuration.on_delta(Delta(ConfigurationId(5, "taken"), next_id, True, {"version": 6}))
+    configuration.on_delta(ConfigurationDelta(ConfigurationId(5, "taken"), next_id, True, {"version": 6}))
     assert configuration.id.version == 5
-    configuration.on_delta(Delta(ConfigurationId(5, "lost"), next_id, True, {"version": 6}))
+    configuration.on_delta(ConfigurationDelta(ConfigurationId(5, "lost"), next_id, True, {"version": 6}))
     assert configuration.id == next_id
 
 
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -9,10 +9,10 @@
 from dunlinloft.controlplane.node_publisher import NodePublisher, NodeSubscription
 from dunlinloft.coordination.history import next_entry, state_after
 from dunlinloft.coordination.state import ChainState, ConfigurationChange
-from dunlinloft.coordination.stream import ConfigurationId, Servers, Version
+from dunlinloft.coordination.stream import ConfigurationAnnouncement, ConfigurationId, ServerSnapshot
 
 NONE = ConfigurationId()
-NO_SERVERS = Servers(True, (), ())
+NO_SERVERS = ServerSnapshot(True, (), ())
 
 
 class _RecordingWriter:
@@ -101,4 +101,4 @@
     publisher.publish_state(state, None)
     written = _RecordingWriter()
     publisher.subscribe(NodeSubscription("node", written, NONE, NONE, False), NO_SERVERS)  # type: ignore[arg-type]
-    assert written.sent[-1] == Version(ConfigurationId(5, state.chain_digest))
+    assert written.sent[-1] == ConfigurationAnnouncement(ConfigurationId(5, state.chain_digest))
--- a/tests/test_dataplane_server_table.py
+++ b/tests/test_dataplane_server_table.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dunlinloft.coordination.digests import RANGE_COUNT, RangeDigests, range_of
-from dunlinloft.coordination.stream import ServerNews
+from dunlinloft.coordination.stream import ServerUpdates
 from dunlinloft.dataplane.server_table import RECENT_RESPONSE_MS, ServerTable
 from tests.server_records import server_record
 
@@ -23,9 +23,9 @@
 def test_server_is_removed_once_no_replica_lists_it(table: ServerTable) -> None:
     table.on_listing("one", True, ALL, (server_record(1), server_record(2)))
     table.on_listing("other", True, ALL, (server_record(1),))
-    table.on_update("one", ServerNews((), ("i-1", "i-2")), 0.0)
+    table.on_update("one", ServerUpdates((), ("i-1", "i-2")), 0.0)
     assert set(table.pool("pool").servers) == {"i-1"}
-    table.on_update("other", ServerNews((), ("i-1",)), 0.0)
+    table.on_update("other", ServerUpdates((), ("i-1",)), 0.0)
     assert not table.pool("pool").servers
 
 
@@ -37,7 +37,7 @@
     servers["i-1"].on_response("a", 1_000.0)
     servers["i-3"].on_response("a", 1_000.0)
     # The third announces its end; the second responds to nothing.
-    table.on_update("one", ServerNews((), ("i-1", "i-2", "i-3"), ("i-1", "i-2")), 1_500.0)
+    table.on_update("one", ServerUpdates((), ("i-1", "i-2", "i-3"), ("i-1", "i-2")), 1_500.0)
     assert set(servers) == {"i-1"}
     servers["i-1"].on_response("b", 2_000.0)
     table.expire_unlisted(2_000.0 + RECENT_RESPONSE_MS)
@@ -49,11 +49,11 @@
 def test_unlisted_server_that_is_reported_anew_is_listed_as_before(table: ServerTable) -> None:
     table.on_listing("one", True, ALL, (server_record(1),))
     table.pool("pool").servers["i-1"].on_response("a", 1_000.0)
-    table.on_update("one", ServerNews((), ("i-1",), ("i-1",)), 1_500.0)
-    table.on_update("other", ServerNews((server_record(1, 9),), ()), 1_600.0)
+    table.on_update("one", ServerUpdates((), ("i-1",), ("i-1",)), 1_500.0)
+    table.on_update("other", ServerUpdates((server_record(1, 9),), ()), 1_600.0)
     table.expire_unlisted(60_000.0)
     assert set(table.pool("pool").servers) == {"i-1"}
-    table.on_update("other", ServerNews((), ("i-1",)), 61_000.0)
+    table.on_update("other", ServerUpdates((), ("i-1",)), 61_000.0)
     assert not table.pool("pool").servers
 
 
@@ -86,7 +86,7 @@
     sent = tuple(record for record in current if range_of(record.id) in ranges)
     assert len(sent) < 20
     table.on_listing("other", True, ranges, sent)
-    table.on_update("one", ServerNews((), tuple(record.id for record in records)), 0.0)
+    table.on_update("one", ServerUpdates((), tuple(record.id for record in records)), 0.0)
     assert set(table.pool("pool").servers) == {record.id for record in current}
     assert remote.differing(table.digests()) == ()
     assert len(remote.differing(())) == RANGE_COUNT
@@ -96,7 +96,7 @@
     table.on_listing("one", True, ALL, (server_record(1), server_record(2), server_record(3)))
     table.on_stream_lost("one", 0.0)
     table.on_listing("one", False, ALL, (server_record(1),))
-    table.on_update("one", ServerNews((server_record(2, 9),), ()), 0.0)
+    table.on_update("one", ServerUpdates((server_record(2, 9),), ()), 0.0)
     table.on_complete("one")
     assert set(table.pool("pool").servers) == {"i-1", "i-2"}
 
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -86,10 +86,12 @@
 FORMS = {
     # Streams of the control plane, as lines.
     "to-control.jsonl": Form(
-        stream.ToControl, msgspec.json.Decoder(stream.ToControl).decode, message_stream.encode_frame
+        stream.ControlPlaneInbound,
+        msgspec.json.Decoder(stream.ControlPlaneInbound).decode,
+        message_stream.encode_frame,
     ),
     "to-node.jsonl": Form(
-        stream.ToNode, msgspec.json.Decoder(stream.ToNode).decode, message_stream.encode_frame
+        stream.ControlToNode, msgspec.json.Decoder(stream.ControlToNode).decode, message_stream.encode_frame
     ),
     # What servers and operators send to it, and what it keeps.
     "heartbeats.jsonl": _json(http_api.Heartbeat),
--- a/tests/test_process_settings.py
+++ b/tests/test_process_settings.py
@@ -32,7 +32,7 @@
     assert settings.seed_addresses() == ("10.0.0.1:7000", "10.0.0.2:7000")
     assert split_host_port(settings.control_address("10.0.0.9")) == ("10.0.0.9", 7000)
     bounds = quota_bounds(settings.timing_bounds)
-    assert (bounds.interval_s, bounds.overshoot, bounds.tolerance) == (9.0, 0.2, 0.0)
+    assert (bounds.window_s, bounds.overshoot, bounds.tolerance) == (9.0, 0.2, 0.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_quota_client.py
+++ b/tests/test_quota_client.py
@@ -8,16 +8,16 @@
 import pytest
 from msgspec import Struct
 
-from dunlinloft.coordination.quota_holder import TELL_AFTER_MS
-from dunlinloft.coordination.quotas import QuotaAsk
-from dunlinloft.coordination.stream import QuotaGranted, Replicas, TakeQuota
+from dunlinloft.coordination.quota.demand import QuotaDecision, QuotaDemand
+from dunlinloft.coordination.quota.reserves import UNANSWERED_REPORT_DELAY_MS
+from dunlinloft.coordination.stream import ControlPlaneView, QuotaGrant, QuotaRequest
 from dunlinloft.dataplane.quota_charge import MAX_RETRY_DURATION_MS, Granted, OverQuota, quota_charge
 from dunlinloft.dataplane.quota_client import QuotaClient
 from tests.quotas import BOUNDS, CHAIN, LIMIT, owner_address, owner_at
 from tests.virtual_time import run_virtually
 
-FEW_NODES = Replicas(1, CHAIN, CHAIN, 2)
-MANY_NODES = Replicas(1, CHAIN, CHAIN, 72)
+FEW_NODES = ControlPlaneView(1, CHAIN, CHAIN, 2)
+MANY_NODES = ControlPlaneView(1, CHAIN, CHAIN, 72)
 
 
 class _PromptOwner:
@@ -27,7 +27,7 @@
         self.owner = owner_at(owner_address())
         self.reachable = True
         self.now = 0.0
-        self.replicas = Replicas(1, CHAIN, CHAIN, 10)
+        self.replicas = ControlPlaneView(1, CHAIN, CHAIN, 10)
         self.client = QuotaClient(self, BOUNDS, lambda: self.now)
 
     def alive(self, _: str) -> bool:
@@ -35,15 +35,22 @@
         return self.reachable
 
     def send(self, address: str, message: Struct) -> bool:
-        assert isinstance(message, TakeQuota)
+        assert isinstance(message, QuotaRequest)
         if not self.reachable:
             return False
-        ask = QuotaAsk("node", message.tenant, message.amount, message.reserve, message.share, message.alone)
-        taken = self.owner.take(ask, True, self.now)
-        assert taken is not None
+        ask = QuotaDemand(
+            "node",
+            message.tenant,
+            message.amount,
+            message.wanted_reserve,
+            message.current_share,
+            message.autonomous,
+        )
+        taken = self.owner.handle_request(ask, True, self.now)
+        assert isinstance(taken, QuotaDecision)
         amount = 0.0 if taken.wait_ms else message.amount
         self.client.on_granted(
-            QuotaGranted(message.number, "tenant", amount, taken.reserve, taken.share, taken.wait_ms)
+            QuotaGrant(message.request_id, "tenant", amount, taken.reserve, taken.share, taken.wait_ms)
         )
         return True
 
@@ -63,7 +70,7 @@
         streams.reachable = False
         assert await streams.charge(100.0, 10.0) == Granted()
         assert streams.client.owner_responds(address, 10.0)
-        assert not streams.client.owner_responds(address, 10.0 + TELL_AFTER_MS)
+        assert not streams.client.owner_responds(address, 10.0 + UNANSWERED_REPORT_DELAY_MS)
         streams.reachable = True
         assert await streams.charge(100.0, 500.0) == Granted()
         assert streams.client.owner_responds(address, 500.0)
@@ -74,7 +81,7 @@
 class _SlowOwner:
     """Control streams to an owner that responds after a delay, in virtual time."""
 
-    def __init__(self, replicas: Replicas | None, response_ms: float, alive: bool = True) -> None:
+    def __init__(self, replicas: ControlPlaneView | None, response_ms: float, alive: bool = True) -> None:
         self.replicas = replicas
         self.response_ms = response_ms
         self.requests = 0
@@ -90,12 +97,18 @@
         return self.is_alive
 
     def send(self, address: str, message: Struct) -> bool:
-        assert isinstance(message, TakeQuota)
+        assert isinstance(message, QuotaRequest)
         self.requests += 1
         amount = message.amount if self.granting else 0.0
         wait_ms = 0.0 if self.granting else 100.0
-        response = QuotaGranted(
-            message.number, message.tenant, amount, message.reserve, 0.5, wait_ms, scarce=self.scarce
+        response = QuotaGrant(
+            message.request_id,
+            message.tenant,
+            amount,
+            message.wanted_reserve,
+            0.5,
+            wait_ms,
+            scarce=self.scarce,
         )
         loop = asyncio.get_running_loop()
         loop.call_later(self.response_ms / 1_000.0, self.client.on_granted, response)
--- a/tests/test_server_registrar.py
+++ b/tests/test_server_registrar.py
@@ -12,9 +12,9 @@
 from dunlinloft.controlplane.server_registrar import REPLICATION_TIMEOUT_S, ServerRegistrar
 from dunlinloft.coordination.failure_detector import CONTACT_TIMEOUT_MS, FailureDetector
 from dunlinloft.coordination.heartbeat_messages import Heartbeat
-from dunlinloft.coordination.placement import Placements
+from dunlinloft.coordination.placement.directory import PlacementDirectory
 from dunlinloft.coordination.registry import ServerRegistry
-from dunlinloft.coordination.stream import Beats, BeatsTaken, ServerRecord
+from dunlinloft.coordination.stream import ServerHeartbeats, ServerHeartbeatsAck, ServerRecord
 from dunlinloft.coordination.views import Member, View, initial_view
 from tests.virtual_time import VirtualLoop
 
@@ -40,19 +40,19 @@
             me,
             self.registry,
             NodePublisher(),
-            Placements(rng, 3_000.0),
+            PlacementDirectory(rng, 3_000.0),
             lambda: self.view,
             lambda: set(ADDRESSES) - {me},
             self._send,
         )
 
     def _send(self, address: str, message: Struct) -> None:
-        assert isinstance(message, Beats)
-        if not message.number:
+        assert isinstance(message, ServerHeartbeats)
+        if not message.announcement_id:
             return
         self.announced.append(address)
         if address in self.answering and len(self.announced) > self.deaf_for:
-            self.registrar.on_replication_acknowledged(BeatsTaken(address, message.number))
+            self.registrar.on_replication_acknowledged(ServerHeartbeatsAck(address, message.announcement_id))
 
 
 def _run(coroutine: Coroutine[Any, Any, None]) -> float:
@@ -117,8 +117,8 @@
     sent: list[tuple[str, Struct]] = []
     others = _Others(())
     others.registrar._send = lambda address, message: sent.append((address, message))
-    others.registrar.on_relayed_heartbeats(Beats((_record(1, "draining"),), (), ADDRESSES[1], 7))
-    assert (ADDRESSES[1], BeatsTaken(ADDRESSES[0], 7)) in sent
+    others.registrar.on_relayed_heartbeats(ServerHeartbeats((_record(1, "draining"),), (), ADDRESSES[1], 7))
+    assert (ADDRESSES[1], ServerHeartbeatsAck(ADDRESSES[0], 7)) in sent
     assert others.registry.records["i-1"].draining
 
 
--- a/tests/test_stream_session.py
+++ b/tests/test_stream_session.py
@@ -11,24 +11,24 @@
 from dunlinloft.controlplane.node_publisher import NodePublisher
 from dunlinloft.controlplane.placement_service import PlacementService
 from dunlinloft.controlplane.stream_session import StreamServices, StreamSession
-from dunlinloft.coordination.nodes import Nodes
-from dunlinloft.coordination.placement import Placements
+from dunlinloft.coordination.node_registry import NodeRegistry
+from dunlinloft.coordination.placement.directory import PlacementDirectory
 from dunlinloft.coordination.registry import ServerRegistry
 from dunlinloft.coordination.stream import (
-    Beats,
+    ConfigurationApplied,
     ConfigurationId,
-    Fetch,
-    Held,
-    HoldsShares,
-    NodeAlive,
-    NodeEnds,
-    NodeSeen,
-    NodesSeen,
-    Place,
-    Placed,
-    Servers,
+    FetchConfiguration,
+    NodeKeepalive,
+    NodeShutdown,
+    NodeSighting,
+    NodeSightings,
+    PlacementQuery,
+    PlacementReply,
+    QuotaHoldingsReport,
+    QuotaRequest,
+    ServerHeartbeats,
+    ServerSnapshot,
     Subscribe,
-    TakeQuota,
 )
 
 
@@ -63,7 +63,7 @@
         self.replica_host = _Recorder()
         self.registrar = _Recorder()
         self.quotas = _Recorder()
-        self.nodes = Nodes()
+        self.nodes = NodeRegistry()
         self.publisher = NodePublisher()
         self.session = StreamSession(
             1,
@@ -75,20 +75,20 @@
                 cast(Any, self.registrar),
                 self.publisher,
                 cast(Any, self.quotas),
-                PlacementService(Placements(random.Random(1), 3_000.0)),
+                PlacementService(PlacementDirectory(random.Random(1), 3_000.0)),
             ),
         )
 
 
 NONE = ConfigurationId()
-SUBSCRIBE = Subscribe("n", "a", NONE, 5.0, True, (), HoldsShares(0, {}))
+SUBSCRIBE = Subscribe("n", "a", NONE, 5.0, True, (), QuotaHoldingsReport(0, {}))
 FROM_SUBSCRIBED = [
-    Fetch(NONE),
-    Held(ConfigurationId(3, "x")),
-    HoldsShares(1, {}),
-    NodeAlive(True),
-    NodeEnds(),
-    TakeQuota(1, "t", 1.0, 0.0, 0.0, False),
+    FetchConfiguration(NONE),
+    ConfigurationApplied(ConfigurationId(3, "x")),
+    QuotaHoldingsReport(1, {}),
+    NodeKeepalive(True),
+    NodeShutdown(),
+    QuotaRequest(1, "t", 1.0, 0.0, 0.0, False),
 ]
 
 
@@ -98,7 +98,7 @@
     scene.session.handle(message)
     assert scene.replica_host.calls == [("handle", message)]
     assert scene.quotas.calls == []
-    assert scene.nodes.names() == ()
+    assert scene.nodes.active_names() == ()
 
 
 @pytest.mark.parametrize("message", FROM_SUBSCRIBED, ids=lambda message: type(message).__name__)
@@ -112,21 +112,21 @@
 def test_a_node_that_subscribes_is_known_and_sent_the_servers() -> None:
     scene = _Scene()
     scene.session.handle(SUBSCRIBE)
-    assert scene.nodes.names() == ("n",)
-    assert scene.quotas.calls == [("node_subscribed", SUBSCRIBE.shares)]
+    assert scene.nodes.active_names() == ("n",)
+    assert scene.quotas.calls == [("node_subscribed", SUBSCRIBE.quota_holdings)]
     assert scene.registrar.calls == [("publish_changes", None)]
-    assert isinstance(scene.writer.sent[0], Servers)
+    assert isinstance(scene.writer.sent[0], ServerSnapshot)
     (subscription,) = scene.publisher.subscriptions
-    scene.session.handle(Held(ConfigurationId(3, "x")))
+    scene.session.handle(ConfigurationApplied(ConfigurationId(3, "x")))
     assert subscription.acknowledged_id == ConfigurationId(3, "x")
-    scene.session.handle(NodeEnds())
-    assert scene.nodes.names() == ()
+    scene.session.handle(NodeShutdown())
+    assert scene.nodes.active_names() == ()
 
 
 def test_advice_needs_no_subscription() -> None:
     scene = _Scene()
-    scene.session.handle(Place(7, "pool", (), 1, ()))
-    assert [(type(message), message.number) for message in scene.writer.sent] == [(Placed, 7)]
+    scene.session.handle(PlacementQuery(7, "pool", (), 1, ()))
+    assert [(type(message), message.request_id) for message in scene.writer.sent] == [(PlacementReply, 7)]
 
 
 def test_the_end_of_a_stream_ends_its_subscription() -> None:
@@ -138,8 +138,8 @@
 
 def test_messages_of_other_control_planes_reach_the_registrar_and_the_nodes() -> None:
     scene = _Scene()
-    scene.session.handle(Beats((), ("i-1",)))
-    assert scene.registrar.calls == [("on_relayed_heartbeats", Beats((), ("i-1",)))]
-    scene.session.handle(NodesSeen((NodeSeen("other", 0.0),)))
-    assert scene.nodes.names() == ("other",)
+    scene.session.handle(ServerHeartbeats((), ("i-1",)))
+    assert scene.registrar.calls == [("on_relayed_heartbeats", ServerHeartbeats((), ("i-1",)))]
+    scene.session.handle(NodeSightings((NodeSighting("other", 0.0),)))
+    assert scene.nodes.active_names() == ("other",)
     assert scene.replica_host.calls == []
--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dunlinloft.coordination.stream import Alive, ConfigurationId, ToNode
+from dunlinloft.coordination.stream import ConfigurationId, ControlKeepalive, ControlToNode
 from dunlinloft.dataplane.replica_streams import ReplicaStreams
 from dunlinloft.dataplane.subscriptions import Subscriptions
 
@@ -31,7 +31,7 @@
     def quota_reserves(self) -> dict[str, float]:
         return {}
 
-    def apply(self, replica: str, message: ToNode) -> None:
+    def apply(self, replica: str, message: ControlToNode) -> None:
         """Drop it."""
 
     def on_stream_lost(self, replica: str) -> None:
@@ -112,11 +112,11 @@
         assert not streams.alive(REPLICA)
         maintaining = asyncio.create_task(subscriptions._maintain(REPLICA))
         await connected.wait()
-        while not streams.send(REPLICA, Alive()):
+        while not streams.send(REPLICA, ControlKeepalive()):
             await asyncio.sleep(0)
         assert streams.alive(REPLICA)
         reader.feed_eof()
-        while streams.send(REPLICA, Alive()):
+        while streams.send(REPLICA, ControlKeepalive()):
             await asyncio.sleep(0)
         assert not streams.alive(REPLICA)
         maintaining.cancel()
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from dunlinloft.coordination.stream import Alive
+from dunlinloft.coordination.stream import ControlKeepalive
 from dunlinloft.transport import message_stream
 from dunlinloft.transport.exceptions import ConnectError
 from dunlinloft.transport.message_stream import StreamEnd, encode_frame, read_messages
@@ -18,10 +18,10 @@
 def test_a_cancellation_that_coincides_with_a_frame_ends_the_reading(first: str) -> None:
     async def main() -> None:
         reader = asyncio.StreamReader()
-        decoder = msgspec.json.Decoder(Alive)
+        decoder = msgspec.json.Decoder(ControlKeepalive)
         reading = asyncio.create_task(read_messages(reader, decoder, lambda _: None, 60.0))
         await asyncio.sleep(0)  # it waits for a frame now
-        frame = encode_frame(Alive())
+        frame = encode_frame(ControlKeepalive())
         if first == "frame":
             reader.feed_data(frame)
             reading.cancel()
@@ -56,7 +56,7 @@
             reader.feed_eof()
         elif data is not None:
             reader.set_exception(data)
-        return await read_messages(reader, msgspec.json.Decoder(Alive), lambda _: None, 0.01)
+        return await read_messages(reader, msgspec.json.Decoder(ControlKeepalive), lambda _: None, 0.01)
 
     assert asyncio.run(main()) is end
     assert f"{end}" == logged
