--- a/dunlinloft/dataplane/active_configuration.py
+++ b/dunlinloft/dataplane/active_configuration.py
@@ -49,8 +49,8 @@
     def on_delta(self, message: ConfigurationDelta) -> None:
         """A control plane sent a change to the configuration that it believes active here."""
         if self.table is not None and self.id == message.base:
-            order = ConfigurationChange(ChangeKind.UPDATE, message.base.version, "", message.body)
-            self._activate(message.id, apply_change(self._document, order), message.confirmed)
+            change = ConfigurationChange(ChangeKind.UPDATE, message.base.version, "", message.body)
+            self._activate(message.id, apply_change(self._document, change), message.confirmed)
 
     def on_tick(self, now_ms: float) -> bool:
         """Activate the unconfirmed candidate once its wait is over; returns whether that happened."""
--- a/dunlinloft/dataplane/attempts.py
+++ b/dunlinloft/dataplane/attempts.py
@@ -187,16 +187,16 @@
         """
         context = self._context
         started_ms = now_ms()
-        may_wait = self._request.waited_ms(started_ms) >= self._request.latency_target_ms
+        wait_for_capacity = self._request.waited_ms(started_ms) >= self._request.latency_target_ms
         wait_until_ms = started_ms + SLOT_WAIT_REMAINING_SHARE * (self._request.deadline_ms - started_ms)
         while True:
             placement = await context.placement.request(
-                context.service, self._requirements, excluded, may_wait, now_ms()
+                context.service, self._requirements, excluded, wait_for_capacity, now_ms()
             )
             if not isinstance(placement, RetryPlacementLater):
                 return placement
             await asyncio.sleep(placement.wait_ms * (0.5 + context.rng.random()) / 1_000.0)
-            may_wait = now_ms() < wait_until_ms
+            wait_for_capacity = now_ms() < wait_until_ms
 
     # One attempt.
 
--- a/dunlinloft/dataplane/client_request.py
+++ b/dunlinloft/dataplane/client_request.py
@@ -64,15 +64,15 @@
             return ServerRequirements(self.latency_target_ms)
         try:
             segments = tuple(_prompt_segment(text) for text in header.split(","))
-            max_response_tokens = int(self.http.headers.get(TOKEN_USAGE_HEADER, "0,0").partition(",")[2])
+            max_output_tokens = int(self.http.headers.get(TOKEN_USAGE_HEADER, "0,0").partition(",")[2])
         except ValueError:
             return ServerRequirements(self.latency_target_ms)
         if len(segments) < 2:
-            return ServerRequirements(self.latency_target_ms, None, 0, segments, max_response_tokens)
+            return ServerRequirements(self.latency_target_ms, None, 0, segments, max_output_tokens)
         # The last segment is the request's own; those before it are shared with other requests.
         shared_tokens = sum(tokens for _, tokens in segments[:-1])
         return ServerRequirements(
-            self.latency_target_ms, segments[-2][0], shared_tokens, segments, max_response_tokens
+            self.latency_target_ms, segments[-2][0], shared_tokens, segments, max_output_tokens
         )
 
 
--- a/dunlinloft/dataplane/control_streams.py
+++ b/dunlinloft/dataplane/control_streams.py
@@ -16,7 +16,7 @@
     """
 
     @property
-    def replicas(self) -> ControlPlaneView | None:
+    def view(self) -> ControlPlaneView | None:
         """The control plane as last announced; None before the first announcement."""
 
     def alive(self, address: str) -> bool:
@@ -29,7 +29,7 @@
 class NoControlStreams:
     """The null object: no control plane, as on the request path that tests run alone."""
 
-    replicas: ControlPlaneView | None = None
+    view: ControlPlaneView | None = None
 
     def alive(self, _: str) -> bool:
         """No replica is alive."""
--- a/dunlinloft/dataplane/node_state.py
+++ b/dunlinloft/dataplane/node_state.py
@@ -98,9 +98,9 @@
             case ServerUpdates():
                 self._servers.on_update(replica, message, now_ms())
             case PlacementReply():
-                self._placement.on_placed(replica, message)
+                self._placement.on_reply(replica, message)
             case QuotaGrant():
-                self._quotas.on_granted(message)
+                self._quotas.on_grant(message)
             case ControlKeepalive():
                 pass
         self._check_ready_to_serve()
--- a/dunlinloft/dataplane/placement_client.py
+++ b/dunlinloft/dataplane/placement_client.py
@@ -51,19 +51,19 @@
     """A request that the owner counts as in flight at a server, until `finish` is called."""
 
     def __init__(
-        self, client: PlacementClient, owner: str, service: str, number: int, server_id: str
+        self, client: PlacementClient, owner: str, service: str, request_id: int, server_id: str
     ) -> None:
         self._client = client
         self._owner = owner
         self._service = service
-        self._number = number
+        self._request_id = request_id
         self.server_id = server_id
         self._finished = False
 
     def on_response_started(self) -> None:
         """Report that the first bytes of the response came."""
         if not self._finished:
-            self._client.notify(self._owner, PrefillCompleted(self._service, self._number))
+            self._client.notify(self._owner, PrefillCompleted(self._service, self._request_id))
 
     def finish(self, failed: bool) -> None:
         """Report that the request is no longer in flight; only the first call counts.
@@ -75,7 +75,7 @@
         """
         if not self._finished:
             self._finished = True
-            self._client.notify(self._owner, PlacementCompleted(self._service, self._number, failed))
+            self._client.notify(self._owner, PlacementCompleted(self._service, self._request_id, failed))
 
 
 class PlacementClient:
@@ -83,15 +83,15 @@
 
     def __init__(self, streams: ControlStreams) -> None:
         self._streams = streams
-        self._pending: dict[int, asyncio.Future[PlacementReply]] = {}  # by number
-        self._numbers = itertools.count(1)
+        self._pending: dict[int, asyncio.Future[PlacementReply]] = {}  # by request id
+        self._request_ids = itertools.count(1)
         self._suspended_until_ms: dict[str, float] = {}  # by owner
 
     def notify(self, owner: str, message: Struct) -> None:
         """Send to an owner; one that is gone no longer counts the request anyway."""
         self._streams.send(owner, message)
 
-    def on_placed(self, owner: str, message: PlacementReply) -> None:
+    def on_reply(self, owner: str, message: PlacementReply) -> None:
         """An owner's answer; a placement that comes too late is released."""
         future = self._pending.pop(message.request_id, None)
         if future is not None and not future.done():
@@ -101,8 +101,8 @@
 
     def _owner(self, service: str) -> str | None:
         """The address of a service's owner; None before the control plane is known."""
-        replicas = self._streams.replicas
-        return None if replicas is None else placement_owner_address(service, replicas.chain)
+        view = self._streams.view
+        return None if view is None else placement_owner_address(service, view.chain)
 
     def report_choice(
         self, service: str, requirements: ServerRequirements, server_id: str
@@ -111,20 +111,20 @@
         owner = self._owner(service)
         if owner is None:
             return None
-        number = next(self._numbers)
+        request_id = next(self._request_ids)
         message = LocalPlacement(
-            number, service, requirements.prompt_segments, requirements.max_response_tokens, server_id
+            request_id, service, requirements.prompt_segments, requirements.max_output_tokens, server_id
         )
         if not self._streams.send(owner, message):
             return None
-        return PlacedRequest(self, owner, service, number, server_id)
+        return PlacedRequest(self, owner, service, request_id, server_id)
 
     async def request(
         self,
         service: str,
         requirements: ServerRequirements,
         excluded: Collection[str],
-        may_wait: bool,
+        wait_for_capacity: bool,
         now_ms: float,
     ) -> PlacedRequest | RetryPlacementLater | NoPlacement:
         """Request a server from the owner.
@@ -133,23 +133,23 @@
         ----------
         excluded
             Ids of servers that must not be named.
-        may_wait
+        wait_for_capacity
             Whether the request would rather wait for a free slot than be declined by a full server.
         """
         owner = self._owner(service)
         if owner is None or now_ms < self._suspended_until_ms.get(owner, 0.0):
             return NoPlacement.OWNER_UNAVAILABLE
-        number = next(self._numbers)
+        request_id = next(self._request_ids)
         future: asyncio.Future[PlacementReply] = asyncio.get_running_loop().create_future()
-        self._pending[number] = future
+        self._pending[request_id] = future
         try:
             message = PlacementQuery(
-                number,
+                request_id,
                 service,
                 requirements.prompt_segments,
-                requirements.max_response_tokens,
+                requirements.max_output_tokens,
                 tuple(excluded),
-                may_wait,
+                wait_for_capacity,
             )
             if not self._streams.send(owner, message):
                 return NoPlacement.OWNER_UNAVAILABLE
@@ -161,7 +161,7 @@
                 self._suspended_until_ms[owner] = now_ms + OWNER_SUSPENSION_MS
             return NoPlacement.TIMED_OUT
         finally:
-            self._pending.pop(number, None)
+            self._pending.pop(request_id, None)
         if placed.server_id:
-            return PlacedRequest(self, owner, service, number, placed.server_id)
+            return PlacedRequest(self, owner, service, request_id, placed.server_id)
         return RetryPlacementLater(placed.wait_ms) if placed.wait_ms else NoPlacement.NO_SERVER
--- a/dunlinloft/dataplane/quota_client.py
+++ b/dunlinloft/dataplane/quota_client.py
@@ -59,25 +59,25 @@
     ) -> None:
         self._clock = clock
         self._streams = streams
-        self._holder = NodeReserves(bounds)
+        self._reserves = NodeReserves(bounds)
         self._denials: dict[str, _Denial] = {}  # by tenant
-        self._pending: dict[int, asyncio.Future[QuotaGrant]] = {}  # by number
-        self._numbers = itertools.count(1)
+        self._pending: dict[int, asyncio.Future[QuotaGrant]] = {}  # by request id
+        self._request_ids = itertools.count(1)
         self._suspended_until_ms: dict[str, float] = {}  # by owner
 
     def owner_responds(self, owner: str, now_ms: float) -> bool:
         """Whether an owner answers this node."""
-        return self._holder.receives_replies(owner, now_ms)
+        return self._reserves.receives_replies(owner, now_ms)
 
     def shares(self, now_ms: float) -> dict[str, float]:
         """This node's standing shares of tenants' rates, by tenant."""
-        return self._holder.shares(now_ms)
+        return self._reserves.shares(now_ms)
 
     def reserves(self) -> dict[str, float]:
         """What this node drew from owners and has not spent, by tenant."""
-        return self._holder.reserves()
+        return self._reserves.reserves()
 
-    def on_granted(self, message: QuotaGrant) -> None:
+    def on_grant(self, message: QuotaGrant) -> None:
         """An owner's response; what comes too late is dropped, though its amount is charged.
 
         It must not go to the reserve: the owner has not counted it as drawn, and its bucket may fill up by as
@@ -105,8 +105,8 @@
         denial = self._denials.get(tenant)
         if denial is not None and self._clock() < denial.until_ms and charge.amount >= denial.amount:
             return OverQuota(denial.until_ms - self._clock(), Cause.QUOTA_RECENT, denial.scarce)
-        replicas = self._streams.replicas
-        owner = None if replicas is None else quota_owner_address(tenant, replicas.chain)
+        view = self._streams.view
+        owner = None if view is None else quota_owner_address(tenant, view.chain)
         requested_ms = self._clock()
         response = await self._request(owner, charge)
         if isinstance(response, Granted):
@@ -118,8 +118,8 @@
             or not self._is_owner(owner, tenant)
         ):
             return self._charge_reserve(charge)
-        self._holder.on_owner_reply(owner, tenant)
-        self._holder.on_grant(
+        self._reserves.on_owner_reply(owner, tenant)
+        self._reserves.on_grant(
             tenant, charge.limit, response.reserve, response.share, requested_ms, self._clock()
         )
         if response.amount < charge.amount:
@@ -131,7 +131,9 @@
 
     def _charge_reserve(self, charge: QuotaCharge) -> Granted | OverQuota:
         """Charge this node's reserve, without the owner."""
-        wait_ms = self._holder.spend_without_owner(charge.tenant, charge.limit, charge.amount, self._clock())
+        wait_ms = self._reserves.spend_without_owner(
+            charge.tenant, charge.limit, charge.amount, self._clock()
+        )
         return OverQuota(wait_ms, Cause.QUOTA_ALONE) if wait_ms else Granted()
 
     def _is_owner(self, address: str, tenant: str) -> bool:
@@ -139,35 +141,35 @@
 
         If not, this node has reported its shares and reserves to the next one already.
         """
-        replicas = self._streams.replicas
-        return replicas is not None and quota_owner_address(tenant, replicas.chain) == address
+        view = self._streams.view
+        return view is not None and quota_owner_address(tenant, view.chain) == address
 
     async def _request(self, owner: str | None, charge: QuotaCharge) -> QuotaGrant | Granted | _Unanswered:
         """The owner's response, or `Granted` if the reserve was charged meanwhile because it took long."""
         if owner is None or self._clock() < self._suspended_until_ms.get(owner, 0.0):
             return _Unanswered.UNANSWERED
-        number = next(self._numbers)
+        request_id = next(self._request_ids)
         requested_ms = self._clock()
         future: asyncio.Future[QuotaGrant] = asyncio.get_running_loop().create_future()
-        self._pending[number] = future
+        self._pending[request_id] = future
         try:
-            if not self._streams.send(owner, self._message(number, charge)):
-                self._holder.on_owner_unavailable(owner, charge.tenant, requested_ms)
+            if not self._streams.send(owner, self._message(request_id, charge)):
+                self._reserves.on_owner_unavailable(owner, charge.tenant, requested_ms)
                 return _Unanswered.UNANSWERED
             response = await self._await_response(owner, charge, future, requested_ms)
         finally:
-            self._pending.pop(number, None)
+            self._pending.pop(request_id, None)
         if isinstance(response, QuotaGrant) and not response.is_owner:
-            self._holder.on_owner_unavailable(owner, charge.tenant, requested_ms)
+            self._reserves.on_owner_unavailable(owner, charge.tenant, requested_ms)
         return response
 
-    def _message(self, number: int, charge: QuotaCharge) -> QuotaRequest:
+    def _message(self, request_id: int, charge: QuotaCharge) -> QuotaRequest:
         tenant = charge.tenant
         now = self._clock()
-        reserve = self._holder.wanted_reserve(tenant, charge.limit, charge.amount, now)
-        share = self._holder.current_share(tenant, now)
-        alone = self._holder.autonomous(tenant, now)
-        return QuotaRequest(number, tenant, charge.amount, reserve, share, alone, charge.returned)
+        reserve = self._reserves.wanted_reserve(tenant, charge.limit, charge.amount, now)
+        share = self._reserves.current_share(tenant, now)
+        alone = self._reserves.autonomous(tenant, now)
+        return QuotaRequest(request_id, tenant, charge.amount, reserve, share, alone, charge.returned)
 
     async def _await_response(
         self, owner: str, charge: QuotaCharge, future: asyncio.Future[QuotaGrant], requested_ms: float
@@ -175,11 +177,11 @@
         await asyncio.wait((future,), timeout=OWNER_TIMEOUT_S)
         if future.done():
             return future.result()
-        self._holder.on_owner_unavailable(owner, charge.tenant, requested_ms)
+        self._reserves.on_owner_unavailable(owner, charge.tenant, requested_ms)
         result = self._charge_reserve(charge)
         if isinstance(result, Granted):
             return result
-        if self._streams.alive(owner) and self._holder.replied_recently(owner, self._clock()):
+        if self._streams.alive(owner) and self._reserves.replied_recently(owner, self._clock()):
             # The owner is alive: its response is only late, and better than a refusal.
             await asyncio.wait((future,), timeout=charge.late_response_ms / 1_000.0 - OWNER_TIMEOUT_S)
             if future.done():
--- a/dunlinloft/dataplane/replica_streams.py
+++ b/dunlinloft/dataplane/replica_streams.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self._writers: dict[str, MessageWriter] = {}
         self._received_ms: dict[str, float] = {}  # last message, or the opening, of each stream
-        self.replicas: ControlPlaneView | None = None  # as announced last; None before that
+        self.view: ControlPlaneView | None = None  # as announced last; None before that
 
     def __contains__(self, address: object) -> bool:
         """Whether a stream to a replica is open."""
@@ -43,7 +43,7 @@
     @property
     def epoch(self) -> int:
         """The epoch of the replicas announced last; 0 before any."""
-        return 0 if self.replicas is None else self.replicas.epoch
+        return 0 if self.view is None else self.view.epoch
 
     def alive(self, address: str) -> bool:
         """Whether a replica's stream is up and was opened or received from recently."""
--- a/dunlinloft/dataplane/server_pool.py
+++ b/dunlinloft/dataplane/server_pool.py
@@ -29,7 +29,7 @@
 AFFINITY_LOAD_EXCESS = 4.0  # requests
 MAX_CACHED_RANKINGS = 8_192  # rendezvous rankings remembered, by shared prefix
 
-PromptSegment = tuple[str, int]  # name and tokens, as `Place.parts` encodes them
+PromptSegment = tuple[str, int]  # name and tokens, as `PlacementQuery` encodes them
 
 
 @dataclass(slots=True, eq=False)
@@ -90,7 +90,7 @@
     shared_prefix: str | None = None  # name of the last prompt segment that other requests share
     shared_prefix_tokens: int = 0  # from the prompt's start to the end of that segment
     prompt_segments: tuple[PromptSegment, ...] = ()  # in the prompt's order
-    max_response_tokens: int = 0
+    max_output_tokens: int = 0
 
 
 class ServerPool:
--- a/dunlinloft/dataplane/service_context.py
+++ b/dunlinloft/dataplane/service_context.py
@@ -90,5 +90,5 @@
 
     def _node_count(self) -> int:
         """The number of nodes in the fleet, as the control plane announces it; 1 before that."""
-        replicas = self._streams.replicas
-        return 1 if replicas is None else replicas.node_count
+        view = self._streams.view
+        return 1 if view is None else view.node_count
--- a/dunlinloft/dataplane/subscriptions.py
+++ b/dunlinloft/dataplane/subscriptions.py
@@ -236,7 +236,7 @@
         epoch = self._streams.epoch
         if message.epoch < epoch:
             return
-        self._streams.replicas = msgspec.structs.replace(message, node_count=max(self._node_counts.values()))
+        self._streams.view = msgspec.structs.replace(message, node_count=max(self._node_counts.values()))
         self._announced = message.addresses
         if message.epoch > epoch:
             self._streams.broadcast(self._quota_holdings())
--- a/tests/test_quota_client.py
+++ b/tests/test_quota_client.py
@@ -27,7 +27,7 @@
         self.owner = owner_at(owner_address())
         self.reachable = True
         self.now = 0.0
-        self.replicas = ControlPlaneView(1, CHAIN, CHAIN, 10)
+        self.view = ControlPlaneView(1, CHAIN, CHAIN, 10)
         self.client = QuotaClient(self, BOUNDS, lambda: self.now)
 
     def alive(self, _: str) -> bool:
@@ -38,7 +38,7 @@
         assert isinstance(message, QuotaRequest)
         if not self.reachable:
             return False
-        ask = QuotaDemand(
+        demand = QuotaDemand(
             "node",
             message.tenant,
             message.amount,
@@ -46,11 +46,13 @@
             message.current_share,
             message.autonomous,
         )
-        taken = self.owner.handle_request(ask, True, self.now)
-        assert isinstance(taken, QuotaDecision)
-        amount = 0.0 if taken.wait_ms else message.amount
-        self.client.on_granted(
-            QuotaGrant(message.request_id, "tenant", amount, taken.reserve, taken.share, taken.wait_ms)
+        decision = self.owner.handle_request(demand, True, self.now)
+        assert isinstance(decision, QuotaDecision)
+        amount = 0.0 if decision.wait_ms else message.amount
+        self.client.on_grant(
+            QuotaGrant(
+                message.request_id, "tenant", amount, decision.reserve, decision.share, decision.wait_ms
+            )
         )
         return True
 
@@ -81,8 +83,8 @@
 class _SlowOwner:
     """Control streams to an owner that responds after a delay, in virtual time."""
 
-    def __init__(self, replicas: ControlPlaneView | None, response_ms: float, alive: bool = True) -> None:
-        self.replicas = replicas
+    def __init__(self, view: ControlPlaneView | None, response_ms: float, alive: bool = True) -> None:
+        self.view = view
         self.response_ms = response_ms
         self.requests = 0
         self.granting = True
@@ -111,7 +113,7 @@
             scarce=self.scarce,
         )
         loop = asyncio.get_running_loop()
-        loop.call_later(self.response_ms / 1_000.0, self.client.on_granted, response)
+        loop.call_later(self.response_ms / 1_000.0, self.client.on_grant, response)
         return True
 
     async def charge(self, amount: float, waited_ms: float = 0.0) -> tuple[Granted | OverQuota, float]:
@@ -188,7 +190,7 @@
         result, took_ms = await streams.charge(9_000.0)
         assert isinstance(result, OverQuota)
         assert took_ms < 50.0
-        asyncio.get_running_loop().call_later(0.4, setattr, streams, "replicas", MANY_NODES)
+        asyncio.get_running_loop().call_later(0.4, setattr, streams, "view", MANY_NODES)
         result, took_ms = await streams.charge(9_000.0, waited_ms=300.0)
         assert result == Granted()
         assert 400.0 <= took_ms < 700.0
