--- a/tests/test_control_machine.py
+++ b/tests/test_control_machine.py
@@ -1,4 +1,4 @@
-"""A hypothesis state machine over the control plane's replicas: any order of troubles that must be borne."""
+"""A hypothesis state machine over the control plane's replicas: any order of tolerated faults."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from dunlinloft.coordination.state import ChangeKind, ConfigurationChange
 from lab.control.cluster import Cluster
 
-RUNS = int(os.environ.get("CONTROL_RUNS", "25"))  # docs/lab.md tells how to play thousands
-SYNC_MS = 4_000.0  # a machine counts as lost for so long after it is back
+RUNS = int(os.environ.get("CONTROL_RUNS", "25"))  # docs/lab.md says how to play thousands
+SYNC_TIMEOUT_MS = 4_000.0  # a machine counts as lost for so long after it is back
 
 
 class Replicas(RuleBasedStateMachine):
-    """Orders, reads and one trouble at a time."""
+    """Changes, reads and one fault at a time."""
 
     @initialize(seed=st.integers(0, 2**32), loss=st.sampled_from([0.0, 0.02]))
     def begin(self, seed: int, loss: float) -> None:
@@ -35,15 +35,15 @@
         body = {"version": version, "routes": [], "services": [], "note": self.number}
         order = ConfigurationChange(ChangeKind.REPLACE, self.version, f"order {self.number}", body)
 
-        def ended(status: int) -> None:
+        def on_result(status: int) -> None:
             if status == 200:
                 self.version = max(self.version, version)
                 self.cluster.rules.durable(self.cluster.machines, order)
 
-        self.cluster.order(order, ended)
+        self.cluster.order(order, on_result)
 
-    @rule(place=st.integers(0, 2))
-    def read(self, place: int) -> None:
+    @rule(position=st.integers(0, 2))
+    def read(self, position: int) -> None:
         """An operator reads; it learns the version."""
         acked = self.cluster.rules.newest_acked
 
@@ -52,18 +52,20 @@
                 self.cluster.rules.read(reply.version, acked)
                 self.version = max(self.version, reply.version)
 
-        self.cluster.call(self.cluster.seeds[place], None, taker)
+        self.cluster.call(self.cluster.seeds[position], None, taker)
 
     @rule(for_ms=st.sampled_from([3.0, 20.0, 150.0, 700.0, 1_500.0]))
     def pass_time(self, for_ms: float) -> None:
         self.cluster.run(for_ms)
 
     @precondition(lambda self: self.down is None)
-    @rule(place=st.integers(0, 2), how=st.sampled_from(["kill", "wipe", "freeze", "cut", "one way", "stall"]))
-    def strike(self, place: int, how: str) -> None:
-        address = self.cluster.seeds[place]
+    @rule(
+        position=st.integers(0, 2), how=st.sampled_from(["kill", "wipe", "freeze", "cut", "one way", "stall"])
+    )
+    def begin_fault(self, position: int, how: str) -> None:
+        address = self.cluster.seeds[position]
         self.down = how
-        self.place = place
+        self.position = position
         match how:
             case "kill":
                 self.cluster.kill(address)
@@ -80,8 +82,8 @@
 
     @precondition(lambda self: self.down is not None)
     @rule()
-    def mend(self) -> None:
-        address = self.cluster.seeds[self.place]
+    def repair(self) -> None:
+        address = self.cluster.seeds[self.position]
         match self.down:
             case "kill" | "wipe":
                 self.cluster.start(address)
@@ -92,20 +94,20 @@
             case _:
                 self.cluster.heal()
         self.down = None
-        self.cluster.run(SYNC_MS)
+        self.cluster.run(SYNC_TIMEOUT_MS)
 
     @precondition(lambda self: self.down is None)
     @rule(wiped=st.sampled_from([None, 0, 1, 2]))
     def lose_all(self, wiped: int | None) -> None:
         """All processes are killed at once; one may lose its disk."""
-        for place, address in enumerate(self.cluster.seeds):
-            (self.cluster.wipe if place == wiped else self.cluster.kill)(address)
+        for position, address in enumerate(self.cluster.seeds):
+            (self.cluster.wipe if position == wiped else self.cluster.kill)(address)
         for address in self.cluster.seeds:
             self.cluster.start(address)
-        self.cluster.run(SYNC_MS)
+        self.cluster.run(SYNC_TIMEOUT_MS)
 
     @invariant()
-    def rules_hold(self) -> None:
+    def no_rule_is_broken(self) -> None:
         if hasattr(self, "cluster"):
             self.cluster.rules.check(self.cluster.machines)
 
--- a/tests/test_control_planted.py
+++ b/tests/test_control_planted.py
@@ -1,9 +1,7 @@
-"""Planted faults: each checker of the replicas' rules catches its own, and says nothing without."""
+"""Injected bugs: each checker of the replicas' rules detects its own, and none without a bug."""
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 
 from dunlinloft.coordination.actions import Reply
@@ -17,24 +15,24 @@
 from lab.control.rules import Broken, Rules
 
 
-def _order(version: int, base: int, text: str = "") -> ConfigurationChange:
+def _change(version: int, base: int, text: str = "") -> ConfigurationChange:
     body = {"version": version, "routes": [], "services": []}
     return ConfigurationChange(ChangeKind.REPLACE, base, f"{base}/{version}/{text}", body)
 
 
 def _put(cluster: Cluster, order: ConfigurationChange, copies: bool = True) -> None:
-    """Send an order, and check its copies once it is acknowledged."""
+    """Send a change, and check its replicas once it is acknowledged."""
 
-    def ended(status: int) -> None:
+    def on_result(status: int) -> None:
         if status == 200 and copies:
             cluster.rules.durable(cluster.machines, order)
 
-    cluster.order(order, ended)
+    cluster.order(order, on_result)
     cluster.run(2_000.0)
 
 
-def _cut_off_last(cluster: Cluster) -> str:
-    """Cut the tail off from the others; they go on without it, and it doesn't know."""
+def _partition_tail(cluster: Cluster) -> str:
+    """Partition the tail from the others; they go on without it, and it doesn't know."""
     tail = cluster.seeds[-1]
     for other in cluster.seeds[:-1]:
         cluster.cut(tail, other)
@@ -42,21 +40,21 @@
     return tail
 
 
-def _acknowledged_on_one_disk() -> None:
+def _changes_with_one_working_disk() -> None:
     cluster = Cluster(1)
     cluster.run(500.0)
     for address in cluster.seeds[1:]:
         cluster.stall(address, True)
-    _put(cluster, _order(1, 0))
+    _put(cluster, _change(1, 0))
 
 
 def _read_at_a_stale_tail() -> None:
     cluster = Cluster(2)
     cluster.run(500.0)
-    _put(cluster, _order(1, 0))
-    tail = _cut_off_last(cluster)
+    _put(cluster, _change(1, 0))
+    tail = _partition_tail(cluster)
     cluster.machines[tail].gone = True  # operators call the others
-    _put(cluster, _order(2, 1))
+    _put(cluster, _change(2, 1))
     acked = cluster.rules.newest_acked
     assert acked == 2
 
@@ -68,85 +66,85 @@
     cluster.run(1_500.0)
 
 
-def _the_same_order_again() -> None:
+def _the_same_change_repeated() -> None:
     cluster = Cluster(3)
     cluster.run(500.0)
-    _put(cluster, _order(1, 0))
-    _put(cluster, _order(1, 0))
+    _put(cluster, _change(1, 0))
+    _put(cluster, _change(1, 0))
 
 
-def _two_orders_on_one_version() -> None:
+def _two_changes_on_one_version() -> None:
     cluster = Cluster(4)
     cluster.run(500.0)
-    _put(cluster, _order(1, 0, "one"))
-    _put(cluster, _order(2, 0, "other"))
+    _put(cluster, _change(1, 0, "one"))
+    _put(cluster, _change(2, 0, "other"))
 
 
 def _loss_of_the_one_that_acknowledged() -> None:
     cluster = Cluster(5)
     cluster.run(500.0)
-    _put(cluster, _order(1, 0), copies=False)
+    _put(cluster, _change(1, 0), copies=False)
     for address in cluster.seeds[1:]:
         cluster.cut(cluster.seeds[0], address)
     cluster.run(20.0)
-    cluster.call(cluster.seeds[0], _order(2, 1, "at the head alone"), lambda _: None)
+    cluster.call(cluster.seeds[0], _change(2, 1, "at the head alone"), lambda _: None)
     cluster.run(3_000.0)
     cluster.machines[cluster.seeds[0]].gone = True
-    _put(cluster, _order(3, 1, "at the others"), copies=False)
+    _put(cluster, _change(3, 1, "at the others"), copies=False)
     cluster.heal()
     cluster.run(3_000.0)
 
 
-def _commit_at_once(link: ChainReplica) -> None:
-    link._commit(link.state.sequence)
+def _commit_at_once(chain: ChainReplica) -> None:
+    chain._commit(chain.state.sequence)
 
 
-SCENES = {
-    "acknowledged on one disk": _acknowledged_on_one_disk,
+SCENARIOS = {
+    "changes with one working disk": _changes_with_one_working_disk,
     "read at a stale tail": _read_at_a_stale_tail,
-    "the same order again": _the_same_order_again,
-    "two orders on one version": _two_orders_on_one_version,
+    "the same change repeated": _the_same_change_repeated,
+    "two changes on one version": _two_changes_on_one_version,
     "loss of the one that acknowledged": _loss_of_the_one_that_acknowledged,
 }
 
 
-@pytest.mark.parametrize("name", SCENES)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_without_a_fault_no_rule_is_broken(name: str) -> None:
-    SCENES[name]()
+    SCENARIOS[name]()
 
 
-def test_a_commit_with_too_few_copies_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_commit_on_too_few_disks_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ChainReplica, "_on_progress", _commit_at_once)
     with pytest.raises(Broken, match="committed with 1 copies"):
-        _acknowledged_on_one_disk()
+        _changes_with_one_working_disk()
 
 
 def _without_the_first_checker(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A commit with too few copies is caught before anything follows from it: the later checkers alone."""
+    """Switch off the checker that detects a commit on too few disks before anything follows from it."""
     monkeypatch.setattr(Rules, "first_committed", lambda *_: None)
 
 
-def test_a_head_that_commits_alone_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_acknowledgement_by_a_lone_head_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     _without_the_first_checker(monkeypatch)
     monkeypatch.setattr(ChainReplica, "_on_progress", _commit_at_once)
     with pytest.raises(Broken, match="acknowledged with 1 copies"):
-        _acknowledged_on_one_disk()
+        _changes_with_one_working_disk()
 
 
-def test_two_histories_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_diverged_histories_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     _without_the_first_checker(monkeypatch)
     monkeypatch.setattr(ChainReplica, "_on_progress", _commit_at_once)
     with pytest.raises(Broken, match="two histories"):
         _loss_of_the_one_that_acknowledged()
 
 
-def test_a_read_without_confirmation_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_read_without_confirmation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(EpochConfirmation, "is_confirmed", lambda *_: True)
     with pytest.raises(Broken, match="was read"):
         _read_at_a_stale_tail()
 
 
-def test_orders_that_are_not_remembered_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_forgotten_changes_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def forgetful(self: ChangeQueue) -> bool:
         self._chain.state = ChainState(
             self._chain.state.sequence,
@@ -159,18 +157,18 @@
     real = ChangeQueue._start_next
     monkeypatch.setattr(ChangeQueue, "_start_next", forgetful)
     with pytest.raises(Broken, match="was refused with 412"):
-        _the_same_order_again()
+        _the_same_change_repeated()
 
 
-def test_two_on_one_version_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def careless(self: Calls, ask: Any, now_ms: float) -> None:
-        if ask.change is not None:
+def test_two_changes_acknowledged_on_one_version_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    def careless(self: Calls, call: ForwardedCall, now_ms: float) -> None:
+        if call.change is not None:
             version = self._chain.state.version
-            order = ConfigurationChange(ChangeKind.REPLACE, version, ask.change.digest, ask.change.body)
-            ask = ForwardedCall(ask.sender, ask.token, order)
-        real(self, ask, now_ms)
+            order = ConfigurationChange(ChangeKind.REPLACE, version, call.change.digest, call.change.body)
+            call = ForwardedCall(call.sender, call.token, order)
+        real(self, call, now_ms)
 
     real = Calls.on_forwarded_call
     monkeypatch.setattr(Calls, "on_forwarded_call", careless)
     with pytest.raises(Broken, match="two orders on version 0"):
-        _two_orders_on_one_version()
+        _two_changes_on_one_version()
--- a/tests/test_control_replicas.py
+++ b/tests/test_control_replicas.py
@@ -12,8 +12,8 @@
 from lab.control.operators import Operator
 
 
-def _settled(cluster: Cluster, operator: Operator) -> None:
-    """With all faults over, changes are acknowledged again, and what was acknowledged is there."""
+def _assert_recovered(cluster: Cluster, operator: Operator) -> None:
+    """With all faults repaired, changes are acknowledged, and reads show what was acknowledged."""
     acked = operator.acked
     cluster.run(6_000.0)
     assert operator.acked > acked, "no change is acknowledged although nothing fails any more"
@@ -32,7 +32,7 @@
     assert min(versions) >= newest
 
 
-def test_a_quiet_cluster_acknowledges_within_milliseconds() -> None:
+def test_a_cluster_without_faults_acknowledges_within_milliseconds() -> None:
     cluster = Cluster(1)
     operator = Operator(cluster)
     cluster.after(300.0, operator.change)
@@ -41,30 +41,30 @@
     assert operator.acked > 20
     assert operator.refused == 0
     assert operator.worst_ms < 50.0
-    _settled(cluster, operator)
+    _assert_recovered(cluster, operator)
 
 
-@pytest.mark.parametrize("place", [0, 1, 2])
+@pytest.mark.parametrize("position", [0, 1, 2])
 @pytest.mark.parametrize("how", ["kill", "freeze", "cut", "one_way", "stall", "slow", "wipe"])
-def test_changes_go_on_while_one_machine_is_in_trouble(place: int, how: str) -> None:
-    cluster = Cluster(100 * place + len(how))
+def test_changes_are_acknowledged_while_one_machine_has_a_fault(position: int, how: str) -> None:
+    cluster = Cluster(100 * position + len(how))
     operator = Operator(cluster)
     operator.read()
     cluster.after(300.0, operator.change)
     cluster.run(2_000.0)
-    address = cluster.seeds[place]
-    _strike(cluster, address, how)
+    address = cluster.seeds[position]
+    _begin_fault(cluster, address, how)
     acked = operator.acked
     cluster.run(4_000.0)
     assert operator.acked > acked, f"no change acknowledged while {how} lasts"
-    _mend(cluster, address, how)
-    _settled(cluster, operator)
+    _repair(cluster, address, how)
+    _assert_recovered(cluster, operator)
     view = next(m.replica.view for m in cluster.machines.values() if m.replica is not None)
     assert view is not None
     assert len(view.chain) == 3
 
 
-def _strike(cluster: Cluster, address: str, how: str) -> None:
+def _begin_fault(cluster: Cluster, address: str, how: str) -> None:
     match how:
         case "kill":
             cluster.kill(address)
@@ -82,7 +82,7 @@
             cluster.wipe(address)
 
 
-def _mend(cluster: Cluster, address: str, how: str) -> None:
+def _repair(cluster: Cluster, address: str, how: str) -> None:
     match how:
         case "kill" | "wipe":
             cluster.start(address)
@@ -98,25 +98,25 @@
 
 @pytest.mark.parametrize("seed", range(10))
 @pytest.mark.parametrize("wiped", [None, 0, 1, 2])
-def test_what_was_acknowledged_survives_the_loss_of_all_processes(seed: int, wiped: int | None) -> None:
+def test_acknowledged_changes_survive_the_loss_of_all_processes(seed: int, wiped: int | None) -> None:
     cluster = Cluster(seed)
     operator = Operator(cluster)
     cluster.after(300.0, operator.change)
     cluster.run(2_000.0 + 37.0 * seed)
-    for place, address in enumerate(cluster.seeds):
-        if place == wiped:
+    for position, address in enumerate(cluster.seeds):
+        if position == wiped:
             cluster.wipe(address)
         else:
             cluster.kill(address)
     cluster.run(500.0)
     for address in cluster.seeds:
         cluster.start(address)
-    _settled(cluster, operator)
+    _assert_recovered(cluster, operator)
 
 
 @pytest.mark.parametrize("wiped", [None, 0, 2])
-def test_replicas_that_start_again_with_other_seeds_find_each_other(wiped: int | None) -> None:
-    """The first view was once kept in memory alone: seed_turnover, then all lost power (hunt 6ae8-19)."""
+def test_replicas_restarted_with_other_seeds_find_each_other(wiped: int | None) -> None:
+    """The initial view was once in memory alone: seed_turnover, then all lost power (hunt 6ae8-19)."""
     cluster = Cluster(11)
     operator = Operator(cluster)
     cluster.after(300.0, operator.change)
@@ -128,10 +128,10 @@
         cluster.wipe(cluster.seeds[wiped])
     for address in cluster.seeds:
         cluster.start(address)
-    _settled(cluster, operator)
+    _assert_recovered(cluster, operator)
 
 
-def test_a_first_view_is_on_disk_before_it_is_used() -> None:
+def test_the_initial_view_is_on_disk_before_it_is_used() -> None:
     cluster = Cluster(12)
     cluster.run(50.0)
     for machine in cluster.machines.values():
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("planned", [True, False])
-def test_machines_are_replaced_one_after_the_other(planned: bool) -> None:
+def test_every_machine_can_be_replaced_in_turn(planned: bool) -> None:
     cluster = Cluster(7)
     operator = Operator(cluster)
     operator.read()
@@ -157,23 +157,23 @@
             cluster.run(1_500.0)
             cluster.add(newcomer)
         cluster.run(6_000.0)
-    _settled(cluster, operator)
+    _assert_recovered(cluster, operator)
 
 
 def _random_fault(cluster: Cluster, rng: random.Random, down: list[tuple[str, str]]) -> None:
-    """Strike or mend one machine; no more than one is in trouble at a time."""
+    """Begin or repair a fault of one machine; no more than one has a fault at a time."""
     if down:
         address, how = down.pop()
-        _mend(cluster, address, how)
+        _repair(cluster, address, how)
         return
     address = rng.choice(cluster.seeds)
     how = rng.choice(["kill", "freeze", "cut", "one_way", "stall", "slow", "wipe"])
-    _strike(cluster, address, how)
+    _begin_fault(cluster, address, how)
     down.append((address, how))
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_random_troubles_break_no_rule(seed: int) -> None:
+def test_random_faults_break_no_rule(seed: int) -> None:
     cluster = Cluster(seed, loss=0.01 if seed % 2 else 0.0)
     rng = random.Random(seed)
     operators = [Operator(cluster), Operator(cluster)]
@@ -189,10 +189,10 @@
     while down:
         _random_fault(cluster, rng, down)
     cluster.run(4_000.0)
-    _settled_any(cluster, operators)
+    _assert_changes_continue(cluster, operators)
 
 
-def _settled_any(cluster: Cluster, operators: list[Operator]) -> None:
+def _assert_changes_continue(cluster: Cluster, operators: list[Operator]) -> None:
     acked = sum(operator.acked for operator in operators)
     cluster.run(6_000.0)
     assert sum(operator.acked for operator in operators) > acked
--- a/tests/test_control_world.py
+++ b/tests/test_control_world.py
@@ -30,7 +30,7 @@
         except Broken as broken:
             if message in str(broken):
                 return
-    pytest.fail(f"not caught: {message}")
+    pytest.fail(f"not detected: {message}")
 
 
 def test_a_successor_that_never_installs_snapshots_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -39,10 +39,10 @@
 
 
 def test_a_broken_rule_is_reported_with_the_shortest_schedule(monkeypatch: pytest.MonkeyPatch) -> None:
-    def forgetful(self: ChainReplica, offer: PredecessorPosition) -> None:
-        """Nobody finds itself equal: after the first loss there is no tail."""
+    def never_synced(self: ChainReplica, position: PredecessorPosition) -> None:
+        """No successor becomes synced: after the first loss there is no tail."""
 
-    monkeypatch.setattr(ChainReplica, "on_predecessor_position", forgetful)
+    monkeypatch.setattr(ChainReplica, "on_predecessor_position", never_synced)
     result = played(1)
     assert "although nothing fails any more" in result.broken
     assert len(result.schedule) <= 1
@@ -56,31 +56,31 @@
 
 def test_schedules_lose_no_more_disks_than_tolerated() -> None:
     cluster = Cluster(1)
-    troubles = Troubles(cluster, 1)
+    faults = Troubles(cluster, 1)
     for position in range(3):
-        troubles.begin(Trouble(0.0, "wipe", 100.0, position))
+        faults.begin(Trouble(0.0, "wipe", 100.0, position))
     assert sum(machine.durable is None for machine in cluster.machines.values()) == 1
     cluster.run(300.0)
     cluster.run(SYNC_TIMEOUT_MS + 500.0)
-    troubles.begin(Trouble(0.0, "wipe", 100.0, 2))
+    faults.begin(Trouble(0.0, "wipe", 100.0, 2))
     assert cluster.machines[cluster.seeds[2]].durable is None
 
 
 def test_an_abandoned_proposal_is_completed() -> None:
-    """Seed 4424: two had accepted a view that nobody wanted any more, and confirmed nothing ever after."""
+    """Seed 4424: two had accepted a view that nobody desired any more, and confirmed nothing ever after."""
     split = Trouble(12_503.55136678152, "split", 2_506.0209163933077, 58_310)
-    cut = Trouble(13_454.102252139757, "cut_all", 1_263.5152376472624, 15_814)
-    assert play(4_424, (split, cut)) > 0
+    partition = Trouble(13_454.102252139757, "cut_all", 1_263.5152376472624, 15_814)
+    assert play(4_424, (split, partition)) > 0
 
 
 def test_a_disk_lost_between_commit_and_answer_counts_as_a_replica() -> None:
     """Seed 4789: committed on two disks, then one was lost, then the operator had its answer."""
-    cut = Trouble(5_194.2843714117225, "cut", 4_557.240223571141, 57_656)
-    assert play(4_789, (cut, Trouble(6_012.034361357097, "wipe", 513.8083944110192, 56_137))) > 0
+    partition = Trouble(5_194.2843714117225, "cut", 4_557.240223571141, 57_656)
+    assert play(4_789, (partition, Trouble(6_012.034361357097, "wipe", 513.8083944110192, 56_137))) > 0
 
 
 def test_a_detached_synced_member_leads_when_the_chains_only_synced_member_is_lost() -> None:
-    """Seed 4508: a stalled disk is left out of the chain; then its only complete member loses its own."""
+    """Seed 4508: a stalled disk is detached; then the chain's only synced one loses its disk."""
     restart = Trouble(4_699.538375753763, "restart", 2_324.9745928472457, 55_389)
     stall = Trouble(5_660.325437332149, "stall", 4_560.514303204171, 8_537)
     wipe = Trouble(7_506.711202275268, "wipe", 4_071.822066263923, 51_142)
@@ -111,12 +111,12 @@
 
 
 def test_a_replaced_machine_counts_as_lost_until_its_replacement_is_synced() -> None:
-    """Seed 2905 lost two disks where one may be lost: the successor came after 5 s."""
+    """Seed 2905 lost two disks where one may be lost: the replacement came after 5 s."""
     cluster = Cluster(1)
-    troubles = Troubles(cluster, 1)
+    faults = Troubles(cluster, 1)
     cluster.run(500.0)
-    troubles.begin(Trouble(0.0, "replace", 3.0 * SYNC_TIMEOUT_MS, 0))
+    faults.begin(Trouble(0.0, "replace", 3.0 * SYNC_TIMEOUT_MS, 0))
     cluster.run(2.0 * SYNC_TIMEOUT_MS)
-    troubles.begin(Trouble(0.0, "wipe", 100.0, 1))
+    faults.begin(Trouble(0.0, "wipe", 100.0, 1))
     assert all(cluster.machines[address].durable is not None for address in cluster.seeds[1:])
     assert play(2_905) > 0
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The servers' list: heartbeats, leaving, silence, and merging between control planes."""
+"""The server registry: heartbeats, deregistration, expiry, and merging between control planes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def _pass_time(registry: ServerRegistry, start_ms: float, end_ms: float) -> None:
-    """Look for silent servers as often as the control plane does."""
+    """Expire servers as often as the control plane does."""
     now = start_ms
     while now < end_ms:
         now += 50.0
@@ -27,7 +27,7 @@
     assert registry.records["i-1"].draining
 
 
-def test_draining_is_told_once_and_never_taken_back() -> None:
+def test_draining_is_published_once_and_never_reverted() -> None:
     registry = ServerRegistry(1_000.0, 0.0)
     registry.on_heartbeat(_record(1), 0.0)
     assert registry.drain_changes() == RegistryChanges((_record(1),), ())
@@ -39,7 +39,7 @@
     assert registry.records["i-1"].draining
 
 
-def test_silence_ends_a_server_and_a_word_brings_it_back() -> None:
+def test_a_server_expires_without_heartbeats_and_returns_with_one() -> None:
     registry = ServerRegistry(1_000.0, 0.0)
     registry.on_heartbeat(_record(1), 0.0)
     _pass_time(registry, 0.0, 3_000.0)
@@ -53,7 +53,7 @@
     assert registry.drain_changes() == RegistryChanges((_record(2),), ())
 
 
-def test_a_process_that_stood_still_takes_nobody_for_gone() -> None:
+def test_a_pause_of_the_process_expires_no_server() -> None:
     registry = ServerRegistry(1_000.0, 0.0)
     registry.on_heartbeat(_record(1), 0.0)
     _pass_time(registry, 0.0, 1_000.0)
@@ -63,7 +63,7 @@
     assert not registry.records
 
 
-def test_who_left_is_not_taken_up_again_by_a_late_word() -> None:
+def test_a_late_heartbeat_does_not_restore_a_deregistered_server() -> None:
     registry = ServerRegistry(1_000.0, 0.0)
     registry.on_heartbeat(_record(1), 0.0)
     registry.on_deregistration("i-1", 100.0)
@@ -73,7 +73,7 @@
     assert registry.drain_expired() == ()
 
 
-def test_two_registries_come_to_the_same_list() -> None:
+def test_two_registries_converge() -> None:
     one, other = ServerRegistry(1_000.0, 0.0), ServerRegistry(1_000.0, 0.0)
     one.on_heartbeat(_record(1), 0.0)
     other.on_heartbeat(_record(1, server_id="i-2"), 0.0)
@@ -88,7 +88,7 @@
     assert one.drain_heartbeats() == ReceivedHeartbeats((), ())
 
 
-def test_what_was_known_before_a_restart_stands_until_its_silence_shows() -> None:
+def test_restored_servers_stay_until_they_expire() -> None:
     registry = ServerRegistry(1_000.0, 0.0)
     registry.restore((_record(7), _record(3, server_id="i-2")), 0.0)
     assert not registry.is_complete(100.0)
--- a/tests/test_view_agreement.py
+++ b/tests/test_view_agreement.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass
 
 import pytest
 
@@ -21,7 +22,7 @@
 from tests.replicas import chain_replica, cluster_without
 
 
-def test_a_restarted_proposer_uses_no_proposal_number_again() -> None:
+def test_a_restarted_proposer_reuses_no_proposal_number() -> None:
     view = initial_view(("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"))
     me, second, third = view.roster
     numbers = set()
@@ -81,8 +82,17 @@
     assert len(nonces) == 2
 
 
-def _cluster_with_a_detached_member() -> tuple[Cluster, Replica, Member]:
+@dataclass(frozen=True)
+class _DetachedMember:
     """A chain of a synced head and a member behind it that is catching up; and a detached synced member."""
+
+    cluster: Cluster
+    view: View
+    behind: Replica
+    detached: Member
+
+
+def _cluster_with_a_detached_member() -> _DetachedMember:
     cluster = cluster_without(91, 2)
     _, second, third = cluster.seeds
     for version in range(1, 9):
@@ -99,15 +109,14 @@
         if view.detached and view.position_of(behind.me.id) and behind.chain.epoch == view.epoch:
             assert [member.address for member in view.detached] == [second]
             assert not behind.chain.synced
-            return cluster, behind, view.detached[0]
+            return _DetachedMember(cluster, view, behind, view.detached[0])
     raise AssertionError("no view left a synced member detached")
 
 
 def _send_changes_beside_a_sealer() -> None:
     """The member behind seals the epoch while the head, which has everything, still runs."""
-    cluster, behind, detached = _cluster_with_a_detached_member()
-    view = behind.view
-    assert view is not None
+    scene = _cluster_with_a_detached_member()
+    cluster, view, behind, detached = scene.cluster, scene.view, scene.behind, scene.detached
     desired = View(view.epoch + 1, view.roster, (detached, behind.me), 1, (), behind.me.id)
     accept = Accept(behind.me, ProposalNumber(50, behind.me.id), desired)
     cluster._perform(cluster.machines[behind.me.address], behind.handle(accept, cluster.now))
@@ -129,9 +138,8 @@
 
 
 def test_a_synced_member_cannot_seal_and_a_sealer_stays_stopped_after_a_restart() -> None:
-    cluster, behind, detached = _cluster_with_a_detached_member()
-    view = behind.view
-    assert view is not None
+    scene = _cluster_with_a_detached_member()
+    cluster, view, behind, detached = scene.cluster, scene.view, scene.behind, scene.detached
     assert behind.chain.seal_epoch()
     assert not behind.chain.seal_epoch(), "it takes no further part, and so can tell nothing more"
     desired = View(view.epoch + 1, view.roster, (detached, behind.me), 1, (), behind.me.id)
