--- a/dunlinloft/cli/commands/release.py
+++ b/dunlinloft/cli/commands/release.py
@@ -70,7 +70,8 @@
     @release.command(action, help=help)
     @reason_option
     @admin_option
-    def control(reason: str, admin: str) -> None:
+    def send_action(reason: str, admin: str) -> None:
+        """`help` is what operators read of it."""
         from dunlinloft.cli.handlers import releases
 
         sys.exit(releases.control(admin, action, reason))
--- a/dunlinloft/cli/handlers/capacity.py
+++ b/dunlinloft/cli/handlers/capacity.py
@@ -33,6 +33,7 @@
     printed = io.StringIO()
 
     def write() -> None:
+        """Print the view, over that of the write before."""
         printed.seek(0)
         Console(file=printed, width=TABLE_WIDTH).print(
             fleet_members.render_members(document), highlight=False
--- a/dunlinloft/cli/handlers/config_check.py
+++ b/dunlinloft/cli/handlers/config_check.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeAlias
 
 from dunlinloft.balancer.settings import Malformed
 from orchidferry.config import parse_config, parse_directory, path_in
@@ -36,18 +36,21 @@
 }  # fmt: skip
 
 
-class _TrackedObject(dict[str, Any]):
+JsonValue: TypeAlias = Any  # as `json.loads` returns it
+
+
+class _TrackedObject(dict[str, JsonValue]):
     """A JSON object that records which keys its reader looked up."""
 
     def __init__(self, pairs: list[tuple[str, Any]]) -> None:
         super().__init__(pairs)
         self.looked_up: set[str] = set()
 
-    def __getitem__(self, key: str) -> Any:
+    def __getitem__(self, key: str) -> JsonValue:
         self.looked_up.add(key)
         return super().__getitem__(key)
 
-    def get(self, key: str, default: Any = None) -> Any:
+    def get(self, key: str, default: JsonValue = None) -> JsonValue:
         """As of a dict; records the key."""
         self.looked_up.add(key)
         return super().get(key, default)
--- a/dunlinloft/cli/handlers/leases.py
+++ b/dunlinloft/cli/handlers/leases.py
@@ -26,8 +26,8 @@
         print(json.dumps(document, indent=2))
     else:
         _print_leases(document)
-    every_role_held = all(row["holder"] for row in document["duties"])
-    return ExitCode.SUCCESS if every_role_held else ExitCode.CHECK_FAILED
+    every_role_owned = all(row["holder"] for row in document["duties"])
+    return ExitCode.SUCCESS if every_role_owned else ExitCode.CHECK_FAILED
 
 
 def _print_leases(document: AdminDocument) -> None:
--- a/dunlinloft/cli/handlers/releases.py
+++ b/dunlinloft/cli/handlers/releases.py
@@ -167,10 +167,10 @@
         return report_invalid(error)
     rows = Table("release", "ended", "how", "at", "by", "why", **PLAIN_STYLE)
     for row in document["history"]:
-        ended_at = time.strftime("%d %b %H:%M:%S", time.gmtime(row["at_s"]))
+        end_time = time.strftime("%d %b %H:%M:%S", time.gmtime(row["at_s"]))
         state = f"[{STATE_COLOURS.get(row['state'], 'white')}]{row['state']}[/]"
         stage = f"stage {row['stage'] + 1}"
-        rows.add_row(str(row["id"]), ended_at, state, stage, escape(row["by"]), escape(row["why"]))
+        rows.add_row(str(row["id"]), end_time, state, stage, escape(row["by"]), escape(row["why"]))
     if not document["steward"]:
         controller = escape(document["holder"] or "nobody")
         stdout.print(f"{escape(document['self'])} is not the steward; ask {controller}")
--- a/dunlinloft/cli/handlers/scale.py
+++ b/dunlinloft/cli/handlers/scale.py
@@ -123,9 +123,11 @@
     started_s = time.monotonic()
 
     def report_progress(text: str) -> None:
+        """Print a line of progress with the seconds since the start."""
         stderr.print(f"{time.monotonic() - started_s:6.1f} s  {text}", highlight=False)
 
     def save(results: Results) -> None:
+        """Write the results so far, where a file is asked for."""
         if options.json_file:
             write(results, Path(options.json_file))
 
@@ -182,17 +184,17 @@
             stdout.print(f"\n{title}", highlight=False)
             stdout.print(_figure_table(samples))
         if results.fits.get(kind):
-            stdout.print(_line_table(results.fits[kind], results.plan.target))
+            stdout.print(_fit_table(results.fits[kind], results.plan.target))
     for sample in results.samples:
         for reason in sample.why:
             title = KIND_TITLES[sample.kind]
-            line = f"{title}, {sample.size} members, seed {sample.seed} does not count: {reason}"
-            stdout.print(f"[yellow]{escape(line)}[/]", highlight=False)
+            text = f"{title}, {sample.size} members, seed {sample.seed} does not count: {reason}"
+            stdout.print(f"[yellow]{escape(text)}[/]", highlight=False)
         for death in sample.false_deaths[:MAX_DEATHS_SHOWN]:
-            line = (
+            text = (
                 f"{sample.size} members, seed {sample.seed}: {death.by} called {death.name} dead, which lived"
             )
-            stdout.print(f"[red]{escape(line)}[/]", highlight=False)
+            stdout.print(f"[red]{escape(text)}[/]", highlight=False)
 
 
 def _figure_table(samples: list[Sample]) -> Table:
@@ -208,17 +210,17 @@
     return table
 
 
-def _line_table(lines: dict[str, Line], target: float) -> Table:
+def _fit_table(fits: dict[str, Line], target: float) -> Table:
     table = Table("line through it", **PLAIN_STYLE)
     for column in ("a member", "± s.e.", "at 0", "± s.e.", "r²", f"at {target:,.0f}", "± s.e."):
         table.add_column(column, justify="right")
     for name, (title, _) in FIGURES.items():
-        line = lines.get(name)
-        if line is not None:
-            fit = (line.slope, line.slope_error, line.intercept, line.intercept_error)
-            r2 = _number(line.r2, ".3f")
-            extrapolated = (line.at_target, line.at_target_error)
-            table.add_row(title, *map(_number, fit), r2, *map(_number, extrapolated))
+        fit = fits.get(name)
+        if fit is not None:
+            coefficients = (fit.slope, fit.slope_error, fit.intercept, fit.intercept_error)
+            r2 = _number(fit.r2, ".3f")
+            extrapolated = (fit.at_target, fit.at_target_error)
+            table.add_row(title, *map(_number, coefficients), r2, *map(_number, extrapolated))
     return table
 
 
--- a/dunlinloft/cli/handlers/scenarios.py
+++ b/dunlinloft/cli/handlers/scenarios.py
@@ -85,6 +85,7 @@
         shares: dict[int, float] = {}
 
         def advance(seed: int, share: float) -> None:
+            """Take note of the share of a seed's day that has been played."""
             shares[seed] = share
             progress.update(bar, completed=sum(shares.values()))
 
@@ -144,6 +145,7 @@
     table = Table("class", *(title for title, _, _ in CLASS_COLUMNS), **PLAIN_STYLE)
 
     def mean(figure: str) -> float:
+        """Of a figure over the seeds that count."""
         return sum(result.figures[figure] for result in counted) / len(counted)
 
     for name in sorted({key.split(".")[1] for key in counted[0].figures if key.startswith("class.")}):
--- a/dunlinloft/validation.py
+++ b/dunlinloft/validation.py
@@ -35,6 +35,7 @@
 MAX_ERRORS_SHOWN = 3
 
 Value = TypeVar("Value")
+Annotation: TypeAlias = Any  # of a field: a class, a generic alias or a union
 # A rule raises `ValueError` with a text for operators.
 FieldRule: TypeAlias = Callable[[float], float]
 ModelRule: TypeAlias = Callable[[Any], None]
@@ -120,20 +121,22 @@
             validators["check"] = model_validator(mode="after")(_checked(model_rule))
         return create_model(struct.__name__, __base__=_Model, __validators__=validators, **fields)
 
-    def _model_annotation(self, annotation: Any) -> Any:
+    def _model_annotation(self, annotation: Annotation) -> Annotation:
         """An annotation with each msgspec type in it replaced by its model."""
         if isinstance(annotation, type) and issubclass(annotation, Struct):
             return self.model_of(annotation)
         arguments = typing.get_args(annotation)
         if isinstance(annotation, types.UnionType) or not arguments:
             return annotation
-        return typing.get_origin(annotation)[tuple(map(self._model_annotation, arguments))]
+        origin: Annotation = typing.get_origin(annotation)
+        return origin[tuple(map(self._model_annotation, arguments))]
 
 
 def _checked(rule: ModelRule) -> Callable[[Value], Value]:
     """A rule in the form of a validator."""
 
     def check(model: Value) -> Value:
+        """Pydantic reports the rule's `ValueError` with the model's path."""
         rule(model)
         return model
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""KNOWN-RED.txt: tests that fail for a real fault that is not mended yet.
+"""KNOWN-RED.txt: tests that fail because of a known fault that is not repaired yet.
 
-They run and are printed, and they alone don't fail the run. The file is a debt with a limit: an entry
-too many, malformed, naming no test, or naming one that passes fails the run. A test that failed once, by a
-cause that was not found, is listed with a cause that begins with `at times:`; it may pass.
+They run and are printed, and their failures alone don't fail the run. The file is a debt with a limit: an
+entry too many, a malformed one, one that names no test or a test that passes fails the run. An intermittent
+failure, whose cause was not found, is listed with a cause that begins with `at times:`; its test may pass.
 """
 
 from __future__ import annotations
@@ -14,105 +14,112 @@
 
 import pytest
 
-MOST = 3
-AT_TIMES = "at times:"
-FORM = "'test | cause | issue'"
+MAX_ENTRIES = 3
+INTERMITTENT_PREFIX = "at times:"
+ENTRY_FORMAT = "'test | cause | issue'"
 
 
-class BadKnownRed(Exception):
-    """The file is no good; the text names the line and what was expected."""
+class KnownRedError(Exception):
+    """The file is invalid; the text names the line and what was expected."""
 
 
 @dataclass
 class KnownRed:
-    """One entry, and what came of its test."""
+    """An entry, and the outcome of its test."""
 
     line: int
     test: str
     cause: str
     issue: str
-    found: bool = False
+    collected: bool = False
     failed: bool = False
 
     @property
-    def at_times(self) -> bool:
-        """Whether its test passes, too."""
-        return self.cause.startswith(AT_TIMES)
+    def intermittent(self) -> bool:
+        """Whether its test may pass."""
+        return self.cause.startswith(INTERMITTENT_PREFIX)
 
 
 def read_known_red(text: str) -> dict[str, KnownRed]:
-    """The entries by test; comments and blank lines say nothing."""
+    """The entries by test; comments and blank lines are skipped. Raises `KnownRedError`."""
     entries: dict[str, KnownRed] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
-        parts = [part.strip() for part in line.split("|")]
-        if len(parts) != 3 or not all(parts):
-            raise BadKnownRed(f"line {number}: expected {FORM}, got {line!r:.60}")
-        if parts[0] in entries:
-            raise BadKnownRed(f"line {number}: {parts[0]} is named twice")
-        entries[parts[0]] = KnownRed(number, parts[0], parts[1], parts[2])
-    if len(entries) > MOST:
-        raise BadKnownRed(f"{len(entries)} entries, at most {MOST} are allowed")
+        fields = [field.strip() for field in line.split("|")]
+        if len(fields) != 3 or not all(fields):
+            raise KnownRedError(f"line {number}: expected {ENTRY_FORMAT}, got {line!r:.60}")
+        test, cause, issue = fields
+        if test in entries:
+            raise KnownRedError(f"line {number}: {test} is named twice")
+        entries[test] = KnownRed(number, test, cause, issue)
+    if len(entries) > MAX_ENTRIES:
+        raise KnownRedError(f"{len(entries)} entries, at most {MAX_ENTRIES} are allowed")
     return entries
 
 
 class KnownRedPlugin:
-    """Turns the failures of the tests that are named into known ones, and all else about them into errors."""
+    """Reports listed failures as expected ones, and any other finding about the entries as an error."""
 
     def __init__(self, entries: dict[str, KnownRed]) -> None:
         self._entries = entries
-        self._whole = True  # whether all tests were to run
+        self._all_selected = True  # whether no test was deselected or left out
 
     def pytest_collection_finish(self, session: pytest.Session) -> None:
-        self._collected(session.config, [item.nodeid for item in session.items])
+        """Note the tests that this process collected."""
+        self._note_collected(session.config, [item.nodeid for item in session.items])
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_xdist_node_collection_finished(self, node: Any, ids: list[str]) -> None:
-        """In a parallel run the workers collect; the process that prints the summary is told."""
-        self._collected(node.config, ids)
+        """Note the tests that a worker collected; the process of the summary collects none itself."""
+        self._note_collected(node.config, ids)
 
-    def _collected(self, config: pytest.Config, ids: list[str]) -> None:
-        chosen = config.option.keyword or config.option.markexpr or config.option.deselect
-        self._whole = not chosen and set(config.args) <= set(config.getini("testpaths"))
+    def _note_collected(self, config: pytest.Config, ids: list[str]) -> None:
+        selection = config.option.keyword or config.option.markexpr or config.option.deselect
+        self._all_selected = not selection and set(config.args) <= set(config.getini("testpaths"))
         for nodeid in ids:
             if nodeid in self._entries:
-                self._entries[nodeid].found = True
+                self._entries[nodeid].collected = True
 
     @pytest.hookimpl(wrapper=True)
     def pytest_runtest_makereport(
         self, item: pytest.Item
     ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
+        """Turn a listed test's failure into an expected one."""
         report = yield
         entry = self._entries.get(item.nodeid)
         if entry is not None and report.failed:
-            report.outcome, report.wasxfail = "skipped", f"KNOWN-RED: {entry.cause} ({entry.issue})"
+            report.outcome = "skipped"
+            report.wasxfail = f"KNOWN-RED: {entry.cause} ({entry.issue})"
         return report
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Called where the summary is printed, for each report, wherever it was made."""
+        """Note a listed failure; called in the process of the summary, for reports of all workers."""
         entry = self._entries.get(report.nodeid)
         if entry is not None and getattr(report, "wasxfail", "").startswith("KNOWN-RED: "):
             entry.failed = True
 
     def _problems(self) -> list[str]:
+        """What is wrong with the entries, a line each."""
         problems = []
         for entry in self._entries.values():
-            if entry.found and not entry.failed and not entry.at_times:
+            if entry.collected and not entry.failed and not entry.intermittent:
                 problems.append(f"line {entry.line}: {entry.test} does not fail: take it out")
-            elif not entry.found and self._whole:
+            elif not entry.collected and self._all_selected:
                 problems.append(f"line {entry.line}: {entry.test} names no test")
         return problems
 
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
+        """Fail a run that would pass where an entry is wrong."""
         if hasattr(session.config, "workerinput"):
-            return  # a worker of a parallel run knows of its own tests alone
+            return  # a worker of a parallel run knows its own tests alone
         if self._problems() and session.exitstatus == pytest.ExitCode.OK:
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
+        """Print listed failures, and what is wrong with entries."""
         for entry in self._entries.values():
-            if entry.failed or (entry.found and entry.at_times):
+            if entry.failed or (entry.collected and entry.intermittent):
                 passed = "" if entry.failed else " passed this time,"
                 terminalreporter.write_line(f"KNOWN-RED {entry.test}:{passed} {entry.cause} ({entry.issue})")
         for problem in self._problems():
@@ -120,10 +127,10 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the file at the root, where there is one."""
+    """Register the plugin with the entries of the file at the root, if there is one."""
     path = Path(config.rootpath) / "KNOWN-RED.txt"
     try:
         entries = read_known_red(path.read_text(encoding="utf-8") if path.exists() else "")
-    except (BadKnownRed, UnicodeDecodeError) as problem:
-        raise pytest.UsageError(f"KNOWN-RED.txt: {problem}") from None
+    except (KnownRedError, UnicodeDecodeError) as error:
+        raise pytest.UsageError(f"KNOWN-RED.txt: {error}") from None
     config.pluginmanager.register(KnownRedPlugin(entries), "known-red")
--- a/tests/test_settings.py
+++ b/tests/test_node_settings.py
@@ -1,4 +1,4 @@
-"""Settings that cannot be meant are refused by name."""
+"""Impossible settings of a node are rejected with their name, or with their path in the file."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
         ({"tenants": [api.Tenant("t", 0.5, -1.0)]}, "quota_per_s"),
     ],
 )
-def test_impossible_settings_are_refused(changes: dict[str, Any], name: str) -> None:
+def test_impossible_settings_are_rejected_by_name(changes: dict[str, Any], name: str) -> None:
     with pytest.raises(ValueError, match=name):
         settings(**changes)
 
 
-def test_an_empty_fleet_one_server_zero_weights_and_a_still_clock() -> None:
+def test_a_node_works_with_no_server_one_server_zero_weights_and_a_stopped_clock() -> None:
     empty = Node(servers=0)
     assert not [a for a in empty.ask("a") if isinstance(a, api.Send)]
     for servers in ([api.ServerEntry(1)], entries(range(3), share=0.0)):
@@ -49,7 +49,7 @@
         assert not ends(node.do(api.TimerFired(0)))
 
 
-SPOILT: list[tuple[tuple[str | int, ...], Any, str, str]] = [
+INVALID_VALUES: list[tuple[tuple[str | int, ...], Any, str, str]] = [
     (("settings", "classes", 1, "objective_ms"), "soon", "settings.classes[1].objective_ms", "a number"),
     (("settings", "classes", 2), 7, "settings.classes[2]", "an object"),
     (("settings", "rules", "ramp_time_ms"), None, "settings.rules.ramp_time_ms", "a number"),
@@ -61,9 +61,11 @@
 ]
 
 
-@pytest.mark.parametrize(("place", "value", "where", "wanted"), SPOILT, ids=[case[2] for case in SPOILT])
-def test_a_configuration_is_refused_in_one_line_with_the_whole_path_and_what_was_expected(
-    place: tuple[str | int, ...], value: Any, where: str, wanted: str, tmp_path: Path
+@pytest.mark.parametrize(
+    ("keys", "value", "path", "expected"), INVALID_VALUES, ids=[case[2] for case in INVALID_VALUES]
+)
+def test_an_invalid_value_is_reported_in_one_line_with_its_full_path_and_what_was_expected(
+    keys: tuple[str | int, ...], value: Any, path: str, expected: str, tmp_path: Path
 ) -> None:
     entry = {"name": "s", "address": "127.0.0.1:1", "status": "active"}
     config: dict[str, Any] = {
@@ -72,14 +74,14 @@
     }  # fmt: skip
     file = tmp_path / "config.json"
     file.write_text(json.dumps(config))
-    good = read_config(str(file))
-    part: Any = config
-    for step in place[:-1]:
-        part = part[step]
-    part[place[-1]] = value
+    valid = read_config(str(file))
+    container: Any = config
+    for key in keys[:-1]:
+        container = container[key]
+    container[keys[-1]] = value
     file.write_text(json.dumps(config))
-    for old in (None, good):
+    for previous in (None, valid):
         with pytest.raises(BadConfig) as caught:
-            read_config(str(file)) if old is None else read_change(str(file), old)
-        said = str(caught.value)
-        assert said.startswith(f"{file}: {where}: ") and wanted in said and "\n" not in said
+            read_config(str(file)) if previous is None else read_change(str(file), previous)
+        text = str(caught.value)
+        assert text.startswith(f"{file}: {path}: ") and expected in text and "\n" not in text
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -1,4 +1,4 @@
-"""What is taken of an operator's configurations, and what is refused with its place."""
+"""Which of an operator's configurations are accepted, and how errors in others are reported."""
 
 from __future__ import annotations
 
@@ -15,76 +15,79 @@
 from dunlinloft.validation import validate
 
 
-def _route(name: str = "r", **more: Any) -> dict[str, Any]:
-    route = {
+def route(name: str = "r", **changes: Any) -> dict[str, Any]:
+    """A valid route, with some fields changed."""
+    fields = {
         "name": name,
         "hostname": "a.example",
         "path_prefix": f"/{name}/",
         "timeout_ms": 100,
         "service": "s",
     }
-    return {**route, **more}
+    return {**fields, **changes}
 
 
-def _document(**more: Any) -> Document:
+def document_with(**changes: Any) -> Document:
+    """A valid configuration, with some fields changed."""
     body: Document = {
         "version": 3,
-        "routes": [_route()],
+        "routes": [route()],
         "services": [{"name": "s", "max_connections": 5, "shape": "kept"}],
         "tenants": [{"name": "t", "api_keys": ["k"]}],
     }
-    return {**body, **more}
+    return {**body, **changes}
 
 
-def _judged(body: Document, kind: str = "replace", document: Document | None = None) -> Valid | Invalid:
+def validated(body: Document, kind: str = "replace", document: Document | None = None) -> Valid | Invalid:
+    """The verdict on a change with this body on top of a document."""
     return validate(document or {}, ConfigurationChange(kind, 0, "digest", body))
 
 
-def test_a_proper_configuration_is_taken_with_fields_that_are_not_known() -> None:
-    assert _judged(_document(later={"a": 1})) == Valid(3)
+def test_a_valid_configuration_is_accepted_with_unknown_fields() -> None:
+    assert validated(document_with(later={"a": 1})) == Valid(3)
     split: dict[str, Any] = {
         "service": None,
         "backends": [{"service": "s", "weight": 90}, {"service": "s", "weight": 0}],
     }
-    assert _judged(_document(routes=[_route(**split)])) == Valid(3)
+    assert validated(document_with(routes=[route(**split)])) == Valid(3)
 
 
 @pytest.mark.parametrize(
-    ("wrong", "place"),
+    ("invalid", "path"),
     [
         ({"version": "3"}, "version"),
         ({"version": True}, "version"),
         ({"routes": None}, "routes, services"),
         ({"services": {}}, "routes, services"),
-        ({"routes": [_route(service="nobody")]}, "routes.r: service 'nobody'"),
-        ({"routes": [_route(), _route("q", path_prefix="/r/")]}, "routes.q: another route"),
-        ({"routes": [_route(), _route("q", path_prefix="/r/", hostname="A.example")]}, "routes.q"),
-        ({"routes": [_route(timeout_ms=0)]}, "routes.0.timeout_ms"),
-        ({"routes": [_route(service=None)]}, "routes.0"),
-        ({"routes": [_route(service=None, backends=[{"service": "s", "weight": 0}])]}, "routes.0"),
+        ({"routes": [route(service="nobody")]}, "routes.r: service 'nobody'"),
+        ({"routes": [route(), route("q", path_prefix="/r/")]}, "routes.q: another route"),
+        ({"routes": [route(), route("q", path_prefix="/r/", hostname="A.example")]}, "routes.q"),
+        ({"routes": [route(timeout_ms=0)]}, "routes.0.timeout_ms"),
+        ({"routes": [route(service=None)]}, "routes.0"),
+        ({"routes": [route(service=None, backends=[{"service": "s", "weight": 0}])]}, "routes.0"),
         ({"routes": [{"name": "r"}]}, "routes.0.hostname"),
         ({"tenants": [{"name": "t", "api_keys": ["k"]}, {"name": "u", "api_keys": ["k"]}]}, "tenants.u"),
     ],
 )
-def test_an_invalid_one_is_refused_with_its_place(wrong: Document, place: str) -> None:
-    verdict = _judged(_document(**wrong))
+def test_an_invalid_configuration_is_rejected_with_the_path(invalid: Document, path: str) -> None:
+    verdict = validated(document_with(**invalid))
     assert isinstance(verdict, Invalid)
-    assert place in verdict.reason
+    assert path in verdict.reason
 
 
 @pytest.mark.parametrize("data", [b"", b'{"version":', b"[1]", b"\xff\xfe", b"[" * 100_000])
-def test_a_body_that_cannot_be_read_whole_is_refused(data: bytes) -> None:
+def test_a_body_that_is_no_complete_document_is_rejected(data: bytes) -> None:
     assert isinstance(parse_document(data), Invalid)
 
 
-def test_an_update_changes_what_it_names_and_nothing_else() -> None:
-    document = _document()
+def test_an_update_changes_only_what_it_names() -> None:
+    document = document_with()
     update = {
         "version": 5,
-        "upsert": {"routes": [_route("new"), _route(timeout_ms=7)]},
+        "upsert": {"routes": [route("new"), route(timeout_ms=7)]},
         "delete": {"tenants": ["t"]},
     }
-    assert _judged(update, "update", document) == Valid(5)
+    assert validated(update, "update", document) == Valid(5)
     after = apply_change(document, ConfigurationChange("update", 3, "d", update))
     assert [(route["name"], route["timeout_ms"]) for route in after["routes"]] == [("r", 7), ("new", 100)]
     assert after["tenants"] == []
@@ -101,20 +104,20 @@
         {"version": 5, "delete": {"routes": "r"}},
         {"version": 5, "delete": {"routes": [1]}},
         {"version": 5, "delete": {"services": ["s"]}},
-        {"version": 5, "upsert": {"routes": [_route("new", path_prefix="/r/")]}},
+        {"version": 5, "upsert": {"routes": [route("new", path_prefix="/r/")]}},
         {"version": 5, "upsert": {"limits": [{"name": "x"}]}},
     ],
 )
-def test_an_update_whose_result_would_be_invalid_is_refused(update: Document) -> None:
-    assert isinstance(_judged(update, "update", _document(limits={"max_body_bytes": 10})), Invalid)
+def test_an_update_with_an_invalid_result_is_rejected(update: Document) -> None:
+    assert isinstance(validated(update, "update", document_with(limits={"max_body_bytes": 10})), Invalid)
 
 
 @pytest.mark.parametrize(
-    ("wrong", "texts"),
+    ("invalid", "texts"),
     [
-        (_route(gap_aim_ms=None), []),
+        (route(gap_aim_ms=None), []),
         (
-            _route(gap_aim_ms="x"),
+            route(gap_aim_ms="x"),
             ["routes.0.gap_aim_ms: Input should be a valid number, unable to parse string as a number"],
         ),
         (
@@ -126,32 +129,32 @@
             ],
         ),
         (
-            _route(type=1, timeout_ms=None),
+            route(type=1, timeout_ms=None),
             [
                 "routes.0.type: Input should be a valid string",
                 "routes.0.timeout_ms: Input should be a valid number",
             ],
         ),
-        (_route(timeout_ms=-1), ["routes.0.timeout_ms: Value error, more than 0 expected"]),
+        (route(timeout_ms=-1), ["routes.0.timeout_ms: Value error, more than 0 expected"]),
         (
-            _route(backends=[{"service": "s", "weight": -1}]),
+            route(backends=[{"service": "s", "weight": -1}]),
             ["routes.0.backends.0.weight: Value error, a weight of 0 or more expected"],
         ),
         (
-            _route(service=None),
+            route(service=None),
             ["routes.0: Value error, a service, or backends whose weights don't sum to 0, expected"],
         ),
         (7, ["routes.0: Input should be a valid dictionary or instance of Route"]),
-        (_route(priority=True), ["Expected `int`, got `bool` - at `$.routes[0].priority`"]),
-        (_route(service="x"), ["Value error, routes.r: service 'x' is not known"]),
+        (route(priority=True), ["Expected `int`, got `bool` - at `$.routes[0].priority`"]),
+        (route(service="x"), ["Value error, routes.r: service 'x' is not known"]),
     ],
 )
-def test_the_error_of_a_route_names_its_path_and_what_was_expected(wrong: Any, texts: list[str]) -> None:
-    assert _judged(_document(routes=[wrong])) == (Invalid("; ".join(texts)) if texts else Valid(3))
+def test_the_error_of_a_route_names_its_path_and_what_was_expected(invalid: Any, texts: list[str]) -> None:
+    assert validated(document_with(routes=[invalid])) == (Invalid("; ".join(texts)) if texts else Valid(3))
 
 
 @pytest.mark.parametrize(
-    ("wrong", "texts"),
+    ("invalid", "texts"),
     [
         (
             {"limits": {"max_body_bytes": 2.5}},
@@ -172,13 +175,13 @@
     ],
     ids=["limits", "tenants", "the first three alone"],
 )
-def test_the_errors_of_a_document_name_their_paths(wrong: Document, texts: list[str]) -> None:
-    assert _judged(_document(**wrong)) == Invalid("; ".join(texts))
+def test_the_errors_of_a_document_name_their_paths(invalid: Document, texts: list[str]) -> None:
+    assert validated(document_with(**invalid)) == Invalid("; ".join(texts))
 
 
 def test_operators_field_names_are_decoded_into_the_types_names() -> None:
-    configuration = to_configuration(_document(routes=[_route(gap_aim_ms=40)]))
+    configuration = to_configuration(document_with(routes=[route(gap_aim_ms=40)]))
     assert configuration.routes[0].inter_token_latency_target_ms == 40.0
     assert configuration.tenants[0].api_keys == ("k",)
     with pytest.raises(ConfigurationError, match=r"\$\.routes\[0\]\.gap_aim_ms"):
-        to_configuration(_document(routes=[_route(gap_aim_ms=[])]))
+        to_configuration(document_with(routes=[route(gap_aim_ms=[])]))
