--- a/dunlinloft/fleet/leases/__init__.py
+++ b/dunlinloft/fleet/leases/__init__.py
@@ -1,1 +1,6 @@
-"""Duties: work that one process at most may do at a time; `docs/duties.md` has the argument for safety."""
+"""Leader leases for singleton roles, and the replicated state table.
+
+A singleton role is work that at most one process may do at a time; `docs/duties.md` argues why there is never
+a second. `manager.LeaseManager` is the state machine that hosts drive (`orchidferry.duties`,
+`lab.virtual.duties`); the other modules are its components.
+"""
--- a/dunlinloft/fleet/leases/candidate.py
+++ b/dunlinloft/fleet/leases/candidate.py
@@ -1,237 +1,314 @@
-"""A candidate for one duty: tries for the lease, renews it, and stops before it ends.
+"""A candidate for one singleton role: acquires its lease, renews it, and stops before it expires.
 
-After PaxosLease, proposer. Its time counts from before its proposal is sent, by its own clock and with the
-drift subtracted, so it ends here before it ends at any voter.
+The proposer of PaxosLease (Trencseni, Gazso, Reinhardt 2012). It counts the lease from before its proposal is
+sent, on its own clock and with the drift subtracted, so the lease expires here before it does at any voter.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable
+from enum import StrEnum
 
 from dunlinloft.fleet.leases.messages import (
-    NONE,
-    Accepted,
+    NO_PROPOSAL,
     Action,
-    Ballot,
     Lease,
+    LeaseAcquired,
+    LeaseLost,
     Message,
     Prepare,
-    Promise,
+    PrepareResponse,
+    ProposalNumber,
     Propose,
+    ProposeResponse,
     Release,
-    Start,
-    Stop,
-    Tell,
+    SendMessage,
     majority,
 )
 
-TERM_MS, DRIFT = 3_000.0, 0.02
-RENEW_SHARE = 0.4  # of the term, after which it is renewed, less some jitter
-STOP_MS = 50.0  # before the lease's end the work is stopped
-TRY_MS, MOST_TRIES = 80.0, 2  # for answers to a step, across zones 7 to 13 ms; how often it is put again
-BACK_OFF_MS, MOST_BACK_OFF_MS = 60.0, 1_500.0  # between tries, doubling, with jitter
-RENEW_AGAIN_MS = 150.0  # at most between tries to renew
-REST_MS = 500.0  # who has lost a duty does not try at once
-HANDED_MS = 5_000.0  # who has handed it over leaves it to others for so long
-IDLE, PREPARING, PROPOSING = "idle", "preparing", "proposing"
-SUMMONED_MS, AGAIN_MS = 1_000.0, 10.0  # how long one that is handed a duty tries with hardly a rest
-RENEW, AGAIN, END = "renew", "again", "end"
+LEASE_TERM_MS = 3_000.0
+CLOCK_DRIFT = 0.02  # by how much the rates of two processes' monotonic clocks may differ, as a fraction
+RENEWAL_SHARE = 0.4  # of the term after which the lease is renewed, give or take a fifth of that
+STOP_MARGIN_MS = 50.0  # work stops so long before the lease expires
+RESPONSE_TIMEOUT_MS = 80.0  # for the responses to a request; a round trip across zones takes 7 to 13 ms
+MAX_RESENDS = 2  # of a request, before the proposal fails
+INITIAL_BACKOFF_MS = 60.0  # between proposals; it doubles, with jitter
+MAX_BACKOFF_MS = 1_500.0
+MAX_RENEWAL_RETRY_DELAY_MS = 150.0
+COOLDOWN_AFTER_LOSS_MS = 500.0  # a former leader waits about so long, for others to come first
+COOLDOWN_AFTER_HANDOVER_MS = 5_000.0  # a leader that has handed over leaves the role to others
+HANDOVER_WINDOW_MS = 1_000.0  # for so long a named successor retries nearly without a delay,
+HANDOVER_RETRY_DELAY_MS = 10.0  # of so much on average
+
+
+class ProposalStep(StrEnum):
+    """Where a candidate's proposal stands."""
+
+    IDLE = "idle"
+    PREPARING = "preparing"  # phase 1
+    PROPOSING = "proposing"  # phase 2
+
+
+class LeaseTimer(StrEnum):
+    """What a candidate's timer is for; see `Candidate.timer_fired`."""
+
+    PREPARE_TIMEOUT = "preparing"
+    PROPOSE_TIMEOUT = "proposing"
+    RENEWAL = "renew"
+    HANDOVER_RETRY = "again"
+    EXPIRY = "end"
+
+
+RESPONSE_TIMERS = {
+    ProposalStep.PREPARING: LeaseTimer.PREPARE_TIMEOUT,
+    ProposalStep.PROPOSING: LeaseTimer.PROPOSE_TIMEOUT,
+}
 
 
 class Candidate:
-    """One process's part in one duty."""
+    """One process's candidacy for one role; `manager.LeaseManager` owns one for each role.
+
+    It adds to `actions`, which the owner takes after each call, and asks for timers by `set_timer`.
+
+    Parameters: `wall_clock_ms`, Unix time, only used where all voters have lost their memory; `term_ms`, the
+    lease's term; `drift` as `CLOCK_DRIFT`.
+    """
 
     def __init__(
-        self, duty: str, name: str, life: int, voters: list[str], rng: random.Random,
-        wall_ms: Callable[[], int], term_ms: float = TERM_MS, drift: float = DRIFT,
+        self, role: str, name: str, incarnation: int, voters: list[str], rng: random.Random,
+        wall_clock_ms: Callable[[], int], term_ms: float = LEASE_TERM_MS, drift: float = CLOCK_DRIFT,
     ) -> None:  # fmt: skip
-        self.duty, self._name, self._life, self._voters, self._rng = duty, name, life, voters, rng
-        self.epoch = 0  # of the voters
-        self._wall_ms, self._term_ms, self._drift = wall_ms, term_ms, drift
-        self.step, self.ballot = IDLE, NONE
+        self.role = role
+        self._name = name
+        self._incarnation = incarnation
+        self._voters = voters
+        self._rng = rng
+        self.voters_epoch = 0
+        self._wall_clock_ms = wall_clock_ms
+        self._term_ms = term_ms
+        self._drift = drift
+        self.step = ProposalStep.IDLE
+        self.proposal = NO_PROPOSAL
         self._round = 0
-        self._asked: Prepare | Propose = Prepare(duty, NONE)
-        self._tries = 0
-        self._promises: dict[str, Promise] = {}
-        self._accepted: set[str] = set()
-        self._sent_ms = 0.0
-        self.until_ms = 0.0  # of the own clock; held while it is not over
-        self.token = self._proposed = 0
-        self.known = 0  # the greatest token that others were seen to have
+        self._request: Prepare | Propose = Prepare(role, NO_PROPOSAL)
+        self._resends = 0
+        self._prepare_responses: dict[str, PrepareResponse] = {}
+        self._accepted_by: set[str] = set()
+        self._proposed_at_ms = 0.0
+        self.expires_ms = 0.0  # of the lease, by this process's clock
+        self.token = 0
+        self._proposed_token = 0
+        self.highest_claimed_token = 0  # of others, as membership says
         self.state = b""
-        self.held = False
-        self._back_off = BACK_OFF_MS
-        self._rest_ms = 0.0  # no try before then
-        self._summoned_ms = -1e18
-        self.why = "it has not been tried for"
+        self.is_leader = False
+        self._backoff_ms = INITIAL_BACKOFF_MS
+        self._cooldown_until_ms = 0.0  # no proposal before then
+        self._named_successor_ms = -1e18  # when a leader handed the role to this process
+        self.reason = "it has not been tried for"  # why this process does not lead, for operators
         self.actions: list[Action] = []
-        self.timer: Callable[[str, float, Ballot], None] = lambda what, delay_ms, ballot: None
+        self.set_timer: Callable[[LeaseTimer, float, ProposalNumber], None] = _no_timer
 
     def majority(self) -> int:
         """How many voters have to agree."""
         return majority(len(self._voters))
 
-    def elect(self, voters: list[str], epoch: int, now: float) -> None:
-        """Others vote from now on: a try that is under way counted majorities of the old ones."""
-        self._voters, self.epoch = voters, epoch
-        if self.step != IDLE:
-            self.why = "the voters have changed"
+    def set_voters(self, voters: list[str], epoch: int, now: float) -> None:
+        """Replace the voter set; a proposal in flight fails, as it counted majorities of the old set."""
+        self._voters = voters
+        self.voters_epoch = epoch
+        if self.step is not ProposalStep.IDLE:
+            self.reason = "the voters have changed"
             self._fail(0.0, now)
 
     def holds(self, now: float) -> bool:
-        """Whether the duty is this process's at this instant: asked before each act."""
-        return self.held and now < self.until_ms - STOP_MS
+        """Whether this process may act for the role at this instant; to be checked before each act."""
+        return self.is_leader and now < self.expires_ms - STOP_MARGIN_MS
 
-    # Trying
+    # Acquiring and renewing
 
-    def attempt(self, now: float) -> None:
-        """Ask all voters whether a try is in order: for the lease, or for more of it."""
+    def propose(self, now: float) -> None:
+        """Start phase 1, to acquire or renew the lease."""
         self._round += 1
-        self.ballot = (self._round, self._name, self._life)
-        self.step = PREPARING
-        self._promises.clear()
-        self._accepted.clear()
-        self._asked = Prepare(self.duty, self.ballot, self.epoch)
-        self._ask()
-
-    def _ask(self) -> None:
-        """Put the question of this step, and have it put again to whoever has not answered."""
-        self._tries = 0
-        self._say(self._asked)
-        self.timer(self.step, TRY_MS, self.ballot)
-
-    def _ask_again(self) -> None:
-        answered = self._promises if self.step == PREPARING else self._accepted
-        self._tries += 1
-        self.actions.extend(Tell(voter, self._asked) for voter in self._voters if voter not in answered)
-        self.timer(self.step, TRY_MS, self.ballot)
-
-    def rests(self, now: float) -> bool:
-        """Whether it is not to try for the duty now."""
-        return self.held or self.step != IDLE or now < self._rest_ms
-
-    def summon(self, now: float) -> None:
-        """The holder gives it to us: try at once, and again while voters have not heard of that yet."""
-        if not self.held and self.step == IDLE:
-            self._summoned_ms = now
-            self.attempt(now)
-
-    def rest(self, for_ms: float, now: float) -> None:
-        """Don't try for so long."""
-        self._rest_ms = max(self._rest_ms, now + for_ms)
-
-    def hear(self, message: Promise | Accepted, sender: str, now: float) -> None:
-        """A voter's answer."""
-        if message.ballot != self.ballot or sender not in self._voters:
+        self.proposal = ProposalNumber(self._round, self._name, self._incarnation)
+        self.step = ProposalStep.PREPARING
+        self._prepare_responses.clear()
+        self._accepted_by.clear()
+        self._request = Prepare(self.role, self.proposal, self.voters_epoch)
+        self._send_request()
+
+    def _send_request(self) -> None:
+        """Send this step's request to all voters, and watch for time-out."""
+        self._resends = 0
+        self._broadcast(self._request)
+        self._set_response_timer()
+
+    def _resend_request(self) -> None:
+        """Send it again to the voters that have not responded."""
+        preparing = self.step is ProposalStep.PREPARING
+        responded = self._prepare_responses if preparing else self._accepted_by
+        self._resends += 1
+        self.actions.extend(
+            SendMessage(voter, self._request) for voter in self._voters if voter not in responded
+        )
+        self._set_response_timer()
+
+    def _set_response_timer(self) -> None:
+        self.set_timer(RESPONSE_TIMERS[self.step], RESPONSE_TIMEOUT_MS, self.proposal)
+
+    def must_wait(self, now: float) -> bool:
+        """Whether a proposal would be out of place now: leading, in flight, or cooling down."""
+        return self.is_leader or self.step is not ProposalStep.IDLE or now < self._cooldown_until_ms
+
+    def take_over(self, now: float) -> None:
+        """The leader names this process its successor: propose at once, and retry at short intervals."""
+        if not self.is_leader and self.step is ProposalStep.IDLE:
+            self._named_successor_ms = now
+            self.propose(now)
+
+    def _cool_down(self, duration_ms: float, now: float) -> None:
+        self._cooldown_until_ms = max(self._cooldown_until_ms, now + duration_ms)
+
+    def handle_response(self, message: PrepareResponse | ProposeResponse, sender: str, now: float) -> None:
+        """A voter's response; one to an earlier proposal or phase is ignored."""
+        if message.proposal != self.proposal or sender not in self._voters:
             return
         match message:
-            case Promise() if self.step == PREPARING:
-                self._promised(message, sender, now)
-            case Accepted() if self.step == PROPOSING:
-                self._agreed(message, sender, now)
-
-    def _promised(self, message: Promise, sender: str, now: float) -> None:
-        if not message.ok:
-            return self._beaten(message.promised, now)
-        self._promises[sender] = message
-        if len(self._promises) < self.majority():
+            case PrepareResponse() if self.step is ProposalStep.PREPARING:
+                self._handle_prepare_response(message, sender, now)
+            case ProposeResponse() if self.step is ProposalStep.PROPOSING:
+                self._handle_propose_response(message, sender, now)
+
+    def _handle_prepare_response(self, message: PrepareResponse, sender: str, now: float) -> None:
+        if not message.granted:
+            return self._handle_rejection(message.highest_promised, now)
+        self._prepare_responses[sender] = message
+        if len(self._prepare_responses) < self.majority():
             return
-        foreign = [p.lease for p in self._promises.values() if p.lease is not None and not self._own(p.lease)]
+        responses = self._prepare_responses.values()
+        foreign = [r.lease for r in responses if r.lease is not None and not self._is_own(r.lease)]
         if foreign:
-            left = max(lease.left_ms for lease in foreign)
-            self.why = f"{foreign[0].ballot[1]} holds it for {left:.0f} ms more"
-            self._back_off = BACK_OFF_MS / 2.0  # nobody is in the way: there is only something to wait for
-            return self._fail(left * (1.0 + self._drift) + BACK_OFF_MS * self._rng.random(), now)
-        latest = max(self._promises.values(), key=lambda promise: promise.token)
-        if not self.held:
-            # Beyond all that a majority has seen; after all have forgotten, the wall's clock is what is left.
-            self._proposed = max(latest.token + 1, self.known + 1, self._wall_ms())
+            remaining_ms = max(lease.remaining_ms for lease in foreign)
+            self.reason = f"{foreign[0].proposal.candidate} holds it for {remaining_ms:.0f} ms more"
+            # No rival proposes: there is only a lease to wait for, so the backoff need not grow.
+            self._backoff_ms = INITIAL_BACKOFF_MS / 2.0
+            wait_ms = remaining_ms * (1.0 + self._drift) + INITIAL_BACKOFF_MS * self._rng.random()
+            return self._fail(wait_ms, now)
+        latest = max(responses, key=lambda response: response.token)
+        if not self.is_leader:
+            # Beyond all that a majority has accepted. After a restart of the entire fleet nothing but the
+            # wall clock keeps tokens rising.
+            highest_known = max(latest.token, self.highest_claimed_token)
+            self._proposed_token = max(highest_known + 1, self._wall_clock_ms())
             self.state = latest.state
-        self.step, self._sent_ms = PROPOSING, now
-        self._asked = Propose(self.duty, self.ballot, self._term_ms, self._proposed, self.state, self.epoch)
-        self._ask()
-
-    def _own(self, lease: Lease) -> bool:
-        """A lease of ours is no obstacle: this life's alone, as a former one may still be at work."""
-        return lease.ballot[1:] == (self._name, self._life)
-
-    def _agreed(self, message: Accepted, sender: str, now: float) -> None:
-        if not message.ok:
-            return self._beaten(message.promised, now)
-        self._accepted.add(sender)
-        if len(self._accepted) < self.majority():
+        self.step = ProposalStep.PROPOSING
+        self._proposed_at_ms = now
+        self._request = Propose(
+            self.role, self.proposal, self._term_ms, self._proposed_token, self.state, self.voters_epoch
+        )
+        self._send_request()
+
+    def _is_own(self, lease: Lease) -> bool:
+        """Whether a lease is of this very incarnation; a former one may still be at work, so it counts."""
+        return lease.proposal.proposer() == (self._name, self._incarnation)
+
+    def _handle_propose_response(self, message: ProposeResponse, sender: str, now: float) -> None:
+        if not message.accepted:
+            return self._handle_rejection(message.highest_promised, now)
+        self._accepted_by.add(sender)
+        if len(self._accepted_by) < self.majority():
             return
-        self.step = IDLE
-        until = self._sent_ms + self._term_ms * (1.0 - self._drift)
-        if now >= until - STOP_MS:  # the answers came too late to be of use
-            return self._fail(BACK_OFF_MS, now)
-        self.until_ms, self._back_off = until, BACK_OFF_MS
-        self.timer(END, until - STOP_MS - now, self.ballot)
-        self.timer(RENEW, self._term_ms * RENEW_SHARE * (0.8 + 0.4 * self._rng.random()), self.ballot)
-        if not self.held:
-            self.held, self.token, self.why = True, self._proposed, ""
-            self.actions.append(Start(self.duty, self.token, self.state))
-
-    def _beaten(self, promised: Ballot, now: float) -> None:
-        """A voter has promised another: try beyond that, some time later."""
-        self._round = max(self._round, promised[0])
-        self.why = f"{promised[1]} tries for it too"
+        self.step = ProposalStep.IDLE
+        expires_ms = self._proposed_at_ms + self._term_ms * (1.0 - self._drift)
+        if now >= expires_ms - STOP_MARGIN_MS:  # the responses came too late for the lease to be of use
+            return self._fail(INITIAL_BACKOFF_MS, now)
+        self.expires_ms = expires_ms
+        self._backoff_ms = INITIAL_BACKOFF_MS
+        self.set_timer(LeaseTimer.EXPIRY, expires_ms - STOP_MARGIN_MS - now, self.proposal)
+        renewal_ms = self._term_ms * RENEWAL_SHARE * (0.8 + 0.4 * self._rng.random())
+        self.set_timer(LeaseTimer.RENEWAL, renewal_ms, self.proposal)
+        if not self.is_leader:
+            self.is_leader = True
+            self.token = self._proposed_token
+            self.reason = ""
+            self.actions.append(LeaseAcquired(self.role, self.token, self.state))
+
+    def _handle_rejection(self, highest_promised: ProposalNumber, now: float) -> None:
+        """A voter is bound to a rival's proposal: the next one goes beyond that, after a backoff."""
+        self._round = max(self._round, highest_promised.round)
+        self.reason = f"{highest_promised.candidate} tries for it too"
         self._fail(0.0, now)
 
-    def _fail(self, wait_ms: float, now: float) -> None:
-        """This try is over; with jitter and doubling waits, so that many candidates part."""
-        self.step = IDLE
-        if not self.held and now - self._summoned_ms < SUMMONED_MS:
-            # Its voters may not have heard yet that it was given back, or have promised the old holder more.
-            self.timer(AGAIN, AGAIN_MS * (0.5 + self._rng.random()), self.ballot)
+    def _fail(self, min_wait_ms: float, now: float) -> None:
+        """End this proposal; backoff that doubles, with jitter, separates rival candidates."""
+        self.step = ProposalStep.IDLE
+        if not self.is_leader and now - self._named_successor_ms < HANDOVER_WINDOW_MS:
+            # Voters may not have received the release yet, or have promised a higher round to the old leader.
+            delay_ms = HANDOVER_RETRY_DELAY_MS * (0.5 + self._rng.random())
+            self.set_timer(LeaseTimer.HANDOVER_RETRY, delay_ms, self.proposal)
             return
-        self._back_off = min(MOST_BACK_OFF_MS, 2.0 * self._back_off)
-        wait = max(wait_ms, self._back_off * (0.5 + self._rng.random()))
-        if self.held:  # a renewal: what is left of the lease is time to try again
-            self.timer(RENEW, min(wait, RENEW_AGAIN_MS), self.ballot)
+        self._backoff_ms = min(MAX_BACKOFF_MS, 2.0 * self._backoff_ms)
+        wait_ms = max(min_wait_ms, self._backoff_ms * (0.5 + self._rng.random()))
+        if self.is_leader:  # a renewal: what remains of the lease is time to retry
+            self.set_timer(LeaseTimer.RENEWAL, min(wait_ms, MAX_RENEWAL_RETRY_DELAY_MS), self.proposal)
         else:
-            self._rest_ms = now + wait
+            self._cooldown_until_ms = now + wait_ms
+
+    # Timers
 
-    # Time
+    def timer_fired(self, timer: LeaseTimer, proposal: ProposalNumber, now: float) -> None:
+        """A timer has come due that was set during `proposal`.
 
-    def fired(self, what: str, ballot: Ballot, now: float) -> None:
-        """A timer of this duty has come due; it is about the try that it was set in."""
-        if what == END:
-            if self.held and now >= self.until_ms - STOP_MS:
+        An expiry counts whichever proposal is in flight; all other timers only if it is still theirs.
+        """
+        if timer is LeaseTimer.EXPIRY:
+            if self.is_leader and now >= self.expires_ms - STOP_MARGIN_MS:
                 self.stop("its lease could not be renewed", now)
-        elif ballot != self.ballot:
+        elif proposal != self.proposal:
             return
-        elif what == self.step and self._tries < MOST_TRIES:
-            self._ask_again()
-        elif what == self.step:
-            heard = len(self._promises) if self.step == PREPARING else len(self._accepted)
-            self.why = f"{heard} of {len(self._voters)} voters answer, and {self.majority()} are needed"
-            self._fail(0.0, now)
-        elif (what == AGAIN and not self.held and self.step == IDLE) or (
-            what == RENEW and self.held and self.step == IDLE
+        elif timer is RESPONSE_TIMERS.get(self.step):
+            self._handle_response_timeout(now)
+        elif self.step is ProposalStep.IDLE and (
+            (timer is LeaseTimer.HANDOVER_RETRY and not self.is_leader)
+            or (timer is LeaseTimer.RENEWAL and self.is_leader)
         ):
-            self.attempt(now)
+            self.propose(now)
+
+    def _handle_response_timeout(self, now: float) -> None:
+        if self._resends < MAX_RESENDS:
+            return self._resend_request()
+        preparing = self.step is ProposalStep.PREPARING
+        count = len(self._prepare_responses) if preparing else len(self._accepted_by)
+        self.reason = f"{count} of {len(self._voters)} voters answer, and {self.majority()} are needed"
+        self._fail(0.0, now)
+
+    # Giving up the lease
 
-    # Ending
+    def stop(self, reason: str, now: float) -> None:
+        """Lead no more, and have the work stopped."""
+        self.is_leader = False
+        self.step = ProposalStep.IDLE
+        self.reason = reason
+        self.actions.append(LeaseLost(self.role, self.token, reason))
+        self._cool_down(COOLDOWN_AFTER_LOSS_MS * (0.5 + self._rng.random()), now)
 
-    def stop(self, why: str, now: float) -> None:
-        """Hold it no more, and say so to whoever does the work."""
-        self.held, self.step, self.why = False, IDLE, why
-        self.actions.append(Stop(self.duty, self.token, why))
-        self.rest(REST_MS * (0.5 + self._rng.random()), now)
+    def release(self, successor: str, now: float) -> None:
+        """Give up the lease before it expires, if this process leads.
 
-    def release(self, to: str, now: float) -> None:
-        """Give it back before its time: first the work stops, then the voters hear of it."""
-        if not self.held:
+        The work stops before the voters are notified, so that no successor begins while it goes on.
+        """
+        if not self.is_leader:
             return
-        ballot, token = self.ballot, self.token
-        self.stop(f"handed over to {to or 'whoever is next'}", now)
-        self.rest(HANDED_MS, now)
-        message = Release(self.duty, ballot, to, token, self.state)
-        self._say(message)
-        if to and to not in self._voters:
-            self.actions.append(Tell(to, message))
-
-    def _say(self, message: Message) -> None:
-        self.actions.extend(Tell(voter, message) for voter in self._voters)
+        self.stop(f"handed over to {successor or 'whoever is next'}", now)
+        self._cool_down(COOLDOWN_AFTER_HANDOVER_MS, now)
+        message = Release(self.role, self.proposal, successor, self.token, self.state)
+        self._broadcast(message)
+        if successor and successor not in self._voters:
+            self.actions.append(SendMessage(successor, message))
+
+    def _broadcast(self, message: Message) -> None:
+        self.actions.extend(SendMessage(voter, message) for voter in self._voters)
+
+
+def _no_timer(timer: LeaseTimer, delay_ms: float, proposal: ProposalNumber) -> None:
+    """Until the owner has set `Candidate.set_timer`."""
--- a/dunlinloft/fleet/leases/guard.py
+++ b/dunlinloft/fleet/leases/guard.py
@@ -1,19 +1,22 @@
-"""Fencing: whoever obeys a duty refuses a token lower than it has seen (sequencers, Burrows 2006)."""
+"""Fencing: a process that acts on a leader's orders rejects tokens older than it has seen.
+
+The fencing token is the sequencer of Chubby (Burrows 2006, section 2.4).
+"""
 
 from __future__ import annotations
 
 
-class Guard:
-    """What one process has seen of all duties' tokens."""
+class FencingGuard:
+    """The greatest fencing token that one process has seen of each role."""
 
     def __init__(self) -> None:
-        self.seen: dict[str, int] = {}
-        self.refused = 0
+        self.highest_tokens: dict[str, int] = {}
+        self.rejected = 0  # actions with an outdated token
 
-    def obeys(self, duty: str, token: int) -> bool:
-        """Whether to do what is asked with this token."""
-        if token < self.seen.get(duty, 0):
-            self.refused += 1
+    def admits(self, role: str, token: int) -> bool:
+        """Whether an action with this token may be carried out; notes the token if so."""
+        if token < self.highest_tokens.get(role, 0):
+            self.rejected += 1
             return False
-        self.seen[duty] = token
+        self.highest_tokens[role] = token
         return True
--- /dev/null
+++ b/dunlinloft/fleet/leases/manager.py
@@ -0,0 +1,399 @@
+"""The lease manager: all singleton roles of one process, as a pure state machine.
+
+Events in, actions out. It owns the process's candidacies, its part among the voters, and the state table's
+primary, and decides when a candidate stands. The members' order of preference (`preference`) is the same
+everywhere, so as a rule one proposes at a time. Nobody stands against a leader that is alive.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import StrEnum
+from functools import partial
+
+from dunlinloft.fleet.leases.candidate import CLOCK_DRIFT, LEASE_TERM_MS, Candidate, LeaseTimer
+from dunlinloft.fleet.leases.messages import (
+    NO_PROPOSAL,
+    Action,
+    Event,
+    HandoverRequested,
+    LeaseAcquired,
+    LeaseLost,
+    MembershipObserved,
+    MessageReceived,
+    Prepare,
+    PrepareResponse,
+    ProposalNumber,
+    Propose,
+    ProposeResponse,
+    Release,
+    RoleStateChanged,
+    SendMessage,
+    SetTimer,
+    TableOpened,
+    TablePage,
+    TableRead,
+    TableWrite,
+    TableWriteAck,
+    TimerFired,
+    TokensRequest,
+    TokensResponse,
+    VoterChangeRequested,
+    VotersChanged,
+    VoterSet,
+    VoterSetAck,
+    VoterSetUpdate,
+    WriteCompleted,
+    WriteRequested,
+)
+from dunlinloft.fleet.leases.preference import preference_order
+from dunlinloft.fleet.leases.table_primary import TablePrimary, WriteRejected
+from dunlinloft.fleet.leases.table_rows import STATE_TABLE_ROLE
+from dunlinloft.fleet.leases.voters import (
+    VOTERS_KEY,
+    VoterChange,
+    VoterChangeRejected,
+    VoterRow,
+    decode_voter_row,
+    next_voters,
+)
+from dunlinloft.fleet.leases.voting_member import VotingMember
+
+REVIEW_INTERVAL_MS = 400.0  # between looks at whether to stand for a role; give or take a fifth
+STAND_DELAY_STEP_MS = 60.0  # each member waits so much longer than the one preferred to it
+MAX_STAND_DELAY_MS = 1_200.0
+NOT_PRIMARY = "this process does not hold the ledger"  # operators see it
+
+
+class ManagerTimer(StrEnum):
+    """What the manager's own timers are for; those of candidates are `LeaseTimer`."""
+
+    REVIEW = "look"
+    STAND = "stand"
+    TABLE = "ledger"
+
+
+@dataclass(slots=True, frozen=True)
+class _Timer:
+    """What a timer was set for: a role's, in a proposal, or the table's, in a generation."""
+
+    kind: ManagerTimer | LeaseTimer
+    role: str = ""
+    proposal: ProposalNumber = NO_PROPOSAL
+    generation: int = 0
+
+
+@dataclass(slots=True, frozen=True)
+class _PendingVoterChange:
+    """A change of voters whose row is not committed yet."""
+
+    request_id: int
+    row: VoterRow
+
+
+class LeaseManager:
+    """One process's part in all singleton roles of its fleet; a host gives it events and carries out actions.
+
+    Parameters: `incarnation`, a random number that no other start of this process has; `voters`, the
+    configured ones; `wall_clock_ms`, Unix time; `now`, here and in all methods, the host's monotonic clock in
+    ms; `term_ms`, of leases; `drift` as `candidate.CLOCK_DRIFT`. Raises `ValueError` where a voter is named
+    twice, as majorities would then not overlap.
+    """
+
+    def __init__(
+        self, name: str, incarnation: int, voters: list[str], roles: list[str], rng: random.Random,
+        wall_clock_ms: Callable[[], int], now: float, term_ms: float = LEASE_TERM_MS,
+        drift: float = CLOCK_DRIFT,
+    ) -> None:  # fmt: skip
+        if len(set(voters)) < len(voters):
+            raise ValueError(f"voters: {', '.join(voters)}: one is named twice")
+        self.name = name
+        self._rng = rng
+        self.candidates = {
+            role: Candidate(role, name, incarnation, voters, rng, wall_clock_ms, term_ms, drift)
+            for role in roles
+        }
+        for role, candidate in self.candidates.items():
+            candidate.set_timer = partial(self._set_role_timer, role)
+        with_table = STATE_TABLE_ROLE in roles
+        configured = VoterSet(0, tuple(voters))
+        # This process's part among the voters.
+        self.member = VotingMember(name, incarnation, configured, with_table, rng, now, term_ms, drift)
+        self.table = TablePrimary(voters, rng) if with_table else None
+        if self.table is not None:
+            self.table.set_timer = self._set_table_timer
+        self.voter_change = VoterChange(rng, term_ms, drift)
+        self._pending_change: _PendingVoterChange | None = None
+        self._observed = MembershipObserved(frozenset((name,)), {})
+        self._timers: dict[int, _Timer] = {}
+        self._last_timer_token = 0
+        self._standing: set[str] = set()  # roles with a stand timer
+        self._actions: list[Action] = []
+
+    @property
+    def voters(self) -> VoterSet:
+        """The voter set that this process has adopted."""
+        return self.member.voters
+
+    def begin(self, now: float) -> list[Action]:
+        """Start; the process can be reached."""
+        self._actions = []
+        self._set_timer(_Timer(ManagerTimer.REVIEW), REVIEW_INTERVAL_MS * self._rng.random())
+        return self._actions
+
+    def handle(self, event: Event, now: float) -> list[Action]:
+        """Process one event; the actions to carry out, in order."""
+        self._actions = []
+        match event:
+            case MessageReceived():
+                self._handle_message(event, now)
+            case TimerFired():
+                self._handle_timer(event.token, now)
+            case MembershipObserved():
+                self._handle_membership(event, now)
+            case HandoverRequested():
+                candidate = self.candidates.get(event.role)
+                if candidate is not None and event.successor != self.name:
+                    candidate.release(event.successor, now)
+                    self._take_actions(candidate, now)
+            case WriteRequested():
+                self._handle_write_request(event, now)
+            case VoterChangeRequested():
+                self._handle_voter_change_request(event, now)
+            case RoleStateChanged() if event.role in self.candidates:
+                self.candidates[event.role].state = event.state
+        return self._actions
+
+    def holds(self, role: str, now: float) -> bool:
+        """Whether this process may act for the role at this instant; to be checked before each act."""
+        return role in self.candidates and self.candidates[role].holds(now)
+
+    # Timers
+
+    def _set_role_timer(self, role: str, kind: LeaseTimer, delay_ms: float, proposal: ProposalNumber) -> None:
+        self._set_timer(_Timer(kind, role, proposal), delay_ms)
+
+    def _set_table_timer(self, delay_ms: float, generation: int) -> None:
+        self._set_timer(_Timer(ManagerTimer.TABLE, STATE_TABLE_ROLE, generation=generation), delay_ms)
+
+    def _set_timer(self, timer: _Timer, delay_ms: float) -> None:
+        self._last_timer_token += 1
+        self._timers[self._last_timer_token] = timer
+        self._actions.append(SetTimer(self._last_timer_token, max(0.0, delay_ms)))
+
+    def _handle_timer(self, token: int, now: float) -> None:
+        timer = self._timers.pop(token, None)
+        if timer is None:
+            return
+        if isinstance(timer.kind, LeaseTimer):
+            candidate = self.candidates[timer.role]
+            candidate.timer_fired(timer.kind, timer.proposal, now)
+            self._take_actions(candidate, now)
+        elif timer.kind is ManagerTimer.REVIEW:
+            self._review(now)
+        elif timer.kind is ManagerTimer.TABLE:
+            if self.table is not None and self.holds(STATE_TABLE_ROLE, now):
+                self.table.timer_fired(timer.generation)
+                self._take_table_actions(now)
+        else:
+            self._stand(timer.role, now)
+
+    # Standing
+
+    def _review(self, now: float) -> None:
+        """Repeat requests that were not responded to, and stand for vacant roles."""
+        self._actions += self.member.recovery_requests()
+        if self.holds(STATE_TABLE_ROLE, now):
+            self._actions += self.voter_change.requests()
+        self._stand_for_vacant_roles(now)
+        interval_ms = REVIEW_INTERVAL_MS * (0.8 + 0.4 * self._rng.random())
+        self._set_timer(_Timer(ManagerTimer.REVIEW), interval_ms)
+
+    def _handle_membership(self, observed: MembershipObserved, now: float) -> None:
+        self._observed = observed
+        for role, (_, token) in observed.claims.items():
+            if role in self.candidates:
+                candidate = self.candidates[role]
+                candidate.highest_claimed_token = max(candidate.highest_claimed_token, token)
+        if observed.voters is not None:
+            self._adopt(observed.voters, now)
+        self._stand_for_vacant_roles(now)
+
+    def _stand_for_vacant_roles(self, now: float) -> None:
+        """Plan to stand for each vacant role, after a delay by this process's rank in the preference."""
+        if not self._observed.healthy:
+            return
+        for index, (role, candidate) in enumerate(sorted(self.candidates.items())):
+            if role in self._standing or candidate.must_wait(now) or not self._is_vacant(role):
+                continue
+            alive = self.name in self._observed.alive
+            rank = preference_order(role, self._observed, index).index(self.name) if alive else 0
+            self._standing.add(role)
+            delay_ms = min(MAX_STAND_DELAY_MS, rank * STAND_DELAY_STEP_MS)
+            timer = _Timer(ManagerTimer.STAND, role)
+            self._set_timer(timer, delay_ms * (0.9 + 0.2 * self._rng.random()))
+
+    def _stand(self, role: str, now: float) -> None:
+        """The delay is over: propose, unless another has come first."""
+        self._standing.discard(role)
+        candidate = self.candidates[role]
+        if self._is_vacant(role) and not candidate.must_wait(now) and self._observed.healthy:
+            candidate.propose(now)
+            self._take_actions(candidate, now)
+
+    def _is_vacant(self, role: str) -> bool:
+        """Whether no other member that is alive claims to lead the role."""
+        claim = self._observed.claims.get(role)
+        return claim is None or claim[0] == self.name or claim[0] not in self._observed.alive
+
+    # Messages
+
+    def _handle_message(self, event: MessageReceived, now: float) -> None:
+        sender = event.sender
+        match event.message:
+            case VoterSetUpdate() as message:
+                self._adopt(message.voters, now)
+                self._actions += self.member.acknowledge(message, sender)
+            case VoterSetAck() as message:
+                if self.holds(STATE_TABLE_ROLE, now):
+                    self._actions += self.voter_change.handle_ack(message, sender, now)
+            case Prepare() | Propose() | TableRead() | TableWrite() as message if (
+                message.voters_epoch != self.voters.epoch
+            ):
+                # Whichever side is behind catches up by this announcement, or by the reply to it.
+                self._actions.append(self.member.voter_set_for(sender))
+            case TableRead() | TableWrite() as message:
+                self._actions += self.member.handle_table_message(message, sender)
+            case TablePage() | TableWriteAck() as message:
+                self._handle_table_response(message, sender, now)
+            case TokensRequest() | TokensResponse() as message:
+                self._actions += self.member.handle_tokens(message, sender)
+            case PrepareResponse() | ProposeResponse() as message:
+                candidate = self.candidates.get(message.role)
+                if candidate is not None:
+                    candidate.handle_response(message, sender, now)
+                    self._take_actions(candidate, now)
+            case Prepare() | Propose() | Release() as message:
+                self._handle_candidate_message(message, sender, now)
+
+    def _handle_table_response(self, message: TablePage | TableWriteAck, sender: str, now: float) -> None:
+        # A page without a token responds to this process's replica, which recovers.
+        if isinstance(message, TablePage) and not message.token and self.member.replica is not None:
+            self._actions += self.member.handle_table_message(message, sender)
+        elif self.table is not None and self.holds(STATE_TABLE_ROLE, now):
+            self.table.handle(message, sender)
+            self._take_table_actions(now)
+
+    def _handle_candidate_message(
+        self, message: Prepare | Propose | Release, sender: str, now: float
+    ) -> None:
+        if self.member.acceptor is not None:
+            response = self.member.acceptor.handle(message, now)
+            if response is not None:
+                self._actions.append(SendMessage(sender, response))
+        candidate = self.candidates.get(message.role)
+        if isinstance(message, Release) and message.successor == self.name and candidate is not None:
+            candidate.take_over(now)
+            self._take_actions(candidate, now)
+
+    # Actions of the components
+
+    def _take_actions(self, candidate: Candidate, now: float) -> None:
+        self._actions += candidate.actions
+        if candidate.role == STATE_TABLE_ROLE and self.table is not None:
+            for action in candidate.actions:
+                if isinstance(action, LeaseAcquired):
+                    self.table.start(action.token)
+                elif isinstance(action, LeaseLost):
+                    self.table.stop()
+                    self.voter_change.stop()
+            self._take_table_actions(now)
+        candidate.actions = []
+
+    def _take_table_actions(self, now: float) -> None:
+        if self.table is None:
+            return
+        actions = self.table.actions
+        self.table.actions = []
+        self._actions += actions
+        for action in actions:
+            if isinstance(action, TableOpened):
+                self._continue_voter_change(self.table, now)
+            elif isinstance(action, WriteCompleted) and self._pending_change is not None:
+                pending = self._pending_change
+                if action.request_id == pending.request_id:
+                    self._pending_change = None
+                    if action.committed:
+                        self._carry_out(pending.row, now)
+
+    def _handle_write_request(self, event: WriteRequested, now: float) -> None:
+        try:
+            if self.table is None or not self.holds(STATE_TABLE_ROLE, now):
+                raise WriteRejected(NOT_PRIMARY)
+            self.table.write(event.key, event.value, event.request_id)
+        except WriteRejected as rejection:
+            self._actions.append(WriteCompleted(event.request_id, False, str(rejection)))
+        else:
+            self._take_table_actions(now)
+
+    # Changes of voters
+
+    def why_no_voter_change(self, now: float) -> str:
+        """Why the voters can't be changed here and now, for operators; empty where they can."""
+        if self.table is None or not self.holds(STATE_TABLE_ROLE, now):
+            return NOT_PRIMARY
+        if self._pending_change is not None:
+            return "a change of voters is on its way"
+        table_complete = self.table.majority_is_complete()
+        if self.voter_change.check_complete(table_complete, now):
+            return ""
+        return self.voter_change.waiting_for(table_complete, now)
+
+    def _handle_voter_change_request(self, event: VoterChangeRequested, now: float) -> None:
+        """Write the row that decides the change; it takes effect once that is committed."""
+        try:
+            reason = self.why_no_voter_change(now)
+            if reason or self.table is None:
+                raise VoterChangeRejected(reason)
+            names = next_voters(self.voters, event.add, event.remove, self._observed.alive)
+            row = VoterRow(self.voters.epoch + 1, self.voters.names, names)
+            self.table.write(VOTERS_KEY, row.encode(), event.request_id)
+        except (VoterChangeRejected, WriteRejected) as rejection:
+            self._actions.append(WriteCompleted(event.request_id, False, str(rejection)))
+        else:
+            self._pending_change = _PendingVoterChange(event.request_id, row)
+            self._take_table_actions(now)
+
+    def _continue_voter_change(self, table: TablePrimary, now: float) -> None:
+        """The table is open here: see the latest change through, wherever the former primary left it."""
+        stored = table.rows.get(VOTERS_KEY)
+        row = decode_voter_row(stored.value) if stored is not None else None
+        if row is not None and row.epoch >= self.voters.epoch:
+            return self._carry_out(row, now)
+        names = self.voters.names
+        if self.voters.epoch:  # a majority lost the row with its memory: what was adopted by it stands
+            table.write(VOTERS_KEY, VoterRow(self.voters.epoch, names, names).encode(), 0)
+            self._take_table_actions(now)
+        self._actions += self.voter_change.begin(self.voters, names)
+
+    def _carry_out(self, row: VoterRow, now: float) -> None:
+        """A change is decided: adopt it here and have the voters do so."""
+        voters = VoterSet(row.epoch, row.names)
+        self._adopt(voters, now)
+        self._actions += self.voter_change.begin(voters, row.previous_names)
+
+    def _adopt(self, voters: VoterSet, now: float) -> None:
+        """Adopt a voter set in all components, unless it is known already."""
+        if voters.epoch <= self.voters.epoch:
+            return
+        self.member.adopt(voters, now)
+        names = list(voters.names)
+        for candidate in self.candidates.values():
+            candidate.set_voters(names, voters.epoch, now)
+            self._take_actions(candidate, now)
+        if self.table is not None:
+            self.table.set_voters(names, voters.epoch)
+            self._take_table_actions(now)
+        self._actions.append(VotersChanged(voters))
--- a/dunlinloft/fleet/leases/messages.py
+++ b/dunlinloft/fleet/leases/messages.py
@@ -1,216 +1,228 @@
-"""What voters and candidates tell each other about duties, and how a host speaks to their cores.
+"""Messages between voters and candidates, and the events and actions of `manager.LeaseManager`.
 
-A ballot orders the tries for a duty: a round, then the candidate's name and life, so that none is used
-twice, not even by a process that has forgotten all.
+All messages are encoded as arrays: the order of fields is the wire format, their names are not. A later
+version may add fields at the end, which an older one skips. Every message begins with the role that it is
+about; it is empty where the message concerns the voters themselves.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from msgspec import Struct
 
 from dunlinloft.fleet.timers import SetTimer as SetTimer
 from dunlinloft.fleet.timers import TimerFired as TimerFired
 
-Ballot = tuple[int, str, int]
-NONE: Ballot = (0, "", 0)
 
+class ProposalNumber(NamedTuple):
+    """Orders the proposals for a role (PaxosLease: ballot number).
 
-class Voters(Struct, array_like=True, gc=False, frozen=True):
-    """Who votes, as of the `epoch`-th change; the 0th is what the configuration names."""
+    No number is used twice, not even by a process that has lost its memory: the incarnation is drawn anew at
+    each start.
+    """
+
+    round: int
+    candidate: str
+    incarnation: int  # of the candidate's process
+
+    def proposer(self) -> tuple[str, int]:
+        """The process that proposes: name and incarnation."""
+        return self.candidate, self.incarnation
+
+
+NO_PROPOSAL = ProposalNumber(0, "", 0)
+
+
+class VoterSet(Struct, array_like=True, gc=False, frozen=True):
+    """The voters after the `epoch`-th change; epoch 0 is the configured set."""
 
     epoch: int
     names: tuple[str, ...]
 
     def majority(self) -> int:
-        """How many of them have to agree."""
+        """How many voters have to agree."""
         return majority(len(self.names))
 
 
 def majority(count: int) -> int:
-    """Of so many: any two majorities share one."""
+    """The size of a majority of `count` voters: any two majorities share a voter."""
     return count // 2 + 1
 
 
 class Lease(Struct, array_like=True, gc=False):
-    """What a voter has accepted: whose (by the ballot), with which token, and for how many ms more."""
+    """A lease that a voter has accepted and that has not expired on its clock."""
 
-    ballot: Ballot
+    proposal: ProposalNumber
     token: int
-    left_ms: float
+    remaining_ms: float
 
 
 class Prepare(Struct, array_like=True, tag=11, gc=False):
-    """May I try?"""
+    """Phase 1 request of a candidate, to all voters (PaxosLease: prepare request)."""
 
-    duty: str
-    ballot: Ballot
-    epoch: int = 0  # of the voters that are asked
+    role: str
+    proposal: ProposalNumber
+    voters_epoch: int = 0  # of the voter set whose majority the candidate counts
 
 
-class Promise(Struct, array_like=True, tag=12, gc=False):
-    """You may (`ok`), or I have promised `promised`; what I hold accepted, and the latest there was."""
+class PrepareResponse(Struct, array_like=True, tag=12, gc=False):
+    """A voter's phase 1 response; a rejection names the proposal that the voter is bound to."""
 
-    duty: str
-    ballot: Ballot
-    ok: bool
-    promised: Ballot
-    lease: Lease | None
-    token: int  # the greatest that was accepted here
-    state: bytes  # of that tenure's work
+    role: str
+    proposal: ProposalNumber
+    granted: bool
+    highest_promised: ProposalNumber
+    lease: Lease | None  # that this voter has accepted, of any candidate
+    token: int  # the greatest that this voter has accepted
+    state: bytes  # that was handed on with that token
 
 
 class Propose(Struct, array_like=True, tag=13, gc=False):
-    """Accept that I hold it, for this term from when you read this."""
+    """Phase 2 request: a lease for `term_ms` from when the voter receives it."""
 
-    duty: str
-    ballot: Ballot
+    role: str
+    proposal: ProposalNumber
     term_ms: float
     token: int
     state: bytes
-    epoch: int = 0
+    voters_epoch: int = 0
 
 
-class Accepted(Struct, array_like=True, tag=14, gc=False):
-    """I do (`ok`), or I have promised another."""
+class ProposeResponse(Struct, array_like=True, tag=14, gc=False):
+    """A voter's phase 2 response; a rejection names the proposal that the voter is bound to."""
 
-    duty: str
-    ballot: Ballot
-    ok: bool
-    promised: Ballot
+    role: str
+    proposal: ProposalNumber
+    accepted: bool
+    highest_promised: ProposalNumber
 
 
 class Release(Struct, array_like=True, tag=15, gc=False):
-    """I hold it no more: what you accepted under this ballot is over. `to` should take it."""
+    """The leader gives up the lease of this proposal before its end; `successor` should propose next."""
 
-    duty: str
-    ballot: Ballot
-    to: str
+    role: str
+    proposal: ProposalNumber
+    successor: str  # "": any candidate
     token: int
     state: bytes
 
 
-class Recall(Struct, array_like=True, tag=16, gc=False):
-    """I am a voter that has forgotten all: which tokens were there?"""
+class TokensRequest(Struct, array_like=True, tag=16, gc=False):
+    """A voter that has started without memory requests the tokens that other voters know of."""
 
-    duty: str
-    number: int
-    epoch: int = 0
+    role: str
+    request_id: int
+    voters_epoch: int = 0
 
 
-class Recalled(Struct, array_like=True, tag=17, gc=False):
-    """The greatest token of each duty that this voter knows of, and whether it remembers from before."""
+class TokensResponse(Struct, array_like=True, tag=17, gc=False):
+    """The greatest token of each role that a voter knows of."""
 
-    duty: str
-    number: int
-    remembers: bool
+    role: str
+    request_id: int
+    recovered: bool  # False: it has started without memory itself, and has not recovered yet
     tokens: dict[str, int]
-    epoch: int = 0  # of the voters that it knows of
+    voters_epoch: int = 0  # that it has adopted
 
 
-class Adopt(Struct, array_like=True, tag=18, gc=False):
-    """These are the voters. With a number: answer, and know these tokens."""
+class VoterSetUpdate(Struct, array_like=True, tag=18, gc=False):
+    """Announces the voter set. With a `request_id` it is to be acknowledged, and the tokens merged."""
 
-    duty: str
-    voters: Voters
-    number: int = 0
+    role: str
+    voters: VoterSet
+    request_id: int = 0
     tokens: dict[str, int] = {}
 
 
-class Adopted(Struct, array_like=True, tag=19, gc=False):
-    """They are, to me too; what I know of tokens, and whether I remember from before."""
+class VoterSetAck(Struct, array_like=True, tag=19, gc=False):
+    """Acknowledges that this process has adopted the voter set of `voters_epoch`."""
 
-    duty: str
-    epoch: int
-    number: int
-    remembers: bool
+    role: str
+    voters_epoch: int
+    request_id: int
+    recovered: bool
     tokens: dict[str, int]
-    life: int
+    incarnation: int
 
 
-class LedgerRow(Struct, array_like=True, gc=False, frozen=True):
-    """A row of the ledger, under the token of the tenure that wrote it, the `seq`-th of that tenure."""
+class TableRow(Struct, array_like=True, gc=False, frozen=True):
+    """A row of the state table: the `sequence`-th write of the leader with this token."""
 
     key: str
     token: int
-    seq: int
+    sequence: int
     value: bytes
 
-    def stamp(self) -> tuple[int, int]:
-        """Of two rows of a key the one with the greater stamp holds."""
-        return self.token, self.seq
+    def version(self) -> tuple[int, int]:
+        """Of two rows of a key the one of the greater version is valid."""
+        return self.token, self.sequence
 
 
-class LedgerRead(Struct, array_like=True, tag=31, gc=False):
-    """What do you keep beyond this key? With a token: refuse lower ones from now on."""
+class TableRead(Struct, array_like=True, tag=31, gc=False):
+    """Requests the rows after a key. With a token, the replica rejects lower ones from then on."""
 
-    duty: str
-    token: int
-    try_: int
-    after: str
-    epoch: int = 0
+    role: str
+    token: int  # of the primary; 0 from a replica that recovers
+    read_id: int
+    after_key: str
+    voters_epoch: int = 0
 
 
-class LedgerPage(Struct, array_like=True, tag=32, gc=False):
-    """This, and whether there is more; under which base, after which token was shown.
+class TablePage(Struct, array_like=True, tag=32, gc=False):
+    """A replica's response to a read: one page of its rows, and the state that they belong to."""
 
-    `lost`: rows that were acknowledged may be gone. `blank`: I have started anew and know nothing.
-    """
-
-    duty: str
+    role: str
     token: int
-    try_: int
-    after: str
-    base: int
-    shown: int
-    lost: bool
-    blank: bool
-    rows: list[LedgerRow]
-    more: bool
-    life: int  # of the voter that says so: a promise is its, and not that of whoever comes after it
+    read_id: int
+    after_key: str
+    base_token: int  # of the primary that last replaced all rows
+    highest_token: int  # that any primary has presented here
+    rows_lost: bool  # acknowledged rows may be missing
+    recovering: bool  # this replica has started without memory, and awaits the base
+    rows: list[TableRow]
+    has_more: bool
+    incarnation: int  # of this replica: what it promised does not bind its next incarnation
 
 
-class LedgerWrite(Struct, array_like=True, tag=33, gc=False):
-    """Keep these: page `page` of `pages` of a new base, or, with no pages, more rows of the base.
-
-    `life`: the base is for a voter that has started anew, and for this life of it alone.
-    """
+class TableWrite(Struct, array_like=True, tag=33, gc=False):
+    """A page of a new base, or, with a `page_count` of 0, more rows of the present base."""
 
-    duty: str
+    role: str
     token: int
-    number: int
-    page: int
-    pages: int
-    lost: bool
-    rows: list[LedgerRow]
-    life: int = 0
-    epoch: int = 0
+    write_id: int
+    page_index: int
+    page_count: int
+    rows_lost: bool
+    rows: list[TableRow]
+    incarnation: int = 0  # not 0: the base is for this incarnation of a recovering replica alone
+    voters_epoch: int = 0
 
 
-class LedgerStored(Struct, array_like=True, tag=34, gc=False):
-    """I keep what that message had."""
+class TableWriteAck(Struct, array_like=True, tag=34, gc=False):
+    """Acknowledges that the rows of that write are stored."""
 
-    duty: str
+    role: str
     token: int
-    number: int
-    life: int
+    write_id: int
+    incarnation: int
 
 
 Message = (
     Prepare
-    | Promise
+    | PrepareResponse
     | Propose
-    | Accepted
+    | ProposeResponse
     | Release
-    | Recall
-    | Recalled
-    | Adopt
-    | Adopted
-    | LedgerRead
-    | LedgerPage
-    | LedgerWrite
-    | LedgerStored
+    | TokensRequest
+    | TokensResponse
+    | VoterSetUpdate
+    | VoterSetAck
+    | TableRead
+    | TablePage
+    | TableWrite
+    | TableWriteAck
 )
 
 
@@ -218,113 +230,124 @@
 
 
 @dataclass(slots=True)
-class Heard:
-    """A message has come from the process of this name."""
+class MessageReceived:
+    """A message from the process of this name."""
 
     message: Message
     sender: str
 
 
 @dataclass(slots=True)
-class Seen:
-    """Who is there, in order of preference among those who may hold duties, and who claims which duty."""
+class MembershipObserved:
+    """What membership says at present; it may be late or wrong, and safety does not depend on it."""
 
-    here: frozenset[str]
-    claims: dict[str, tuple[str, int]]  # by duty: holder and token
-    well: bool = True  # whether this process gets its turns: else it does not stand
+    alive: frozenset[str]  # members that may lead: alive and not draining
+    claims: dict[str, tuple[str, int]]  # by role: who says that it leads, and its token
+    healthy: bool = True  # whether this process gets its turns in time; otherwise it does not stand
     zones: dict[str, str] = field(default_factory=dict)  # by member
-    voters: Voters | None = None  # of those that members say vote, the latest
+    voters: VoterSet | None = None  # the latest that any member has adopted
 
 
 @dataclass(slots=True)
-class HandOver:
-    """Operators, or a drain, want a duty elsewhere; "" for whoever is next."""
+class HandoverRequested:
+    """Operators, or a drain, want a role led elsewhere."""
 
-    duty: str
-    to: str = ""
+    role: str
+    successor: str = ""  # "": any candidate
 
 
 @dataclass(slots=True)
-class Work:
-    """The small state of a duty's work has changed; it goes along to a successor."""
+class RoleStateChanged:
+    """The small state of a role's work has changed; a successor receives it."""
 
-    duty: str
+    role: str
     state: bytes
 
 
 @dataclass(slots=True)
-class Enter:
-    """Operators, or a part of the fleet, want a row in the ledger; `Settled(wanted)` answers."""
+class WriteRequested:
+    """Operators, or another component, want a row written; `WriteCompleted` of this id follows."""
 
     key: str
     value: bytes
-    wanted: int
+    request_id: int
 
 
 @dataclass(slots=True)
-class ChangeVoters:
-    """Operators want one more voter, or one fewer; `Settled(wanted)` answers."""
+class VoterChangeRequested:
+    """Operators want one voter added or removed; `WriteCompleted` of this id follows."""
 
     add: str
     remove: str
-    wanted: int
+    request_id: int
 
 
-Event = Heard | TimerFired | Seen | HandOver | Work | Enter | ChangeVoters
+Event = (
+    MessageReceived
+    | TimerFired
+    | MembershipObserved
+    | HandoverRequested
+    | RoleStateChanged
+    | WriteRequested
+    | VoterChangeRequested
+)
 
 
 # Actions
 
 
 @dataclass(slots=True)
-class Tell:
+class SendMessage:
     """Send a message to the process of this name."""
 
-    name: str
+    recipient: str
     message: Message
 
 
 @dataclass(slots=True)
-class Start:
-    """The duty is this process's from now on; whoever acts for it shows the token."""
+class LeaseAcquired:
+    """This process leads the role from now on, and presents the token with each act."""
 
-    duty: str
+    role: str
     token: int
-    state: bytes
+    state: bytes  # from its predecessor
 
 
 @dataclass(slots=True)
-class Stop:
-    """It is no more: stop at once, also in the middle of work."""
+class LeaseLost:
+    """This process no longer leads the role: its work stops at once, even half done."""
 
-    duty: str
+    role: str
     token: int
-    why: str
+    reason: str
 
 
 @dataclass(slots=True)
-class Opened:
-    """The ledger takes rows: so many were found; `lost`: some that were acknowledged may be gone."""
+class TableOpened:
+    """The state table accepts writes at this process."""
 
     token: int
-    rows: int
-    lost: bool
+    row_count: int
+    rows_lost: bool  # acknowledged rows may be missing
 
 
 @dataclass(slots=True)
-class Settled:
-    """What becomes of `Enter(wanted)`: kept by a majority; else not known to be kept, or `why` not taken."""
+class WriteCompleted:
+    """The outcome of a write request.
+
+    It is committed, or its outcome is unknown (neither `committed` nor a `rejection`), or it was rejected.
+    """
 
-    wanted: int
-    kept: bool
-    why: str = ""
+    request_id: int
+    committed: bool
+    rejection: str = ""
 
 
 @dataclass(slots=True)
-class Elected:
-    """These vote from now on, as far as this process knows."""
+class VotersChanged:
+    """This process has adopted a voter set."""
 
-    voters: Voters
+    voters: VoterSet
 
 
-Action = Tell | SetTimer | Start | Stop | Opened | Settled | Elected
+Action = SendMessage | SetTimer | LeaseAcquired | LeaseLost | TableOpened | WriteCompleted | VotersChanged
--- a/dunlinloft/fleet/leases/voter.py
+++ b/dunlinloft/fleet/leases/voter.py
@@ -1,7 +1,7 @@
-"""A voter: promises and accepts, in memory alone.
+"""A voter: the acceptor of PaxosLease (Trencseni, Gazso, Reinhardt 2012), with its state in memory alone.
 
-After PaxosLease (Trencseni, Gazso, Reinhardt 2012), acceptor. Who has started has forgotten what it
-promised and accepted, so it takes no part until whatever that was has run out.
+A process that has started does not know what it promised and accepted before, so it takes no part until
+whatever that was has expired.
 """
 
 from __future__ import annotations
@@ -9,148 +9,172 @@
 from collections.abc import Sequence
 
 from dunlinloft.fleet.leases.messages import (
-    NONE,
-    Accepted,
-    Ballot,
+    NO_PROPOSAL,
     Lease,
-    Message,
     Prepare,
-    Promise,
+    PrepareResponse,
+    ProposalNumber,
     Propose,
-    Recall,
-    Recalled,
+    ProposeResponse,
     Release,
+    SendMessage,
+    TokensRequest,
+    TokensResponse,
     majority,
 )
 
-MOST_DUTIES = 256  # that are kept; a foreign flood of names is not
+MAX_ROLES = 256  # bounds the memory that a flood of made-up role names can take
 
 
-class _Slot:
-    """What is kept of one duty."""
+class _AcceptorState:
+    """What is stored of one role."""
 
-    __slots__ = ("ballot", "promised", "state", "token", "until_ms")
+    __slots__ = ("accepted", "expires_ms", "highest_promised", "state", "token")
 
-    def __init__(self) -> None:
-        self.promised: Ballot = NONE
-        self.ballot: Ballot = NONE
-        self.until_ms = 0.0
-        self.token, self.state = 0, b""
+    def __init__(self, token: int) -> None:
+        self.highest_promised = NO_PROPOSAL
+        self.accepted = NO_PROPOSAL
+        self.expires_ms = 0.0  # of the accepted lease, by this voter's clock
+        self.token = token
+        self.state = b""
 
 
 class Voter:
-    """One voter's memory of all duties.
+    """One voter's memory of all roles; `manager.LeaseManager` gives it the messages that come.
 
-    It votes once two things are so. The longest lease has run out since its start, so that nothing it may
-    have promised or accepted in a former life still counts. And it knows the tokens that were given: from
-    so many of the others that one of each majority is among them; or from all others, where they have
-    forgotten too (the whole fleet was started: then the wall's clock has to carry tokens on).
+    It votes once two conditions hold. The longest lease has expired since its start, so nothing that a former
+    incarnation may have promised or accepted is still valid. And it knows the tokens that were issued, either
+    from so many other voters that every majority contains one of them, or from all others, where they have
+    lost their memory too (the entire fleet was started; then the wall clock has to keep tokens rising).
+
+    Parameters: `started_ms` by the process's own monotonic clock; `max_term_ms`, the longest lease that any
+    candidate may propose; `drift`, by how much two clocks' rates may differ, as a fraction.
     """
 
     def __init__(
-        self, name: str, voters: list[str], began_ms: float, longest_ms: float, drift: float
+        self, name: str, voters: list[str], started_ms: float, max_term_ms: float, drift: float
     ) -> None:
         self._name = name
-        self._drift, self._longest_ms = drift, longest_ms
-        self._silent_until = began_ms + longest_ms * (1.0 + drift)
-        self._answers: dict[str, bool] = {}  # who of the others has answered, and whether it remembers
+        self._drift = drift
+        self._max_term_ms = max_term_ms
+        self._recovery_until_ms = started_ms + max_term_ms * (1.0 + drift)
+        self._responded: dict[str, bool] = {}  # by other voter: whether it has recovered itself
         self._tokens: dict[str, int] = {}
-        self._slots: dict[str, _Slot] = {}
-        self._remembered = False
-        self.number = int(began_ms)  # of its question, so that no answer to a former life is taken
-        self.elect(voters)
+        self._states: dict[str, _AcceptorState] = {}
+        self._recovered = False
+        self.request_id = int(started_ms)  # so that no response to a former incarnation is taken
+        self.set_voters(voters)
 
-    def elect(self, voters: Sequence[str]) -> None:
-        """These vote from now on, this one among them."""
+    def set_voters(self, voters: Sequence[str]) -> None:
+        """Replace the voter set; this process is in the new one too."""
         self._others = [other for other in voters if other != self._name]
-        self._enough = len(voters) - majority(len(voters)) + 1
-        self._answers = {name: knew for name, knew in self._answers.items() if name in self._others}
-        self._recollect()
+        self._required = len(voters) - majority(len(voters)) + 1
+        self._responded = {
+            name: recovered for name, recovered in self._responded.items() if name in self._others
+        }
+        self._check_recovered()
 
-    def remembers(self) -> bool:
-        """Whether it knows the tokens that were given."""
-        return self._remembered
+    def recovered(self) -> bool:
+        """Whether it knows the tokens that were issued."""
+        return self._recovered
 
-    def _recollect(self) -> None:
-        """Once enough have answered it remembers, and a change of voters makes it forget nothing."""
-        known = sum(self._answers.values())
-        self._remembered |= known >= self._enough or len(self._answers) == len(self._others)
+    def _check_recovered(self) -> None:
+        """Recovery is final: a later change of voters makes it forget nothing."""
+        informed = sum(self._responded.values())
+        self._recovered |= informed >= self._required or len(self._responded) == len(self._others)
 
-    def votes(self, now: float) -> bool:
+    def may_vote(self, now: float) -> bool:
         """Whether it takes part yet."""
-        return now >= self._silent_until and self.remembers()
+        return now >= self._recovery_until_ms and self.recovered()
 
-    def ask(self, epoch: int = 0) -> list[tuple[str, Message]]:
-        """The question to those who have not answered; none where enough have."""
-        if self.remembers():
+    def recovery_requests(self, voters_epoch: int = 0) -> list[SendMessage]:
+        """Requests to the voters that have not responded with their memory intact; none once recovered."""
+        if self.recovered():
             return []
-        question = Recall("", self.number, epoch)
-        return [(other, question) for other in self._others if not self._answers.get(other)]
+        request = TokensRequest("", self.request_id, voters_epoch)
+        return [SendMessage(other, request) for other in self._others if not self._responded.get(other)]
 
-    def learn(self, message: Recalled, sender: str) -> None:
-        """Another voter's answer."""
-        if message.number != self.number or sender not in self._others:
+    def handle_tokens_response(self, message: TokensResponse, sender: str) -> None:
+        """Another voter's response to `recovery_requests`."""
+        if message.request_id != self.request_id or sender not in self._others:
             return
-        self._answers[sender] = message.remembers or self._answers.get(sender, False)
-        self._recollect()
-        self.know(message.tokens)
+        self._responded[sender] = message.recovered or self._responded.get(sender, False)
+        self._check_recovered()
+        self.merge_tokens(message.tokens)
 
-    def know(self, tokens: dict[str, int]) -> None:
-        """These tokens were given."""
-        for duty, token in tokens.items():
-            self._tokens[duty] = max(self._tokens.get(duty, 0), token)
-            if duty in self._slots:
-                self._slots[duty].token = max(self._slots[duty].token, token)
+    def merge_tokens(self, tokens: dict[str, int]) -> None:
+        """Take note that these tokens were issued."""
+        for role, token in tokens.items():
+            self._tokens[role] = max(self._tokens.get(role, 0), token)
+            if role in self._states:
+                self._states[role].token = max(self._states[role].token, token)
 
     def tokens(self) -> dict[str, int]:
-        """The greatest of each duty that this voter knows of."""
+        """The greatest token of each role that this voter knows of."""
         return self._tokens | {
-            duty: max(slot.token, self._tokens.get(duty, 0)) for duty, slot in self._slots.items()
+            role: max(state.token, self._tokens.get(role, 0)) for role, state in self._states.items()
         }
 
-    def recall(self, message: Recall, epoch: int = 0) -> Recalled:
-        """Tell another what there was."""
-        return Recalled("", message.number, self.remembers(), self.tokens(), epoch)
+    def tokens_response(self, message: TokensRequest, voters_epoch: int = 0) -> TokensResponse:
+        """The response to another voter that recovers."""
+        return TokensResponse("", message.request_id, self.recovered(), self.tokens(), voters_epoch)
 
-    def hear(self, message: Prepare | Propose | Release, now: float) -> Message | None:
-        """The answer to a candidate, whom its ballot names; if there is one."""
-        if not self.votes(now):
+    def handle(
+        self, message: Prepare | Propose | Release, now: float
+    ) -> PrepareResponse | ProposeResponse | None:
+        """The response to a candidate; None for a release, and while this voter does not vote."""
+        if not self.may_vote(now):
             return None
-        slot = self._slots.get(message.duty)
-        if slot is None:
-            if len(self._slots) >= MOST_DUTIES:
+        state = self._states.get(message.role)
+        if state is None:
+            if len(self._states) >= MAX_ROLES:
                 return None
-            slot = self._slots[message.duty] = _Slot()
-            slot.token = self._tokens.get(message.duty, 0)
+            state = _AcceptorState(self._tokens.get(message.role, 0))
+            self._states[message.role] = state
         match message:
             case Prepare():
-                return self._prepare(slot, message, now)
+                return self._handle_prepare(state, message, now)
             case Propose():
-                return self._propose(slot, message, now)
-            case Release() if slot.ballot[1:] == message.ballot[1:] and slot.ballot <= message.ballot:
-                slot.until_ms = 0.0
-                # Its renewal may still be on the way: whatever it asked by this ballot is over.
-                round_, name, life = message.ballot
-                slot.promised = max(slot.promised, (round_, name, life + 1))
-                if message.token >= slot.token:
-                    slot.token, slot.state = message.token, message.state
+                return self._handle_propose(state, message, now)
+            case Release():
+                self._handle_release(state, message)
         return None
 
-    def _prepare(self, slot: _Slot, message: Prepare, now: float) -> Promise:
-        ok = message.ballot >= slot.promised  # its own again: the answer was lost
-        if ok:
-            slot.promised = message.ballot
+    def _handle_prepare(self, state: _AcceptorState, message: Prepare, now: float) -> PrepareResponse:
+        # Equal: the candidate repeats a request whose response was lost.
+        granted = message.proposal >= state.highest_promised
+        if granted:
+            state.highest_promised = message.proposal
         lease = None
-        if slot.until_ms > now:
-            lease = Lease(slot.ballot, slot.token, slot.until_ms - now)
-        return Promise(message.duty, message.ballot, ok, slot.promised, lease, slot.token, slot.state)
-
-    def _propose(self, slot: _Slot, message: Propose, now: float) -> Accepted:
-        ok = message.ballot >= slot.promised and message.term_ms <= self._longest_ms
-        if ok:
-            slot.promised = slot.ballot = message.ballot
-            # It may run slower than the holder's clock: the drift is added here, and subtracted there.
-            slot.until_ms = now + message.term_ms * (1.0 + self._drift)
-            if message.token >= slot.token:
-                slot.token, slot.state = message.token, message.state
-        return Accepted(message.duty, message.ballot, ok, slot.promised)
+        if state.expires_ms > now:
+            lease = Lease(state.accepted, state.token, state.expires_ms - now)
+        return PrepareResponse(
+            message.role, message.proposal, granted, state.highest_promised, lease, state.token, state.state
+        )
+
+    def _handle_propose(self, state: _AcceptorState, message: Propose, now: float) -> ProposeResponse:
+        # A longer term would outlast the recovery time of a voter that restarts.
+        accepted = message.proposal >= state.highest_promised and message.term_ms <= self._max_term_ms
+        if accepted:
+            state.highest_promised = message.proposal
+            state.accepted = message.proposal
+            # This clock may run faster than the leader's: the drift is added here, and subtracted there.
+            state.expires_ms = now + message.term_ms * (1.0 + self._drift)
+            self._take_state(state, message.token, message.state)
+        return ProposeResponse(message.role, message.proposal, accepted, state.highest_promised)
+
+    def _handle_release(self, state: _AcceptorState, message: Release) -> None:
+        proposal = message.proposal
+        if state.accepted.proposer() != proposal.proposer() or state.accepted > proposal:
+            return
+        state.expires_ms = 0.0
+        # A renewal by the same proposal may still be on its way: it has to be rejected from now on.
+        beyond = ProposalNumber(proposal.round, proposal.candidate, proposal.incarnation + 1)
+        state.highest_promised = max(state.highest_promised, beyond)
+        self._take_state(state, message.token, message.state)
+
+    @staticmethod
+    def _take_state(state: _AcceptorState, token: int, content: bytes) -> None:
+        if token >= state.token:
+            state.token = token
+            state.state = content
--- a/dunlinloft/fleet/leases/voters.py
+++ b/dunlinloft/fleet/leases/voters.py
@@ -1,154 +1,192 @@
-"""Who votes, changed by one member at a time while the fleet runs.
+"""Changes of the voter set while the fleet runs, one member at a time.
 
 As in the single-server changes of Raft (Ongaro 2014, chapter 4): majorities of two sets that differ by one
-member always meet. Which set follows which is decided by a row of the ledger. Once that is kept, its holder
-has the voters adopt the set; whoever has adopted it refuses what is asked of an older one.
-
-The next change may begin only when nothing rests on the set before last any more:
-
-1. a majority of the old voters and one of the new have adopted the new set, and then say so again in the
-   same lives: there was an instant at which all of them knew it. So no majority of the old can be had, and
-   one that starts anew finds somebody who knows, whoever of a majority it asks;
-2. with their second answer they have taken the tokens that they knew by the first: tokens go on rising;
-3. the longest lease has passed since: what the old ones gave has ended, or was renewed by the new;
-4. a majority of the new ones has the whole ledger.
+member always overlap. Which set follows which is decided by a row of the state table. Once that is committed,
+the table's primary has the voters adopt the set; whoever has adopted it rejects requests of an older epoch.
+
+The next change may begin only when nothing depends on the set before the last any more:
+
+1. a majority of the old voters and one of the new have adopted the new set, and have confirmed that in the
+   same incarnations: there was an instant at which all of them knew it. So no majority of the old set can be
+   had, and a voter that restarts finds one that knows, whichever majority it asks;
+2. with the confirmation they have merged the tokens that they knew at the first acknowledgement: tokens go on
+   rising;
+3. the longest lease has passed since: what the old voters granted has expired, or was renewed by the new;
+4. a majority of the new voters has the complete state table.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Collection
+from enum import StrEnum
 
 import msgspec
 
-from dunlinloft.fleet.leases.messages import Adopt, Adopted, Tell, Voters, majority
+from dunlinloft.fleet.leases.messages import SendMessage, VoterSet, VoterSetAck, VoterSetUpdate, majority
+
+VOTERS_KEY = "voters"  # of the row of the state table that holds the latest change
+MIN_VOTERS = 3  # with fewer no voter may fail
+MAX_VOTERS = 7  # each lease costs messages with all of them
+
+
+class VoterChangeStep(StrEnum):
+    """How far the latest change is, at the state table's primary."""
+
+    IDLE = "idle"  # this process is not the primary
+    ADOPTING = "adopting"  # waits for first acknowledgements
+    CONFIRMING = "telling"  # waits for confirmations, which carry tokens
+    EXPIRING = "resting"  # waits for the old voters' leases to expire
+    COMPLETE = "settled"  # the next change may begin
 
-ROW = "voters"  # its key in the ledger
-LEAST, MOST = 3, 7
-IDLE, ADOPTING, TELLING, RESTING, SETTLED = "idle", "adopting", "telling", "resting", "settled"
 
+class VoterChangeRejected(Exception):
+    """A change of voters that can't be made; the text says why, for operators."""
 
-class Row(msgspec.Struct, frozen=True):
-    """What the ledger keeps of the latest change."""
+
+class VoterRow(msgspec.Struct, frozen=True, rename={"previous_names": "before"}):
+    """What the state table holds of the latest change, as JSON."""
 
     epoch: int
-    before: tuple[str, ...]
+    previous_names: tuple[str, ...]
     names: tuple[str, ...]
 
-    def write(self) -> bytes:
-        """As the ledger's value."""
+    def encode(self) -> bytes:
+        """Encode as a row's value."""
         return msgspec.json.encode(self)
 
 
-def read_row(value: bytes) -> Row | None:
-    """The row that a value is, if it is one."""
+def decode_voter_row(value: bytes) -> VoterRow | None:
+    """Decode a row's value; None where it is malformed."""
     try:
-        return msgspec.json.decode(value, type=Row)
+        return msgspec.json.decode(value, type=VoterRow)
     except msgspec.DecodeError:
         return None
 
 
-def changed(voters: Voters, add: str, remove: str, here: Collection[str]) -> tuple[str, ...] | str:
-    """The voters' names with one more or one fewer; or why that can't be."""
+def next_voters(voters: VoterSet, add: str, remove: str, alive: Collection[str]) -> tuple[str, ...]:
+    """The voters' names with one added or one removed; raises `VoterChangeRejected`.
+
+    `alive` are the members that are alive: without a majority of them the new set could decide nothing.
+    """
     if bool(add) == bool(remove):
-        return "one voter is added or removed at a time"
+        raise VoterChangeRejected("one voter is added or removed at a time")
     if add in voters.names:
-        return f"{add} is a voter already"
-    if add and add not in here:
-        return f"{add} is no member that is there"
+        raise VoterChangeRejected(f"{add} is a voter already")
+    if add and add not in alive:
+        raise VoterChangeRejected(f"{add} is no member that is there")
     if remove and remove not in voters.names:
-        return f"{remove} is no voter"
+        raise VoterChangeRejected(f"{remove} is no voter")
     names = tuple(name for name in (*voters.names, add) if name and name != remove)
-    if not LEAST <= len(names) <= MOST:
-        return f"there would be {len(names)} voters; {LEAST} to {MOST} are possible"
-    there = sum(name in here for name in names)
-    if there < majority(len(names)):
-        return f"{there} of {len(names)} voters would be there, and {majority(len(names))} are needed"
+    if not MIN_VOTERS <= len(names) <= MAX_VOTERS:
+        raise VoterChangeRejected(
+            f"there would be {len(names)} voters; {MIN_VOTERS} to {MAX_VOTERS} are possible"
+        )
+    present = sum(name in alive for name in names)
+    if present < majority(len(names)):
+        raise VoterChangeRejected(
+            f"{present} of {len(names)} voters would be there, and {majority(len(names))} are needed"
+        )
     return names
 
 
-class Change:
-    """The part of whoever holds the ledger: sees a change through, and says when the next may begin."""
+class VoterChange:
+    """The state table's primary sees a change through, and says when the next may begin.
+
+    `term_ms` is the longest lease, `drift` by how much two clocks' rates may differ, as a fraction.
+    """
 
     def __init__(self, rng: random.Random, term_ms: float, drift: float) -> None:
-        self._rng, self._rest_ms = rng, term_ms * (1.0 + 2.0 * drift)
-        self.step = IDLE
-        self._voters = Voters(0, ())
-        self._before: tuple[str, ...] = ()
-        self._number = 0
-        self._answered: set[str] = set()
-        self._lives: dict[str, int] = {}  # of those who answered first
+        self._rng = rng
+        self._expiry_wait_ms = term_ms * (1.0 + 2.0 * drift)
+        self.step = VoterChangeStep.IDLE
+        self._voters = VoterSet(0, ())
+        self._previous_names: tuple[str, ...] = ()
+        self._request_id = 0
+        self._acknowledged_by: set[str] = set()  # in this step
+        self._incarnations: dict[str, int] = {}  # of those that acknowledged first
         self._tokens: dict[str, int] = {}
-        self._until_ms = 0.0
+        self._expired_at_ms = 0.0
 
-    def begin(self, voters: Voters, before: tuple[str, ...]) -> list[Tell]:
-        """These vote, by a row that is kept; how far a former holder of the ledger got is not known."""
-        self._voters, self._before, self._tokens, self._lives = voters, before, {}, {}
-        return self._ask(ADOPTING if voters.epoch else SETTLED)
+    def begin(self, voters: VoterSet, previous_names: tuple[str, ...]) -> list[SendMessage]:
+        """Have a committed voter set adopted.
 
-    def stop(self) -> None:
-        """The ledger is another's."""
-        self.step = IDLE
-
-    def _ask(self, step: str) -> list[Tell]:
-        self.step, self._answered = step, set()
-        self._number = 1 + self._rng.getrandbits(31)
-        return self.ask()
+        From the first step, as it is not known how far a former primary got.
+        """
+        self._voters = voters
+        self._previous_names = previous_names
+        self._tokens = {}
+        self._incarnations = {}
+        return self._enter(VoterChangeStep.ADOPTING if voters.epoch else VoterChangeStep.COMPLETE)
 
-    def ask(self) -> list[Tell]:
-        """The question of this step, to those who have not answered."""
-        if self.step not in (ADOPTING, TELLING):
+    def stop(self) -> None:
+        """This process is no longer the primary."""
+        self.step = VoterChangeStep.IDLE
+
+    def _enter(self, step: VoterChangeStep) -> list[SendMessage]:
+        self.step = step
+        self._acknowledged_by = set()
+        self._request_id = 1 + self._rng.getrandbits(31)
+        return self.requests()
+
+    def requests(self) -> list[SendMessage]:
+        """This step's request, to the voters that have not acknowledged it."""
+        if self.step not in (VoterChangeStep.ADOPTING, VoterChangeStep.CONFIRMING):
             return []
-        question = Adopt("", self._voters, self._number, self._tokens if self.step == TELLING else {})
-        return [Tell(name, question) for name in self._asked() if name not in self._answered]
+        tokens = self._tokens if self.step is VoterChangeStep.CONFIRMING else {}
+        update = VoterSetUpdate("", self._voters, self._request_id, tokens)
+        return [SendMessage(name, update) for name in self._all_names() if name not in self._acknowledged_by]
 
-    def _asked(self) -> list[str]:
-        return [*self._voters.names, *(name for name in self._before if name not in self._voters.names)]
+    def _all_names(self) -> list[str]:
+        names = self._voters.names
+        return [*names, *(name for name in self._previous_names if name not in names)]
 
-    def hear(self, message: Adopted, sender: str, now: float) -> list[Tell]:
-        """A voter's answer; one that has forgotten what there was does not count yet."""
-        if message.number != self._number or message.epoch != self._voters.epoch:
+    def handle_ack(self, message: VoterSetAck, sender: str, now: float) -> list[SendMessage]:
+        """A voter's acknowledgement; one that has not recovered its memory does not count yet."""
+        if message.request_id != self._request_id or message.voters_epoch != self._voters.epoch:
             return []
-        if self.step not in (ADOPTING, TELLING) or not message.remembers:
+        if self.step not in (VoterChangeStep.ADOPTING, VoterChangeStep.CONFIRMING) or not message.recovered:
             return []
-        if self.step == ADOPTING:
-            self._lives[sender] = message.life
-            for duty, token in message.tokens.items():
-                self._tokens[duty] = max(self._tokens.get(duty, 0), token)
-        elif self._lives.get(sender, message.life) != message.life:
-            return self.begin(self._voters, self._before)  # it has forgotten meanwhile: from the beginning
-        if sender in self._lives:
-            self._answered.add(sender)
-        if not (self._have(self._voters.names) and self._have(self._before)):
+        if self.step is VoterChangeStep.ADOPTING:
+            self._incarnations[sender] = message.incarnation
+            for role, token in message.tokens.items():
+                self._tokens[role] = max(self._tokens.get(role, 0), token)
+        elif self._incarnations.get(sender, message.incarnation) != message.incarnation:
+            # It has lost its memory in between, so the first acknowledgements prove nothing: start over.
+            return self.begin(self._voters, self._previous_names)
+        if sender in self._incarnations:
+            self._acknowledged_by.add(sender)
+        if not (self._has_majority(self._voters.names) and self._has_majority(self._previous_names)):
             return []
-        if self.step == ADOPTING:
-            return self._ask(TELLING)
-        self.step, self._until_ms = RESTING, now + self._rest_ms
+        if self.step is VoterChangeStep.ADOPTING:
+            return self._enter(VoterChangeStep.CONFIRMING)
+        self.step = VoterChangeStep.EXPIRING
+        self._expired_at_ms = now + self._expiry_wait_ms
         return []
 
-    def _have(self, names: tuple[str, ...]) -> bool:
-        return len(self._answered.intersection(names)) >= majority(len(names))
+    def _has_majority(self, names: tuple[str, ...]) -> bool:
+        return len(self._acknowledged_by.intersection(names)) >= majority(len(names))
 
-    def look(self, covered: bool, now: float) -> bool:
-        """Whether the next change may begin; `covered`: a majority of the voters has the whole ledger."""
-        if self.step == RESTING and covered and now >= self._until_ms:
-            self.step = SETTLED
-        return self.step == SETTLED
+    def check_complete(self, table_complete: bool, now: float) -> bool:
+        """Whether the next change may begin; `table_complete`: a majority of the voters has all rows."""
+        if self.step is VoterChangeStep.EXPIRING and table_complete and now >= self._expired_at_ms:
+            self.step = VoterChangeStep.COMPLETE
+        return self.step is VoterChangeStep.COMPLETE
 
-    def why(self, covered: bool, now: float) -> str:
-        """What it still waits for; "" for nothing."""
-        heard = len(self._answered.intersection(self._voters.names))
-        count = f"{heard} of {len(self._voters.names)} voters"
+    def waiting_for(self, table_complete: bool, now: float) -> str:
+        """What it still waits for, for operators; empty where the next change may begin."""
+        count = len(self._acknowledged_by.intersection(self._voters.names))
+        progress = f"{count} of {len(self._voters.names)} voters"
         match self.step:
-            case "idle":
+            case VoterChangeStep.IDLE:
                 return "the ledger is not open here"
-            case "adopting":
-                return f"{count} have adopted change {self._voters.epoch}"
-            case "telling":
-                return f"{count} have said again that they have adopted change {self._voters.epoch}"
-            case "resting" if now < self._until_ms:
-                left = (self._until_ms - now) / 1000.0
-                return f"leases by the voters before change {self._voters.epoch} last {left:.1f} s more"
-            case "resting" if not covered:
+            case VoterChangeStep.ADOPTING:
+                return f"{progress} have adopted change {self._voters.epoch}"
+            case VoterChangeStep.CONFIRMING:
+                return f"{progress} have said again that they have adopted change {self._voters.epoch}"
+            case VoterChangeStep.EXPIRING if now < self._expired_at_ms:
+                left_s = (self._expired_at_ms - now) / 1000.0
+                return f"leases by the voters before change {self._voters.epoch} last {left_s:.1f} s more"
+            case VoterChangeStep.EXPIRING if not table_complete:
                 return "no majority of the voters has the whole ledger yet"
         return ""
--- a/dunlinloft/fleet/leases/watch.py
+++ b/dunlinloft/fleet/leases/watch.py
@@ -1,64 +1,83 @@
-"""The divergence watch, a duty: who has disagreed with whom about the fleet's members, and for how long.
+"""The divergence watch, a singleton role: which members disagree about the membership, and for how long.
 
-Whoever holds it asks all members for the digests of their views, a part of them each second, so that what
-one member pays stays flat in the fleet's size and the holder's cost is one message a member and round.
+Its leader queries all members for the digests of their views, a share of them at each step. So a member's
+cost does not depend on the fleet's size, and the leader's is one message a member and round.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-DUTY = "divergence-watch"
-ROUND_MS = 3_000.0  # all members are asked once in so long
-OLD_MS = 3.0 * ROUND_MS  # what was heard longer ago says nothing
+DIVERGENCE_WATCH_ROLE = "divergence-watch"
+ROUND_MS = 3_000.0  # every member is queried once in a round
+MAX_DIGEST_AGE_MS = 3.0 * ROUND_MS  # two missed rounds: an older digest says nothing about the present
 
 
 @dataclass(slots=True)
-class Group:
-    """Members that hold the same view."""
+class ViewGroup:
+    """Members whose views are the same."""
 
     digest: int
     members: list[str]
-    since_ms: float  # when this view was first heard, by the holder's clock
+    since_ms: float  # when this view was first reported, by the leader's clock
 
 
-class Watch:
-    """What its holder has gathered."""
+@dataclass(slots=True, frozen=True)
+class _Report:
+    """The digest that a member reported last."""
+
+    digest: int
+    received_ms: float
+
+
+class DivergenceWatch:
+    """What the role's leader has gathered; empty at all other members."""
 
     def __init__(self) -> None:
-        self.token = 0
-        self._heard: dict[str, tuple[int, float]] = {}  # by member: digest and when
-        self._first: dict[int, float] = {}  # by digest: when it was first heard
-        self._left: list[str] = []
+        self.token = 0  # 0: this process is not the leader
+        self._reports: dict[str, _Report] = {}  # by member
+        self._first_reported_ms: dict[int, float] = {}  # by digest
+        self._to_query: list[str] = []  # members left in this round
 
     def on_start(self, token: int, state: bytes) -> None:
-        """The duty is ours: what there is to know is gathered anew within a round."""
-        self._heard, self._first, self._left, self.token = {}, {}, [], token
+        """This process leads: gathers anew, which takes one round. No state is carried over."""
+        self._reports = {}
+        self._first_reported_ms = {}
+        self._to_query = []
+        self.token = token
 
     def on_stop(self) -> None:
-        """It is another's."""
+        """This process no longer leads."""
         self.token = 0
 
-    def ask(self, members: list[str], step_ms: float) -> list[str]:
-        """Whom to ask now, if this is called every `step_ms`."""
-        if not self._left:
-            self._left = list(members)
+    def next_queries(self, members: list[str], step_ms: float) -> list[str]:
+        """Members to query now, if this is called every `step_ms`."""
+        if not self._to_query:
+            self._to_query = list(members)
         count = max(1, round(len(members) * step_ms / ROUND_MS))
-        asked, self._left = self._left[:count], self._left[count:]
-        return asked
+        queried = self._to_query[:count]
+        self._to_query = self._to_query[count:]
+        return queried
 
-    def hear(self, name: str, digest: int, now: float) -> None:
-        """A member's view, as its messages tell."""
+    def record_digest(self, member: str, digest: int, now: float) -> None:
+        """Record the digest of a member's view, as its acknowledgements carry it."""
         if self.token:
-            self._heard[name] = digest, now
-            self._first.setdefault(digest, now)
-
-    def groups(self, now: float) -> list[Group]:
-        """Members by their view, the largest group first."""
-        found: dict[int, Group] = {}
-        for name, (digest, at) in sorted(self._heard.items()):
-            if now - at <= OLD_MS:
-                found.setdefault(digest, Group(digest, [], self._first[digest])).members.append(name)
-        self._first = {digest: at for digest, at in self._first.items() if digest in found}
-        self._heard = {name: told for name, told in self._heard.items() if now - told[1] <= OLD_MS}
+            self._reports[member] = _Report(digest, now)
+            self._first_reported_ms.setdefault(digest, now)
+
+    def groups(self, now: float) -> list[ViewGroup]:
+        """Members by their view, the largest group first, then the oldest view."""
+        found: dict[int, ViewGroup] = {}
+        fresh = {
+            member: report
+            for member, report in self._reports.items()
+            if now - report.received_ms <= MAX_DIGEST_AGE_MS
+        }
+        for member, report in sorted(fresh.items(), key=lambda item: item[0]):
+            group = ViewGroup(report.digest, [], self._first_reported_ms[report.digest])
+            found.setdefault(report.digest, group).members.append(member)
+        self._first_reported_ms = {
+            digest: first_ms for digest, first_ms in self._first_reported_ms.items() if digest in found
+        }
+        self._reports = fresh
         return sorted(found.values(), key=lambda group: (-len(group.members), group.since_ms))
--- a/lab/capacity/control.py
+++ b/lab/capacity/control.py
@@ -5,8 +5,9 @@
 from functools import partial
 from typing import Any
 
-from dunlinloft.fleet.leases.ledger import DUTY, Reading, page_after
-from dunlinloft.fleet.leases.messages import LedgerPage, LedgerRow, Message
+from dunlinloft.fleet.leases.messages import Message, TablePage, TableRow
+from dunlinloft.fleet.leases.table_read import TableReadSession
+from dunlinloft.fleet.leases.table_rows import STATE_TABLE_ROLE, page_after
 from dunlinloft.fleet.messages import ApplicationMessage, Header
 from dunlinloft.fleet.releases.member import MOST_COUNTS
 from dunlinloft.fleet.releases.messages import Count, Order, Plan, Tally
@@ -24,26 +25,26 @@
 CLASSES = 3
 
 
-def _rows(count: int) -> dict[str, LedgerRow]:
+def _rows(count: int) -> dict[str, TableRow]:
     keys = [f"limit/tenant-{n:05}" for n in range(count)]
-    return {key: LedgerRow(key, 1_700_000_000_001, n, b"v" * VALUE_BYTES) for n, key in enumerate(keys)}
+    return {key: TableRow(key, 1_700_000_000_001, n, b"v" * VALUE_BYTES) for n, key in enumerate(keys)}
 
 
-def _pages(rows: dict[str, LedgerRow]) -> list[LedgerPage]:
+def _pages(rows: dict[str, TableRow]) -> list[TablePage]:
     """All pages that a voter answers a reading with."""
-    found, after, more = list[LedgerPage](), "", True
+    found, after, more = list[TablePage](), "", True
     while more:
         part, more = page_after(rows, after)
-        found.append(LedgerPage(DUTY, 2, 1, after, 1, 1, False, False, part, more, 7))
+        found.append(TablePage(STATE_TABLE_ROLE, 2, 1, after, 1, 1, False, False, part, more, 7))
         after = part[-1].key
     return found
 
 
-def _read(pages: list[LedgerPage]) -> None:
-    reading = Reading(1)
+def _read(pages: list[TablePage]) -> None:
+    reading = TableReadSession(1)
     for page in pages:
-        reading.hear(page, "n1")
-    assert reading.result()[3]
+        reading.handle_page(page, "n1")
+    assert reading.result().rows
 
 
 def _ledger(rows: int, seed: int) -> dict[str, float]:
--- a/lab/explore/duties.py
+++ b/lab/explore/duties.py
@@ -10,9 +10,18 @@
 from functools import partial
 from typing import Any, Self
 
-from dunlinloft.fleet.leases.candidate import END, IDLE, RENEW, STOP_MS, Candidate
-from dunlinloft.fleet.leases.guard import Guard
-from dunlinloft.fleet.leases.messages import Accepted, Ballot, Promise, Recall, Recalled, Start, Stop, Tell
+from dunlinloft.fleet.leases.candidate import STOP_MARGIN_MS, Candidate, LeaseTimer, ProposalStep
+from dunlinloft.fleet.leases.guard import FencingGuard
+from dunlinloft.fleet.leases.messages import (
+    LeaseAcquired,
+    LeaseLost,
+    PrepareResponse,
+    ProposalNumber,
+    ProposeResponse,
+    SendMessage,
+    TokensRequest,
+    TokensResponse,
+)
 from dunlinloft.fleet.leases.voter import Voter
 from lab.explore.copying import EVEN, clone, mark
 from lab.explore.net import Explored, Net, Told
@@ -33,8 +42,10 @@
         self.now = 0.0
         self.voters: dict[str, Voter] = {}
         self.candidates: dict[str, Candidate] = {}
-        self.timers: list[tuple[str, str, float, Ballot]] = []  # whose, what, when by its clock
-        self.guard = Guard()
+        self.timers: list[
+            tuple[str, LeaseTimer, float, ProposalNumber]
+        ] = []  # whose, what, when by its clock
+        self.guard = FencingGuard()
         self.tries = self.restarts = self.releases = self.waits = 0
         self.last = 0  # the greatest token of a tenure
 
@@ -69,13 +80,13 @@
         for name, voter in state.voters.items():
             for other in VOTERS:
                 if other != name:
-                    voter.learn(Recalled("", voter.number, True, {}), other)
+                    voter.handle_tokens_response(TokensResponse("", voter.request_id, True, {}), other)
         state.candidates = {name: Candidate(*self._candidate(name, 1)) for name in CANDIDATES}
         for name in CANDIDATES:
             self._bind(state, name)
         if self._held:
             state = self.apply(state, ("try", "a"))
-            while not state.candidates["a"].held:
+            while not state.candidates["a"].is_leader:
                 state = self.apply(state, ("deliver", state.net.names[0]))
             state.net, state.tries = Net(), 0
         return state
@@ -88,11 +99,13 @@
 
     def _bind(self, state: State, name: str) -> None:
         candidate = state.candidates[name]
-        candidate.timer = partial(self._timer, state, name)
-        candidate._wall_ms = _no_wall
+        candidate.set_timer = partial(self._timer, state, name)
+        candidate._wall_clock_ms = _no_wall
 
-    def _timer(self, state: State, name: str, what: str, delay_ms: float, ballot: Ballot) -> None:
-        if what in (END, RENEW):
+    def _timer(
+        self, state: State, name: str, what: LeaseTimer, delay_ms: float, ballot: ProposalNumber
+    ) -> None:
+        if what in (LeaseTimer.EXPIRY, LeaseTimer.RENEWAL):
             state.timers.append((name, what, state.clock(name) + delay_ms, ballot))
 
     def _candidate_of(self, state: State, name: str) -> Candidate:
@@ -110,9 +123,9 @@
         found = state.net.moves(spare("copies"))
         found += [("fire", n) for n, t in enumerate(state.timers) if t[2] <= state.clock(t[0])]
         for name, candidate in state.candidates.items():
-            if spare("tries") and not candidate.held and candidate.step == IDLE:
+            if spare("tries") and not candidate.is_leader and candidate.step == ProposalStep.IDLE:
                 found.append(("try", name))
-            if spare("releases") and candidate.held:
+            if spare("releases") and candidate.is_leader:
                 found.append(("release", name))
             if candidate.token > 0 and (candidate.holds(state.clock(name)) or candidate.token < state.last):
                 found.append(("act", name))
@@ -131,11 +144,11 @@
                 self._deliver(state, *state.take(move))
             case ("fire", n):
                 name, what, _, ballot = state.timers.pop(n)
-                self._candidate_of(state, name).fired(what, ballot, state.clock(name))
+                self._candidate_of(state, name).timer_fired(what, ballot, state.clock(name))
                 self._take(state, name)
             case ("try", name):
                 state.tries += 1
-                self._candidate_of(state, name).attempt(state.clock(name))
+                self._candidate_of(state, name).propose(state.clock(name))
                 self._take(state, name)
             case ("release", name):
                 state.releases += 1
@@ -143,7 +156,7 @@
                 self._take(state, name)
             case ("act", name):
                 token = state.candidates[name].token
-                if state.guard.obeys(DUTY, token) and token < max(state.guard.seen.values()):
+                if state.guard.admits(DUTY, token) and token < max(state.guard.highest_tokens.values()):
                     state.broken = f"an act of {name} with the old token {token} was obeyed"
             case ("restart", name):
                 self._restart(state, name)
@@ -159,9 +172,14 @@
         ends = [at / RATES[name] for name, _, at, _ in state.timers]
         for name, voter in state.voters.items():
             ends += [
-                at / RATES[name] for at in (voter._silent_until, *(s.until_ms for s in voter._slots.values()))
+                at / RATES[name]
+                for at in (voter._recovery_until_ms, *(s.expires_ms for s in voter._states.values()))
             ]
-        ends += [(c.until_ms - STOP_MS) / RATES[name] for name, c in state.candidates.items() if c.held]
+        ends += [
+            (c.expires_ms - STOP_MARGIN_MS) / RATES[name]
+            for name, c in state.candidates.items()
+            if c.is_leader
+        ]
         return min((at for at in ends if at > state.now), default=state.now + TERM_MS) + JUST_MS
 
     def _restart(self, state: State, name: str) -> None:
@@ -170,40 +188,40 @@
         state.marks.pop(name, None)
         if name in VOTERS:
             voter = state.voters[name] = self._voter(name, state.clock(name))
-            for other, question in voter.ask():
-                state.net.add(other, name, question)
+            for request in voter.recovery_requests():
+                state.net.add(request.recipient, name, request.message)
             return
         old = state.candidates[name]
-        state.candidates[name] = Candidate(*self._candidate(name, old._life + 1))
+        state.candidates[name] = Candidate(*self._candidate(name, old._incarnation + 1))
         self._bind(state, name)
         state.timers = [timer for timer in state.timers if timer[0] != name]
 
     def _deliver(self, state: State, to: str, sender: str, message: Any) -> None:
         if to in state.candidates:
-            if isinstance(message, Promise | Accepted):
-                self._candidate_of(state, to).hear(message, sender, state.clock(to))
+            if isinstance(message, PrepareResponse | ProposeResponse):
+                self._candidate_of(state, to).handle_response(message, sender, state.clock(to))
                 self._take(state, to)
             return
         voter = state.changing(state.voters, to)
-        if isinstance(message, Recall):
-            state.net.add(sender, to, voter.recall(message))
-        elif isinstance(message, Recalled):
-            voter.learn(message, sender)
-        elif (answer := voter.hear(message, state.clock(to))) is not None:
+        if isinstance(message, TokensRequest):
+            state.net.add(sender, to, voter.tokens_response(message))
+        elif isinstance(message, TokensResponse):
+            voter.handle_tokens_response(message, sender)
+        elif (answer := voter.handle(message, state.clock(to))) is not None:
             state.net.add(sender, to, answer)
 
     def _take(self, state: State, name: str) -> None:
         candidate = state.candidates[name]
         for action in candidate.actions:
             match action:
-                case Tell():
-                    state.net.add(action.name, name, action.message)
-                case Start():
+                case SendMessage():
+                    state.net.add(action.recipient, name, action.message)
+                case LeaseAcquired():
                     if action.token <= state.last:
                         state.broken = f"{name} began with token {action.token} after {state.last}"
                     state.last = max(state.last, action.token)
-                    state.guard.obeys(DUTY, action.token)
-                case Stop():
+                    state.guard.admits(DUTY, action.token)
+                case LeaseLost():
                     pass
         candidate.actions = []
 
@@ -215,7 +233,7 @@
     # Telling states apart
 
     def mark(self, state: State) -> bytes:
-        """Voters that were not restarted are alike: only what each knows matters, not which it is."""
+        """VoterSet that were not restarted are alike: only what each knows matters, not which it is."""
         marks = state.marks
         for name, voter in state.voters.items():
             if name not in marks:
@@ -227,10 +245,10 @@
         timers = sorted((name, what, round(at - state.clock(name)), b) for name, what, at, b in state.timers)
         rest = (
             timers, state.tries, state.restarts, state.copies, state.releases, state.waits, state.last,
-            state.guard.seen, state.broken, marks["a"], marks["b"],
+            state.guard.highest_tokens, state.broken, marks["a"], marks["b"],
         )  # fmt: skip
         if state.restarts:
-            answers = [(c._promises, sorted(c._accepted)) for c in state.candidates.values()]
+            answers = [(c._prepare_responses, sorted(c._accepted_by)) for c in state.candidates.values()]
             return repr((rest, answers, [marks[v] for v in VOTERS], state.net.marks())).encode()
         about = {name: self._about(state, name) for name in VOTERS}
         return repr((rest, sorted((about["v1"], about["v2"])), about["v3"])).encode()
@@ -242,7 +260,7 @@
             for (to, sender, _), mark_ in zip(state.net.sent, state.net.marks(), strict=True)
             if name in (to, sender)
         ]
-        known = [(c._promises.get(name), name in c._accepted) for c in state.candidates.values()]
+        known = [(c._prepare_responses.get(name), name in c._accepted_by) for c in state.candidates.values()]
         return repr((state.marks[name].replace(name, "v"), sorted(sent), known))
 
     def _known(self, candidate: Candidate, attribute: str, now: float) -> Any:
@@ -251,7 +269,8 @@
 
 
 CANDIDATE = (
-    "step", "ballot", "_round", "_sent_ms", "until_ms", "token", "_proposed", "known", "held", "_life",
+    "step", "proposal", "_round", "_proposed_at_ms", "expires_ms", "token", "_proposed_token",
+    "highest_claimed_token", "is_leader", "_incarnation",
 )  # fmt: skip
 
 
--- a/lab/explore/ledger.py
+++ b/lab/explore/ledger.py
@@ -10,16 +10,17 @@
 from itertools import permutations
 from typing import Any
 
-from dunlinloft.fleet.leases.ledger import OPEN, Keeper, Ledger
 from dunlinloft.fleet.leases.messages import (
-    LedgerPage,
-    LedgerRead,
-    LedgerStored,
-    LedgerWrite,
-    Opened,
-    Settled,
-    Tell,
+    SendMessage,
+    TableOpened,
+    TablePage,
+    TableRead,
+    TableWrite,
+    TableWriteAck,
+    WriteCompleted,
 )
+from dunlinloft.fleet.leases.table_primary import TablePrimary, TableStep
+from dunlinloft.fleet.leases.table_replica import TableReplica
 from lab.explore.copying import EVEN, mark
 from lab.explore.net import Explored, Told
 from lab.explore.search import Move
@@ -34,8 +35,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.keepers: dict[str, Keeper] = {}
-        self.ledgers: dict[str, Ledger] = {}
+        self.keepers: dict[str, TableReplica] = {}
+        self.ledgers: dict[str, TablePrimary] = {}
         self.begun = self.writes = self.restarts = 0
         self.acked = 0  # the latest write that was acknowledged,
         self.known = 0  # and that which the latest opening found: older ones may never be found again
@@ -54,13 +55,13 @@
         """All voters are ready, and there is nothing."""
         state = State()
         for name in VOTERS:
-            keeper = state.keepers[name] = Keeper(name, list(VOTERS), 0)
-            keeper.ready, keeper.asks = True, False
+            keeper = state.keepers[name] = TableReplica(name, list(VOTERS), 0)
+            keeper.ready, keeper.reading_peers = True, False
         return state
 
-    def _ledger(self, state: State, name: str) -> Ledger:
+    def _ledger(self, state: State, name: str) -> TablePrimary:
         ledger = state.changing(state.ledgers, name)
-        ledger.timer = _no_timer
+        ledger.set_timer = _no_timer
         return ledger
 
     def moves(self, state: State) -> list[Move]:
@@ -68,7 +69,9 @@
         if state.begun < self._holders:
             found.append(("begin", HOLDERS[state.begun]))
         if state.writes < self._writes:
-            found += [("write", name) for name, ledger in state.ledgers.items() if ledger.step == OPEN]
+            found += [
+                ("write", name) for name, ledger in state.ledgers.items() if ledger.step == TableStep.OPEN
+            ]
         if state.restarts < self._restarts and all(keeper.ready for keeper in state.keepers.values()):
             found += [("restart", name) for name in VOTERS]  # of three one may have forgotten at a time
         return found
@@ -80,8 +83,8 @@
                 self._deliver(state, *state.take(move))
             case ("begin", name):
                 state.begun += 1
-                state.ledgers[name] = Ledger(list(VOTERS), EVEN)
-                state.ledgers[name].timer = _no_timer
+                state.ledgers[name] = TablePrimary(list(VOTERS), EVEN)
+                state.ledgers[name].set_timer = _no_timer
                 state.ledgers[name].start(state.begun)
                 self._take(state, name)
             case ("write", name):
@@ -90,27 +93,27 @@
                 self._take(state, name)
             case ("restart", name):
                 state.restarts += 1
-                keeper = state.keepers[name] = Keeper(name, list(VOTERS), state.restarts)
+                keeper = state.keepers[name] = TableReplica(name, list(VOTERS), state.restarts)
                 state.marks.pop(name, None)
-                for tell in keeper.ask():
-                    state.net.add(tell.name, name, tell.message)
+                for tell in keeper.recovery_requests():
+                    state.net.add(tell.recipient, name, tell.message)
         return state
 
     def _deliver(self, state: State, to: str, sender: str, message: Any) -> None:
         if to in HOLDERS:
             if to in state.ledgers:
-                self._ledger(state, to).hear(message, sender)
+                self._ledger(state, to).handle(message, sender)
                 self._take(state, to)
             return
         keeper = state.changing(state.keepers, to)
         match message:
-            case LedgerRead():
-                answer: LedgerPage | LedgerStored | None = keeper.read(message)
-            case LedgerWrite():
-                answer = keeper.write(message)
-            case LedgerPage():
-                for tell in keeper.learn(message, sender):
-                    state.net.add(tell.name, to, tell.message)
+            case TableRead():
+                answer: TablePage | TableWriteAck | None = keeper.handle_read(message)
+            case TableWrite():
+                answer = keeper.handle_write(message)
+            case TablePage():
+                for tell in keeper.handle_recovery_page(message, sender):
+                    state.net.add(tell.recipient, to, tell.message)
                 return
         if answer is not None:
             state.net.add(sender, to, answer)
@@ -119,17 +122,17 @@
         ledger = state.ledgers[name]
         for action in ledger.actions:
             match action:
-                case Tell():
-                    state.net.add(action.name, name, action.message)
-                case Opened():
+                case SendMessage():
+                    state.net.add(action.recipient, name, action.message)
+                case TableOpened():
                     self._opened(state, name, ledger)
-                case Settled() if action.kept:
-                    if action.wanted in state.gone:
-                        state.broken = f"write {action.wanted} is acknowledged, and a successor lacks it"
-                    state.acked = max(state.acked, action.wanted)
+                case WriteCompleted() if action.committed:
+                    if action.request_id in state.gone:
+                        state.broken = f"write {action.request_id} is acknowledged, and a successor lacks it"
+                    state.acked = max(state.acked, action.request_id)
         ledger.actions = []
 
-    def _opened(self, state: State, name: str, ledger: Ledger) -> None:
+    def _opened(self, state: State, name: str, ledger: TablePrimary) -> None:
         """A holder says what there is: never less than was acknowledged, and never what was gone."""
         row = ledger.rows.get(KEY)
         found = row.value[0] if row is not None else 0
@@ -163,7 +166,7 @@
         if state.restarts:
             order = sorted(state.marks)
             return rest + b"".join(state.marks[name] for name in order) + b"".join(state.net.marks())
-        # Voters are alike: of all ways to name them the one with the least text stands for all.
+        # VoterSet are alike: of all ways to name them the one with the least text stands for all.
         return rest + min(self._named(state, order) for order in ORDERS)
 
     def _named(self, state: State, order: tuple[str, ...]) -> bytes:
--- a/lab/explore/voters.py
+++ b/lab/explore/voters.py
@@ -8,9 +8,16 @@
 
 from typing import Any
 
-from dunlinloft.fleet.leases.core import Duties
-from dunlinloft.fleet.leases.messages import Adopt, Adopted, Heard, Recalled, Tell, Voters
-from dunlinloft.fleet.leases.voters import RESTING, Change
+from dunlinloft.fleet.leases.manager import LeaseManager
+from dunlinloft.fleet.leases.messages import (
+    MessageReceived,
+    SendMessage,
+    TokensResponse,
+    VoterSet,
+    VoterSetAck,
+    VoterSetUpdate,
+)
+from dunlinloft.fleet.leases.voters import VoterChange, VoterChangeStep
 from lab.explore.copying import EVEN, mark
 from lab.explore.net import Explored, Told
 from lab.explore.search import Move
@@ -27,8 +34,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.cores: dict[str, Duties] = {}
-        self.changes: dict[str, Change] = {}
+        self.cores: dict[str, LeaseManager] = {}
+        self.changes: dict[str, VoterChange] = {}
         self.begun = False
         self.restarts = self.asked = 0
 
@@ -47,21 +54,27 @@
         for name in NEW:
             core = state.cores[name] = self._core(name, 1)
             if name not in OLD:
-                core.handle(Heard(Adopt("", Voters(1, NEW)), HOLDER), 0.0)
+                core.handle(MessageReceived(VoterSetUpdate("", VoterSet(1, NEW)), HOLDER), 0.0)
             for other in OLD:
-                if core.voter is not None and other != name:
-                    core.voter.learn(Recalled("", core.voter.number, True, {}), other)
-        state.changes = {HOLDER: Change(EVEN, 0.0, DRIFT)}
+                if core.member.acceptor is not None and other != name:
+                    core.member.acceptor.handle_tokens_response(
+                        TokensResponse("", core.member.acceptor.request_id, True, {}), other
+                    )
+        state.changes = {HOLDER: VoterChange(EVEN, 0.0, DRIFT)}
         return state
 
-    def _core(self, name: str, life: int) -> Duties:
-        return Duties(name, life, list(OLD), [], EVEN, _no_wall, LONG_AGO_MS, 0.0, DRIFT)
+    def _core(self, name: str, life: int) -> LeaseManager:
+        return LeaseManager(name, life, list(OLD), [], EVEN, _no_wall, LONG_AGO_MS, 0.0, DRIFT)
 
     def moves(self, state: State) -> list[Move]:
         found = state.net.moves(state.copies < self._copies)
         if not state.begun:
             found.append(("begin",))
-        forgetful = [name for name, core in state.cores.items() if core.voter and not core.voter.remembers()]
+        forgetful = [
+            name
+            for name, core in state.cores.items()
+            if core.member.acceptor and not core.member.acceptor.recovered()
+        ]
         if state.asked < self._asked:
             found += [("ask", name) for name in forgetful]
         if state.restarts < self._restarts and not forgetful:  # of three one may have forgotten at a time
@@ -75,7 +88,7 @@
                 self._deliver(state, *state.take(move))
             case ("begin",):
                 state.begun = True
-                self._tell(state, HOLDER, state.changing(state.changes, HOLDER).begin(Voters(1, NEW), OLD))
+                self._tell(state, HOLDER, state.changing(state.changes, HOLDER).begin(VoterSet(1, NEW), OLD))
             case ("ask", name):
                 state.asked += 1
                 self._recall(state, name)
@@ -89,32 +102,32 @@
 
     def _recall(self, state: State, name: str) -> None:
         core = state.cores[name]
-        if core.voter is not None:
-            self._tell(state, name, [Tell(*question) for question in core.voter.ask(core.voters.epoch)])
+        if core.member.acceptor is not None:
+            self._tell(state, name, core.member.acceptor.recovery_requests(core.voters.epoch))
 
     def _deliver(self, state: State, to: str, sender: str, message: Any) -> None:
         if to == HOLDER:
-            if isinstance(message, Adopted):
+            if isinstance(message, VoterSetAck):
                 change = state.changing(state.changes, HOLDER)
-                self._tell(state, HOLDER, change.hear(message, sender, 0.0))
+                self._tell(state, HOLDER, change.handle_ack(message, sender, 0.0))
             return
         core = state.changing(state.cores, to)
-        actions = core.handle(Heard(message, sender), 0.0)
-        self._tell(state, to, [action for action in actions if isinstance(action, Tell)])
+        actions = core.handle(MessageReceived(message, sender), 0.0)
+        self._tell(state, to, [action for action in actions if isinstance(action, SendMessage)])
 
-    def _tell(self, state: State, sender: str, tells: list[Tell]) -> None:
+    def _tell(self, state: State, sender: str, tells: list[SendMessage]) -> None:
         for tell in tells:
-            state.net.add(tell.name, sender, tell.message)
+            state.net.add(tell.recipient, sender, tell.message)
 
     def _check(self, state: State) -> None:
-        if state.changes[HOLDER].step != RESTING:
+        if state.changes[HOLDER].step != VoterChangeStep.EXPIRING:
             return
         behind = [
             name
             for name, core in state.cores.items()
-            if core.voter and core.voters.epoch == 0 and core.voter.remembers()
+            if core.member.acceptor and core.voters.epoch == 0 and core.member.acceptor.recovered()
         ]
-        if len(behind) >= Voters(0, OLD).majority():
+        if len(behind) >= VoterSet(0, OLD).majority():
             state.broken = f"the change is over, and {', '.join(behind)} still vote as of before it"
 
     def mark(self, state: State) -> bytes:
--- a/lab/virtual/duties.py
+++ b/lab/virtual/duties.py
@@ -1,4 +1,4 @@
-"""Duties in virtual time: voters and candidates among faults, with clocks that run at different rates.
+"""Singleton roles in virtual time: voters and candidates among faults, with clocks of different rates.
 
 What a process believes of the others comes late and may be wrong; safety may not rest on it. The oracle
 knows the true time: it checks at every event that one process at most holds a duty, by its own clock, that
@@ -12,28 +12,28 @@
 from itertools import count
 from typing import Any
 
-from dunlinloft.fleet.leases.core import Duties
-from dunlinloft.fleet.leases.guard import Guard
-from dunlinloft.fleet.leases.ledger import DUTY as LEDGER
+from dunlinloft.fleet.leases.guard import FencingGuard
+from dunlinloft.fleet.leases.manager import LeaseManager
 from dunlinloft.fleet.leases.messages import (
-    ChangeVoters,
-    Elected,
-    Enter,
     Event,
-    HandOver,
-    Heard,
+    HandoverRequested,
+    LeaseAcquired,
+    LeaseLost,
+    MembershipObserved,
     Message,
-    Opened,
-    Seen,
+    MessageReceived,
+    SendMessage,
     SetTimer,
-    Settled,
-    Start,
-    Stop,
-    Tell,
+    TableOpened,
     TimerFired,
-    Voters,
+    VoterChangeRequested,
+    VotersChanged,
+    VoterSet,
+    WriteCompleted,
+    WriteRequested,
 )
-from dunlinloft.fleet.leases.voters import ROW
+from dunlinloft.fleet.leases.table_rows import STATE_TABLE_ROLE
+from dunlinloft.fleet.leases.voters import VOTERS_KEY
 from lab.virtual import scene
 from lab.virtual.scene import Broken
 
@@ -79,43 +79,47 @@
 
     def enter(self, key: str) -> None:
         """Operators enter a row, at whoever holds the ledger."""
-        for name in self._world.holders(LEDGER):
+        for name in self._world.holders(STATE_TABLE_ROLE):
             wanted = next(self._wanted)
             self._keys[wanted] = key
             self.entered += 1
-            self._world.give(self._world.processes[name], Enter(key, str(wanted).encode(), wanted))
+            self._world.give(self._world.processes[name], WriteRequested(key, str(wanted).encode(), wanted))
 
     def change(self, add: str = "", remove: str = "") -> None:
         """Operators want other voters, at whoever holds the ledger."""
-        for name in self._world.holders(LEDGER):
-            event = ChangeVoters(add, remove, next(self._wanted))
+        for name in self._world.holders(STATE_TABLE_ROLE):
+            event = VoterChangeRequested(add, remove, next(self._wanted))
             self._world.give(self._world.processes[name], event)
 
-    def settled(self, action: Settled) -> None:
+    def settled(self, action: WriteCompleted) -> None:
         """An entry is acknowledged, or it is not known whether it is kept."""
-        if not action.kept or action.wanted not in self._keys:
+        if not action.committed or action.request_id not in self._keys:
             return
         self.kept += 1
-        key = self._keys[action.wanted]
-        if action.wanted in self._gone:
+        key = self._keys[action.request_id]
+        if action.request_id in self._gone:
             raise Broken(
-                f"{self._world.when()}: entry {action.wanted} is acknowledged, and a successor lacks it"
+                f"{self._world.when()}: entry {action.request_id} is acknowledged, and a successor lacks it"
             )
-        self.acked[key] = max(self.acked.get(key, 0), action.wanted)
+        self.acked[key] = max(self.acked.get(key, 0), action.request_id)
 
-    def opened(self, process: Process, action: Opened) -> None:
+    def opened(self, process: Process, action: TableOpened) -> None:
         """A holder says what there is: no less than was acknowledged, and nothing that was gone."""
         self.openings += 1
         started = max(
-            at for at, duty, name, _ in self._world.history if (duty, name) == (LEDGER, process.name)
+            at
+            for at, duty, name, _ in self._world.history
+            if (duty, name) == (STATE_TABLE_ROLE, process.name)
         )
         self.open_ms.append(self._world.now - started)
         if action.token < self._token:
             return  # replaced meanwhile: whatever it writes is refused
         self._token = action.token
-        ledger = process.core.ledger
-        rows = {} if ledger is None else {k: int(row.value) for k, row in ledger.rows.items() if k != ROW}
-        if action.lost:  # said plainly: then nothing is owed any more
+        ledger = process.core.table
+        rows = (
+            {} if ledger is None else {k: int(row.value) for k, row in ledger.rows.items() if k != VOTERS_KEY}
+        )
+        if action.rows_lost:  # said plainly: then nothing is owed any more
             self.losses += 1
             self.acked.clear()
             self._found.clear()
@@ -134,15 +138,15 @@
 
     def __init__(
         self, seed: int, members: int = 8, voters: int = 5, duties: int = 2, term_ms: float = 3000.0,
-        drift: float = 0.02, core: type[Duties] = Duties, loss: float = 0.0, ledger: bool = False,
+        drift: float = 0.02, core: type[LeaseManager] = LeaseManager, loss: float = 0.0, ledger: bool = False,
     ) -> None:  # fmt: skip
         super().__init__(seed, members, loss)
         self.core, self.term_ms, self.drift = core, term_ms, drift
         self.named = self.names[:voters]  # as voters, by the configuration
         self.epochs: dict[int, tuple[str, ...]] = {0: tuple(self.named)}  # who voted after which change
-        self.duties = [f"d{n}" for n in range(duties)] + ([LEDGER] if ledger else [])
+        self.duties = [f"d{n}" for n in range(duties)] + ([STATE_TABLE_ROLE] if ledger else [])
         self.delay_ms = 10.0
-        self.guard = Guard()
+        self.guard = FencingGuard()
         self.token_matters = True  # else only that there is one holder at most
         self.tokens: dict[str, int] = {}
         self.history: list[tuple[float, str, str, int]] = []  # when, duty, holder, token
@@ -193,11 +197,13 @@
             duty: (other.name, other.core.candidates[duty].token)
             for other in self.processes.values()
             for duty in self.duties
-            if other.name in here and other.alive and other.core.candidates[duty].held
+            if other.name in here and other.alive and other.core.candidates[duty].is_leader
         }
         told = [p.core.voters for p in self.processes.values() if p.name in here and p.alive]
         latest = max(told, key=lambda voters: voters.epoch, default=None)
-        self.turn(process, self.give, process, Seen(here | {process.name}, claims, voters=latest))
+        self.turn(
+            process, self.give, process, MembershipObserved(here | {process.name}, claims, voters=latest)
+        )
         self.after(SEEN_MS * (0.5 + self.rng.random()), self._see, process)
 
     def give(self, process: Process, event: Event) -> None:
@@ -209,22 +215,22 @@
         """What a core says."""
         for action in actions:
             match action:
-                case Tell():
-                    self._send(process, action.name, action.message)
+                case SendMessage():
+                    self._send(process, action.recipient, action.message)
                 case SetTimer():
                     event = TimerFired(action.token)
                     self.after(action.delay_ms / process.rate, self.turn, process, self.give, process, event)
-                case Start():
+                case LeaseAcquired():
                     self._started(process, action)
-                case Opened():
+                case TableOpened():
                     self.book.opened(process, action)
-                case Settled():
+                case WriteCompleted():
                     self.book.settled(action)
-                case Elected():
+                case VotersChanged():
                     self._elected(action.voters)
-                case Stop():
-                    process.working.pop(action.duty, None)
-                    self.lost[action.why.partition(" ")[0]] += 1
+                case LeaseLost():
+                    process.working.pop(action.role, None)
+                    self.lost[action.reason.partition(" ")[0]] += 1
 
     def _send(self, process: Process, name: str, message: Message) -> None:
         self.messages += 1
@@ -240,7 +246,7 @@
     def deliver(self, name: str, message: Message, sender: str) -> None:
         """A message comes to whoever has this name by now."""
         process = self.processes[name]
-        self.turn(process, self.give, process, Heard(message, sender))
+        self.turn(process, self.give, process, MessageReceived(message, sender))
 
     def replay(self) -> None:
         """Old messages come again."""
@@ -249,24 +255,24 @@
 
     # The oracle
 
-    def _elected(self, voters: Voters) -> None:
+    def _elected(self, voters: VoterSet) -> None:
         names = self.epochs.setdefault(voters.epoch, voters.names)
         if names != voters.names:
             raise Broken(f"{self.when()}: change {voters.epoch} of voters is {names} and {voters.names}")
 
-    def _started(self, process: Process, start: Start) -> None:
-        before = self.tokens.get(start.duty, 0)
+    def _started(self, process: Process, start: LeaseAcquired) -> None:
+        before = self.tokens.get(start.role, 0)
         if start.token <= before and self.token_matters:
-            raise Broken(f"{self.when()}: {start.duty}: token {start.token} after {before}")
-        self.tokens[start.duty] = start.token
-        process.working[start.duty] = start.token
-        self.history.append((self.now, start.duty, process.name, start.token))
-        if not self.act(start.duty, start.token) and self.token_matters:
-            raise Broken(f"{self.when()}: {start.duty}: its new holder's token is refused")
+            raise Broken(f"{self.when()}: {start.role}: token {start.token} after {before}")
+        self.tokens[start.role] = start.token
+        process.working[start.role] = start.token
+        self.history.append((self.now, start.role, process.name, start.token))
+        if not self.act(start.role, start.token) and self.token_matters:
+            raise Broken(f"{self.when()}: {start.role}: its new holder's token is refused")
 
     def act(self, duty: str, token: int) -> bool:
         """Somebody acts with a token; whether it is obeyed, which an old one may not be."""
-        obeyed = self.guard.obeys(duty, token)
+        obeyed = self.guard.admits(duty, token)
         if obeyed and token < self.tokens.get(duty, 0) and self.token_matters:
             raise Broken(f"{self.when()}: {duty}: an act with the old token {token} was obeyed")
         return obeyed
@@ -285,4 +291,4 @@
     def hand_over(self, duty: str, to: str = "") -> None:
         """Operators ask the holder to hand a duty over."""
         for name in self.holders(duty):
-            self.give(self.processes[name], HandOver(duty, to))
+            self.give(self.processes[name], HandoverRequested(duty, to))
--- a/lab/virtual/member.py
+++ b/lab/virtual/member.py
@@ -10,7 +10,7 @@
 from dunlinloft.balancer.interface import Result
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.leases import messages as duties
-from dunlinloft.fleet.leases.ledger import DUTY as LEDGER
+from dunlinloft.fleet.leases.table_rows import STATE_TABLE_ROLE
 from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import ApplicationMessage, MetadataValue
@@ -137,7 +137,7 @@
                 around, around, node.name, settings.zone, meeting.voters, rng, self.now
             )  # fmt: skip
             self.releases = Releases(
-                self.shared, work.entries, self.give_shared, lambda: work.holder(LEDGER), self.now
+                self.shared, work.entries, self.give_shared, lambda: work.holder(STATE_TABLE_ROLE), self.now
             )
             work.on_open, work.on_close = self.releases.opened, self.releases.closed
 
@@ -153,7 +153,7 @@
 
     def _look(self) -> None:
         if self.releases is not None and self.work is not None:
-            self.releases.look(self.work.holds(LEDGER))
+            self.releases.look(self.work.holds(STATE_TABLE_ROLE))
             self.later(LOOK_MS, self._look)
 
     def begin(self) -> None:
--- a/orchidferry/duties.py
+++ b/orchidferry/duties.py
@@ -17,18 +17,17 @@
 
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.leases import messages as duties
-from dunlinloft.fleet.leases.core import Duties
-from dunlinloft.fleet.leases.guard import Guard
-from dunlinloft.fleet.leases.ledger import DUTY as LEDGER
-from dunlinloft.fleet.leases.ledger import OPEN, Ledger
-from dunlinloft.fleet.leases.watch import DUTY as WATCH
-from dunlinloft.fleet.leases.watch import Watch
+from dunlinloft.fleet.leases.guard import FencingGuard
+from dunlinloft.fleet.leases.manager import LeaseManager
+from dunlinloft.fleet.leases.table_primary import TablePrimary, TableStep
+from dunlinloft.fleet.leases.table_rows import STATE_TABLE_ROLE
+from dunlinloft.fleet.leases.watch import DIVERGENCE_WATCH_ROLE, DivergenceWatch
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import Ack, ApplicationMessage, Message, MetadataValue
 from orchidferry import logs
 from orchidferry.config import now_ms
 
-ALL = (WATCH, LEDGER)
+ALL = (DIVERGENCE_WATCH_ROLE, STATE_TABLE_ROLE)
 SEEN_S = 0.4  # how often the cores are told who is there
 WATCH_S = 0.5  # how often the watch asks some of the members
 CLAIM = "duty."  # facts that begin so say which duties a member holds, with the token
@@ -78,20 +77,20 @@
         """Have a row kept; "" where it is on its way and `done` will be told, else why not."""
         number = next(self._numbers)
         self._open[number] = done
-        self._give(duties.Enter(key, value, number))
+        self._give(duties.WriteRequested(key, value, number))
         why = self._whys.pop(number, "")
         if why:
             del self._open[number]
         return why
 
-    def settled(self, action: duties.Settled) -> bool:
+    def settled(self, action: duties.WriteCompleted) -> bool:
         """How one ended; False where it is none of these."""
-        if action.wanted not in self._open:
+        if action.request_id not in self._open:
             return False
-        if action.why:
-            self._whys[action.wanted] = action.why
+        if action.rejection:
+            self._whys[action.request_id] = action.rejection
         else:
-            self._open.pop(action.wanted)(action.kept)
+            self._open.pop(action.request_id)(action.committed)
         return True
 
 
@@ -106,11 +105,11 @@
         self._name, self._zone, self._now = name, zone, now
         self.entries = Entries(self._give)
         # Whoever else needs the ledger hears when it is open here, and when it no longer is.
-        self.on_open: Callable[[Ledger], None] = lambda ledger: None
+        self.on_open: Callable[[TablePrimary], None] = lambda ledger: None
         self.on_close: Callable[[], None] = lambda: None
-        self.core: Duties | None = None  # until the process is a member: a voter's silence begins then
-        self.guard = Guard()
-        self.watch = Watch()
+        self.core: LeaseManager | None = None  # until the process is a member: a voter's silence begins then
+        self.guard = FencingGuard()
+        self.watch = DivergenceWatch()
         self._history: deque[dict[str, Any]] = deque(maxlen=MOST_HISTORY)
         self._claims: dict[str, tuple[str, int]] = {}
         self._entries: OrderedDict[int, dict[str, Any]] = OrderedDict()  # of operators, and how each ended
@@ -121,7 +120,7 @@
     def begin(self) -> None:
         """The process can be reached."""
         life = self._rng.getrandbits(62)
-        self.core = Duties(self._name, life, self._voters, list(ALL), self._rng, _wall_ms, self._now())
+        self.core = LeaseManager(self._name, life, self._voters, list(ALL), self._rng, _wall_ms, self._now())
         self._do(self.core.begin(self._now()))
         self._loop.call_later(SEEN_S, self._see)
         self._loop.call_later(WATCH_S, self._watch)
@@ -131,11 +130,11 @@
         if isinstance(message, ApplicationMessage) and isinstance(message.content, duties.Message):
             self.take(message.content, message.header.name)
         elif isinstance(message, Ack):
-            self.watch.hear(message.header.name, message.header.digest, self._now())
+            self.watch.record_digest(message.header.name, message.header.digest, self._now())
 
     def take(self, content: duties.Message, sender: str) -> None:
         """Something about a duty."""
-        self._give(duties.Heard(content, sender))
+        self._give(duties.MessageReceived(content, sender))
 
     def _give(self, event: duties.Event) -> None:
         if self.core is None or self._over:
@@ -149,39 +148,41 @@
     def _do(self, actions: list[duties.Action]) -> None:
         for action in actions:
             match action:
-                case duties.Tell():
-                    self._peers.tell(action.name, action.message)
+                case duties.SendMessage():
+                    self._peers.tell(action.recipient, action.message)
                 case duties.SetTimer():
                     self._loop.call_later(
                         action.delay_ms / 1000.0, self._give, duties.TimerFired(action.token)
                     )
-                case duties.Start():
-                    self._note(action.duty, "holds", action.token, "")
-                    self._claim(action.duty, action.token)
-                    if action.duty == WATCH:
+                case duties.LeaseAcquired():
+                    self._note(action.role, "holds", action.token, "")
+                    self._claim(action.role, action.token)
+                    if action.role == DIVERGENCE_WATCH_ROLE:
                         self.watch.on_start(action.token, action.state)
-                case duties.Opened():
-                    if self.core is not None and self.core.ledger is not None:
-                        self.on_open(self.core.ledger)
+                case duties.TableOpened():
+                    if self.core is not None and self.core.table is not None:
+                        self.on_open(self.core.table)
                     text = "the ledger is open with %(rows)d rows, token %(token)d"
                     lost = "; rows that were acknowledged may be lost: a majority of the voters has forgotten"
-                    text += lost if action.lost else ""
-                    logs.info("ledger open", text, rows=action.rows, token=action.token, lost=action.lost)
-                case duties.Settled():
+                    text += lost if action.rows_lost else ""
+                    logs.info(
+                        "ledger open", text, rows=action.row_count, token=action.token, lost=action.rows_lost
+                    )
+                case duties.WriteCompleted():
                     self._settled(action)
-                case duties.Elected():
+                case duties.VotersChanged():
                     voters = action.voters
                     text = "after change %(change)d the voters are %(voters)s"
                     logs.info("voters", text, change=voters.epoch, voters=", ".join(voters.names))
                     told = f"{voters.epoch} {','.join(voters.names)}"
                     self._peers.handle(api.MetadataUpdated({VOTERS: told}))
-                case duties.Stop():
-                    if action.duty == WATCH:
+                case duties.LeaseLost():
+                    if action.role == DIVERGENCE_WATCH_ROLE:
                         self.watch.on_stop()
-                    elif action.duty == LEDGER:
+                    elif action.role == STATE_TABLE_ROLE:
                         self.on_close()
-                    self._note(action.duty, "stops", action.token, action.why)
-                    self._claim(action.duty, 0)
+                    self._note(action.role, "stops", action.token, action.reason)
+                    self._claim(action.role, 0)
 
     def _note(self, duty: str, what: str, token: int, why: str) -> None:
         at = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime())
@@ -200,7 +201,7 @@
         core = self._peers.core
         here = {m.name for m in core.view.members.values() if m.is_alive() and not m.metadata.get("draining")}
         claims: dict[str, tuple[str, int]] = {}
-        voters: duties.Voters | None = None
+        voters: duties.VoterSet | None = None
         for member in core.view.members.values():
             if not member.is_alive():
                 continue
@@ -208,25 +209,25 @@
             for fact, value in member.metadata.items():
                 if fact.startswith(CLAIM) and isinstance(value, str) and value.isdigit():
                     duty, token = fact.removeprefix(CLAIM), int(value)
-                    if self.guard.obeys(duty, token):
+                    if self.guard.admits(duty, token):
                         claims[duty] = member.name, token
         for duty, candidate in self.core.candidates.items() if self.core is not None else ():
-            if candidate.held:
+            if candidate.is_leader:
                 claims[duty] = self._name, candidate.token
         self._claims = claims
         well = core.health.score < LATE_HEALTH and not core.muted and core.alive_count() > 1
         zones = {m.name: str(m.metadata.get("zone", "")) for m in core.view.members.values() if m.is_alive()}
         zones[self._name] = self._zone
-        self._give(duties.Seen(frozenset(here | {self._name}), claims, well, zones, voters))
+        self._give(duties.MembershipObserved(frozenset(here | {self._name}), claims, well, zones, voters))
         self._loop.call_later(SEEN_S, self._see)
 
     def _watch(self) -> None:
         if self._over:
             return
         self._order()
-        if self.holds(WATCH):
-            self.watch.hear(self._name, self._peers.core.digest(), self._now())
-            for name in self.watch.ask(self._peers.core.view.alive.names(), WATCH_S * 1000.0):
+        if self.holds(DIVERGENCE_WATCH_ROLE):
+            self.watch.record_digest(self._name, self._peers.core.digest(), self._now())
+            for name in self.watch.next_queries(self._peers.core.view.alive.names(), WATCH_S * 1000.0):
                 self._peers.ask_view(name)
         self._loop.call_later(WATCH_S, self._watch)
 
@@ -238,18 +239,18 @@
         """Who holds it, as far as is known here."""
         return self._claims.get(duty, ("", 0))[0]
 
-    def _settled(self, action: duties.Settled) -> None:
+    def _settled(self, action: duties.WriteCompleted) -> None:
         if self.entries.settled(action):
             return
-        entry = self._entries.get(action.wanted)
+        entry = self._entries.get(action.request_id)
         if entry is not None:
-            entry["state"] = "kept" if action.kept else "not taken" if action.why else "unknown"
-            entry["why"] = action.why
+            entry["state"] = "kept" if action.committed else "not taken" if action.rejection else "unknown"
+            entry["why"] = action.rejection
 
     def _order(self) -> None:
         """Whoever holds the ledger tells all what operators have set."""
-        ledger = self.core.ledger if self.core is not None else None
-        if ledger is None or ledger.step != OPEN or not self.holds(LEDGER):
+        ledger = self.core.table if self.core is not None else None
+        if ledger is None or ledger.step != TableStep.OPEN or not self.holds(STATE_TABLE_ROLE):
             return
         limits: dict[str, float] = {}
         for key, row in ledger.rows.items():
@@ -262,14 +263,14 @@
 
     def ledger(self) -> tuple[int, dict[str, Any]]:
         """The ledger's rows, at whoever holds it; elsewhere who that is."""
-        ledger = self.core.ledger if self.core is not None else None
-        holder, token = self._claims.get(LEDGER, ("", 0))
-        held = self.holds(LEDGER)
+        ledger = self.core.table if self.core is not None else None
+        holder, token = self._claims.get(STATE_TABLE_ROLE, ("", 0))
+        held = self.holds(STATE_TABLE_ROLE)
         rows = sorted(ledger.rows.values(), key=lambda row: row.key) if ledger is not None and held else []
         return 200, {
             "self": self._name, "holder": holder, "token": token, "here": held,
             "step": ledger.step if ledger is not None and held else "",
-            "lost": ledger.lost if ledger is not None and held else False,
+            "lost": ledger.rows_lost if ledger is not None and held else False,
             "rows": [
                 {"key": row.key, "value": row.value.decode("utf-8", "replace"), "token": row.token}
                 for row in rows
@@ -285,11 +286,11 @@
             return 400, {"error": "voters change one at a time, by a call of their own: see `fleet voters`"}
         if key.startswith(LIMIT) and _number(value.encode()) is None:
             return 400, {"error": f"{key} takes a number of requests a second, not {value!r:.60}"}
-        if not self.holds(LEDGER):
-            holder = self._claims.get(LEDGER, ("", 0))[0]
+        if not self.holds(STATE_TABLE_ROLE):
+            holder = self._claims.get(STATE_TABLE_ROLE, ("", 0))[0]
             return 409, {"error": f"{self._name} does not hold the ledger", "holder": holder}
         entry = self._entry(key, value)
-        self._give(duties.Enter(key, value.encode(), entry["entry"]))
+        self._give(duties.WriteRequested(key, value.encode(), entry["entry"]))
         return self._begun(entry)
 
     def _entry(self, key: str, value: str) -> dict[str, Any]:
@@ -311,11 +312,11 @@
         """Have one more voter or one fewer; how it ends shows under `entries` of the ledger."""
         asked = {name: values[0] for name, values in parse_qs(query).items()}
         add, remove = asked.get("add", ""), asked.get("remove", "")
-        if not self.holds(LEDGER):
-            holder = self._claims.get(LEDGER, ("", 0))[0]
+        if not self.holds(STATE_TABLE_ROLE):
+            holder = self._claims.get(STATE_TABLE_ROLE, ("", 0))[0]
             return 409, {"error": f"{self._name} does not hold the ledger", "holder": holder}
         entry = self._entry(VOTERS, f"+{add}" if add else f"-{remove}")
-        self._give(duties.ChangeVoters(add, remove, entry["entry"]))
+        self._give(duties.VoterChangeRequested(add, remove, entry["entry"]))
         return self._begun(entry)
 
     def voters(self) -> tuple[int, dict[str, Any]]:
@@ -330,17 +331,18 @@
             if m.is_alive() and _epoch(_voters(m.metadata.get(VOTERS))) not in (0, ours.epoch)
         }
         here = {m.name for m in members.values() if m.is_alive()} | {self._name}
-        holder = self._claims.get(LEDGER, ("", 0))[0]
+        holder = self._claims.get(STATE_TABLE_ROLE, ("", 0))[0]
         return 200, {
             "self": self._name, "change": ours.epoch, "configured": self._voters, "holder": holder,
             "voters": [{"name": name, "there": name in here} for name in ours.names],
-            "behind": others, "why_no_change": core.why_no_change(now), "here": core.holds(LEDGER, now),
+            "behind": others, "why_no_change": core.why_no_voter_change(now),
+            "here": core.holds(STATE_TABLE_ROLE, now),
         }  # fmt: skip
 
     def give_all_back(self) -> None:
         """This process goes, or drains: its duties are for others now."""
         for duty in ALL:
-            self._give(duties.HandOver(duty))
+            self._give(duties.HandoverRequested(duty))
 
     def hand_over(self, query: str) -> tuple[int, dict[str, Any]]:
         """Give a duty to another member, or to whoever is next."""
@@ -353,7 +355,7 @@
         if not self.holds(duty):
             holder = self._claims.get(duty, ("", 0))[0]
             return 409, {"error": f"{self._name} does not hold {duty}", "holder": holder}
-        self._give(duties.HandOver(duty, to))
+        self._give(duties.HandoverRequested(duty, to))
         return 200, {"duty": duty, "to": to}
 
     def show(self) -> tuple[int, dict[str, Any]]:
@@ -367,17 +369,17 @@
             holder, token = self._claims.get(duty, ("", 0))
             row = {"duty": duty, "holder": holder, "token": token, "here": mine}
             if candidate is not None and mine:
-                row["remaining_s"] = round((candidate.until_ms - now) / 1000.0, 2)
+                row["remaining_s"] = round((candidate.expires_ms - now) / 1000.0, 2)
             elif candidate is not None and not holder:
-                row["why"] = candidate.why
+                row["why"] = candidate.reason
             shown.append(row)
-        voter = core.voter if core is not None else None
+        voter = core.member.acceptor if core is not None else None
         return 200, {
             "self": self._name,
             "voters": list(core.voters.names) if core is not None else self._voters,
-            "votes": voter is not None and voter.votes(now),
+            "votes": voter is not None and voter.may_vote(now),
             "duties": shown,
-            "refused_tokens": self.guard.refused,
+            "refused_tokens": self.guard.rejected,
             "history": list(self._history),
             "divergence": [
                 {
@@ -403,13 +405,13 @@
     return found if 0.0 <= found < math.inf else None
 
 
-def _voters(told: MetadataValue | None) -> duties.Voters | None:
+def _voters(told: MetadataValue | None) -> duties.VoterSet | None:
     """Who votes, as a member's fact says; None where it says nothing of use."""
     epoch, _, names = str(told or "").partition(" ")
-    return duties.Voters(int(epoch), tuple(names.split(","))) if epoch.isdecimal() and names else None
+    return duties.VoterSet(int(epoch), tuple(names.split(","))) if epoch.isdecimal() and names else None
 
 
-def _epoch(voters: duties.Voters | None) -> int:
+def _epoch(voters: duties.VoterSet | None) -> int:
     return voters.epoch if voters is not None else 0
 
 
--- a/orchidferry/peers.py
+++ b/orchidferry/peers.py
@@ -19,7 +19,7 @@
 from dunlinloft.fleet.cells.cut import Cut
 from dunlinloft.fleet.cells.messages import Message as CellMessage
 from dunlinloft.fleet.leases import messages as duties
-from dunlinloft.fleet.leases.ledger import DUTY as LEDGER
+from dunlinloft.fleet.leases.table_rows import STATE_TABLE_ROLE
 from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import (
@@ -147,7 +147,11 @@
         if self.shared is not None and self.work is not None and RELEASES in fleet.share:
             work = self.work
             self.releases = Releases(
-                self.shared.core, work.entries, self.shared.steer, lambda: work.holder(LEDGER), now_ms
+                self.shared.core,
+                work.entries,
+                self.shared.steer,
+                lambda: work.holder(STATE_TABLE_ROLE),
+                now_ms,
             )
             self.work.on_open, self.work.on_close = self.releases.opened, self.releases.closed
         self._udp: asyncio.DatagramTransport | None = None
@@ -211,7 +215,7 @@
         if self._over or self.releases is None or self.work is None:
             return
         try:
-            self.releases.look(self.work.holds(LEDGER))
+            self.releases.look(self.work.holds(STATE_TABLE_ROLE))
         except Exception:
             self.counts["errors"] += 1
             logs.exception("fleet error", "the releases' part")
--- a/orchidferry/releases.py
+++ b/orchidferry/releases.py
@@ -7,7 +7,7 @@
 from typing import Any
 from urllib.parse import parse_qs
 
-from dunlinloft.fleet.leases.ledger import Ledger
+from dunlinloft.fleet.leases.table_primary import TablePrimary
 from dunlinloft.fleet.releases.messages import ENDED, ROW, NotSo, Order, Plan, Tally, read_plan, read_wanted
 from dunlinloft.fleet.releases.steward import FRESH_MS, Steward, Telling
 from dunlinloft.fleet.shared_state.core import Shared
@@ -30,7 +30,7 @@
         self.steward = Steward(self._write, server_id, lambda: int(time.time()))
         self._history: list[Plan] = []
 
-    def opened(self, ledger: Ledger) -> None:
+    def opened(self, ledger: TablePrimary) -> None:
         """This process holds the ledger, and it is open."""
         rows = {key: read_plan(row.value) for key, row in ledger.rows.items() if key.startswith(ROW)}
         past = [plan for key, plan in rows.items() if key != ROW and plan is not None]
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -10,24 +10,27 @@
 from msgspec.structs import replace
 
 from dunlinloft.fleet.leases.candidate import Candidate
-from dunlinloft.fleet.leases.core import Duties, order
-from dunlinloft.fleet.leases.ledger import DUTY as LEDGER
-from dunlinloft.fleet.leases.ledger import MOST_ROWS, Ledger
+from dunlinloft.fleet.leases.manager import LeaseManager
 from dunlinloft.fleet.leases.messages import (
-    Accepted,
     Action,
-    ChangeVoters,
     Event,
-    Heard,
+    MembershipObserved,
+    MessageReceived,
     Prepare,
-    Promise,
+    PrepareResponse,
+    ProposalNumber,
     Propose,
-    Recall,
-    Seen,
-    Settled,
+    ProposeResponse,
+    TokensRequest,
+    VoterChangeRequested,
+    WriteCompleted,
 )
+from dunlinloft.fleet.leases.preference import preference_order
+from dunlinloft.fleet.leases.table_primary import TablePrimary
+from dunlinloft.fleet.leases.table_read import ReadResult
+from dunlinloft.fleet.leases.table_rows import MAX_ROWS, STATE_TABLE_ROLE
 from dunlinloft.fleet.leases.voter import Voter
-from dunlinloft.fleet.leases.voters import IDLE, Change
+from dunlinloft.fleet.leases.voters import VoterChange, VoterChangeStep
 from lab.virtual.duties import LATE_SEEN_MS, Process, World
 from lab.virtual.scene import Broken
 
@@ -38,7 +41,7 @@
     return all(world.holders(duty) for duty in world.duties)
 
 
-def settled(seed: int, core: type[Duties] = Duties, members: int = 8, voters: int = 5) -> World:
+def settled(seed: int, core: type[LeaseManager] = LeaseManager, members: int = 8, voters: int = 5) -> World:
     world = World(seed, members, voters, core=core)
     assert world.run(30_000.0, lambda: held(world)) < 30_000.0, f"nobody holds a duty, seed {seed}"
     return world
@@ -60,14 +63,15 @@
 
 def knows(process: Process) -> bool:
     """Whether a voter has heard from the others what it has forgotten."""
-    voter, keeper = process.core.voter, process.core.keeper
-    return voter is not None and voter.remembers() and (keeper is None or keeper.ready)
+    member = process.core.member
+    voter, replica = member.acceptor, member.replica
+    return voter is not None and voter.recovered() and (replica is None or replica.ready)
 
 
 def storm(world: World, for_ms: float, harsh: bool = False) -> None:
     """Faults at random: kills, restarts, stops, cuts, loss, replays, handovers."""
     rng, end = world.rng, world.now + for_ms
-    # Voters that may have forgotten at once: a majority remembers, if this is not harsh.
+    # VoterSet that may have forgotten at once: a majority remembers, if this is not harsh.
     spare = len(world.voters) if harsh else (len(world.voters) - 1) // 2
     while world.now < end:
         name = rng.choice(world.names)
@@ -145,9 +149,9 @@
     world.stop(holder)
     world.run(20_000.0)
     assert world.holders("d0") and world.holders("d0") != [holder]
-    assert world.guard.refused == 0
+    assert world.guard.rejected == 0
     world.cont(holder)  # the act that it had begun comes through, with the old token
-    assert world.guard.refused == 1
+    assert world.guard.rejected == 1
     assert not world.act("d0", token)
     assert world.holders("d0") != [holder]
 
@@ -181,7 +185,7 @@
         world.kill(name)
     world.run(3.0 * TERM_MS)
     assert not any(world.holders(duty) for duty in world.duties)
-    whys = {process.core.candidates["d0"].why for process in world.processes.values() if process.alive}
+    whys = {process.core.candidates["d0"].reason for process in world.processes.values() if process.alive}
     assert any("of 3 voters answer, and 2 are needed" in why for why in whys)
 
 
@@ -203,14 +207,15 @@
 
 def test_a_voter_that_has_started_takes_no_part_until_what_it_forgot_has_run_out() -> None:
     names = ["a", "b", "c"]
-    voter, prepare = Voter("a", names, 1000.0, TERM_MS, 0.02), Prepare("d", (1, "x", 1))
-    for other, question in voter.ask():
-        assert isinstance(question, Recall)
-        voter.learn(Voter(other, names, 0.0, TERM_MS, 0.02).recall(question), other)
-    assert voter.hear(prepare, 1000.0 + TERM_MS) is None
-    assert voter.hear(prepare, 1000.0 + TERM_MS * 1.02) is not None
-    answer = voter.hear(Propose("d", (1, "x", 1), 2.0 * TERM_MS, 5, b""), 9e6)
-    assert isinstance(answer, Accepted) and not answer.ok  # longer than it would be silent for
+    voter, prepare = Voter("a", names, 1000.0, TERM_MS, 0.02), Prepare("d", ProposalNumber(1, "x", 1))
+    for request in voter.recovery_requests():
+        assert isinstance(request.message, TokensRequest)
+        other = Voter(request.recipient, names, 0.0, TERM_MS, 0.02)
+        voter.handle_tokens_response(other.tokens_response(request.message), request.recipient)
+    assert voter.handle(prepare, 1000.0 + TERM_MS) is None
+    assert voter.handle(prepare, 1000.0 + TERM_MS * 1.02) is not None
+    answer = voter.handle(Propose("d", ProposalNumber(1, "x", 1), 2.0 * TERM_MS, 5, b""), 9e6)
+    assert isinstance(answer, ProposeResponse) and not answer.accepted  # longer than it would be silent for
 
 
 # Planted faults: each has to be caught
@@ -222,27 +227,27 @@
 
 
 class Amnesiac(Voter):
-    def votes(self, now: float) -> bool:
+    def may_vote(self, now: float) -> bool:
         return True
 
 
-class Ignoring(Duties):
+class Ignoring(LeaseManager):
     """Takes all clocks for equally fast."""
 
     def __init__(
-        self, name: str, life: int, voters: list[str], duties: list[str], rng: random.Random,
-        wall_ms: Callable[[], int], now: float, term_ms: float = TERM_MS, drift: float = 0.0,
+        self, name: str, incarnation: int, voters: list[str], roles: list[str], rng: random.Random,
+        wall_clock_ms: Callable[[], int], now: float, term_ms: float = TERM_MS, drift: float = 0.0,
     ) -> None:  # fmt: skip
-        super().__init__(name, life, voters, duties, rng, wall_ms, now, term_ms, 0.0)
+        super().__init__(name, incarnation, voters, roles, rng, wall_clock_ms, now, term_ms, 0.0)
 
 
 class Reusing(Candidate):
     """Gives a token that has been given before."""
 
-    def _promised(self, message: Promise, sender: str, now: float) -> None:
+    def _handle_prepare_response(self, message: PrepareResponse, sender: str, now: float) -> None:
         message.token = 0
-        self._wall_ms = lambda: 1
-        super()._promised(message, sender, now)
+        self._wall_clock_ms = lambda: 1
+        super()._handle_prepare_response(message, sender, now)
 
 
 TWO, OLD = "is held by", "token"
@@ -269,7 +274,7 @@
 def test_a_planted_fault_is_caught(
     what: str, where: str, broken: type, seen: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("dunlinloft.fleet.leases.core." + where, broken)
+    monkeypatch.setattr("dunlinloft.fleet.leases.manager." + where, broken)
     assert seen in breaks(50, harsh=seen == TWO)
 
 
@@ -277,7 +282,7 @@
     assert TWO not in breaks(50, harsh=True)
 
 
-def cut_holders(core: type[Duties]) -> None:
+def cut_holders(core: type[LeaseManager]) -> None:
     """Holders that lose their voters, among clocks that differ by as much as is stated."""
     for seed in range(20):
         world = World(seed, members=6, voters=3, duties=2, drift=0.1, core=core)
@@ -290,7 +295,7 @@
 
 
 def test_clocks_that_differ_are_borne_and_a_core_that_ignores_them_is_caught() -> None:
-    cut_holders(Duties)
+    cut_holders(LeaseManager)
     with pytest.raises(Broken, match="is held by"):
         cut_holders(Ignoring)
 
@@ -315,7 +320,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     restart_voters_under_a_lease()
-    monkeypatch.setattr("dunlinloft.fleet.leases.core.Voter", Amnesiac)
+    monkeypatch.setattr("dunlinloft.fleet.leases.voting_member.Voter", Amnesiac)
     with pytest.raises(Broken, match=TWO):
         restart_voters_under_a_lease()
 
@@ -345,7 +350,7 @@
     assert world.run(20_000.0, lambda: world.book.openings > 0) < 20_000.0
     entering(world, 3_000.0)
     assert world.book.kept > 5
-    holder = world.holders(LEDGER)[0]
+    holder = world.holders(STATE_TABLE_ROLE)[0]
     for name in world.names[:3]:  # a majority starts anew at once
         world.kill(name)
         world.start(name)
@@ -360,19 +365,19 @@
 
 
 def test_a_successor_that_writes_before_it_reads_is_caught() -> None:
-    def start(self: Ledger, token: int) -> None:
+    def start(self: TablePrimary, token: int) -> None:
         original(self, token)
-        patch.setattr(self._reading, "result", lambda: (0, 0, False, {}))
+        patch.setattr(self._read, "result", lambda: ReadResult(0, 0, False, {}))
         self._restore()
 
-    original = Ledger.start
+    original = TablePrimary.start
     with pytest.MonkeyPatch.context() as patch, pytest.raises(Broken, match="finds entry"):
-        patch.setattr(Ledger, "start", start)
+        patch.setattr(TablePrimary, "start", start)
         for seed in range(6):
             world = World(seed, 5, 3, duties=0, ledger=True)
             world.run(8_000.0)
             entering(world, 2_000.0)
-            for name in world.holders(LEDGER):
+            for name in world.holders(STATE_TABLE_ROLE):
                 world.kill(name)
             world.run(15_000.0)
 
@@ -380,16 +385,16 @@
 def test_a_ledger_of_a_thousand_rows_is_read_back_and_full_is_said() -> None:
     world = World(2, 5, 5, duties=0, ledger=True)
     assert world.run(20_000.0, lambda: world.book.openings > 0) < 20_000.0
-    for n in range(MOST_ROWS):
+    for n in range(MAX_ROWS):
         world.book.enter(f"row/{n}")
         if n % 20 == 0:
             world.run(40.0)
     world.run(2_000.0)
-    assert world.book.kept == MOST_ROWS
+    assert world.book.kept == MAX_ROWS
     world.book.enter("one too many")
     world.run(500.0)
-    assert world.book.kept == MOST_ROWS
-    holder = world.holders(LEDGER)[0]
+    assert world.book.kept == MAX_ROWS
+    holder = world.holders(STATE_TABLE_ROLE)[0]
     world.kill(holder)
     assert world.run(30_000.0, lambda: world.book.openings > 1) < 30_000.0
     assert world.book.open_ms[-1] < 5_000.0
@@ -400,13 +405,13 @@
     zones = {name: "abc"[n % 3] for n, name in enumerate(names)}
     claims: dict[str, tuple[str, int]] = {}
     for place, duty in enumerate(("d1", "d2", "d3", "d4")):
-        holder = order(duty, Seen(frozenset(names), claims, True, zones), place)[0]
+        holder = preference_order(duty, MembershipObserved(frozenset(names), claims, True, zones), place)[0]
         claims[duty] = holder, 1
     holders = [holder for holder, _ in claims.values()]
     assert len(set(holders)) == 4 and {zones[holder] for holder in holders} == {"a", "b", "c"}
-    busy = Seen(frozenset(names), claims, True, zones)
-    assert order("d5", busy)[0] not in holders
-    assert set(order("d5", busy)) == set(names)
+    busy = MembershipObserved(frozenset(names), claims, True, zones)
+    assert preference_order("d5", busy)[0] not in holders
+    assert set(preference_order("d5", busy)) == set(names)
 
 
 # Other voters while the fleet runs
@@ -459,7 +464,7 @@
     for name in ("m6", "m7"):
         world.kill(name)
     openings = world.book.openings
-    for holder in world.holders(LEDGER):
+    for holder in world.holders(STATE_TABLE_ROLE):
         world.kill(holder)
         world.start(holder)
     assert world.run(60_000.0, lambda: held(world) and world.book.openings > openings) < 60_000.0
@@ -470,36 +475,38 @@
 def test_a_change_of_voters_that_can_not_be_is_refused_with_its_reason() -> None:
     world = World(4, 8, 3, duties=0, ledger=True)
     assert world.run(20_000.0, lambda: world.book.openings > 0) < 20_000.0
-    core = world.processes[world.holders(LEDGER)[0]].core
+    core = world.processes[world.holders(STATE_TABLE_ROLE)[0]].core
 
     def why(add: str = "", remove: str = "") -> str:
         [settled] = [
-            a for a in core.handle(ChangeVoters(add, remove, 9), world.now) if isinstance(a, Settled)
+            a
+            for a in core.handle(VoterChangeRequested(add, remove, 9), world.now)
+            if isinstance(a, WriteCompleted)
         ]
-        return settled.why
+        return settled.rejection
 
-    core.holds = lambda duty, now: True  # type: ignore[method-assign]
+    core.holds = lambda role, now: True  # type: ignore[method-assign]
     assert why() == why("m4", "m1") == "one voter is added or removed at a time"
     assert why("m1") == "m1 is a voter already" and why("m99") == "m99 is no member that is there"
     assert why("", "m5") == "m5 is no voter"
     assert why("", "m1") == "there would be 2 voters; 3 to 7 are possible"
     del core.holds
     assert change(world, add="m4")
-    [holder] = world.holders(LEDGER)
-    assert "change 1" in world.processes[holder].core.why_no_change(world.processes[holder].clock())
+    [holder] = world.holders(STATE_TABLE_ROLE)
+    assert "change 1" in world.processes[holder].core.why_no_voter_change(world.processes[holder].clock())
 
 
 def outvoted(seed: int) -> None:
     """The voters that gave a duty are removed, while its holder hears of none of that."""
     world = World(seed, 9, 5, duties=1, ledger=True)
     assert world.run(30_000.0, lambda: world.book.openings > 0 and held(world)) < 30_000.0
-    for duty, to in ((LEDGER, "m5"), ("d0", "m6")):
+    for duty, to in ((STATE_TABLE_ROLE, "m5"), ("d0", "m6")):
         world.hand_over(duty, to)
         world.run(6_000.0)
     cut(world, ["m6"], [name for name in world.names if name not in ("m0", "m1", "m2", "m6")])
     cut(world, ["m0", "m1"], [name for name in world.names if name not in ("m0", "m1", "m2", "m6")])
     world.run(4_000.0)
-    if world.holders("d0") != ["m6"] or world.holders(LEDGER) != ["m5"]:
+    if world.holders("d0") != ["m6"] or world.holders(STATE_TABLE_ROLE) != ["m5"]:
         return
     change(world, remove="m0")
     if max(world.epochs) < 2:
@@ -509,26 +516,28 @@
 
 
 def hasty(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Change, "look", lambda self, covered, now: self.step != IDLE)
+    patch.setattr(
+        VoterChange, "check_complete", lambda self, table_complete, now: self.step is not VoterChangeStep.IDLE
+    )
 
 
 def two_at_once(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        "dunlinloft.fleet.leases.core.changed", lambda voters, add, remove, here: ("m2", "m3", "m4")
+        "dunlinloft.fleet.leases.manager.next_voters", lambda voters, add, remove, alive: ("m2", "m3", "m4")
     )
 
 
 def any_epoch(patch: pytest.MonkeyPatch) -> None:
-    original = Duties.handle
+    original = LeaseManager.handle
 
-    def handle(self: Duties, event: Event, now: float) -> list[Action]:
-        if isinstance(event, Heard) and isinstance(event.message, Prepare | Propose):
-            event = Heard(replace(event.message, epoch=self.voters.epoch), event.sender)
-        elif isinstance(event, Seen):
+    def handle(self: LeaseManager, event: Event, now: float) -> list[Action]:
+        if isinstance(event, MessageReceived) and isinstance(event.message, Prepare | Propose):
+            event = MessageReceived(replace(event.message, voters_epoch=self.voters.epoch), event.sender)
+        elif isinstance(event, MembershipObserved):
             event.voters = None  # nor does the news come by gossip, which nothing may rest on
         return original(self, event, now)
 
-    patch.setattr(Duties, "handle", handle)
+    patch.setattr(LeaseManager, "handle", handle)
 
 
 @pytest.mark.parametrize("plant", [hasty, two_at_once, any_epoch])
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -118,7 +118,9 @@
     "ledger-releases.jsonl": Form(
         release_messages.Plan, release_messages.read_plan, lambda value: bytes(value.write()) + b"\n"
     ),
-    "ledger-voters.jsonl": Form(voters.Row, voters.read_row, lambda value: bytes(value.write()) + b"\n"),
+    "ledger-voters.jsonl": Form(
+        voters.VoterRow, voters.decode_voter_row, lambda value: bytes(value.encode()) + b"\n"
+    ),
     # Log lines, talk between processes and files of the simulations.
     "log-lines.jsonl": _json(functools.reduce(operator.or_, records.Record.__subclasses__()), records.line),
     "scale-commands.jsonl": _json(talk.Command, talk.encode),
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -8,11 +8,12 @@
 import pytest
 
 from dunlinloft.fleet.leases.candidate import Candidate
-from dunlinloft.fleet.leases.guard import Guard
-from dunlinloft.fleet.leases.ledger import Ledger
-from dunlinloft.fleet.leases.messages import Adopted, Tell
+from dunlinloft.fleet.leases.guard import FencingGuard
+from dunlinloft.fleet.leases.messages import SendMessage, VoterSetAck
+from dunlinloft.fleet.leases.table_primary import TablePrimary
+from dunlinloft.fleet.leases.table_read import ReadResult
 from dunlinloft.fleet.leases.voter import Voter
-from dunlinloft.fleet.leases.voters import RESTING, TELLING, Change
+from dunlinloft.fleet.leases.voters import VoterChange, VoterChangeStep
 from lab.explore import duties as duties_system
 from lab.explore.duties import Duties
 from lab.explore.ledger import LedgerSystem
@@ -28,7 +29,7 @@
 
 
 def no_silence(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Voter, "votes", lambda self, now: True)
+    patch.setattr(Voter, "may_vote", lambda self, now: True)
 
 
 def no_drift(patch: pytest.MonkeyPatch) -> None:
@@ -36,34 +37,34 @@
 
 
 def tokens_not_compared(patch: pytest.MonkeyPatch) -> None:
-    def obeys(self: Guard, duty: str, token: int) -> bool:
-        self.seen[duty] = max(token, self.seen.get(duty, 0))
+    def admits(self: FencingGuard, role: str, token: int) -> bool:
+        self.highest_tokens[role] = max(token, self.highest_tokens.get(role, 0))
         return True
 
-    patch.setattr(Guard, "obeys", obeys)
+    patch.setattr(FencingGuard, "admits", admits)
 
 
 def writes_before_it_reads(patch: pytest.MonkeyPatch) -> None:
     """It has voters replace what they have by nothing, whatever it reads."""
 
-    def restore(self: Ledger) -> None:
-        patch.setattr(self._reading, "result", lambda: (0, 0, False, {}))
+    def restore(self: TablePrimary) -> None:
+        patch.setattr(self._read, "result", lambda: ReadResult(0, 0, False, {}))
         original(self)
 
-    original = Ledger._restore
-    patch.setattr(Ledger, "_restore", restore)
+    original = TablePrimary._restore
+    patch.setattr(TablePrimary, "_restore", restore)
 
 
 def adopted_once(patch: pytest.MonkeyPatch) -> None:
     """Whoever has adopted new voters is not asked again, though some may have forgotten it meanwhile."""
 
-    def hear(self: Change, message: Adopted, sender: str, now: float) -> list[Tell]:
+    def handle_ack(self: VoterChange, message: VoterSetAck, sender: str, now: float) -> list[SendMessage]:
         found = original(self, message, sender, now)
-        self.step = RESTING if self.step == TELLING else self.step
+        self.step = VoterChangeStep.EXPIRING if self.step == VoterChangeStep.CONFIRMING else self.step
         return found
 
-    original = Change.hear
-    patch.setattr(Change, "hear", hear)
+    original = VoterChange.handle_ack
+    patch.setattr(VoterChange, "handle_ack", handle_ack)
 
 
 PLANTS: list[tuple[Callable[[pytest.MonkeyPatch], None], Callable[[], System]]] = [
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -16,7 +16,7 @@
 
 from dunlinloft.balancer import interface as api
 from dunlinloft.balancer.interface import Result
-from dunlinloft.fleet.leases.ledger import MOST_VALUE
+from dunlinloft.fleet.leases.table_rows import MAX_VALUE_BYTES
 from dunlinloft.fleet.releases import judge
 from dunlinloft.fleet.releases.judge import SCORES, Judge, Stratum, Times, log_ratio, log_tilt
 from dunlinloft.fleet.releases.member import Follower, Server
@@ -151,7 +151,7 @@
         return Steward(self.write, int, lambda: 0)
 
     def write(self, plan: Plan) -> str:
-        assert len(plan.write()) <= MOST_VALUE
+        assert len(plan.write()) <= MAX_VALUE_BYTES
         self.writing.append(plan)
         return ""
 
@@ -360,7 +360,7 @@
     names = tuple(f"slot-{n:04d}" for n in range(MOST_NAMED))
     stages = tuple(0.0125 * n for n in range(1, MOST_STAGES + 1))
     plan = Plan(9_999, UNDONE, stages, 86_400.0, 7, 0.0125, 0.0, names, "x" * 30, "y" * MOST_WHY, 10**10)
-    assert len(plan.write()) <= MOST_VALUE and read_plan(plan.write()) == plan
+    assert len(plan.write()) <= MAX_VALUE_BYTES and read_plan(plan.write()) == plan
     assert read_plan(b"{") is None
 
 
