--- a/dunlinloft/controlplane/components.py
+++ b/dunlinloft/controlplane/components.py
@@ -19,8 +19,8 @@
 from dunlinloft.coordination.node_registry import NodeRegistry
 from dunlinloft.coordination.placement.directory import PlacementDirectory
 from dunlinloft.coordination.records import DurableState
-from dunlinloft.coordination.registry import ServerRegistry
 from dunlinloft.coordination.replica import Replica
+from dunlinloft.coordination.server_registry import ServerRegistry
 from dunlinloft.coordination.state import ConfigurationChange, Document
 from dunlinloft.coordination.verdicts import Invalid, Valid
 from dunlinloft.coordination.views import Member
--- a/dunlinloft/controlplane/server_registrar.py
+++ b/dunlinloft/controlplane/server_registrar.py
@@ -17,7 +17,7 @@
 
 from dunlinloft.controlplane.node_publisher import NodePublisher
 from dunlinloft.coordination.placement.directory import PlacementDirectory
-from dunlinloft.coordination.registry import ServerRegistry
+from dunlinloft.coordination.server_registry import ServerRegistry
 from dunlinloft.coordination.stream import ServerHeartbeats, ServerHeartbeatsAck, ServerRecord, ServerUpdates
 from dunlinloft.coordination.views import View, majority_of
 from dunlinloft.transport.clock import now_ms
--- a/dunlinloft/controlplane/stream_session.py
+++ b/dunlinloft/controlplane/stream_session.py
@@ -10,7 +10,7 @@
 from dunlinloft.controlplane.replica_host import ReplicaHost
 from dunlinloft.controlplane.server_registrar import ServerRegistrar
 from dunlinloft.coordination.node_registry import NodeRegistry
-from dunlinloft.coordination.registry import ServerRegistry
+from dunlinloft.coordination.server_registry import ServerRegistry
 from dunlinloft.coordination.stream import (
     ConfigurationApplied,
     ControlPlaneInbound,
--- a/dunlinloft/coordination/__init__.py
+++ b/dunlinloft/coordination/__init__.py
@@ -9,7 +9,8 @@
   (`view_planning`, `view_reconciler`) and operators' calls (`calls`, `change_queue`, `tail_reads`,
   `epoch_confirmation`).
 - Data: `views`, `state`, `history`, `document_changes`, `records` (on disk) and `messages` (on the wire).
-- Servers: `registry` and `digests`. Nodes, quotas and placement: `nodes`, `quotas`, `placement`.
+- Members of the data plane: `server_registry` with `digests`, and `node_registry`.
+- Singleton roles that are sharded over the chain: `quota` and `placement`.
 - `stream` has the messages between control planes and data-plane nodes.
 
 Imports nothing of the other packages; `dunlinloft.controlplane`, `dunlinloft.dataplane` and the simulation
--- a/dunlinloft/coordination/chain.py
+++ b/dunlinloft/coordination/chain.py
@@ -278,7 +278,7 @@
 
     def _append_all(self, entries: list[LogEntry], epoch: int) -> None:
         """Append one entry after the other, each once the one before it is on disk."""
-        first, rest = entries[0], entries[1:]
+        first, *rest = entries
         if not is_next_entry(self.state, first):
             self._send_position_to_predecessor()
             return
--- a/dunlinloft/coordination/replica.py
+++ b/dunlinloft/coordination/replica.py
@@ -181,7 +181,8 @@
 
         Nor can anybody use one of a still earlier view, as the previous view has to be older than any lease.
         """
-        view, previous = self.view, self._voting.previous_view
+        view = self.view
+        previous = self._voting.previous_view
         if view is None or previous is None or self._voting.epoch_on_disk != view.epoch:
             return False
         if self._voting.entered_ms - self._voting.previous_entered_ms < EARLIER_LEASES_END_MS:
--- a/tests/test_server_registrar.py
+++ b/tests/test_server_registrar.py
@@ -13,7 +13,7 @@
 from dunlinloft.coordination.failure_detector import CONTACT_TIMEOUT_MS, FailureDetector
 from dunlinloft.coordination.heartbeat_messages import Heartbeat
 from dunlinloft.coordination.placement.directory import PlacementDirectory
-from dunlinloft.coordination.registry import ServerRegistry
+from dunlinloft.coordination.server_registry import ServerRegistry
 from dunlinloft.coordination.stream import ServerHeartbeats, ServerHeartbeatsAck, ServerRecord
 from dunlinloft.coordination.views import Member, View, initial_view
 from tests.virtual_time import VirtualLoop
--- a/tests/test_registry.py
+++ b/tests/test_server_registry.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dunlinloft.coordination.registry import ReceivedHeartbeats, RegistryChanges, ServerRegistry
+from dunlinloft.coordination.server_registry import ReceivedHeartbeats, RegistryChanges, ServerRegistry
 from dunlinloft.coordination.stream import ServerRecord
 
 
--- a/tests/test_stream_session.py
+++ b/tests/test_stream_session.py
@@ -13,7 +13,7 @@
 from dunlinloft.controlplane.stream_session import StreamServices, StreamSession
 from dunlinloft.coordination.node_registry import NodeRegistry
 from dunlinloft.coordination.placement.directory import PlacementDirectory
-from dunlinloft.coordination.registry import ServerRegistry
+from dunlinloft.coordination.server_registry import ServerRegistry
 from dunlinloft.coordination.stream import (
     ConfigurationApplied,
     ConfigurationId,
