--- a/dunlinloft/cli/handlers/config_check.py
+++ b/dunlinloft/cli/handlers/config_check.py
@@ -56,32 +56,43 @@
         return super().get(key, default)
 
 
+@dataclass(frozen=True)
+class Problem:
+    """A problem of a configuration file."""
+
+    text: str
+    path: str | None = None  # of the value or key in the file; None where the problem is the whole file's
+
+    def __str__(self) -> str:
+        return self.text if self.path is None else f"{self.path}: {self.text}"
+
+
 @dataclass
 class _Findings:
     """Problems in the order in which the reader met them, and the paths that were replaced on the way."""
 
-    problems: list[str] = field(default_factory=list)
+    problems: list[Problem] = field(default_factory=list)
     replaced: set[str] = field(default_factory=set)
 
 
-def check_file(path: Path, of_directory: bool = False) -> list[str]:
-    """All problems of a configuration file, a line each; none where a process can start with it.
+def check_file(path: Path, of_directory: bool = False) -> list[Problem]:
+    """All problems of a configuration file; none where a process can start with it.
 
     `of_directory` tells a file for a process of the directory of cells from one for a node.
     """
     try:
         root = json.loads(path.read_text(encoding="utf-8"), object_pairs_hook=_TrackedObject)
     except OSError as error:
-        return [f"can't be read: {error.strerror}"]
+        return [Problem(f"can't be read: {error.strerror}")]
     except (ValueError, RecursionError) as error:
-        return [f"not JSON: {error!s:.200}"]
+        return [Problem(f"not JSON: {error!s:.200}")]
     if not isinstance(root, _TrackedObject):
-        return ["must be an object"]
+        return [Problem("must be an object")]
     problems = _rejected_values(root, parse_directory if of_directory else parse_config)
     return problems + _misspelt_keys(root, "")
 
 
-def _rejected_values(root: _TrackedObject, parse: Callable[[_TrackedObject], object]) -> list[str]:
+def _rejected_values(root: _TrackedObject, parse: Callable[[_TrackedObject], object]) -> list[Problem]:
     """The values that the reader rejects; each is replaced in `root`, so that it gets to the next."""
     findings = _Findings()
     for _ in range(MAX_PROBLEMS):
@@ -89,10 +100,11 @@
             parse(root)
         except Malformed as error:
             if error.place is None:
-                return [*findings.problems, str(error)]
+                return [*findings.problems, Problem(str(error))]
             _replace_rejected(root, error, findings)
         except ValueError as error:
-            return findings.problems + [_with_file_path(text, root) for text in str(error).split("; ")]
+            texts = str(error).split("; ")
+            return findings.problems + [_with_file_path(text, root) for text in texts]
         else:
             break
     return findings.problems
@@ -104,7 +116,7 @@
     container, key, example = error.place
     path = path_in(root, container, key) or str(key)
     if path not in findings.replaced:
-        findings.problems.append(f"{path}: {_without_key(str(error), key)}")
+        findings.problems.append(Problem(_without_key(str(error), key), path))
     findings.replaced.add(path)
     container[key] = _TrackedObject(list(example.items())) if isinstance(example, dict) else example
 
@@ -114,7 +126,7 @@
     return text.removeprefix(f"{key!r}").removeprefix(":").strip()
 
 
-def _with_file_path(text: str, root: _TrackedObject) -> str:
+def _with_file_path(text: str, root: _TrackedObject) -> Problem:
     """A problem that the balancer's settings report in their own names, with the file's path and names."""
     path, _, message = text.partition(": ")
     settings = dict.get(root, "settings", {})
@@ -128,19 +140,19 @@
         path = FILE_PATHS.get(path, path)
     for setting, file_path in FILE_PATHS.items():
         message = re.sub(rf"\b{setting}\b", file_path, message)
-    return f"settings.{path}: {message}"
+    return Problem(message, f"settings.{path}")
 
 
-def _misspelt_keys(value: object, path: str) -> list[str]:
+def _misspelt_keys(value: object, path: str) -> list[Problem]:
     """Keys that the reader did not look up, and that resemble one that it looked up in vain."""
-    problems: list[str] = []
+    problems: list[Problem] = []
     if isinstance(value, _TrackedObject):
         missing = [key for key in value.looked_up if key not in value]
         for key, child in value.items():
             child_path = f"{path}.{key}".lstrip(".")
             similar = difflib.get_close_matches(key, missing, 1, MIN_KEY_SIMILARITY)
             if key not in value.looked_up and similar:
-                problems.append(f"{child_path}: unknown key; did you mean {similar[0]!r}?")
+                problems.append(Problem(f"unknown key; did you mean {similar[0]!r}?", child_path))
             problems += _misspelt_keys(child, child_path)
     elif isinstance(value, list):
         for position, child in enumerate(value):
--- a/dunlinloft/validation.py
+++ b/dunlinloft/validation.py
@@ -1,4 +1,4 @@
-"""Validation of an operator's order before the control plane accepts it.
+"""Validation of an operator's change before the control plane accepts it.
 
 The pydantic models are made from the types of `dunlinloft.configuration`, so that fields and defaults are
 defined once; this module adds what the types don't say. `Replica` is given `validate`.
@@ -28,7 +28,7 @@
 
 from dunlinloft.configuration import Backend, Configuration, Route, to_configuration
 from dunlinloft.coordination.document_changes import apply_change
-from dunlinloft.coordination.state import ConfigurationChange, Document
+from dunlinloft.coordination.state import ChangeKind, ConfigurationChange, Document
 from dunlinloft.coordination.verdicts import Invalid, Valid
 from dunlinloft.exceptions import ConfigurationError
 
@@ -146,52 +146,59 @@
 _CONFIGURATION_MODEL = _ModelFactory().model_of(Configuration)
 
 
-def _document_error(document: Document) -> str | None:
-    """What is wrong with a document, each error with its path; None where nothing is."""
+def validate(document: Document, change: ConfigurationChange) -> Valid | Invalid:
+    """Whether a change may be accepted on top of a document; `Invalid` has the errors for the operator."""
     try:
-        _CONFIGURATION_MODEL.model_validate(document)
-    except ValidationError as error:
-        return "; ".join(_error_text(details) for details in error.errors()[:MAX_ERRORS_SHOWN])
-    try:
-        to_configuration(document)
+        version = _version_of(change.body)
+        if change.kind == ChangeKind.UPDATE:
+            _check_update(change.body)
+        else:
+            _check_replacement(change.body)
+        _check_document(apply_change(document, change))
     except ConfigurationError as error:
-        return str(error)
-    return None
+        return Invalid(str(error))
+    return Valid(version)
 
 
-def _error_text(details: ErrorDetails) -> str:
-    path = ".".join(str(step) for step in details["loc"])
-    return f"{path}: {details['msg']}" if path else details["msg"]
+def _version_of(body: Document) -> int:
+    version = body.get("version")
+    if not isinstance(version, int) or isinstance(version, bool):
+        raise ConfigurationError("version: a whole number expected")
+    return version
 
 
-def validate(document: Document, order: ConfigurationChange) -> Valid | Invalid:
-    """Whether an order may be accepted on top of a document; `Invalid` has the errors for the operator."""
-    version = order.body.get("version")
-    if not isinstance(version, int) or isinstance(version, bool):
-        return Invalid("version: a whole number expected")
-    if order.kind == "update":
-        update_error = _update_error(order.body)
-        if update_error is not None:
-            return Invalid(update_error)
-    elif not isinstance(order.body.get("routes"), list) or not isinstance(order.body.get("services"), list):
-        return Invalid("routes, services: lists expected")
-    error = _document_error(apply_change(document, order))
-    return Valid(version) if error is None else Invalid(error)
-
-
-def _update_error(body: Document) -> str | None:
-    """What is wrong with the shape of an update, so that it can't be applied; None where nothing is."""
+def _check_replacement(body: Document) -> None:
+    if not isinstance(body.get("routes"), list) or not isinstance(body.get("services"), list):
+        raise ConfigurationError("routes, services: lists expected")
+
+
+def _check_update(body: Document) -> None:
+    """Raises `ConfigurationError` for a body that can't be applied to a document."""
     upsert = body.get("upsert", {})
     delete = body.get("delete", {})
     if not isinstance(upsert, dict) or not isinstance(delete, dict):
-        return "upsert, delete: objects expected"
+        raise ConfigurationError("upsert, delete: objects expected")
     for name, items in upsert.items():
         if isinstance(items, list):
             if not all(isinstance(item, dict) and isinstance(item.get("name"), str) for item in items):
-                return f"upsert.{name}: items with a name expected"
+                raise ConfigurationError(f"upsert.{name}: items with a name expected")
         elif not isinstance(items, dict):
-            return f"upsert.{name}: a list expected"
+            raise ConfigurationError(f"upsert.{name}: a list expected")
     for name, names in delete.items():
         if not isinstance(names, list) or not all(isinstance(item, str) for item in names):
-            return f"delete.{name}: a list of names expected"
-    return None
+            raise ConfigurationError(f"delete.{name}: a list of names expected")
+
+
+def _check_document(document: Document) -> None:
+    """Raises `ConfigurationError` with the path of each error, or of the first few of many."""
+    try:
+        _CONFIGURATION_MODEL.model_validate(document)
+    except ValidationError as error:
+        texts = (_error_text(details) for details in error.errors()[:MAX_ERRORS_SHOWN])
+        raise ConfigurationError("; ".join(texts)) from None
+    to_configuration(document)
+
+
+def _error_text(details: ErrorDetails) -> str:
+    path = ".".join(str(step) for step in details["loc"])
+    return f"{path}: {details['msg']}" if path else details["msg"]
--- a/tests/test_lab_scenario.py
+++ b/tests/test_lab_scenario.py
@@ -187,14 +187,14 @@
     bad["settings"]["permissions"]["max_attempts"] = "many"
     bad["settings"]["rules"]["start_capacity"] = 7.0
     file.write_text(json.dumps(bad))
-    places = {problem.partition(": ")[0] for problem in check_file(file)}
+    places = {problem.path for problem in check_file(file)}
     assert places == {
         "listen", "seed", "manegement", "settings.classes[1].objective_ms",
         "settings.permissions.max_attempts", "settings.rules.start_capacity",
     }  # fmt: skip
     assert CliRunner().invoke(main, ["check", str(file)]).exit_code == 1
     file.write_text('{"name": ')
-    assert "line 1" in check_file(file)[0]
+    assert "line 1" in check_file(file)[0].text
 
 
 class Still:
