--- a/dunlinloft/coordination/chain.py
+++ b/dunlinloft/coordination/chain.py
@@ -42,7 +42,16 @@
 
 
 class ChainReplica:
-    """A replica's part in an epoch's chain. Owned by `Replica`; `Calls` appends at the head and reads."""
+    """A replica's part in an epoch's chain. Owned by `Replica`; `Calls` appends at the head and reads.
+
+    Invariants:
+
+    - `state` is what the disk holds; it changes only once the record that changes it is there.
+    - `committed` is `state` or an earlier point of its history, and never goes back.
+    - At most one record that changes `state` is on its way to the disk.
+    - `synced` holds in the current epoch only: this replica is its head, or was found equal to a synced
+      predecessor.
+    """
 
     def __init__(
         self,
--- a/dunlinloft/coordination/view_planning.py
+++ b/dunlinloft/coordination/view_planning.py
@@ -107,9 +107,9 @@
     roster = [member for member in observation.view.roster if member.address not in returned]
     roster += [member for member in newcomers if member.address in returned]
     others = [member for member in newcomers if member.address not in returned]
-    roster, others = _exchanged(observation, roster, others)
-    roster += others[: _growth(len(roster), len(others), observation.min_roster_size)]
-    return _shrunk(observation, roster)
+    exchange = _exchange(observation, roster, others)
+    growth = _growth(len(exchange.roster), len(exchange.remaining), observation.min_roster_size)
+    return _shrunk(observation, [*exchange.roster, *exchange.remaining[:growth]])
 
 
 def _newcomers(observation: Observation) -> list[Member]:
@@ -135,13 +135,18 @@
     return sorted(departing, key=lambda m: (-observation.unreachable_ms(m), m.id))
 
 
-def _exchanged(
-    observation: Observation, roster: list[Member], newcomers: list[Member]
-) -> tuple[list[Member], list[Member]]:
-    """The roster with newcomers in place of departing members; and the newcomers that remain."""
+@dataclass(frozen=True, slots=True)
+class _Exchange:
+    """A roster with newcomers in place of departing members, and the newcomers that remain."""
+
+    roster: list[Member]
+    remaining: list[Member]
+
+
+def _exchange(observation: Observation, roster: list[Member], newcomers: list[Member]) -> _Exchange:
     departing = _departing(observation, roster, REPLACE_AFTER_MS)[: len(newcomers)]
     staying = [member for member in roster if member not in departing]
-    return staying + newcomers[: len(departing)], newcomers[len(departing) :]
+    return _Exchange(staying + newcomers[: len(departing)], newcomers[len(departing) :])
 
 
 def _growth(size: int, newcomers: int, min_size: int) -> int:
