--- a/dunlinloft/balancer/logic.py
+++ b/dunlinloft/balancer/balancer.py
@@ -8,28 +8,19 @@
 import math
 import random
 from collections import deque
-from collections.abc import Iterable
 from dataclasses import replace
-from typing import Protocol, TypeVar
 
-from dunlinloft.balancer import affine, subset
 from dunlinloft.balancer import interface as api
-from dunlinloft.balancer.averages import ClassRecord, Rate, SlidingCount
-from dunlinloft.balancer.bucket import Bucket
-from dunlinloft.balancer.interface import Group, Health, ListKind, Repeat, Result
+from dunlinloft.balancer.affinity import Member, choose_member
+from dunlinloft.balancer.averages import ClassStatistics, SlidingWindowCounter
+from dunlinloft.balancer.delay_controller import SAMPLES, TARGET_SHARE, DelayController
+from dunlinloft.balancer.interface import DedupScope, Health, Idempotency, ListUpdateKind, Result
+from dunlinloft.balancer.rotation import Rotation
+from dunlinloft.balancer.subsetting import subset_shares
+from dunlinloft.balancer.token_bucket import TokenBucket
 
-TARGET_SHARE = 0.4  # tau0, the target round trip delay, as a share of the aim of what was answered;
-# by Little's law it sets the window of first sends too: a smaller one refuses what meets the target,
 TARGET_OVER, TARGET_MOST = 1.25, 0.6  # times the least mean delay measured, where that is more; a bound
-ADDED = 2.0  # with so many calls a server of this copy's part added, so that copies' windows grow alike
-FEW = 3.0  # while the loop allows retries a window opens to so many calls, as a copy's few calls bunch,
-BUNCH = 1.0  # and by so many standard deviations of what is out by chance, its root
-SHED_MOST = 0.8  # of first sends may be shed for delay: the rest keeps the measurement going
-PHASE_MARGIN = math.radians(45.0)  # phi_m
-RETUNE_BAND = (0.5, 1.5)  # gains are retuned when the answer rate leaves this band around its tuned value
-WINDOW_MS = 5_000.0  # time constant of the measured rates and delay
 QUEUE_SHARES = (0.08, 0.5)  # of its aim: how long a call may queue for room; deeper, giving up wastes more
-SAMPLES, FEW_SAMPLES = 20.0, 4.0  # answers measured; fewer show their error in part, as one may be chance
 RETRY_WAIT_MS, RETRY_WAIT_SHARE = 500.0, 0.2  # T1, or less by aim, doubling with each attempt, with jitter
 CROWD = 1.2  # a server holding so many times its part of what is outstanding, and a call, is passed over
 LIMIT_CUT = 0.9  # what a server may hold from here after it has turned an attempt away
@@ -48,7 +39,6 @@
 BAD_RATIO, ERROR_FLOOR = 0.5, 0.01  # the share of errors to suspect; the least that peers are taken for
 QUOTA_MS = 1_000.0  # of its quota is what a tenant may send at once
 TIMEOUT_SHARE = 0.95  # of the time left, for an attempt that another may follow
-START = 4.0  # calls a server, at first
 RESERVE = 0.15  # of the window is kept for the class of most value
 SLICES = 4  # of the fleet, each cut evenly among all copies: few servers, so that a copy sees each often
 IDLE_CUT, IDLE_GROWTH = 0.5, 1.03  # of the idle time trusted: after a loss on such a connection, an answer
@@ -64,75 +54,7 @@
 ASK_SHARE, ASK_MOST_MS = 0.1, 500.0  # of the asking interval: mean wait before asking again after a
 # failure; whatever the interval, what discovery has counts as told 6 s later
 
-NEVER_RAN = frozenset((Result.REFUSED, Result.UNREACHABLE, Result.MOOT))
-
-
-class DelayController:
-    """RTDC: holds the delay under the target by the rate of retries, and bounds first sends to a window."""
-
-    def __init__(self) -> None:
-        self._kp, self._ki = math.sin(PHASE_MARGIN), math.cos(PHASE_MARGIN)  # equations 40, 41 over nu1
-        self.answers, self.failures = Rate(WINDOW_MS), Rate(WINDOW_MS)  # nu1, in answers a second
-        self.busy = Rate(WINDOW_MS)  # the same without the times in which nothing was out
-        self._excess_s = self._square_s = self._aim_s = self._samples = 0.0  # sums over the last samples,
-        self._last_ms = math.inf  # and when the last was taken
-        # nu10, the answer rate that the gains are tuned to; KI times the integral of the error, a rate; r
-        self.tuned_rate = self.integral = self.allowed_rate = 0.0
-        self.target_share = TARGET_SHARE  # tau0 over the aim: more where the tier's own delay is close to it
-        self.share = 1.0  # of the retries that this loop would allow, those that copies together do
-        self._excess = self._shed = 0.0  # integral for first sends, by nu1; the share of them to shed
-
-    def answered(self, delay_ms: float, aim_ms: float, now: float, served: bool) -> None:
-        """Take a delay sample and set r = KP e + KI * integral of e, clamped with its integral."""
-        # Its own clock: the window reads the rate too, and the integral once ran on what time was left.
-        faded = math.exp(min(0.0, self._last_ms - now) / WINDOW_MS)
-        passed_s, self._last_ms = max(0.0, min(now - self._last_ms, WINDOW_MS)) / 1000.0, now
-        self.answers.count(served, now)
-        self.busy.count(served, now)
-        self.failures.count(0.0, now)  # so that its clock runs too
-        # Old samples fade with time too: a copy that sheds gets few new ones, and went on shedding for these.
-        kept = min(1.0 - 1.0 / SAMPLES, faded)
-        self._samples = self._samples * kept + 1.0
-        self._aim_s = self._aim_s * kept + aim_ms / 1000.0
-        excess_s = (self.target_share * aim_ms - delay_ms) / 1000.0
-        self._excess_s = self._excess_s * kept + excess_s
-        self._square_s = self._square_s * kept + excess_s**2
-        rate = self.answers.per_s()
-        if not RETUNE_BAND[0] * self.tuned_rate <= rate <= RETUNE_BAND[1] * self.tuned_rate:
-            # A copy starts with its retries open; later a retune keeps the share of retries it allows.
-            self.integral = self.integral * rate / self.tuned_rate if self.tuned_rate else rate
-            self.tuned_rate = rate
-        error_s = self._excess_s / max(self._samples, FEW_SAMPLES)  # tau0 - tau2
-        kp, ki = self.tuned_rate * self._kp, self.tuned_rate * self._ki
-        self.integral = min(max(self.integral + ki * error_s * passed_s, 0.0), self.tuned_rate)
-        self.allowed_rate = min(max(kp * error_s + self.integral, 0.0), self.tuned_rate)
-        # Equation 49: while the delay stays over the target, the same loop takes from first sends too.
-        # Chance is not shed for: of few answers it would add up, as the integral is never negative.
-        variance = max(0.0, self._square_s / self._samples - (self._excess_s / self._samples) ** 2)
-        error_s += math.sqrt(variance / max(1.0, self.answers.events))
-        self._excess = min(max(self._excess * faded - self._ki * error_s * passed_s, 0.0), SHED_MOST)
-        self._shed = min(max(self._excess - self._kp * error_s, 0.0), SHED_MOST)
-
-    def shed(self, now: float) -> float:
-        """The share of first sends to shed; it fades, as a copy that sheds all sees no answers any more."""
-        return self._shed * math.exp(min(0.0, self._last_ms - now) / WINDOW_MS)
-
-    def window(self, part: float, now: float) -> float:
-        """How many calls may be outstanding from a copy whose part of the fleet is so many servers."""
-        if self.answers.span_s < 1.0:  # sulcast-later overload: unbounded at first, a tier choked at 2 s
-            return START * part + self.answers.events
-        self.answers.count(0.0, now)
-        self.busy.count(0.0, now)
-        # i35d8eb: with nothing added it spirals down where the normal delay is over its share of the aim.
-        usual = ADDED * part + self.busy.per_s() * self.target_share * self._aim_s / self._samples
-        bunched = max(FEW, usual + BUNCH * math.sqrt(usual))
-        return usual + max(0.0, bunched - usual) * self.allowed_rate / (self.tuned_rate or 1.0)
-
-    def retry_probability(self, now: float) -> float:
-        """Count a failure; its retry's probability is r over the measured failure rate."""
-        self.failures.count(1.0, now)
-        if not self.tuned_rate: return self.share
-        return min(1.0, min(self.allowed_rate, self.share * self.tuned_rate) / self.failures.per_s())
+NEVER_RAN = frozenset((Result.REJECTED, Result.UNREACHABLE, Result.NOT_SENT))
 
 
 class Server:
@@ -141,32 +63,33 @@
     def __init__(self, entry: api.ServerEntry, now: float, rng: random.Random) -> None:
         self.id, self.inflight = entry.server, 0
         self.out: dict[str, tuple[float, float]] = {}  # when each call out was sent, and its aim
-        self.turn: float | None = None  # its place in the rotation; None: new to it
+        self.rotation_weight: float | None = None
         self.queue, self.report_ms = 0.0, now  # requests it last said were waiting there, and when it did
         self.slowness, self.slow_ms = 1.0, now  # its delay over its peers', averaged
         self.shut_ms, self.shuts = -math.inf, 0  # ejected until then; how often in a row
         self.used_ms = now  # when a connection to it was last in use
         self.heard_ms = now  # when it last gave a sign of life
         self.suspicion = 0.0  # log odds that it fails much more often than its peers
-        self.verdict: api.Verdict | None = None  # what others say of it, and
+        self.verdict: api.PeerVerdict | None = None  # what others say of it, and
         self.own = self.fast = 0.0  # answers had since, without a failure; and without a slow one
         self.limit = math.inf  # how much it may hold from here, once it has turned an attempt away
-        self.budget = Bucket(rng.random(), now)  # while cold; random, as all copies learn of it at once
+        self.budget = TokenBucket(rng.random(), now)  # while cold; random, as all copies learn of it at once
         self.update(entry)
 
     def update(self, entry: api.ServerEntry) -> None:
         self.zone, self.cell, self.share = entry.zone, entry.cell, max(entry.share, 0.0)
-        self.part = self.share  # of it that is this copy's to use
+        self.subset_share = self.share  # of it that is this copy's to use
         started = getattr(self, "started_ms", entry.started_ms)
-        if started != entry.started_ms: self.verdict = None  # said of its former start
+        if started != entry.started_ms:
+            self.verdict = None  # said of its former start
         self.in_service, self.started_ms = entry.health is Health.IN_SERVICE, entry.started_ms
 
-    def warmth(self, now: float, settings: api.Settings) -> float:
+    def slow_start_share(self, now: float, settings: api.Settings) -> float:
         """The share of its capacity that it surely has by now."""
-        if self.started_ms is None or not settings.ramp_time_ms:
+        if self.started_ms is None or not settings.slow_start_ms:
             return 1.0
-        ramp = min(1.0, max(0.0, (now - self.started_ms) / settings.ramp_time_ms))
-        return settings.start_capacity + (1.0 - settings.start_capacity) * ramp
+        ramp = min(1.0, max(0.0, (now - self.started_ms) / settings.slow_start_ms))
+        return settings.slow_start_initial_share + (1.0 - settings.slow_start_initial_share) * ramp
 
     def _slowness_at(self, now: float) -> float:
         return 1.0 + (self.slowness - 1.0) * math.exp((self.slow_ms - now) / SLOW_MS)  # old evidence fades
@@ -184,10 +107,13 @@
             sent_ms, aim_ms = next(iter(self.out.values()))
             overdue = (now - sent_ms) / (usual_share * aim_ms) / OVERDUE
         slowness = max(overdue, SLOW_FROM)
-        if self.slowness > SLOW_FROM: slowness = max(slowness, self._slowness_at(now))  # else it is less
+        if self.slowness > SLOW_FROM:
+            slowness = max(slowness, self._slowness_at(now))  # else it is less
         verdict = self.verdict
-        if verdict is not None: slowness = max(slowness, 1.0 + (verdict.slow - 1.0) * 0.5**self.fast)
-        if not self.queue: return 1.0 if slowness == SLOW_FROM else math.pow(SLOW_FROM / slowness, SLOW_POWER)
+        if verdict is not None:
+            slowness = max(slowness, 1.0 + (verdict.slow - 1.0) * 0.5**self.fast)
+        if not self.queue:
+            return 1.0 if slowness == SLOW_FROM else math.pow(SLOW_FROM / slowness, SLOW_POWER)
         queue = self.queue * math.exp((self.report_ms - now) / REPORT_MS)
         return math.pow(SLOW_FROM / slowness, SLOW_POWER) / (1.0 + queue) ** 3
 
@@ -204,11 +130,13 @@
             self.shut_ms = now + EJECT_MS * 2.0 ** min(self.shuts, EJECT_DOUBLINGS) * (0.5 + rng.random())
             self.shuts += 1
 
-    def hear(self, verdict: api.Verdict | None, now: float, rng: random.Random) -> None:
+    def hear(self, verdict: api.PeerVerdict | None, now: float, rng: random.Random) -> None:
         """Take what others say now. Whoever is warned of no longer returns to each copy at its own time."""
         was, is_ = self.verdict is not None and self.verdict.avoid, verdict is not None and verdict.avoid
-        if is_ and not was: self.own = 0.0
-        if verdict is not None and (self.verdict is None or self.verdict.slow == 1.0): self.fast = 0.0
+        if is_ and not was:
+            self.own = 0.0
+        if verdict is not None and (self.verdict is None or self.verdict.slow == 1.0):
+            self.fast = 0.0
         if was and not is_ and self.own < OUTWEIGHED:
             self.shut_ms = max(self.shut_ms, now + RETURN_MS * rng.random())
         self.verdict = verdict
@@ -216,62 +144,35 @@
     def warned(self, cls: str) -> bool:
         """Whether others warn of it, and this copy has had no answers of its own that say otherwise."""
         verdict = self.verdict
-        if verdict is None or not verdict.avoid or verdict.trial or self.own >= OUTWEIGHED: return False
+        if verdict is None or not verdict.avoid or verdict.trial or self.own >= OUTWEIGHED:
+            return False
         return not verdict.classes or cls in verdict.classes
 
-    def group(self, group: Group) -> str | int | None:
+    def group(self, group: DedupScope) -> str | int | None:
         """The group that drops repeats here, as a value to compare; None where all do."""
-        return self.zone if group is Group.ZONE else self.cell if group is Group.CELL else None
+        return self.zone if group is DedupScope.ZONE else self.cell if group is DedupScope.CELL else None
 
 
-class Turning(Protocol):
-    """What takes part in a rotation."""
-
-    turn: float | None  # its place; None: new to it
-
-
-Turner = TypeVar("Turner", bound=Turning)
-
-
-class Rotation:
-    """Smooth weighted rotation: all gain their weight, the one furthest ahead is picked and pays."""
-
-    def __init__(self, rng: random.Random) -> None:
-        self._rng = rng
-        self._total = 0.0
-
-    def pick(self, servers: Iterable[tuple[Turner, float]]) -> Turner | None:
-        """The next server among those that are ready, each with its weight."""
-        best: Turner | None = None
-        total = furthest = 0.0
-        for server, weight in servers:
-            total += weight
-            if server.turn is None:  # a random place in the round, so that copies don't go round in step
-                server.turn = -self._rng.random() * max(weight, self._total)
-            server.turn += weight
-            if best is None or server.turn > furthest:
-                best, furthest = server, server.turn
-        if best is not None:
-            best.turn, self._total = furthest - total, total
-        return best
-
-
-class Fleet:
+class ServerSet:
     """The server list as last heard, and this copy's part of it."""
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self._rng = rng
-        self.number, self.nodes = settings.number, settings.nodes
+        self.number, self.nodes = settings.replica_index, settings.replicas
         self.servers: dict[int, Server] = {}
         self.ready: list[Server] = []  # those in service that are this copy's to use
         self.slices, self.slice = SLICES, 0.0  # how many it has, and how many servers one is worth
 
-    def apply(self, news: api.ServerList, now: float) -> None:
+    def apply(self, news: api.ServerListUpdate, now: float) -> None:
         """Take changes, or a whole list that replaces the old one."""
-        kept = {entry.server for entry in news.entries} if news.kind is not ListKind.CHANGES else self.servers
+        kept = (
+            {entry.server for entry in news.entries}
+            if news.kind is not ListUpdateKind.DELTA
+            else self.servers
+        )
         self.servers = {id: server for id, server in self.servers.items() if id in kept}
         for entry in news.entries:
-            if entry.health is Health.GONE:
+            if entry.health is Health.TERMINATED:
                 self.servers.pop(entry.server, None)
             elif entry.server in self.servers:
                 self.servers[entry.server].update(entry)
@@ -280,16 +181,18 @@
         self.cut(SLICES)
 
     def group(self, call: Call) -> list[Server]:  # all that a keyed call which may have run can still go to
-        return [s for s in self.servers.values() if s.in_service and s.group(call.cls.group) == call.pin]
+        return [
+            s for s in self.servers.values() if s.in_service and s.group(call.cls.dedup_scope) == call.pin
+        ]
 
     def cut(self, slices: int) -> None:
         """Use so many slices: many copies going round all servers need more connections than they accept."""
         shares = {server.id: server.share for server in self.servers.values() if server.in_service}
         self.slices, self.slice = slices, len(shares) / self.nodes
-        parts = subset.parts(shares, self.number, self.nodes, slices)
+        parts = subset_shares(shares, self.number, self.nodes, slices)
         self.ready = [self.servers[id] for id, part in parts.items() if part]
         for server in self.ready:
-            server.part = parts[server.id]
+            server.subset_share = parts[server.id]
 
 
 class Call:
@@ -297,16 +200,16 @@
 
     def __init__(self, event: api.Request, cls: api.RequestClass, now: float) -> None:
         self.id, self.cls, self.over_share = event.id, cls, False
-        self.whole, self.ttl_ms = event.whole, event.ttl_ms  # its time runs once it has come whole
-        self.arrived_ms, self.ends_ms = now, now + event.ttl_ms if event.whole else math.inf
+        self.whole, self.ttl_ms = event.complete, event.ttl_ms  # its time runs once it has come whole
+        self.arrived_ms, self.ends_ms = now, now + event.ttl_ms if event.complete else math.inf
         self.attempts, self.out, self.sent_ms = 0, False, now  # whether one is out, and since when,
         self.idle_ms = 0.0  # on a connection that had idled for so long
         self.queued, self.token = False, 0  # waits for room; the timer it waits for
         self.bound = False  # to an answer that flows
         self.last: Server | None = None
         self.ran_ms: float | None = None  # when the first attempt that may have run was sent
-        self.pin = event.pin  # the group that it went to, or has to go to from the first
-        self.key = event.key if cls.affine else None
+        self.pin = event.pinned_group  # the group that it went to, or has to go to from the first
+        self.key = event.affinity_key if cls.affinity else None
 
 
 class Balancer:
@@ -323,17 +226,19 @@
         self._least = math.inf  # the least that mean delay has been: of a tier where little waits
         self._borne = 0.0  # the capacity that the recent answers came from
         self._queued: dict[tuple[str, bool], deque[Call]] = {}  # first sends that wait for the window
-        self.record = ClassRecord(settings.classes, PEER_SAMPLES)
+        self.record = ClassStatistics(settings.classes, PEER_SAMPLES)
         self.rotation = Rotation(self._rng)
-        self.fleet = Fleet(settings, self._rng)
-        self._quotas: dict[str | None, tuple[float, Bucket]] = {}  # this copy's part of each tenant's
+        self.server_set = ServerSet(settings, self._rng)
+        self._quotas: dict[str | None, tuple[float, TokenBucket]] = {}  # this copy's part of each tenant's
         self._parts: dict[str, float] = {}  # of quotas, where copies share them by demand
-        self.shares: dict[str | None, list[int]] = {}  # requests within each tenant's quota, and over it
+        self.quota_counts: dict[
+            str | None, list[int]
+        ] = {}  # requests within each tenant's quota, and over it
         self._know_tenants()
         # A tick to spare at both edges of the window that the budget of attempts is counted over.
-        self._taken = SlidingCount(settings.resend_span_ms - settings.tick_ms)
-        self._further = SlidingCount(settings.resend_span_ms + settings.tick_ms)
-        self._never_ran = NEVER_RAN - ({Result.REFUSED} if settings.full_may_have_run else set())
+        self._taken = SlidingWindowCounter(settings.retry_budget_window_ms - settings.tick_ms)
+        self._further = SlidingWindowCounter(settings.retry_budget_window_ms + settings.tick_ms)
+        self._never_ran = NEVER_RAN - ({Result.REJECTED} if settings.rejected_may_have_run else set())
         self._cohort, self._cap = frozenset[int](), 1.0  # servers of a new build; their share of first sends
         self._credit: dict[str, float] = {}  # by class: first sends that they may get now
         self._calls: dict[str, Call] = {}
@@ -348,46 +253,64 @@
         """Take one event; what to do about it."""
         self._actions = []
         match event:
-            case api.Request(): self._on_request(event, now_ms)
-            case api.RequestWhole(): self._on_whole(event, now_ms)
-            case api.StreamStarted(): self._on_stream(event, now_ms)
-            case api.AttemptEnded(): self._on_ended(event, now_ms)
-            case api.TimerFired(): self._on_timer(event, now_ms)
-            case api.ServerList(): self._on_list(event, now_ms)
-            case api.ClientGone(): self._calls.pop(event.id, None)
-            case api.Started() if self.settings.follow_list: self._actions.append(api.Subscribe())
-            case api.Sharing(): self._processes = max(1, event.processes)
-            case api.Reconfigured(): self._on_settings(event.settings, now_ms)
-            case api.Hearsay(): self._on_hearsay(event, now_ms)
-            case api.Parts(): self._on_parts(event)
-            case api.Cohort(): self._on_cohort(event, now_ms)
+            case api.Request():
+                self._on_request(event, now_ms)
+            case api.RequestComplete():
+                self._on_whole(event, now_ms)
+            case api.StreamStarted():
+                self._on_stream(event, now_ms)
+            case api.AttemptCompleted():
+                self._on_ended(event, now_ms)
+            case api.TimerFired():
+                self._on_timer(event, now_ms)
+            case api.ServerListUpdate():
+                self._on_list(event, now_ms)
+            case api.ClientDisconnected():
+                self._calls.pop(event.id, None)
+            case api.Started() if self.settings.subscribes:
+                self._actions.append(api.Subscribe())
+            case api.ProcessCount():
+                self._processes = max(1, event.processes)
+            case api.Reconfigured():
+                self._on_settings(event.settings, now_ms)
+            case api.PeerVerdicts():
+                self._on_hearsay(event, now_ms)
+            case api.QuotaShares():
+                self._on_parts(event)
+            case api.CanaryLimit():
+                self._on_cohort(event, now_ms)
         return self._actions
 
     def _know_tenants(self) -> None:
         buckets = {name: bucket for name, (_, bucket) in self._quotas.items()}
-        even = {t.name: t.quota_per_s / self.settings.nodes for t in self.settings.tenants if t.quota_per_s}
+        even = {
+            t.name: t.quota_per_s / self.settings.replicas for t in self.settings.tenants if t.quota_per_s
+        }
         self._quotas = {
-            name: (self._parts.get(name, part) / 1000.0, buckets.get(name, Bucket(math.inf, 0.0)))
+            name: (self._parts.get(name, part) / 1000.0, buckets.get(name, TokenBucket(math.inf, 0.0)))
             for name, part in even.items()}  # fmt: skip
 
-    def _on_parts(self, event: api.Parts) -> None:
-        self._parts, self.controller.share = dict(event.quotas), event.retry_share
+    def _on_parts(self, event: api.QuotaShares) -> None:
+        self._parts, self.controller.retry_share = dict(event.quotas), event.retry_share
         self._know_tenants()
 
-    def _on_hearsay(self, event: api.Hearsay, now: float) -> None:
+    def _on_hearsay(self, event: api.PeerVerdicts, now: float) -> None:
         """Take what others say of servers; with what is ejected here it is half of them at most."""
         told = {verdict.server: verdict for verdict in event.verdicts}
-        out = {s.id for s in self.fleet.ready if now < s.shut_ms}
-        room = int(EJECT_SHARE * len(self.fleet.ready))
+        out = {s.id for s in self.server_set.ready if now < s.shut_ms}
+        room = int(EJECT_SHARE * len(self.server_set.ready))
         for verdict in event.verdicts:
             if verdict.avoid and len(out | {verdict.server}) > max(room, len(out)):
                 told[verdict.server] = replace(verdict, avoid=False)
-            elif verdict.avoid: out.add(verdict.server)
-        for server in self.fleet.servers.values(): server.hear(told.get(server.id), now, self._rng)
+            elif verdict.avoid:
+                out.add(verdict.server)
+        for server in self.server_set.servers.values():
+            server.hear(told.get(server.id), now, self._rng)
         self._release(now)
 
-    def _on_cohort(self, event: api.Cohort, now: float) -> None:
-        if event.share != self._cap: self._credit = {}
+    def _on_cohort(self, event: api.CanaryLimit, now: float) -> None:
+        if event.share != self._cap:
+            self._credit = {}
         self._cohort, self._cap = event.servers, event.share
         self._release(now)
 
@@ -396,12 +319,15 @@
 
         Without an old server in service there is nothing to cap it against.
         """
-        if not self._cohort or self._cap >= 1.0: return 1.0
+        if not self._cohort or self._cap >= 1.0:
+            return 1.0
         new = old = 0.0
-        for server in self.fleet.ready:
-            weight = server.part * server.warmth(now, self.settings)
-            if server.id in self._cohort: new += weight
-            else: old += weight
+        for server in self.server_set.ready:
+            weight = server.subset_share * server.slow_start_share(now, self.settings)
+            if server.id in self._cohort:
+                new += weight
+            else:
+                old += weight
         return min(1.0, self._cap / (1.0 - self._cap) * old / new) if new and old else 1.0
 
     def _may_cohort(self, call: Call) -> bool:
@@ -418,9 +344,11 @@
         """Of those that may get a call, those that the cap leaves: the cohort in its turn, else the old."""
         new = [pair for pair in found if pair[0].id in self._cohort]
         old = [pair for pair in found if pair[0].id not in self._cohort]
-        if call.pin is not None: return old or new, crowded  # it has to stay in its group
+        if call.pin is not None:
+            return old or new, crowded  # it has to stay in its group
         crowded = [pair for pair in crowded if pair[0].id not in self._cohort]
-        if not self._may_cohort(call): return old, crowded
+        if not self._may_cohort(call):
+            return old, crowded
         return (new, crowded) if new and part < 1.0 else (found, crowded)
 
     def _on_settings(self, settings: api.Settings, now: float) -> None:
@@ -428,31 +356,31 @@
         self.settings = settings
         self.classes = {cls.name: cls for cls in settings.classes}
         self._known |= self.classes
-        self.record.know(settings.classes)
+        self.record.set_classes(settings.classes)
         self._know_tenants()
-        self._taken.span(settings.resend_span_ms - settings.tick_ms)
-        self._further.span(settings.resend_span_ms + settings.tick_ms)
-        self._never_ran = NEVER_RAN - ({Result.REFUSED} if settings.full_may_have_run else set())
-        if (settings.number, settings.nodes) != (self.fleet.number, self.fleet.nodes):
-            self.fleet.number, self.fleet.nodes = settings.number, settings.nodes
-            self.fleet.cut(SLICES)
+        self._taken.set_window(settings.retry_budget_window_ms - settings.tick_ms)
+        self._further.set_window(settings.retry_budget_window_ms + settings.tick_ms)
+        self._never_ran = NEVER_RAN - ({Result.REJECTED} if settings.rejected_may_have_run else set())
+        if (settings.replica_index, settings.replicas) != (self.server_set.number, self.server_set.nodes):
+            self.server_set.number, self.server_set.nodes = settings.replica_index, settings.replicas
+            self.server_set.cut(SLICES)
         self._release(now)
 
-    def avoided(self, now: float) -> int:
+    def excluded_count(self, now: float) -> int:
         """How many listed servers get nothing new now: ejected, fallen silent, or told to drain."""
         lost = self._lost(now)
-        servers = self.fleet.servers.values()
+        servers = self.server_set.servers.values()
         return sum(now < s.shut_ms or s in lost or not s.in_service for s in servers)
 
-    def silent(self, now: float) -> list[int]:
+    def unresponsive_servers(self, now: float) -> list[int]:
         """The servers that hold calls and have been silent for so long that others should know."""
-        held = [server for server in self.fleet.servers.values() if server.out]
+        held = [server for server in self.server_set.servers.values() if server.out]
         return [server.id for server in held if server.silent(now, TOLD_SILENT * self._share)]
 
-    def zones(self, now: float) -> dict[str, tuple[int, int]]:
+    def zone_capacity(self, now: float) -> dict[str, tuple[int, int]]:
         """Of each zone's servers in service how many are fit to take calls here, and how many there are."""
         lost, found = self._lost(now), dict[str, tuple[int, int]]()
-        for s in self.fleet.servers.values():
+        for s in self.server_set.servers.values():
             if s.in_service:
                 fit, listed = found.get(s.zone, (0, 0))
                 found[s.zone] = fit + (now >= s.shut_ms and s not in lost), listed + 1
@@ -460,73 +388,84 @@
 
     def _on_request(self, event: api.Request, now: float) -> None:
         call = self._calls[event.id] = Call(event, self.classes[event.cls], now)
-        self.record.asked(event.cls)
+        self.record.count_request(event.cls)
         self._taken.add(now)
         if event.tenant in self._quotas:
             per_ms, bucket = self._quotas[event.tenant]
             call.over_share = not bucket.take(per_ms, max(1.0, QUOTA_MS * per_ms), now)
-            self.shares.setdefault(event.tenant, [0, 0])[call.over_share] += 1
-        if self._shed(call, now): return self._end(call)
+            self.quota_counts.setdefault(event.tenant, [0, 0])[call.over_share] += 1
+        if self._shed(call, now):
+            return self._end(call)
         self._attempt(call, now)
 
     def _attempt(self, call: Call, now: float) -> None:
         crowded = self._crowded(call, now)
         server = None if crowded else self._pick(call, now)
-        if crowded or (server is None and call.ran_ms is None and self.fleet.ready):
+        if crowded or (server is None and call.ran_ms is None and self.server_set.ready):
             self._enqueue(call, now)
         elif server is None or not self._send(call, server, now):
             self._wait_or_end(call, now)
 
     def _shed(self, call: Call, now: float) -> bool:
         """Whether the loop has this call shed: it takes its share from those of least value first."""
-        shed = 0.0 if self.settings.tier else self.controller.shed(now)
-        if not shed: return False  # deeper, a refusal wastes work done above
+        shed = 0.0 if self.settings.tier else self.controller.shed_share(now)
+        if not shed:
+            return False  # deeper, a refusal wastes work done above
         values = {name: self._value(name, False) for name in self.classes}
         own = self._value(call.cls.name, call.over_share)
-        less = sum(self.record.mix[name] for name, value in values.items() if value < own)
-        return self._rng.random() * self.record.mix[call.cls.name] < shed - less
+        less = sum(self.record.request_share[name] for name, value in values.items() if value < own)
+        return self._rng.random() * self.record.request_share[call.cls.name] < shed - less
 
     def _crowded(self, call: Call, now: float) -> bool:
         """Whether the clients' tier has as many calls outstanding as the delay target bears."""
-        if self.settings.tier: return False  # deeper, a refusal wastes work done above
-        if not self.inflight: self.controller.busy.skip(now)  # while nothing was out, nothing was measured
-        room = self.controller.window(self.fleet.slice, now)
+        if self.settings.tier:
+            return False  # deeper, a refusal wastes work done above
+        if not self.inflight:
+            self.controller.busy_answer_rate.skip(now)  # while nothing was out, nothing was measured
+        room = self.controller.window(self.server_set.slice, now)
         if self._borne:  # it was measured with servers that may be gone, lost or cold by now
             room = max(1.0, room * min(1.0, self._capacity(now) / self._borne))
-        if self.inflight < (1.0 - RESERVE) * room: return False
+        if self.inflight < (1.0 - RESERVE) * room:
+            return False
         self._miss(now)
         inflight = self.inflight - len(self._stuck)
-        if inflight < (1.0 - RESERVE) * room: return False
+        if inflight < (1.0 - RESERVE) * room:
+            return False
         best = max(self._value(name, False) for name in self.classes)
         return inflight >= room or self._value(call.cls.name, call.over_share) < best
 
     def _lost(self, now: float) -> list[Server]:
         """The servers that fell silent while most of the others answer."""
         silent, share = list[Server](), self._share
-        for server in self.fleet.servers.values():  # none but those that hold calls can be silent
-            if server.out and server.silent(now, share): silent.append(server)
-        return silent if len(silent) <= LOST_SHARE * len(self.fleet.ready) else []
+        for server in self.server_set.servers.values():  # none but those that hold calls can be silent
+            if server.out and server.silent(now, share):
+                silent.append(server)
+        return silent if len(silent) <= LOST_SHARE * len(self.server_set.ready) else []
 
     def _miss(self, now: float) -> None:
         """Note which calls are stuck at lost servers."""
-        for server in self._lost(now): self._stuck.update(server.out)
+        for server in self._lost(now):
+            self._stuck.update(server.out)
 
     def _capacity(self, now: float) -> float:
         """What there is to take first sends now, in warm servers' parts."""
         lost, found = self._lost(now), 0.0
         part = self._cohort_part(now)  # of what may not be sent there nothing is borne
-        for server in self.fleet.ready:  # a loop, as this is asked several times for each call
-            if now < server.shut_ms or (lost and server in lost): continue
-            own = server.part
-            if server.started_ms is not None: own *= server.warmth(now, self.settings)
+        for server in self.server_set.ready:  # a loop, as this is asked several times for each call
+            if now < server.shut_ms or (lost and server in lost):
+                continue
+            own = server.subset_share
+            if server.started_ms is not None:
+                own *= server.slow_start_share(now, self.settings)
             found += own * part if server.id in self._cohort else own
         return found
 
     def _enqueue(self, call: Call, now: float) -> None:
         """Keep a call back while an answer within its aim is still possible."""
         share = QUEUE_SHARES[self.settings.tier > 0]
-        patience = min(call.arrived_ms + share * call.cls.aim_ms, call.ends_ms) - now
-        if patience <= 2.0 * self.settings.tick_ms: return self._end(call)
+        patience = min(call.arrived_ms + share * call.cls.latency_target_ms, call.ends_ms) - now
+        if patience <= 2.0 * self.settings.tick_ms:
+            return self._end(call)
         self._queued.setdefault((call.cls.name, call.over_share), deque()).append(call)
         call.queued = True
         self._set_timer(call, patience - 2.0 * self.settings.tick_ms)
@@ -549,18 +488,25 @@
 
     def _value(self, name: str, over_share: bool) -> float:
         """What an answer to a class is worth to the operators, for the time that it takes."""
-        worth = self.record.worth[name] / self.record.mean_worth()
-        if self.record.in_time[name] <= self.record.worst():  # strict order of worth would starve it
-            worth += self.settings.worst_class / max(self.record.mix[name], 1.0 / PEER_SAMPLES**2)
-        worth *= self.settings.over_share_worth if over_share else 1.0  # a flooding tenant waits behind
-        return worth / max(1.0, self.record.delay_ms[name] or self._share * self._known[name].aim_ms)
+        worth = self.record.value[name] / self.record.mean_value()
+        if (
+            self.record.on_time_share[name] <= self.record.lowest_on_time_share()
+        ):  # strict order of worth would starve it
+            worth += self.settings.worst_class_weight / max(
+                self.record.request_share[name], 1.0 / PEER_SAMPLES**2
+            )
+        worth *= self.settings.over_quota_value if over_share else 1.0  # a flooding tenant waits behind
+        return worth / max(
+            1.0, self.record.latency_ms[name] or self._share * self._known[name].latency_target_ms
+        )
 
     def _pick(self, call: Call, now: float) -> Server | None:
         """Where the call's next attempt goes: the next in the rotation, or where its key belongs."""
         found = self._candidates(call, now)
-        if call.key is None or not found: return self.rotation.pick(found)
-        members = [(server.id, weight, server.inflight) for server, weight in found]
-        return found[affine.choose(call.key, members, AFFINE)][0]
+        if call.key is None or not found:
+            return self.rotation.pick(found)
+        members = [Member(server.id, weight, server.inflight) for server, weight in found]
+        return found[choose_member(call.key, members, AFFINE)][0]
 
     def _candidates(self, call: Call, now: float) -> list[tuple[Server, float]]:
         """The servers that may get the call's next attempt, with their weights."""
@@ -568,11 +514,13 @@
         full = total = 0.0
         free = call.ran_ms is None and call.pin is None
         part = self._cohort_part(now)
-        capped = self._cohort and self._cap < 1.0 and any(s.id not in self._cohort for s in self.fleet.ready)
-        for server in self.fleet.ready if free else self.fleet.group(call):
-            weight = server.part if server.id not in self._cohort else server.part * part
+        capped = (
+            self._cohort and self._cap < 1.0 and any(s.id not in self._cohort for s in self.server_set.ready)
+        )
+        for server in self.server_set.ready if free else self.server_set.group(call):
+            weight = server.subset_share if server.id not in self._cohort else server.subset_share * part
             if server.started_ms is not None:
-                warmth = server.warmth(now, self.settings)
+                warmth = server.slow_start_share(now, self.settings)
                 if warmth < 1.0 and self._slow_start_budget(server, warmth, now) < 1.0:
                     continue
                 weight *= warmth
@@ -592,7 +540,8 @@
             fit = now >= server.shut_ms and not (server.verdict and server.warned(call.cls.name))
             (found if room and fit else crowded).append((server, weight))
         self._weight = total if free else self._weight
-        if capped: found, crowded = self._cap_cohort(call, part, found, crowded)
+        if capped:
+            found, crowded = self._cap_cohort(call, part, found, crowded)
         found = found or [(server, weight) for server, weight in crowded if server.inflight < server.limit]
         if call.last is not None and len(found) > 1:  # elsewhere than last time, where there is a choice
             found = [(server, weight) for server, weight in found if server is not call.last]
@@ -600,25 +549,37 @@
 
     def _slow_start_budget(self, server: Server, warmth: float, now: float) -> float:
         """This copy's part of a cold server's budget, in attempts; its capacity is guessed from its peers."""
-        bearable = self.controller.answers.per_s() * server.part / max(self._weight, server.part) / 1000.0
+        bearable = (
+            self.controller.answer_rate.per_s()
+            * server.subset_share
+            / max(self._weight, server.subset_share)
+            / 1000.0
+        )
         per_ms = COLD_SHARE * self.settings.overload_factor * warmth * bearable / self._processes
         return server.budget.refill(per_ms, max(1.0, per_ms * self.settings.overload_for_ms), now)
 
     def _send(self, call: Call, server: Server, now: float) -> bool:
         """The one gate that every send passes: rules 1 to 6."""
         cls, left = call.cls, call.ends_ms - now if call.whole else call.ttl_ms
-        if call.id not in self._calls or call.out or left <= self.settings.tick_ms: return False  # rule 1
-        if call.attempts >= self.settings.max_attempts or not self._repeatable(call, now): return False
-        if call.pin is not None and server.group(cls.group) != call.pin: return False  # rule 2
-        if not server.in_service or self.fleet.servers.get(server.id) is not server: return False  # rule 3
-        if call.attempts and not self._in_budget(now): return False  # rule 5
-        warmth = server.warmth(now, self.settings)
+        if call.id not in self._calls or call.out or left <= self.settings.tick_ms:
+            return False  # rule 1
+        if call.attempts >= self.settings.max_attempts or not self._repeatable(call, now):
+            return False
+        if call.pin is not None and server.group(cls.dedup_scope) != call.pin:
+            return False  # rule 2
+        if not server.in_service or self.server_set.servers.get(server.id) is not server:
+            return False  # rule 3
+        if call.attempts and not self._in_budget(now):
+            return False  # rule 5
+        warmth = server.slow_start_share(now, self.settings)
         if warmth < 1.0:
             if self._slow_start_budget(server, warmth, now) < 1.0:
                 return False  # rule 4
             server.budget.tokens -= 1.0
-        if server.verdict is not None and server.verdict.trial: server.verdict.trial = False
-        if call.attempts: self._further.add(now)
+        if server.verdict is not None and server.verdict.trial:
+            server.verdict.trial = False
+        if call.attempts:
+            self._further.add(now)
         elif self._cohort:
             credit = self._credit.get(cls.name, 0.0) + self._cap - (server.id in self._cohort)
             self._credit[cls.name] = max(0.0, min(credit, CREDIT))
@@ -628,11 +589,13 @@
         if call.idle_ms > self._idle_ms:  # Rosario fresh-big: what is sent on a dropped connection is lost
             self._actions.append(api.CloseIdle(server.id))
             call.idle_ms = 0.0
-        if call.whole: self._load(call, server, now)
-        else: self._light.add(call.id)
-        last = cls.repeat is Repeat.UNSAFE or call.attempts == self.settings.max_attempts
+        if call.whole:
+            self._load(call, server, now)
+        else:
+            self._light.add(call.id)
+        last = cls.idempotency is Idempotency.NON_IDEMPOTENT or call.attempts == self.settings.max_attempts
         # i2750ee: calls to a lost zone that wait out a whole deadline fill the slots of the tier above.
-        patience = max(PATIENCE * self._share, PATIENCE_LEAST) * cls.aim_ms
+        patience = max(PATIENCE * self._share, PATIENCE_LEAST) * cls.latency_target_ms
         most = patience if self._seen >= SAMPLES else left
         timeout_ms = min(most, left if last else TIMEOUT_SHARE * left)
         self._actions.append(api.Send(call.id, server.id, timeout_ms, self._window_left(call, now)))
@@ -642,9 +605,12 @@
         """A server has a call to work on from now."""
         server.inflight += 1
         self.inflight += 1
-        if self.inflight > HOT * len(self.fleet.ready) and self.fleet.slices < self.fleet.nodes:
-            self.fleet.cut(2 * self.fleet.slices)  # a hot caller needs more of the fleet
-        server.out[call.id] = now, call.cls.aim_ms
+        if (
+            self.inflight > HOT * len(self.server_set.ready)
+            and self.server_set.slices < self.server_set.nodes
+        ):
+            self.server_set.cut(2 * self.server_set.slices)  # a hot caller needs more of the fleet
+        server.out[call.id] = now, call.cls.latency_target_ms
 
     def _unload(self, id: str, server: Server | None) -> None:
         self.inflight -= 1
@@ -652,10 +618,11 @@
             server.inflight = max(0, server.inflight - 1)
             server.out.pop(id, None)
 
-    def _on_whole(self, event: api.RequestWhole, now: float) -> None:
+    def _on_whole(self, event: api.RequestComplete, now: float) -> None:
         """A call that was still coming in is there: its time, and its server's work, begin."""
         call = self._calls.get(event.id)
-        if call is None or call.whole: return
+        if call is None or call.whole:
+            return
         call.whole, call.arrived_ms, call.ends_ms = True, now, now + call.ttl_ms
         if call.out and not call.bound and call.last and call.id in self._light:
             self._light.discard(call.id)
@@ -663,8 +630,9 @@
 
     def _on_stream(self, event: api.StreamStarted, now: float) -> None:
         """An answer flows: as a sample it counts now, and its server is free for others."""
-        call, server = self._calls.get(event.id), self.fleet.servers.get(event.server)
-        if event.id not in self._light: self._unload(event.id, server)
+        call, server = self._calls.get(event.id), self.server_set.servers.get(event.server)
+        if event.id not in self._light:
+            self._unload(event.id, server)
         self._light.add(event.id)
         if server is not None:
             server.heard_ms = now
@@ -677,13 +645,14 @@
         self._release(now)
 
     def _hear(self, server: Server, report: dict[str, float] | None, now: float) -> None:
-        if report: server.queue, server.report_ms = report.get("queue", 0.0), now
+        if report:
+            server.queue, server.report_ms = report.get("queue", 0.0), now
 
     def _sample(
         self, call: Call, server: Server | None, delay_ms: float, served: bool, stuck: bool, now: float
     ) -> None:
         """Take a call's delay; that of one stuck says that its server is lost, and nothing of the tier."""
-        share = delay_ms / call.cls.aim_ms
+        share = delay_ms / call.cls.latency_target_ms
         if not stuck:
             self._seen = min(self._seen + 1.0, PEER_SAMPLES)
             self._share += (share - self._share) / self._seen
@@ -691,18 +660,19 @@
                 self._least = min(self._least, self._share)
                 target = max(TARGET_SHARE, TARGET_OVER * self._least)
                 self.controller.target_share = min(target, TARGET_MOST)
-            self.controller.answered(delay_ms, call.cls.aim_ms, now, served)
-        if server is not None and self._share: server.judge(share / self._share, now)
+            self.controller.record_answer(delay_ms, call.cls.latency_target_ms, now, served)
+        if server is not None and self._share:
+            server.judge(share / self._share, now)
 
     def _settled(self, call: Call, delay_ms: float, now: float) -> None:
-        self._borne += (self._capacity(now) - self._borne) / max(1.0, self.controller.answers.events)
-        self.record.ended(call.cls.name, now - call.arrived_ms <= call.cls.aim_ms)
-        self.record.answered(call.cls.name, delay_ms)
+        self._borne += (self._capacity(now) - self._borne) / max(1.0, self.controller.answer_rate.events)
+        self.record.count_answer(call.cls.name, now - call.arrived_ms <= call.cls.latency_target_ms)
+        self.record.record_latency(call.cls.name, delay_ms)
 
     def _in_budget(self, now: float) -> bool:
         """Whether the stated budget of attempts beyond the first bears one more now."""
-        ratio, taken = self.settings.repeat_ratio, self._taken.count(now)
-        free = self.settings.extra_floor / self._processes
+        ratio, taken = self.settings.retry_budget_ratio, self._taken.count(now)
+        free = self.settings.retry_budget_floor / self._processes
         return ratio is None or self._further.count(now) + 1 <= free + ratio * taken
 
     def _repeatable(self, call: Call, now: float) -> bool:
@@ -711,12 +681,14 @@
 
     def _window_left(self, call: Call, now: float) -> float:
         """How long a class lets the call go out (again)."""
-        if call.ran_ms is None or call.cls.repeat is Repeat.SAFE: return math.inf
-        if call.cls.repeat is Repeat.UNSAFE: return 0.0
-        return call.ran_ms + call.cls.window_ms - self.settings.tick_ms - now
+        if call.ran_ms is None or call.cls.idempotency is Idempotency.IDEMPOTENT:
+            return math.inf
+        if call.cls.idempotency is Idempotency.NON_IDEMPOTENT:
+            return 0.0
+        return call.ran_ms + call.cls.dedup_window_ms - self.settings.tick_ms - now
 
     def _back_off(self, call: Call) -> float:  # before a retry, or before the caller's own next try
-        base = min(RETRY_WAIT_MS, RETRY_WAIT_SHARE * call.cls.aim_ms)
+        base = min(RETRY_WAIT_MS, RETRY_WAIT_SHARE * call.cls.latency_target_ms)
         return base * 2.0 ** max(0, call.attempts - 1)
 
     def _wait_or_end(self, call: Call, now: float) -> None:
@@ -732,43 +704,51 @@
     def _end(self, call: Call) -> None:
         """The one way to end a request unserved: refused where a repeat is harmless, else failed."""
         if self._calls.pop(call.id, None):
-            self.record.ended(call.cls.name, False)
-            everywhere = call.cls.repeat is Repeat.KEYED and call.cls.group is Group.ALL
-            harmless = not call.out and (call.ran_ms is None or everywhere or call.cls.repeat is Repeat.SAFE)
-            self._actions.append(api.Refuse(call.id, self._back_off(call)) if harmless else api.Fail(call.id))
+            self.record.count_answer(call.cls.name, False)
+            everywhere = call.cls.idempotency is Idempotency.KEYED and call.cls.dedup_scope is DedupScope.ALL
+            harmless = not call.out and (
+                call.ran_ms is None or everywhere or call.cls.idempotency is Idempotency.IDEMPOTENT
+            )
+            self._actions.append(api.Reject(call.id, self._back_off(call)) if harmless else api.Fail(call.id))
 
     def _set_timer(self, call: Call, delay_ms: float) -> None:
         self._token = call.token = self._token + 1
         self._waiting[call.token] = call
         self._actions.append(api.SetTimer(self._token, delay_ms))
 
-    def _on_ended(self, event: api.AttemptEnded, now: float) -> None:
-        call, server = self._calls.get(event.id), self.fleet.servers.get(event.server)
-        if event.result is Result.TIMEOUT: self._miss(now)
+    def _on_ended(self, event: api.AttemptCompleted, now: float) -> None:
+        call, server = self._calls.get(event.id), self.server_set.servers.get(event.server)
+        if event.result is Result.TIMEOUT:
+            self._miss(now)
         stuck = event.id in self._stuck
         self._stuck.discard(event.id)
-        if event.id in self._light: self._light.discard(event.id)
-        else: self._unload(event.id, server)
+        if event.id in self._light:
+            self._light.discard(event.id)
+        else:
+            self._unload(event.id, server)
         flowed = call is not None and call.bound and event.result is Result.SERVED  # it was learnt of before
         if server is not None:
-            if event.result not in (Result.TIMEOUT, Result.UNREACHABLE, Result.CANCELLED, Result.MOOT):
+            if event.result not in (Result.TIMEOUT, Result.UNREACHABLE, Result.CANCELLED, Result.NOT_SENT):
                 server.heard_ms = now
             self._hear(server, event.report, now)
             server.used_ms = now
-            if call is not None and call.idle_ms: self._judge_idle(call.idle_ms, event.result)
-            if not flowed: self._learn(server, event.result, now)
+            if call is not None and call.idle_ms:
+                self._judge_idle(call.idle_ms, event.result)
+            if not flowed:
+                self._learn(server, event.result, now)
         if call is not None and event.result in (Result.SERVED, Result.TIMEOUT) and not flowed:
             self._sample(call, server, event.duration_ms, event.result is Result.SERVED, stuck, now)
-        elif call is not None and event.result is Result.REFUSED:  # full is as slow as a server gets
-            self.controller.answered(call.cls.aim_ms, call.cls.aim_ms, now, False)
-        if call is not None and event.settled:
+        elif call is not None and event.result is Result.REJECTED:  # full is as slow as a server gets
+            self.controller.record_answer(call.cls.latency_target_ms, call.cls.latency_target_ms, now, False)
+        if call is not None and event.final:
             del self._calls[event.id]
-            if not call.bound: self._settled(call, event.duration_ms, now)
+            if not call.bound:
+                self._settled(call, event.duration_ms, now)
         elif call is not None:
             call.out = False
             if call.ran_ms is None and call.last and event.result not in self._never_ran:
-                call.ran_ms, call.pin = call.sent_ms, call.last.group(call.cls.group)
-            if not event.repeatable:
+                call.ran_ms, call.pin = call.sent_ms, call.last.group(call.cls.dedup_scope)
+            if not event.replayable:
                 self._end(call)
             elif self._rng.random() < self.controller.retry_probability(now):
                 self._wait_or_end(call, now)
@@ -787,11 +767,12 @@
 
     def _learn(self, server: Server, result: Result, now: float) -> None:
         """What an outcome tells of the server's health."""
-        if result in (Result.REFUSED, Result.UNREACHABLE):
+        if result in (Result.REJECTED, Result.UNREACHABLE):
             server.limit = max(1.0, min(server.limit, float(server.inflight)) * LIMIT_CUT)
             if result is Result.UNREACHABLE and not server.inflight:  # down, or out of connections
                 server.eject(now, self._rng)
-        elif result is Result.SERVED: server.limit += 1.0 / server.limit
+        elif result is Result.SERVED:
+            server.limit += 1.0 / server.limit
         if result not in (Result.SERVED, Result.ERROR, Result.RESET):
             return
         bad = result is not Result.SERVED
@@ -802,10 +783,13 @@
         step = math.log(BAD_RATIO / peers) if bad else math.log((1.0 - BAD_RATIO) / (1.0 - peers))
         server.suspicion = max(0.0, server.suspicion + step)
         if server.suspicion >= EJECT_ODDS:
-            if sum(now < other.shut_ms for other in self.fleet.ready) < EJECT_SHARE * len(self.fleet.ready):
+            if sum(now < other.shut_ms for other in self.server_set.ready) < EJECT_SHARE * len(
+                self.server_set.ready
+            ):
                 server.eject(now, self._rng)
             server.suspicion = EJECT_ODDS / 2.0  # on its return it is on probation
-        elif not server.suspicion: server.shuts = 0
+        elif not server.suspicion:
+            server.shuts = 0
 
     def _on_timer(self, event: api.TimerFired, now: float) -> None:
         if event.token == 0:
@@ -814,10 +798,10 @@
         if call and call.token == event.token and call.id in self._calls:
             (self._end(call) if call.queued else self._attempt(call, now))
 
-    def _on_list(self, event: api.ServerList, now: float) -> None:
-        if event.kind is ListKind.FAILED:  # ask again, not in step with the others
-            mean = min(ASK_SHARE * self.settings.ask_every_ms, ASK_MOST_MS)
+    def _on_list(self, event: api.ServerListUpdate, now: float) -> None:
+        if event.kind is ListUpdateKind.FAILED:  # ask again, not in step with the others
+            mean = min(ASK_SHARE * self.settings.poll_interval_ms, ASK_MOST_MS)
             wait = mean * (0.5 + self._rng.random())
             return self._actions.append(api.SetTimer(0, wait))
-        self.fleet.apply(event, now)
+        self.server_set.apply(event, now)
         self._release(now)
--- a/dunlinloft/balancer/interface.py
+++ b/dunlinloft/balancer/interface.py
@@ -1,170 +1,56 @@
-"""What a node and the decision module say to each other: settings, events and actions.
+"""Events, actions and settings: the contract between a node and the balancer's decisions.
 
-Times are milliseconds on one monotonic clock of the node's choosing. Ids are the node's own and
-come back unchanged. Nothing here decides anything; every decision is in `dunlinloft.balancer.logic`.
+The node (`orchidferry`, the simulator's adapter `wirehost`, or `lab`) turns what happens on its sockets into
+events, passes them to `dunlinloft.balancer.balancer.Balancer.handle` and carries out the actions that come
+back. Times are milliseconds on one monotonic clock of the node's choosing. Ids are the node's own and come
+back unchanged. Nothing here decides anything.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Iterator
-from dataclasses import dataclass, field, fields
+from dataclasses import dataclass, field
 from enum import Enum, IntEnum
-from typing import Any
 
-
-class Repeat(Enum):
-    """May a request of a class run more than once?"""
-
-    SAFE = "safe"  # any number of times
-    KEYED = "keyed"  # servers of one group drop the repeats that arrive within a window
-    UNSAFE = "unsafe"  # never
-
-
-class Group(Enum):
-    """Which servers drop the repeats of a keyed request."""
-
-    ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
+from dunlinloft.balancer.parameters import DedupScope as DedupScope
+from dunlinloft.balancer.parameters import Idempotency as Idempotency
+from dunlinloft.balancer.parameters import RequestClass as RequestClass
+from dunlinloft.balancer.parameters import Settings as Settings
+from dunlinloft.balancer.parameters import Tenant as Tenant
 
 
 class Health(Enum):
-    """What discovery says of a server's process."""
+    """The state of a server's process as discovery reports it."""
 
     IN_SERVICE = "in_service"
     DRAINING = "draining"
-    GONE = "gone"
+    TERMINATED = "gone"
 
 
-class ListKind(Enum):
-    """What a piece of news from discovery is."""
+class ListUpdateKind(Enum):
+    """What an update from discovery contains."""
 
-    CHANGES = "changes"  # only the entries that changed
-    FULL = "full"  # replaces the old list
-    SAVED = "saved"  # the list as the node last had it, perhaps old
+    DELTA = "changes"  # only the entries that changed
+    SNAPSHOT = "full"  # replaces the list
+    CACHED = "saved"  # the list as the node last had it, possibly stale
     FAILED = "failed"  # a subscription or call failed or broke; no entries
 
 
 class Result(IntEnum):
     """How an attempt ended.
 
-    `REFUSED`, `UNREACHABLE` and `MOOT` prove that it never ran, but for `REFUSED` where the settings
-    say so (`full_may_have_run`).
+    `REJECTED`, `UNREACHABLE` and `NOT_SENT` prove that the attempt never ran, except for `REJECTED` where the
+    settings say so (`Settings.rejected_may_have_run`).
     """
 
     SERVED = 0
     ERROR = 1
-    REFUSED = 2
+    REJECTED = 2
     TIMEOUT = 3
     UNREACHABLE = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
-
-
-def vars_of(settings: Any) -> dict[str, Any]:
-    """The fields of a dataclass by name."""
-    return {f.name: getattr(settings, f.name) for f in fields(settings)}
-
-
-@dataclass(slots=True)
-class RequestClass:
-    """One class of requests."""
-
-    name: str
-    aim_ms: float  # an answer within this earns the whole worth
-    deadline_ms: float  # how long a client waits in all, over all its tries
-    worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth for an answer between aim and deadline
-    repeat: Repeat = Repeat.UNSAFE
-    group: Group = Group.ALL
-    window_ms: float = 0.0
-    affine: bool = False  # requests with a key go to the server that holds what the key needs
-
-
-@dataclass(slots=True)
-class Tenant:
-    """One of those who share the service."""
-
-    name: str
-    share: float = 0.0
-    quota_per_s: float = 0.0  # over all nodes; what goes beyond is worth little
-
-
-@dataclass(slots=True)
-class Settings:
-    """What a node knows when it starts."""
-
-    classes: list[RequestClass]
-    tenants: list[Tenant] = field(default_factory=list)
-    over_share_worth: float = 1.0
-    worst_class: float = 0.0  # what the worst-served class counts for, over what all worth does
-    zone: str = ""
-    nodes: int = 1  # balancer copies that send to the same tier
-    number: int = 0  # this copy's own among them, from 0
-    tier: int = 0  # the tier this copy sends to, 0 being the clients' first
-    tiers: int = 1
-    passes_deadline: bool = True  # a caller's remaining time comes along with its call
-    follow_list: bool = False  # news of the server list must be asked for
-    ask_every_ms: float = 10_000.0
-    max_attempts: int = 1
-    parallel_attempts: bool = False
-    can_cancel: bool = False
-    max_retry_after_ms: float = 0.0  # 0: clients take no such advice
-    connect_timeout_ms: float = 250.0
-    keepalive_ms: float = 30_000.0  # servers close a connection that has idled for so long
-    tick_ms: float = 0.0  # events are delivered at most this often
-    answer_slack_ms: float = 0.0
-    drain_grace_ms: float = 0.0
-    start_capacity: float = 1.0
-    ramp_time_ms: float = 0.0
-    overload_factor: float = 1.0
-    overload_for_ms: float = 1_000.0
-    repeat_ratio: float | None = None  # attempts beyond the first, by request taken; None: no such budget
-    extra_floor: float = 0.0  # so many more are free,
-    resend_span_ms: float = 0.0  # in any window of this length
-    full_may_have_run: bool = False  # `REFUSED` is no proof that the attempt never ran
-    cross_zone_price: float = 0.0
-    handshake_price: float = 0.0  # of new connections, by first try; as the share of the service's worth
-
-    def __post_init__(self) -> None:
-        """Refuse settings that cannot be meant, with all that is wrong with them."""
-        if problems := "; ".join(self._impossible()):
-            raise ValueError(problems)
-
-    def _impossible(self) -> Iterator[str]:
-        if not self.classes:
-            yield "classes: at least one is needed"
-        if len({cls.name for cls in self.classes}) < len(self.classes):
-            yield "classes: two have the same name"
-        times = {
-            name: value
-            for name, value in vars_of(self).items()
-            if name.endswith("_ms") or name.endswith("_price") or name in ("extra_floor", "worst_class")
-        }
-        for cls in self.classes:
-            times |= {f"classes[{cls.name}].{n}": v for n, v in vars_of(cls).items() if n.endswith("_ms")}
-            times[f"classes[{cls.name}].worth"] = cls.worth
-        for tenant in self.tenants:
-            times[f"tenants[{tenant.name}].quota_per_s"] = tenant.quota_per_s
-        for name, value in times.items():
-            if not 0.0 <= value < math.inf:
-                yield f"{name}: {value} is negative or not finite"
-        for cls in self.classes:
-            if not cls.aim_ms or not cls.deadline_ms:
-                yield f"classes[{cls.name}]: aim_ms and deadline_ms must be above 0"
-        shares = {"start_capacity": self.start_capacity, "over_share_worth": self.over_share_worth}
-        shares |= {f"classes[{cls.name}].late_worth": cls.late_worth for cls in self.classes}
-        shares |= {f"tenants[{tenant.name}].share": tenant.share for tenant in self.tenants}
-        if self.repeat_ratio is not None:
-            shares["repeat_ratio"] = self.repeat_ratio
-        for name, value in shares.items():
-            if not 0.0 <= value <= 1.0:
-                yield f"{name}: {value} is not within 0 to 1"
-        for name, least in (("nodes", 1), ("tiers", 1), ("max_attempts", 1), ("number", 0), ("tier", 0)):
-            if getattr(self, name) < least:
-                yield f"{name}: {getattr(self, name)} is less than {least}"
+    NOT_SENT = 7
 
 
 @dataclass(slots=True)
@@ -190,65 +76,82 @@
 
 @dataclass(slots=True)
 class Reconfigured:
-    """The operators have changed the settings; requests under way keep their class."""
+    """The operators have changed the settings; requests in flight keep their class."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
-class Sharing:
-    """So many processes serve as this one node now; the budgets are for all of them together."""
+class ProcessCount:
+    """How many processes serve as this one node now; its budgets are for all of them together."""
 
     processes: int
 
 
 @dataclass(slots=True)
-class ServerList:
-    """News from discovery."""
+class ServerListUpdate:
+    """An update from discovery."""
 
-    kind: ListKind
+    kind: ListUpdateKind
     version: int = 0
     entries: list[ServerEntry] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Request:
-    """The node has accepted a request and owes it one final answer."""
+    """The node has accepted a request and owes it exactly one final answer.
+
+    Attributes
+    ----------
+    ttl_ms
+        Time left to its deadline.
+    complete
+        Whether its body has arrived; else its time runs from `RequestComplete`.
+    pinned_group
+        Deduplication group that it is bound to before its first attempt.
+    affinity_key
+        Hash of what it is about, for classes with `RequestClass.affinity`.
+    """
 
     id: str
     cls: str
     ttl_ms: float
     tenant: str | None = None
     client_retry: bool = False
-    whole: bool = True  # else its body is still coming, and its time runs from `RequestWhole`
-    pin: str | int | None = None  # the group that it is bound to before it is sent
-    key: int | None = None  # of what it is about, for classes that are `affine`
+    complete: bool = True
+    pinned_group: str | int | None = None
+    affinity_key: int | None = None
 
 
 @dataclass(slots=True)
-class RequestWhole:
-    """The last byte of a request has come that was taken before."""
+class RequestComplete:
+    """The last byte of a request has arrived that was accepted before."""
 
     id: str
 
 
 @dataclass(slots=True)
-class AttemptEnded:
-    """An attempt is over. `settled`: nothing more is owed for the request."""
+class AttemptCompleted:
+    """An attempt has ended.
+
+    `final`: the request has had its answer, no further attempt is wanted. `replayable`: its body can be sent
+    again; else bytes of it are gone and no further attempt can be made. `report` is the server's load
+    report.
+    """
 
     id: str
     attempt: int
     server: int
     result: Result
     duration_ms: float
-    settled: bool
+    final: bool
     report: dict[str, float] | None = None
-    repeatable: bool = True  # else what was sent of its body is gone: no further attempt can be made
+    replayable: bool = True
 
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The answer to an attempt has begun to flow; the request is bound to it."""
+    """The response to an attempt has begun to flow; the request is bound to it."""
 
     id: str
     attempt: int
@@ -258,7 +161,7 @@
 
 
 @dataclass(slots=True)
-class ClientGone:
+class ClientDisconnected:
     """Nobody waits for this request any more."""
 
     id: str
@@ -272,11 +175,17 @@
 
 
 @dataclass(slots=True)
-class Verdict:
-    """What this copy and others together think of a server.
-
-    `avoid`: as one that is ejected, for these classes, or for all where none are named; `slow`: its delay
-    over its peers'; `trial`: one call may go there all the same.
+class PeerVerdict:
+    """What all replicas together conclude about a server.
+
+    Attributes
+    ----------
+    avoid
+        Treat it as ejected, for these classes, or for all where none are named.
+    slow
+        Its delay over its peers'.
+    trial
+        One attempt may go there all the same (half-open).
     """
 
     server: int
@@ -287,17 +196,18 @@
 
 
 @dataclass(slots=True)
-class Hearsay:
-    """Verdicts that others share; those of before are void. The worst come first."""
+class PeerVerdicts:
+    """The verdicts that replicas share; they replace all earlier ones. The worst come first."""
 
-    verdicts: list[Verdict]
+    verdicts: list[PeerVerdict]
 
 
 @dataclass(slots=True)
-class Parts:
-    """This copy's parts of tenants' quotas, a second; and of the retries of a loop, those that all allow.
+class QuotaShares:
+    """This replica's shares of tenants' quotas, in requests a second.
 
-    A tenant that is not named has an even part.
+    A tenant that is not named has an even share. `retry_share` is the share of the retries one delay
+    controller allows that all replicas together allow.
     """
 
     quotas: dict[str, float]
@@ -305,8 +215,8 @@
 
 
 @dataclass(slots=True)
-class Cohort:
-    """These servers are of a new build: of first sends of each class they get this share at most.
+class CanaryLimit:
+    """These servers run a new build: of the first attempts of each class they get this share at most.
 
     It is a bound on top of all others and never a reason to send; 1 is none.
     """
@@ -318,17 +228,17 @@
 Event = (
     Started
     | Reconfigured
-    | Sharing
-    | ServerList
+    | ProcessCount
+    | ServerListUpdate
     | Request
-    | RequestWhole
-    | AttemptEnded
+    | RequestComplete
+    | AttemptCompleted
     | StreamStarted
-    | ClientGone
+    | ClientDisconnected
     | TimerFired
-    | Hearsay
-    | Parts
-    | Cohort
+    | PeerVerdicts
+    | QuotaShares
+    | CanaryLimit
 )
 
 # Actions: what the node is asked to do.
@@ -336,26 +246,27 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start the request's next attempt on a server; give it up after `timeout_ms`.
+    """Start the request's next attempt on a server; time it out after `timeout_ms`.
 
-    What is not out whole within `within_ms` may not go out any more: it ends as `MOOT`.
+    What has not been written completely within `send_window_ms` must not be written any more: the attempt
+    ends as `NOT_SENT`.
     """
 
     id: str
     server: int
     timeout_ms: float
-    within_ms: float = math.inf
+    send_window_ms: float = math.inf
 
 
 @dataclass(slots=True)
 class Fail:
-    """End the request with an error; the client is not told whether it ran."""
+    """End the request with an error that leaves open whether it ran."""
 
     id: str
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """End the request unserved; the client learns that a retry is harmless."""
 
     id: str
@@ -364,7 +275,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Call off an attempt."""
+    """Cancel an attempt in flight."""
 
     id: str
     attempt: int
@@ -372,7 +283,7 @@
 
 @dataclass(slots=True)
 class CloseIdle:
-    """Give back the connections to a server that carry nothing now."""
+    """Close the connections to a server that carry nothing now."""
 
     server: int
 
@@ -397,4 +308,4 @@
     text: str
 
 
-Action = Send | Fail | Refuse | Cancel | CloseIdle | SetTimer | Subscribe | Log
+Action = Send | Fail | Reject | Cancel | CloseIdle | SetTimer | Subscribe | Log
--- a/dunlinloft/balancer/settings.py
+++ b/dunlinloft/balancer/settings.py
@@ -1,132 +1,190 @@
-"""Reading settings: JSON objects checked field by field, and the start-up settings in full.
+"""Reads settings: JSON objects checked field by field, and the balancer's settings in full.
 
-Shared by the simulator's adapter and the real node, which find the same object in different places.
+Shared by the simulator's adapter and the node in service, which find the same object in different places.
 """
 
 from __future__ import annotations
 
 import math
-from typing import Any, TypeVar
+from dataclasses import dataclass
+from typing import Any, TypeVar, overload
 
 from dunlinloft.balancer import interface as api
 
 Json = dict[str, Any]
 
-REPEATS = {"retryable": api.Repeat.SAFE, "dedup": api.Repeat.KEYED, "fragile": api.Repeat.UNSAFE}
-GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
-KINDS: dict[type | tuple[type, ...], str] = {
+IDEMPOTENCY = {
+    "retryable": api.Idempotency.IDEMPOTENT,
+    "dedup": api.Idempotency.KEYED,
+    "fragile": api.Idempotency.NON_IDEMPOTENT,
+}
+DEDUP_SCOPES = {"all": api.DedupScope.ALL, "zone": api.DedupScope.ZONE, "cell": api.DedupScope.CELL}
+NumberType = tuple[type[int], type[float]]
+NUMBER: NumberType = (int, float)
+KINDS: dict[type | NumberType, str] = {
     str: "a string",
     bool: "true or false",
     int: "a whole number",
-    (int, float): "a number",
+    NUMBER: "a number",
     dict: "an object",
     list: "an array",
 }
+EXAMPLES: dict[type | NumberType, object] = {str: "", bool: False, int: 1, NUMBER: 1.0, dict: {}, list: []}
 T = TypeVar("T")
-NUMBER = (int, float)
+D = TypeVar("D")
 
 
-class Malformed(Exception):
-    """Input that does not follow the wire.
+@dataclass(frozen=True, slots=True)
+class Location:
+    """Where malformed input is: the object or array, its key, and a value that would be valid there."""
 
-    `place` is where, if that is known: the object or array, its key, and a value that would do there.
-    """
+    container: Any
+    key: str | int
+    example: Any
+
+
+class Malformed(Exception):
+    """Input that does not follow the wire; `location` says where, if that is known."""
 
-    def __init__(self, text: str, place: tuple[Any, str | int, Any] | None = None) -> None:
+    def __init__(self, text: str, location: Location | None = None) -> None:
         super().__init__(text)
-        self.place = place
+        self.location = location
 
 
-EXAMPLES: dict[Any, Any] = {str: "", bool: False, int: 1, NUMBER: 1.0, dict: {}, list: []}
+@overload
+def required(obj: Json, key: str, kind: type[T]) -> T: ...
 
 
-def get(obj: Json, key: str, kind: type | tuple[type, ...]) -> Any:
+@overload
+def required(obj: Json, key: str, kind: NumberType) -> float: ...
+
+
+def required(obj: Json, key: str, kind: type | NumberType) -> object:
+    """The value of a key that has to be there, of this kind (`NUMBER` for int or float).
+
+    Raises
+    ------
+    Malformed
+        Where it is missing, of another kind (a boolean is no number), or a float that is not finite.
+    """
     try:
-        value = obj[key]
+        value: object = obj[key]
     except KeyError:
-        raise Malformed(f"{key!r} is missing", (obj, key, EXAMPLES[kind])) from None
+        raise Malformed(f"{key!r} is missing", Location(obj, key, EXAMPLES[kind])) from None
     if not isinstance(value, kind) or (kind is not bool and isinstance(value, bool)):
-        raise Malformed(f"{key!r} must be {KINDS[kind]}, not {value!r:.60}", (obj, key, EXAMPLES[kind]))
+        text = f"{key!r} must be {KINDS[kind]}, not {value!r:.60}"
+        raise Malformed(text, Location(obj, key, EXAMPLES[kind]))
     if isinstance(value, float) and not math.isfinite(value):
-        raise Malformed(f"{key!r} must be a finite number, not {value!r}", (obj, key, EXAMPLES[kind]))
+        text = f"{key!r} must be a finite number, not {value!r}"
+        raise Malformed(text, Location(obj, key, EXAMPLES[kind]))
     return value
 
 
-def opt(obj: Json, key: str, kind: type | tuple[type, ...], default: Any) -> Any:
-    return default if obj.get(key) is None else get(obj, key, kind)
+@overload
+def optional(obj: Json, key: str, kind: type[T], default: D) -> T | D: ...
+
 
+@overload
+def optional(obj: Json, key: str, kind: NumberType, default: D) -> float | D: ...
 
-def word(obj: Json, key: str, words: dict[Any, T], kind: type = str) -> T:
-    value = get(obj, key, kind)
-    if value not in words:
-        text = f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, words))}"
-        raise Malformed(text, (obj, key, next(iter(words))))
-    return words[value]
 
+def optional(obj: Json, key: str, kind: type | NumberType, default: object) -> object:
+    """As `required`, or the default where the key is missing or null."""
+    return default if obj.get(key) is None else required(obj, key, kind)
 
-def objects(obj: Json, key: str) -> list[Json]:
-    values: list[Json] = get(obj, key, list)
-    for n, value in enumerate(values):
+
+def choice(obj: Json, key: str, choices: dict[Any, T], kind: type = str) -> T:
+    """What the value of a key stands for among these choices; `Malformed` where it is none of them."""
+    value: object = required(obj, key, kind)
+    if value not in choices:
+        text = f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, choices))}"
+        raise Malformed(text, Location(obj, key, next(iter(choices))))
+    return choices[value]
+
+
+def object_list(obj: Json, key: str) -> list[Json]:
+    """The value of a key that has to be an array of objects."""
+    values: list[Json] = required(obj, key, list)
+    for index, value in enumerate(values):
         if not isinstance(value, dict):
-            raise Malformed(f"{key}[{n}] must be an object, not {value!r:.60}", (values, n, {}))
+            text = f"{key}[{index}] must be an object, not {value!r:.60}"
+            raise Malformed(text, Location(values, index, {}))
     return values
 
 
 def read_settings(env: Json) -> api.Settings:
-    """Turn the wire's start-up settings into the module's; unknown keys are ignored."""
-    classes = [
-        api.RequestClass(
-            name=get(c, "name", str),
-            aim_ms=get(c, "objective_ms", NUMBER),
-            deadline_ms=get(c, "give_up_ms", NUMBER),
-            worth=opt(c, "importance", NUMBER, 1.0),
-            late_worth=opt(c, "late_worth", NUMBER, 0.0),
-            repeat=word(c, "semantics", REPEATS),
-            group=word(c, "dedup_scope", GROUPS) if c.get("semantics") == "dedup" else api.Group.ALL,
-            window_ms=get(c, "window_ms", NUMBER) if c.get("semantics") == "dedup" else 0.0,
-            affine=opt(c, "affine", bool, False),
-        )
-        for c in objects(env, "classes")
-    ]
-    tenants = [
-        api.Tenant(get(t, "name", str), opt(t, "fraction", NUMBER, 0.0), opt(t, "quota_per_s", NUMBER, 0.0))
-        for t in (objects(env, "tenants") if env.get("tenants") else [])
-    ]
-    allow, rules = get(env, "permissions", dict), get(env, "rules", dict)
-    prices = opt(env, "prices", dict, {})
-    worst = opt(opt(env, "score_parts", dict, {}), "worst_class", NUMBER, 0.0)
+    """Turn the settings' JSON into `Settings`; unknown keys are ignored.
+
+    Raises
+    ------
+    Malformed
+        For keys that are missing or of the wrong kind.
+    ValueError
+        For values that cannot be meant (`Settings`).
+    """
+    classes = [_read_class(cls) for cls in object_list(env, "classes")]
+    tenants = [_read_tenant(tenant) for tenant in (object_list(env, "tenants") if env.get("tenants") else [])]
+    permissions = required(env, "permissions", dict)
+    rules = required(env, "rules", dict)
+    prices = optional(env, "prices", dict, {})
+    worst_class = optional(optional(env, "score_parts", dict, {}), "worst_class", NUMBER, 0.0)
     return api.Settings(
         classes=classes,
         tenants=tenants,
-        over_share_worth=opt(env, "over_share_worth", NUMBER, 1.0),
-        worst_class=worst / (1.0 - worst) if 0.0 <= worst < 1.0 else 0.0,
-        zone=opt(env, "locality", str, ""),
-        nodes=max(1, get(env, "siblings", int)),
-        number=opt(env, "my_number", int, 0),
-        tier=opt(env, "tier", int, 0),
-        tiers=max(1, len(opt(env, "stages", list, []))),
-        passes_deadline=opt(opt(env, "family_info", dict, {}), "passes_deadline", bool, False),
-        follow_list=get(env, "membership_mode", str) == "on_request",
-        ask_every_ms=get(rules, "ask_every_ms", NUMBER),
-        max_attempts=get(allow, "max_attempts", int),
-        parallel_attempts=opt(allow, "parallel_tries", bool, False),
-        can_cancel=opt(allow, "may_cancel", bool, False),
+        over_quota_value=optional(env, "over_share_worth", NUMBER, 1.0),
+        worst_class_weight=worst_class / (1.0 - worst_class) if 0.0 <= worst_class < 1.0 else 0.0,
+        zone=optional(env, "locality", str, ""),
+        replicas=max(1, required(env, "siblings", int)),
+        replica_index=optional(env, "my_number", int, 0),
+        tier=optional(env, "tier", int, 0),
+        tiers=max(1, len(optional(env, "stages", list, []))),
+        propagates_deadline=optional(optional(env, "family_info", dict, {}), "passes_deadline", bool, False),
+        subscribes=required(env, "membership_mode", str) == "on_request",
+        poll_interval_ms=required(rules, "ask_every_ms", NUMBER),
+        max_attempts=required(permissions, "max_attempts", int),
+        parallel_attempts=optional(permissions, "parallel_tries", bool, False),
+        can_cancel=optional(permissions, "may_cancel", bool, False),
         max_retry_after_ms=(
-            opt(allow, "max_retry_after_ms", NUMBER, 0.0) if opt(allow, "retry_after", bool, False) else 0.0
+            optional(permissions, "max_retry_after_ms", NUMBER, 0.0)
+            if optional(permissions, "retry_after", bool, False)
+            else 0.0
         ),
-        connect_timeout_ms=get(allow, "connect_timeout_ms", NUMBER),
-        keepalive_ms=opt(allow, "keepalive_ms", NUMBER, 30_000.0),
-        tick_ms=opt(env, "quantum_ms", NUMBER, 0.0),
-        answer_slack_ms=opt(rules, "answer_slack_ms", NUMBER, 0.0),
-        drain_grace_ms=get(rules, "stop_sending_within_ms", NUMBER),
-        start_capacity=get(rules, "start_capacity", NUMBER),
-        ramp_time_ms=get(rules, "ramp_time_ms", NUMBER),
-        overload_factor=get(rules, "overload_factor", NUMBER),
-        overload_for_ms=get(rules, "overload_for_ms", NUMBER),
-        repeat_ratio=opt(rules, "repeat_ratio", NUMBER, None),
-        extra_floor=opt(rules, "extra_floor", NUMBER, 0.0),
-        resend_span_ms=opt(rules, "resend_span_ms", NUMBER, 0.0),
-        full_may_have_run=opt(rules, "full_may_have_run", bool, False),
-        cross_zone_price=opt(prices, "cross_zone", NUMBER, 0.0),
-        handshake_price=opt(prices, "handshake", NUMBER, 0.0),
+        connect_timeout_ms=required(permissions, "connect_timeout_ms", NUMBER),
+        keepalive_ms=optional(permissions, "keepalive_ms", NUMBER, 30_000.0),
+        tick_ms=optional(env, "quantum_ms", NUMBER, 0.0),
+        answer_slack_ms=optional(rules, "answer_slack_ms", NUMBER, 0.0),
+        drain_grace_ms=required(rules, "stop_sending_within_ms", NUMBER),
+        slow_start_initial_share=required(rules, "start_capacity", NUMBER),
+        slow_start_ms=required(rules, "ramp_time_ms", NUMBER),
+        overload_factor=required(rules, "overload_factor", NUMBER),
+        overload_for_ms=required(rules, "overload_for_ms", NUMBER),
+        retry_budget_ratio=optional(rules, "repeat_ratio", NUMBER, None),
+        retry_budget_floor=optional(rules, "extra_floor", NUMBER, 0.0),
+        retry_budget_window_ms=optional(rules, "resend_span_ms", NUMBER, 0.0),
+        rejected_may_have_run=optional(rules, "full_may_have_run", bool, False),
+        cross_zone_price=optional(prices, "cross_zone", NUMBER, 0.0),
+        handshake_price=optional(prices, "handshake", NUMBER, 0.0),
+    )
+
+
+def _read_class(cls: Json) -> api.RequestClass:
+    keyed = cls.get("semantics") == "dedup"
+    return api.RequestClass(
+        name=required(cls, "name", str),
+        latency_target_ms=required(cls, "objective_ms", NUMBER),
+        deadline_ms=required(cls, "give_up_ms", NUMBER),
+        value=optional(cls, "importance", NUMBER, 1.0),
+        late_value=optional(cls, "late_worth", NUMBER, 0.0),
+        idempotency=choice(cls, "semantics", IDEMPOTENCY),
+        dedup_scope=choice(cls, "dedup_scope", DEDUP_SCOPES) if keyed else api.DedupScope.ALL,
+        dedup_window_ms=required(cls, "window_ms", NUMBER) if keyed else 0.0,
+        affinity=optional(cls, "affine", bool, False),
+    )
+
+
+def _read_tenant(tenant: Json) -> api.Tenant:
+    return api.Tenant(
+        name=required(tenant, "name", str),
+        share=optional(tenant, "fraction", NUMBER, 0.0),
+        quota_per_s=optional(tenant, "quota_per_s", NUMBER, 0.0),
     )
--- a/dunlinloft/balancer/wirehost.py
+++ b/dunlinloft/balancer/wirehost.py
@@ -12,87 +12,100 @@
 from typing import TextIO
 
 from dunlinloft.balancer import interface as api
-from dunlinloft.balancer.logic import Balancer
-from dunlinloft.balancer.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
+from dunlinloft.balancer.balancer import Balancer
+from dunlinloft.balancer.settings import (
+    NUMBER,
+    Json,
+    Malformed,
+    choice,
+    object_list,
+    optional,
+    read_settings,
+    required,
+)
 
 HEALTH = {
     "in_service": api.Health.IN_SERVICE,
     "terminating": api.Health.DRAINING,
-    "terminated": api.Health.GONE,
+    "terminated": api.Health.TERMINATED,
 }
 FORMS = {
-    "INCREMENTAL": api.ListKind.CHANGES,
-    "FULL": api.ListKind.FULL,
-    "SAVED": api.ListKind.SAVED,
-    "FAILED": api.ListKind.FAILED,
+    "INCREMENTAL": api.ListUpdateKind.DELTA,
+    "FULL": api.ListUpdateKind.SNAPSHOT,
+    "SAVED": api.ListUpdateKind.CACHED,
+    "FAILED": api.ListUpdateKind.FAILED,
 }
 RESULTS = {
     100: api.Result.SERVED,
     301: api.Result.ERROR,
-    302: api.Result.REFUSED,
+    302: api.Result.REJECTED,
     303: api.Result.TIMEOUT,
     304: api.Result.UNREACHABLE,
     305: api.Result.RESET,
     306: api.Result.CANCELLED,
-    307: api.Result.MOOT,
+    307: api.Result.NOT_SENT,
 }
 
 
 def _entries(item: Json) -> list[api.ServerEntry]:
     return [
         api.ServerEntry(
-            server=get(e, "server", int),
-            zone=opt(e, "failure_domain", str, ""),
-            kind=opt(e, "sku", str, ""),
-            cell=opt(e, "group", int, 0),
-            health=word(e, "health", HEALTH),
-            share=opt(e, "share", NUMBER, 1.0),
-            started_ms=opt(e, "boot_time_ms", NUMBER, 0.0) or None,
+            server=required(e, "server", int),
+            zone=optional(e, "failure_domain", str, ""),
+            kind=optional(e, "sku", str, ""),
+            cell=optional(e, "group", int, 0),
+            health=choice(e, "health", HEALTH),
+            share=optional(e, "share", NUMBER, 1.0),
+            started_ms=optional(e, "boot_time_ms", NUMBER, 0.0) or None,
         )
-        for e in objects(item, "elements")
+        for e in object_list(item, "elements")
     ]
 
 
 def _request(item: Json) -> api.Event:
     return api.Request(
-        get(item, "request_id", str),
-        get(item, "type", str),
-        get(item, "ttl_ms", NUMBER),
-        None if item.get("owner") == 0 else opt(item, "owner", str, None),  # 0: no tenants here
-        opt(item, "again_by_client", bool, False),
+        required(item, "request_id", str),
+        required(item, "type", str),
+        required(item, "ttl_ms", NUMBER),
+        None if item.get("owner") == 0 else optional(item, "owner", str, None),  # 0: no tenants here
+        optional(item, "again_by_client", bool, False),
     )
 
 
 def _report(item: Json) -> dict[str, float] | None:
     """A load report; values that are absent are left out, negative ones (they are noisy) count as 0."""
-    report = opt(item, "report", dict, None)
+    report = optional(item, "report", dict, None)
     if report is None:
         return None
-    return {name: max(0.0, get(report, name, NUMBER)) for name, value in report.items() if value is not None}
+    return {
+        name: max(0.0, required(report, name, NUMBER)) for name, value in report.items() if value is not None
+    }
 
 
 def _completed(item: Json) -> api.Event:
-    return api.AttemptEnded(
-        get(item, "request_id", str),
-        get(item, "send_no", int),
-        get(item, "server", int),
-        word(item, "disposition", RESULTS, int),
-        get(item, "duration_ms", NUMBER),
-        get(item, "settled", bool),
+    return api.AttemptCompleted(
+        required(item, "request_id", str),
+        required(item, "send_no", int),
+        required(item, "server", int),
+        choice(item, "disposition", RESULTS, int),
+        required(item, "duration_ms", NUMBER),
+        required(item, "settled", bool),
         _report(item),
     )
 
 
 def _streaming(item: Json) -> api.Event:
-    request, attempt = get(item, "request_id", str), get(item, "send_no", int)
-    return api.StreamStarted(request, attempt, get(item, "server", int), get(item, "duration_ms", NUMBER))
+    request, attempt = required(item, "request_id", str), required(item, "send_no", int)
+    return api.StreamStarted(
+        request, attempt, required(item, "server", int), required(item, "duration_ms", NUMBER)
+    )
 
 
 READERS: dict[str, Callable[[Json], api.Event]] = {
     "JobIn": _request,
     "Completed": _completed,
-    "Fired": lambda item: api.TimerFired(get(item, "nonce", int)),
-    "ClientGone": lambda item: api.ClientGone(get(item, "request_id", str)),
+    "Fired": lambda item: api.TimerFired(required(item, "nonce", int)),
+    "ClientGone": lambda item: api.ClientDisconnected(required(item, "request_id", str)),
     "Streaming": _streaming,
 }
 IGNORED = {"NeighbourSays", "StatusBack"}  # the module neither probes nor talks to peers
@@ -107,7 +120,7 @@
             return {"kind": "WakeAt", "node": node, "nonce": action.token, "span_ms": action.delay_ms}
         case api.Fail():
             return {"kind": "RespondError", "node": node, "request_id": action.id}
-        case api.Refuse():
+        case api.Reject():
             return {"kind": "Deny", "node": node, "request_id": action.id,
                     "stay_away_ms": action.retry_after_ms}  # fmt: skip
         case api.Cancel():
@@ -129,10 +142,10 @@
 
     def batch(self, message: Json) -> Json:
         """Answer one batch."""
-        now: float = get(message, "ts_ms", NUMBER)
-        number = get(message, "round", int)
+        now: float = required(message, "ts_ms", NUMBER)
+        number = required(message, "round", int)
         actions: list[Json] = []
-        for n, item in enumerate(objects(message, "items")):
+        for n, item in enumerate(object_list(message, "items")):
             try:
                 self._item(item, now, actions)
             except Malformed as problem:
@@ -140,17 +153,17 @@
         return {"round": number, "actions": actions}
 
     def _item(self, item: Json, now: float, actions: list[Json]) -> None:
-        kind = get(item, "kind", str)
+        kind = required(item, "kind", str)
         if kind == "Page":
-            self._pages[get(item, "bank", int)] = _entries(item)
+            self._pages[required(item, "bank", int)] = _entries(item)
             return
-        name = get(item, "node", str)
+        name = required(item, "node", str)
         if kind == "Launch":
             try:
-                settings = read_settings(get(item, "env", dict))
+                settings = read_settings(required(item, "env", dict))
             except ValueError as problem:
                 raise Malformed(f"'env' has impossible settings: {problem}") from None
-            self._nodes[name] = Balancer(settings, get(item, "salt", int))
+            self._nodes[name] = Balancer(settings, required(item, "salt", int))
             event: api.Event = api.Started()
         elif name not in self._nodes:
             raise Malformed(f"node {name!r:.40} is not running")
@@ -171,13 +184,13 @@
             actions.append(_write(name, action))
 
     def _view(self, item: Json) -> api.Event:
-        form = word(item, "form", FORMS)
-        if form is api.ListKind.FAILED:
-            return api.ServerList(form)
-        bank = get(item, "bank", int)
+        form = choice(item, "form", FORMS)
+        if form is api.ListUpdateKind.FAILED:
+            return api.ServerListUpdate(form)
+        bank = required(item, "bank", int)
         if bank not in self._pages:
             raise Malformed(f"'bank' {bank} has had no Page")
-        return api.ServerList(form, get(item, "stamp", int), self._pages[bank])
+        return api.ServerListUpdate(form, required(item, "stamp", int), self._pages[bank])
 
 
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
--- a/dunlinloft/coordination/placement/server_load.py
+++ b/dunlinloft/coordination/placement/server_load.py
@@ -57,7 +57,7 @@
         self.record = record
         self.kv_cache_tokens = kv_cache_tokens
         self.prefix_cache = PrefixCache(PREFIX_CACHE_MEMORY_SHARE * kv_cache_tokens)
-        self.turn: float | None = None
+        self.rotation_weight: float | None = None
         self.in_flight = 0
         self.short_prompts_in_flight = 0
         self.pending_prefill_tokens = 0.0
--- a/dunlinloft/coordination/placement/service.py
+++ b/dunlinloft/coordination/placement/service.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection, Iterable, Sequence
 from typing import NamedTuple
 
-from dunlinloft.balancer.logic import Rotation
+from dunlinloft.balancer.rotation import Rotation
 from dunlinloft.coordination.placement.cost import FULL_SERVER_COST_TOKENS, placement_cost
 from dunlinloft.coordination.placement.demand import KeyedRequest, PlacementDemand, SharedPrefix
 from dunlinloft.coordination.placement.recent_segments import RecentSegments
--- a/dunlinloft/dataplane/attempts.py
+++ b/dunlinloft/dataplane/attempts.py
@@ -133,7 +133,7 @@
         now = now_ms()
         for placement in self._placements.values():
             placement.on_response_started()
-        self._context.pool.controller.answered(
+        self._context.pool.controller.record_answer(
             now - self._request.arrived_ms, self._request.latency_target_ms, now, True
         )
 
@@ -255,7 +255,7 @@
                     trace,
                 )
         except TimeoutError:
-            self._context.pool.controller.answered(
+            self._context.pool.controller.record_answer(
                 remaining_ms, self._request.latency_target_ms, now_ms(), False
             )
             return AttemptFailure(verdict_of_broken_attempt(trace.connected), Cause.LATE, "no answer in time")
--- a/dunlinloft/dataplane/retry_budget.py
+++ b/dunlinloft/dataplane/retry_budget.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from dunlinloft.balancer.averages import SlidingCount
-from dunlinloft.balancer.logic import DelayController
+from dunlinloft.balancer.averages import SlidingWindowCounter
+from dunlinloft.balancer.delay_controller import DelayController
 
 # Shares of the rule's bounds that are used, so that the fleet stays below them (`docs/system.md`).
 RATIO_USED = 0.8  # of the budget's ratio
@@ -19,8 +19,8 @@
     def __init__(self, ratio: float, window_s: float, allowance: float) -> None:
         self._ratio = ratio * RATIO_USED
         self._allowance = allowance * ALLOWANCE_USED
-        self._requests = SlidingCount(window_s * 1_000.0)
-        self._retries = SlidingCount(window_s * 1_000.0)
+        self._requests = SlidingWindowCounter(window_s * 1_000.0)
+        self._retries = SlidingWindowCounter(window_s * 1_000.0)
 
     def on_request(self, now_ms: float) -> None:
         """Count a client's request."""
--- a/dunlinloft/dataplane/routing.py
+++ b/dunlinloft/dataplane/routing.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-from dunlinloft.balancer.logic import Rotation
+from dunlinloft.balancer.rotation import Rotation
 from dunlinloft.configuration import Backend, Configuration, Route, Service, Tenant
 
 TOKEN_BILLING = "token_based"  # value of a tenant's `billing_unit`; any other bills requests
@@ -16,7 +16,7 @@
     """A backend of a route with its state in the route's rotation."""
 
     backend: Backend
-    turn: float | None = None  # name and meaning are those of the rotation
+    rotation_weight: float | None = None  # name and meaning are those of the rotation
 
 
 @dataclass(slots=True, eq=False)
--- a/dunlinloft/dataplane/server_pool.py
+++ b/dunlinloft/dataplane/server_pool.py
@@ -8,7 +8,8 @@
 
 from boltons.cacheutils import LRU
 
-from dunlinloft.balancer.logic import DelayController, Rotation
+from dunlinloft.balancer.delay_controller import DelayController
+from dunlinloft.balancer.rotation import Rotation
 from dunlinloft.coordination.stream import ServerRecord
 from dunlinloft.fleet.rendezvous import rank
 
@@ -37,7 +38,7 @@
     """One incarnation of a server, and what this node has seen of it."""
 
     record: ServerRecord
-    turn: float | None = None  # name and meaning are those of the rotation
+    rotation_weight: float | None = None  # name and meaning are those of the rotation
     in_flight: int = 0
     consecutive_failures: int = 0
     ejected_until_ms: float = 0.0
--- a/lab/balancer_driver.py
+++ b/lab/balancer_driver.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 from dunlinloft.balancer import interface as balancer_api
-from dunlinloft.balancer.logic import Balancer
+from dunlinloft.balancer.balancer import Balancer
 
 
 class BalancerDriver:
@@ -23,10 +23,10 @@
         self._settings = self._drawn_settings()
         self._balancer = Balancer(self._settings, seed)
         self._give(balancer_api.Started())
-        self._give(balancer_api.ServerList(balancer_api.ListKind.FULL, 1, self._entries(8)))
+        self._give(balancer_api.ServerListUpdate(balancer_api.ListUpdateKind.SNAPSHOT, 1, self._entries(8)))
 
     def _drawn_settings(self) -> balancer_api.Settings:
-        repeats, groups = list(balancer_api.Repeat), list(balancer_api.Group)
+        repeats, groups = list(balancer_api.Idempotency), list(balancer_api.DedupScope)
         classes = [
             balancer_api.RequestClass(
                 f"class-{number}",
@@ -45,18 +45,18 @@
         return balancer_api.Settings(
             classes,
             tenants,
-            nodes=self._rng.choice((1, 4)),
+            replicas=self._rng.choice((1, 4)),
             zone="zone-0",
             max_attempts=self._rng.choice((2, 3)),
-            follow_list=True,
+            subscribes=True,
             max_retry_after_ms=1_000.0,
-            start_capacity=0.25,
-            ramp_time_ms=8_000.0,
+            slow_start_initial_share=0.25,
+            slow_start_ms=8_000.0,
             overload_factor=3.0,
             tick_ms=self._rng.choice((0.0, 5.0)),
-            repeat_ratio=self._rng.choice((None, 0.3)),
-            extra_floor=5.0,
-            resend_span_ms=10_000.0,
+            retry_budget_ratio=self._rng.choice((None, 0.3)),
+            retry_budget_floor=5.0,
+            retry_budget_window_ms=10_000.0,
         )
 
     def _entries(self, size: int) -> list[balancer_api.ServerEntry]:
@@ -96,7 +96,7 @@
         if draw < 0.80:
             self._request()
         elif draw < 0.84 and self._attempts:
-            self._give(balancer_api.ClientGone(self._rng.choice(list(self._attempts))))
+            self._give(balancer_api.ClientDisconnected(self._rng.choice(list(self._attempts))))
         else:
             self._give(self._news())
 
@@ -104,41 +104,41 @@
         rng, number = self._rng, next(self._ids)
         cls, whole = rng.choice(self._settings.classes), rng.random() < 0.85
         tenant = rng.choice((None, "tenant-0", "tenant-1", "tenant-2"))
-        key = rng.randrange(50) if cls.affine else None
+        key = rng.randrange(50) if cls.affinity else None
         ttl_ms = rng.uniform(100.0, cls.deadline_ms)
         identity = f"request-{number}"
         self._attempts[identity] = 0
         event = balancer_api.Request(identity, cls.name, ttl_ms, tenant, rng.random() < 0.1, whole, None, key)
         if not whole:
-            self._later(rng.uniform(1.0, 100.0), balancer_api.RequestWhole(identity))
+            self._later(rng.uniform(1.0, 100.0), balancer_api.RequestComplete(identity))
         self._give(event)
 
     def _news(self) -> balancer_api.Event:
         rng = self._rng
-        kinds = list(balancer_api.ListKind)
+        kinds = list(balancer_api.ListUpdateKind)
         match rng.randrange(8):
             case 0:
-                return balancer_api.ServerList(kinds[1], 2, self._entries(rng.randint(2, 10)))
+                return balancer_api.ServerListUpdate(kinds[1], 2, self._entries(rng.randint(2, 10)))
             case 1:
-                return balancer_api.ServerList(kinds[0], 3, self._entries(3))
+                return balancer_api.ServerListUpdate(kinds[0], 3, self._entries(3))
             case 2:
-                return balancer_api.ServerList(kinds[3], 0, [])
+                return balancer_api.ServerListUpdate(kinds[3], 0, [])
             case 3:
                 verdicts = [
-                    balancer_api.Verdict(n, rng.random() < 0.5, frozenset(), rng.uniform(1.0, 3.0))
+                    balancer_api.PeerVerdict(n, rng.random() < 0.5, frozenset(), rng.uniform(1.0, 3.0))
                     for n in rng.sample(range(8), 2)
                 ]
-                return balancer_api.Hearsay(verdicts)
+                return balancer_api.PeerVerdicts(verdicts)
             case 4:
-                return balancer_api.Parts({"tenant-1": rng.uniform(1.0, 20.0)}, rng.random())
+                return balancer_api.QuotaShares({"tenant-1": rng.uniform(1.0, 20.0)}, rng.random())
             case 5:
-                return balancer_api.Cohort(frozenset(rng.sample(range(8), 2)), rng.choice((0.05, 0.5, 1.0)))
+                return balancer_api.CanaryLimit(frozenset(rng.sample(range(8), 2)), rng.choice((0.05, 0.5, 1.0)))
             case 6:
                 changed = self._drawn_settings()
                 changed.classes = self._settings.classes  # a request's class is looked up by its name
                 return balancer_api.Reconfigured(changed)
             case _:
-                return balancer_api.Sharing(rng.randint(1, 2))
+                return balancer_api.ProcessCount(rng.randint(1, 2))
 
     def _give(self, event: balancer_api.Event) -> None:
         for action in list(self._balancer.handle(event, self._now)):
@@ -147,7 +147,7 @@
                     self._later(action.delay_ms, balancer_api.TimerFired(action.token))
                 case balancer_api.Send():
                     self._send(action.id, action.server, action.timeout_ms)
-                case balancer_api.Fail() | balancer_api.Refuse():
+                case balancer_api.Fail() | balancer_api.Reject():
                     self._attempts.pop(action.id, None)
 
     def _send(self, identity: str, server: int, timeout_ms: float) -> None:
@@ -164,7 +164,7 @@
             started_ms = duration_ms / 2.0
             self._later(started_ms, balancer_api.StreamStarted(identity, attempt, server, started_ms, report))
         repeatable = served or rng.random() < 0.95
-        event = balancer_api.AttemptEnded(
+        event = balancer_api.AttemptCompleted(
             identity, attempt, server, result, duration_ms, served, report, repeatable
         )
         self._later(duration_ms, event)
--- a/lab/behaviour_runs.py
+++ b/lab/behaviour_runs.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from dunlinloft.balancer.logic import DelayController
+from dunlinloft.balancer.delay_controller import DelayController
 from dunlinloft.coordination.quota.bounds import QuotaBounds, QuotaLimit
 from lab.balancer_driver import BalancerDriver
 from lab.control import world as control_world
@@ -229,7 +229,9 @@
             case 0:
                 recorder.add(now, controller.retry_probability(now))
             case 1:
-                recorder.add(now, controller.window(rng.uniform(1.0, 8.0), now), controller.shed(now))
+                recorder.add(now, controller.window(rng.uniform(1.0, 8.0), now), controller.shed_share(now))
             case _:
-                controller.answered(aim_ms * load * rng.expovariate(2.0), aim_ms, now, rng.random() < 0.9)
+                controller.record_answer(
+                    aim_ms * load * rng.expovariate(2.0), aim_ms, now, rng.random() < 0.9
+                )
                 recorder.add(now, controller.allowed_rate, controller.integral, controller.tuned_rate)
--- a/lab/capacity/chain.py
+++ b/lab/capacity/chain.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from dunlinloft.balancer import interface as api
-from dunlinloft.balancer.interface import ListKind, Result
-from dunlinloft.balancer.logic import Balancer
+from dunlinloft.balancer.balancer import Balancer
+from dunlinloft.balancer.interface import ListUpdateKind, Result
 from lab.capacity import sizes
 from lab.capacity.model import Experiment, Figure
 
@@ -27,7 +27,7 @@
 ILL_MS, MEASURED_MS = 10_000.0, 20_000.0  # until the bottom falls ill; and for how long it is
 MOST_QUEUED = 20  # calls that wait at the bottom; more are turned away
 MOST_ATTEMPTS = 5
-CLASS = api.RequestClass("view", 750.0, 3000.0, repeat=api.Repeat.SAFE)
+CLASS = api.RequestClass("view", 750.0, 3000.0, idempotency=api.Idempotency.IDEMPOTENT)
 Done = Callable[[Result], None]
 
 
@@ -47,7 +47,7 @@
         if ill and self._room:
             wait = max(0.0, self._free_ms - chain.now)
             if wait > MOST_QUEUED * 1000.0 / self._room:
-                return chain.after(HOP_MS, done, Result.REFUSED)
+                return chain.after(HOP_MS, done, Result.REJECTED)
             self._free_ms = chain.now + wait + 1000.0 / self._room
             self.served += 1
             return chain.after(wait + WORK_MS, done, Result.SERVED)
@@ -67,7 +67,7 @@
         self._attempts: dict[str, int] = {}
         self.asked = self.sent = 0
         entries = [api.ServerEntry(n + 1, zone="z") for n in range(SERVERS)]
-        self._do(self._balancer.handle(api.ServerList(ListKind.FULL, 1, entries), 0.0))
+        self._do(self._balancer.handle(api.ServerListUpdate(ListUpdateKind.SNAPSHOT, 1, entries), 0.0))
 
     def call(self, ttl_ms: float, done: Done) -> None:
         """A request comes, with the time that it has left."""
@@ -86,8 +86,8 @@
                     self._send(action)
                 case api.SetTimer():
                     self._chain.after(action.delay_ms, self._handle, api.TimerFired(action.token))
-                case api.Refuse():
-                    self._end(action.id, Result.REFUSED)
+                case api.Reject():
+                    self._end(action.id, Result.REJECTED)
                 case api.Fail():
                     self._end(action.id, Result.ERROR)
 
@@ -105,7 +105,7 @@
             took = self._chain.now - began
             if settled:
                 self._end(send.id, result)
-            self._handle(api.AttemptEnded(send.id, number, send.server, result, took, settled))
+            self._handle(api.AttemptCompleted(send.id, number, send.server, result, took, settled))
 
         self._chain.after(send.timeout_ms, ended, Result.TIMEOUT)
         self._chain.after(HOP_MS, self._below.call, send.timeout_ms, partial(self._back, ended))
--- a/lab/capacity/lists.py
+++ b/lab/capacity/lists.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from dunlinloft.balancer import interface as api
-from dunlinloft.balancer.interface import ListKind, Result
-from dunlinloft.balancer.logic import Balancer
+from dunlinloft.balancer.balancer import Balancer
+from dunlinloft.balancer.interface import ListUpdateKind, Result
 from dunlinloft.balancer.settings import read_settings
 from lab.capacity import sizes
 from lab.capacity.model import TIMED, Experiment, Figure
@@ -38,9 +38,9 @@
     return read_listing(json.loads(data))
 
 
-def _event(listing: Listing) -> api.ServerList:
-    kind = ListKind.FULL if listing.whole else ListKind.CHANGES
-    return api.ServerList(kind, listing.index, listing.entries)
+def _event(listing: Listing) -> api.ServerListUpdate:
+    kind = ListUpdateKind.SNAPSHOT if listing.whole else ListUpdateKind.DELTA
+    return api.ServerListUpdate(kind, listing.index, listing.entries)
 
 
 class _Caller:
@@ -61,7 +61,7 @@
                 self.sent += 1
         if len(self._out) > OUT:
             id, server = self._out.pop(0)
-            ended = api.AttemptEnded(id, 0, server, Result.SERVED, TAKES_MS, True)
+            ended = api.AttemptCompleted(id, 0, server, Result.SERVED, TAKES_MS, True)
             self._balancer.handle(ended, self.now)
 
 
@@ -86,9 +86,9 @@
     for n in range(REQUESTS):
         caller.ask(n)
     found["request"] = mean_us(lambda n: caller.ask(REQUESTS + n), REQUESTS)
-    found["slices"] = float(len(balancer.fleet.ready))
+    found["slices"] = float(len(balancer.server_set.ready))
     start = time.perf_counter()
-    balancer.avoided(caller.now)
+    balancer.excluded_count(caller.now)
     found["figures"] = 1e6 * (time.perf_counter() - start)
     return found
 
--- a/lab/capacity/membership.py
+++ b/lab/capacity/membership.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from dunlinloft.balancer.logic import Balancer
+from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.fleet import interface as fleet_api
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.membership.dissemination_queue import DisseminationQueue
--- a/lab/observation.py
+++ b/lab/observation.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from dunlinloft.balancer.logic import Balancer
+from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.coordination.quota.demand import NotQuotaOwner
 from dunlinloft.coordination.quota.owner import QuotaOwner
 from lab.control.cluster import Cluster
--- a/lab/virtual/host.py
+++ b/lab/virtual/host.py
@@ -145,7 +145,7 @@
     def _share(self, name: str) -> None:
         processes = [self.nodes[name], *self._old[name]]
         for node in processes:
-            node.turn(node.handle, api.Sharing(len(processes)))
+            node.turn(node.handle, api.ProcessCount(len(processes)))
 
     def hog(self, name: str, share: float) -> None:
         self.nodes[name].share = share
--- a/lab/virtual/member.py
+++ b/lab/virtual/member.py
@@ -119,8 +119,8 @@
         self._meeting, self._node = meeting, node
         settings = node.settings
         self._tier = float(settings.tier)
-        self.census = MemberCount(node.name, settings.number, settings.nodes)
-        self._place = settings.number, settings.nodes
+        self.census = MemberCount(node.name, settings.replica_index, settings.replicas)
+        self._place = settings.replica_index, settings.replicas
         groups = node.zones if AFFINITY in meeting.share else []
         self.shared = CORE(
             node.name, core.incarnation, settings.zone, settings.tier, meeting.share, quotas(settings),
@@ -201,9 +201,9 @@
                 case shared.Warn():
                     self._node.handle(hearsay(action.verdicts, self._marks))
                 case shared.Part():
-                    self._node.handle(node_api.Parts(action.quotas, action.retry_share))
+                    self._node.handle(node_api.QuotaShares(action.quotas, action.retry_share))
                 case shared.Cap():
-                    self._node.handle(node_api.Cohort(action.servers, action.share))
+                    self._node.handle(node_api.CanaryLimit(action.servers, action.share))
 
     def _know(self) -> None:
         since = self._since if self.releases is not None else None
--- a/lab/virtual/node.py
+++ b/lab/virtual/node.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING, Any
 
 from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.balancer.interface import Result
-from dunlinloft.balancer.logic import Balancer
 from dunlinloft.balancer.settings import read_settings
 from dunlinloft.fleet import interface as fleet_api
 from lab import records
@@ -33,7 +33,7 @@
 
 REQUEST_BYTES, ANSWER_BYTES = 400, 500
 DRAIN_TAKES_MS = 1900.0  # after a drain's begin, nothing new is taken from then on
-RESULTS = {"served": Result.SERVED, "error": Result.ERROR, "turned": Result.REFUSED}
+RESULTS = {"served": Result.SERVED, "error": Result.ERROR, "turned": Result.REJECTED}
 
 
 class Live:
@@ -151,7 +151,7 @@
         pin, known = self._bound(order)
         if not known:
             return self._finish(order.id, 503, "", 1000.0 * KNOWN_AGAIN_S)
-        self.handle(api.Request(order.id, order.name, ttl, order.tenant or None, False, pin=pin))
+        self.handle(api.Request(order.id, order.name, ttl, order.tenant or None, False, pinned_group=pin))
 
     def _bound(self, order: Order) -> tuple[str | None, bool]:
         """What the fleet says of a request: the zone that it is bound to, and whether that can be known."""
@@ -177,7 +177,7 @@
     def gone(self, id: str) -> None:
         """Its caller has left."""
         if self._live.pop(id, None) is not None:
-            self.handle(api.ClientGone(id))
+            self.handle(api.ClientDisconnected(id))
 
     def _finish(self, id: str, status: int, maker: str = "", advice_ms: float = 0.0) -> None:
         live = self._live.pop(id, None)
@@ -194,7 +194,7 @@
     def _overdue(self, id: str, live: Live) -> None:
         if self._live.get(id) is live:
             self._finish(id, 504)
-            self.handle(api.ClientGone(id))
+            self.handle(api.ClientDisconnected(id))
 
     def handle(self, event: api.Event) -> None:
         """Give the module an event and do what it says; what that raises waits its turn."""
@@ -220,7 +220,7 @@
                 self.after(action.delay_ms, self.handle, api.TimerFired(action.token))
             case api.Fail():
                 self._finish(action.id, 502)
-            case api.Refuse():
+            case api.Reject():
                 self._finish(action.id, 503, "", action.retry_after_ms)
             case api.Cancel():
                 live = self._live.get(action.id)
@@ -238,7 +238,7 @@
         live, server = self._live.get(id), self._known.get(number)
         if live is None or server is None or number not in self._in_service:
             count = len(live.attempts) if live is not None else 0
-            event = api.AttemptEnded(id, count, number, Result.MOOT, 0.0, live is None)
+            event = api.AttemptCompleted(id, count, number, Result.NOT_SENT, 0.0, live is None)
             return self.handle(event)
         now = self._host.now()
         timeout_ms = max(0.0, min(timeout_ms, live.ends_ms - MARGIN_MS - self.now()))
@@ -310,7 +310,7 @@
         settled = self._live.get(attempt.id) is not attempt.live
         took = (self._host.now() - attempt.began) * self._rate
         self.handle(
-            api.AttemptEnded(
+            api.AttemptCompleted(
                 attempt.id,
                 attempt.number,
                 self._host.numbers[attempt.server.name],
@@ -346,8 +346,8 @@
             numbers = self._host.numbers
             starts = {numbers[entry.name]: start_mark(entry.since_ms) for entry in entries}
             self.member.listed(starts, {numbers[entry.name]: entry.since_ms for entry in entries})
-        kind = api.ListKind.SAVED if whole else api.ListKind.CHANGES
-        self.handle(api.ServerList(kind, index, listed))
+        kind = api.ListUpdateKind.CACHED if whole else api.ListUpdateKind.DELTA
+        self.handle(api.ServerListUpdate(kind, index, listed))
 
     def reload(self, max_attempts: int) -> None:
         """Take new settings."""
@@ -357,13 +357,13 @@
 
     def placed(self, number: int, nodes: int) -> None:
         """The fleet has this node at another place."""
-        self.settings = replace(self.settings, number=number, nodes=nodes)
+        self.settings = replace(self.settings, replica_index=number, replicas=nodes)
         self.handle(api.Reconfigured(self.settings))
 
     def belief(self) -> dict[str, float]:
         """What it would say at its admin endpoint."""
         shares: dict[str, float] = {}
-        for tenant, (within, over) in self.balancer.shares.items():
+        for tenant, (within, over) in self.balancer.quota_counts.items():
             shares |= {f"within.{tenant}": float(within), f"over.{tenant}": float(over)}
         if self.member is not None:
             shares["fleet_sent_bytes"] = float(self.member.meeting.bytes[self.name])
@@ -371,8 +371,8 @@
                 shares["release_share"] = self.member.shared.follower.order.share
         return shares | {
             "inflight": float(len(self._live)),
-            "hosts_listed": float(len(self.balancer.fleet.servers)),
-            "hosts_down": float(self.balancer.avoided(self.now())),
+            "hosts_listed": float(len(self.balancer.server_set.servers)),
+            "hosts_down": float(self.balancer.excluded_count(self.now())),
             "backend_calls": float(self.written),
         }
 
--- a/orchidferry/config.py
+++ b/orchidferry/config.py
@@ -16,7 +16,17 @@
 from typing import Any, TypeVar
 
 from dunlinloft.balancer import interface as api
-from dunlinloft.balancer.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
+from dunlinloft.balancer.settings import (
+    NUMBER,
+    Json,
+    Location,
+    Malformed,
+    choice,
+    object_list,
+    optional,
+    read_settings,
+    required,
+)
 from orchidferry import logs
 
 Address = tuple[str, int]
@@ -25,7 +35,7 @@
 STATUSES = {
     "active": api.Health.IN_SERVICE,
     "leaving": api.Health.DRAINING,
-    "left": api.Health.GONE,
+    "left": api.Health.TERMINATED,
 }
 
 
@@ -128,18 +138,18 @@
 
 def address_at(obj: Json, key: str) -> Address:
     """The address that an object holds under a key."""
-    text = get(obj, key, str)
+    text = required(obj, key, str)
     try:
         return address(text)
     except Malformed as problem:
-        raise Malformed(f"{key!r}: {problem}", (obj, key, "127.0.0.1:9000")) from None
+        raise Malformed(f"{key!r}: {problem}", Location(obj, key, "127.0.0.1:9000")) from None
 
 
 def hex_digits(obj: Json, key: str) -> int:
     """A number written in hex digits and nothing else."""
-    text = get(obj, key, str)
+    text = required(obj, key, str)
     if not re.fullmatch("[0-9a-fA-F]+", text):
-        raise Malformed(f"{key!r} must be hex digits, not {text!r:.60}", (obj, key, "0"))
+        raise Malformed(f"{key!r} must be hex digits, not {text!r:.60}", Location(obj, key, "0"))
     return int(text, 16)
 
 
@@ -150,34 +160,36 @@
     addresses: dict[int, Address] = {}
     starts: dict[int, int] = {}
     since: dict[int, float] = {}
-    for item in objects(obj, "endpoints"):
-        server = server_id(get(item, "name", str))
-        since_ms = opt(item, "since_ms", NUMBER, 0)
+    for item in object_list(obj, "endpoints"):
+        server = server_id(required(item, "name", str))
+        since_ms = optional(item, "since_ms", NUMBER, 0)
         entries.append(
             api.ServerEntry(
                 server=server,
-                zone=opt(item, "zone", str, ""),
-                kind=opt(item, "type", str, ""),
-                cell=opt(item, "group", int, 0),
-                health=word(item, "status", STATUSES),
-                share=opt(item, "weight", NUMBER, 1.0),
+                zone=optional(item, "zone", str, ""),
+                kind=optional(item, "type", str, ""),
+                cell=optional(item, "group", int, 0),
+                health=choice(item, "status", STATUSES),
+                share=optional(item, "weight", NUMBER, 1.0),
                 started_ms=since_ms + offset_ms if since_ms > 0 else None,
             )
         )
         addresses[server] = address_at(item, "address")
         starts[server], since[server] = start_mark(since_ms), float(since_ms)
-    return Listing(get(obj, "index", int), get(obj, "snapshot", bool), entries, addresses, starts, since)
+    return Listing(
+        required(obj, "index", int), required(obj, "snapshot", bool), entries, addresses, starts, since
+    )
 
 
 def key_paths(obj: Json) -> frozenset[str]:
     """The keys that a configuration has, but for what may come and go with each start."""
-    settings = opt(obj, "settings", dict, {})
+    settings = optional(obj, "settings", dict, {})
     parts = {"": obj, "settings.": settings}
-    parts |= {f"settings.{name}.": opt(settings, name, dict, {}) for name in ("permissions", "rules")}
+    parts |= {f"settings.{name}.": optional(settings, name, dict, {}) for name in ("permissions", "rules")}
     paths = {
         prefix + key for prefix, part in parts.items() for key, value in part.items() if value is not None
     }
-    classes = objects(settings, "classes") if settings.get("classes") else []
+    classes = object_list(settings, "classes") if settings.get("classes") else []
     if classes and all("importance" in cls for cls in classes):
         paths.add("settings.classes.importance")
     return frozenset(paths - {"known", "management", "log"})
@@ -217,7 +229,7 @@
 
 def _located(root: Json, problem: Malformed) -> str:
     """What is wrong, behind the whole path of where it is."""
-    where = path_in(root, *problem.place[:2]) if problem.place is not None else None
+    where = path_in(root, problem.location.container, problem.location.key) if problem.location else None
     return f"{where}: {problem}" if where else str(problem)
 
 
@@ -236,83 +248,94 @@
 
 def read_fleet(obj: Json) -> FleetConfig | None:
     """The `fleet` object, where there is one; refused where the settings allow no peers."""
-    fleet = opt(obj, "fleet", dict, None)
+    fleet = optional(obj, "fleet", dict, None)
     if fleet is None:
         return None
-    allow = opt(opt(obj, "settings", dict, {}), "permissions", dict, {})
-    if opt(allow, "peers", bool, True) is False:
-        raise Malformed("'fleet' must be absent: settings.permissions.peers is false", (obj, "fleet", None))
-    seeds = get(fleet, "seeds", list)
+    allow = optional(optional(obj, "settings", dict, {}), "permissions", dict, {})
+    if optional(allow, "peers", bool, True) is False:
+        raise Malformed(
+            "'fleet' must be absent: settings.permissions.peers is false", Location(obj, "fleet", None)
+        )
+    seeds = required(fleet, "seeds", list)
     for n, seed in enumerate(seeds):
         if not isinstance(seed, str):
-            raise Malformed(f"seeds[{n}] must be a string, not {seed!r:.60}", (seeds, n, "127.0.0.1:7400"))
+            raise Malformed(
+                f"seeds[{n}] must be a string, not {seed!r:.60}", Location(seeds, n, "127.0.0.1:7400")
+            )
         address(seed)
-    voters = opt(fleet, "voters", list, [])
+    voters = optional(fleet, "voters", list, [])
     if len(voters) not in (0, 3, 5, 7) or not all(isinstance(name, str) for name in voters):
-        raise Malformed(f"'voters' must be 3, 5 or 7 names, not {voters!r:.60}", (fleet, "voters", []))
+        raise Malformed(
+            f"'voters' must be 3, 5 or 7 names, not {voters!r:.60}", Location(fleet, "voters", [])
+        )
     if len(set(voters)) < len(voters):
-        raise Malformed("'voters' names one twice", (fleet, "voters", []))
+        raise Malformed("'voters' names one twice", Location(fleet, "voters", []))
     address_at(fleet, "bind")
-    advertise = fleet["bind"] if fleet.get("advertise") is None else get(fleet, "advertise", str)
+    advertise = fleet["bind"] if fleet.get("advertise") is None else required(fleet, "advertise", str)
     address(advertise)
-    share, groups = _read_shared(fleet, opt(obj, "settings", dict, {}))
+    share, groups = _read_shared(fleet, optional(obj, "settings", dict, {}))
     if "releases" in share and not voters:
-        raise Malformed("'voters' must be named to share releases", (fleet, "voters", []))
+        raise Malformed("'voters' must be named to share releases", Location(fleet, "voters", []))
     cells = _read_cells(fleet, share, voters)
-    return FleetConfig(get(fleet, "name", str), fleet["bind"], advertise, seeds, voters, share, groups, cells)
+    return FleetConfig(
+        required(fleet, "name", str), fleet["bind"], advertise, seeds, voters, share, groups, cells
+    )
 
 
 def _read_cells(fleet: Json, share: frozenset[str], voters: list[str]) -> CellsConfig | None:
     """The `cells` object, where there is one; refused beside what needs a view of all members."""
-    cells = opt(fleet, "cells", dict, None)
+    cells = optional(fleet, "cells", dict, None)
     if cells is None:
         return None
     for key in ("service", "region"):
-        if not re.fullmatch(PLAIN_NAME, get(cells, key, str)):
+        if not re.fullmatch(PLAIN_NAME, required(cells, key, str)):
             text = f"{key!r} must be 1 to 64 of letters, digits, '.', '-' and '_', not {cells[key]!r:.60}"
-            raise Malformed(text, (cells, key, "a"))
-    most = opt(cells, "most", int, CELL)
+            raise Malformed(text, Location(cells, key, "a"))
+    most = optional(cells, "most", int, CELL)
     if not LEAST_CELL <= most <= MOST_CELL:
         text = f"'most' must be {LEAST_CELL} to {MOST_CELL} members of a cell, not {most!r:.60}"
-        raise Malformed(text, (cells, "most", CELL))
-    directory = opt(cells, "directory", list, [])
+        raise Malformed(text, Location(cells, "most", CELL))
+    directory = optional(cells, "directory", list, [])
     for n, place in enumerate(directory):
         if not isinstance(place, str):
             raise Malformed(
-                f"directory[{n}] must be a string, not {place!r:.60}", (directory, n, "127.0.0.1:7400")
+                f"directory[{n}] must be a string, not {place!r:.60}",
+                Location(directory, n, "127.0.0.1:7400"),
             )
         try:
             address(place)
         except Malformed as problem:
-            raise Malformed(f"directory[{n}]: {problem}", (directory, n, "127.0.0.1:7400")) from None
+            raise Malformed(f"directory[{n}]: {problem}", Location(directory, n, "127.0.0.1:7400")) from None
     if voters:
-        raise Malformed("'voters' must be absent: duties are not there beside 'cells'", (fleet, "voters", []))
+        raise Malformed(
+            "'voters' must be absent: duties are not there beside 'cells'", Location(fleet, "voters", [])
+        )
     if share - CELL_SHARE:
         text = f"'share' may name verdicts alone beside 'cells', not {sorted(share)!r:.60}"
-        raise Malformed(text, (fleet, "share", []))
+        raise Malformed(text, Location(fleet, "share", []))
     return CellsConfig(cells["service"], cells["region"], most, directory)
 
 
 def _read_shared(fleet: Json, settings: Json) -> tuple[frozenset[str], tuple[str, ...]]:
     """What is shared, and the homes of keyed requests."""
-    share = opt(fleet, "share", list, [])
+    share = optional(fleet, "share", list, [])
     for n, part in enumerate(share):
         if part not in SHARED:
             text = f"share[{n}] is {part!r:.60}, which is none of {', '.join(SHARED)}"
-            raise Malformed(text, (share, n, SHARED[0]))
-    groups = opt(fleet, "groups", list, [])
+            raise Malformed(text, Location(share, n, SHARED[0]))
+    groups = optional(fleet, "groups", list, [])
     if not all(isinstance(group, str) for group in groups) or len(set(groups)) < len(groups):
         raise Malformed(
-            f"'groups' must be names of zones, each once, not {groups!r:.60}", (fleet, "groups", [])
+            f"'groups' must be names of zones, each once, not {groups!r:.60}", Location(fleet, "groups", [])
         )
     if "affinity" in share:
         if len(groups) < 2:
             raise Malformed(
-                "'groups' must name the zones, two or more, to share affinity", (fleet, "groups", [])
+                "'groups' must name the zones, two or more, to share affinity", Location(fleet, "groups", [])
             )
-        if opt(settings, "siblings", int, 1) < LEAST_AFFINE:
+        if optional(settings, "siblings", int, 1) < LEAST_AFFINE:
             text = f"share: affinity needs {LEAST_AFFINE} nodes or more in settings.siblings"
-            raise Malformed(text, (fleet, "share", []))
+            raise Malformed(text, Location(fleet, "share", []))
     return frozenset(share), tuple(groups)
 
 
@@ -337,19 +360,22 @@
     """Turn the file's object into a configuration; `Malformed` or `ValueError` says what is wrong with it."""
     fleet = read_fleet(obj)
     if fleet is None:
-        raise Malformed("'fleet' is missing: it names the fleet whose directory this is", (obj, "fleet", {}))
+        raise Malformed(
+            "'fleet' is missing: it names the fleet whose directory this is", Location(obj, "fleet", {})
+        )
     for key in ("voters", "share", "cells"):
         if obj["fleet"].get(key):
             raise Malformed(
-                f"{key!r} must be absent: a directory's process only knows cells", (obj["fleet"], key, None)
+                f"{key!r} must be absent: a directory's process only knows cells",
+                Location(obj["fleet"], key, None),
             )
     return DirectoryConfig(
-        name=get(obj, "name", str),
+        name=required(obj, "name", str),
         seed=hex_digits(obj, "seed"),
         management=_management(obj),
-        zone=opt(obj, "zone", str, ""),
+        zone=optional(obj, "zone", str, ""),
         fleet=fleet,
-        log=word(opt(obj, "log", dict, {"form": logs.TEXT}), "form", logs.FORMS),
+        log=choice(optional(obj, "log", dict, {"form": logs.TEXT}), "form", logs.FORMS),
     )
 
 
@@ -358,23 +384,23 @@
     management = os.environ.get("NODE_MANAGEMENT")
     if management:
         return address(management)
-    return address_at(obj, "management") if opt(obj, "management", str, None) else None
+    return address_at(obj, "management") if optional(obj, "management", str, None) else None
 
 
 def parse_config(obj: Json) -> Config:
     """Turn the file's object into a configuration; `Malformed` or `ValueError` says what is wrong with it."""
-    limits = opt(obj, "limits", dict, {})
+    limits = optional(obj, "limits", dict, {})
     return Config(
-        name=get(obj, "name", str),
+        name=required(obj, "name", str),
         listen=address_at(obj, "listen"),
         discovery=address_at(obj, "discovery"),
         seed=hex_digits(obj, "seed"),
         management=_management(obj),
-        sockets=opt(limits, "sockets", int, 1024),
-        memory_mb=opt(limits, "memory_mb", NUMBER, 192),
-        known=read_listing(opt(obj, "known", dict, {"index": 0, "snapshot": True, "endpoints": []})),
-        settings=read_settings(get(obj, "settings", dict)),
+        sockets=optional(limits, "sockets", int, 1024),
+        memory_mb=optional(limits, "memory_mb", NUMBER, 192),
+        known=read_listing(optional(obj, "known", dict, {"index": 0, "snapshot": True, "endpoints": []})),
+        settings=read_settings(required(obj, "settings", dict)),
         keys=key_paths(obj),
         fleet=read_fleet(obj),
-        log=word(opt(obj, "log", dict, {"form": logs.TEXT}), "form", logs.FORMS),
+        log=choice(optional(obj, "log", dict, {"form": logs.TEXT}), "form", logs.FORMS),
     )
--- a/orchidferry/node.py
+++ b/orchidferry/node.py
@@ -14,8 +14,8 @@
 from typing import TYPE_CHECKING, Any
 
 from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.balancer.interface import Result
-from dunlinloft.balancer.logic import Balancer
 from orchidferry import logs
 from orchidferry.bodies import Memory
 from orchidferry.config import Address, Config, FleetConfig, Listing, key_id, now_ms
@@ -83,7 +83,7 @@
     def ended(self, result: Result, answer: Answer | None) -> None:
         self._node.ended(
             self._live,
-            api.AttemptEnded(
+            api.AttemptCompleted(
                 self._id, self._number, self._server, result, self._taken_ms(), False,
                 answer.report if answer is not None else None, self._live.message.body.repeatable(),
             ),
@@ -131,7 +131,7 @@
         self.figures = Figures(self._balancer.classes)
         self.figures.gauge("inflight", lambda: sum(live.whole_ms < math.inf for live in self._live.values()))
         self.figures.gauge("hosts_listed", lambda: len(self._addresses))
-        self.figures.gauge("hosts_down", lambda: self._balancer.avoided(now_ms()))
+        self.figures.gauge("hosts_down", lambda: self._balancer.excluded_count(now_ms()))
         self._upstream = Upstream(
             loop,
             settings.connect_timeout_ms,
@@ -197,7 +197,7 @@
 
     def _placed(self, number: int, nodes: int) -> None:
         """The fleet has this node at another place: its part of servers and budgets follows."""
-        self._handle(api.Reconfigured(replace(self.config.settings, number=number, nodes=nodes)))
+        self._handle(api.Reconfigured(replace(self.config.settings, replica_index=number, replicas=nodes)))
 
     def depart(self, handing_over: bool) -> None:
         """Tell the fleet that this process goes, before it drains."""
@@ -208,9 +208,9 @@
         """Let the module begin, with the list as this node last had it."""
         if self._peers is not None:
             self._peers.start()
-        self._take_listing(self.config.known, api.ListKind.SAVED)
+        self._take_listing(self.config.known, api.ListUpdateKind.CACHED)
         self._handle(api.Started())
-        if not self.config.settings.follow_list:
+        if not self.config.settings.subscribes:
             self._discovery.subscribe()
         self._loop.call_later(UNHEARD_S, self._wait_no_more)
 
@@ -228,7 +228,7 @@
         self._upstream.set_times(settings.connect_timeout_ms, settings.keepalive_ms)
         self._handle(api.Reconfigured(settings))
         if self._peers is not None:
-            self._peers.told(settings.number, settings.nodes)
+            self._peers.told(settings.replica_index, settings.replicas)
         if self._shared is not None:
             self._shared.know(settings)
         self.figures.reconfig_ok += 1
@@ -243,7 +243,7 @@
         if processes != self._processes:
             self._processes = processes
             self.memory.share(self.config.memory_mb / processes)
-            self._handle(api.Sharing(processes))
+            self._handle(api.ProcessCount(processes))
         while self._room() < 0 and self._upstream.close_oldest_idle():
             pass
         self.frontend.shed(-self._room())
@@ -295,7 +295,7 @@
         """Take a request, whose body may still be coming; from now on it is owed exactly one answer."""
         if message.cls not in self._balancer.classes:
             raise Unacceptable("no such class")
-        if self._balancer.classes[message.cls].repeat is api.Repeat.KEYED and message.key is None:
+        if self._balancer.classes[message.cls].idempotency is api.Idempotency.KEYED and message.key is None:
             raise Unacceptable("Idempotency-Key is missing")  # servers could not drop its repeats
         if message.id in self._live:
             raise Unacceptable("a request with this X-Call-Id is open")
@@ -319,7 +319,7 @@
         cls, pin, known = self._balancer.classes[message.cls], None, True
         if self._shared is not None:
             self._shared.asked(message.tenant)
-        if message.key is None or not (cls.affine or self._shared is not None):
+        if message.key is None or not (cls.affinity or self._shared is not None):
             return None, None, True
         key = key_id(message.key)
         if self._shared is not None:
@@ -338,7 +338,7 @@
             return
         attempt = live.attempts[-1] if live.attempts else None
         self._run_time(live, limited=attempt is None or not attempt.flowing)
-        self._handle(api.RequestWhole(live.message.id))
+        self._handle(api.RequestComplete(live.message.id))
         if attempt is not None and isinstance(attempt.owner, Sending):
             left_ms = live.ends_ms - MARGIN_MS - now_ms()
             self._upstream.limit(attempt, min(attempt.owner.timeout_ms, left_ms))
@@ -347,7 +347,7 @@
         """Nobody waits any more."""
         if not self._drop(live):
             return
-        self._handle(api.ClientGone(live.message.id))
+        self._handle(api.ClientDisconnected(live.message.id))
         # What is still coming in or going out has nowhere to come from or to go.
         for attempt in live.attempts:
             if attempt.flowing or not live.message.body.whole:
@@ -378,7 +378,7 @@
             logs.warning("overdue", "request %(id)s was not ended by its deadline", id=live.message.id)
             self.figures.ended(live.message.cls, 504)
             live.answering.answer(Reply(504, b"no answer in time"))
-            self._handle(api.ClientGone(live.message.id))
+            self._handle(api.ClientDisconnected(live.message.id))
             live.message.body.close()
 
     # The module
@@ -417,7 +417,7 @@
                 self._loop.call_later(action.delay_ms / 1000.0, self._handle, api.TimerFired(action.token))
             case api.Fail():
                 self._finish(action.id, Reply(502, b"failed"))
-            case api.Refuse():
+            case api.Reject():
                 self._finish(action.id, Reply(503, b"refused", retry_after_s=action.retry_after_ms / 1000.0))
             case api.Cancel():
                 attempt = self._attempts.get((action.id, action.attempt))
@@ -440,7 +440,9 @@
             number = len(live.attempts) if live is not None else 0
             repeatable = live is not None and live.message.body.repeatable()
             settled = live is None
-            event = api.AttemptEnded(action.id, number, server, Result.MOOT, 0.0, settled, None, repeatable)
+            event = api.AttemptCompleted(
+                action.id, number, server, Result.NOT_SENT, 0.0, settled, None, repeatable
+            )
             return self._handle(event)
         # Cut to what is left: an outcome must come before the answer is due.
         timeout_ms = max(0.0, min(action.timeout_ms, live.ends_ms - MARGIN_MS - now_ms()))
@@ -449,7 +451,7 @@
         sending, number = Sending(self, live, server, timeout_ms), len(live.attempts)
         head = request_head(live.message, address, timeout_ms, chunked)
         attempt = self._upstream.send(
-            server, address, head, body, chunked, timeout_ms, sending, action.within_ms
+            server, address, head, body, chunked, timeout_ms, sending, action.send_window_ms
         )
         live.attempts.append(attempt)
         if not attempt.over:
@@ -478,7 +480,7 @@
         live.answering.begin(answer.content_type, answer.length, flow)
         self._handle(event)
 
-    def ended(self, live: Live, event: api.AttemptEnded, answer: Answer | None) -> None:
+    def ended(self, live: Live, event: api.AttemptCompleted, answer: Answer | None) -> None:
         """An attempt is over; with a whole answer the request is, and with a broken one that flowed."""
         attempt = self._attempts.pop((event.id, event.attempt), None)
         owed = self._live.get(event.id) is live
@@ -490,7 +492,7 @@
             live.message.body.close()
         elif owed and event.result is Result.SERVED and answer is not None:
             self._finish(event.id, Reply(200, answer.body, answer.content_type))
-        event.settled = self._live.get(event.id) is not live
+        event.final = self._live.get(event.id) is not live
         self._handle(event)
         if self._shared is not None:
             self._shared.ended(event.server, live.message.cls, event.result, event.duration_ms)
@@ -499,11 +501,13 @@
 
     def _on_news(self, listing: Listing | None, why: str) -> None:
         if listing is not None:
-            self._take_listing(listing, api.ListKind.FULL if listing.whole else api.ListKind.CHANGES)
+            self._take_listing(
+                listing, api.ListUpdateKind.SNAPSHOT if listing.whole else api.ListUpdateKind.DELTA
+            )
             return
         logs.info("discovery failed", "discovery: %(why)s", why=why)
-        if self.config.settings.follow_list:
-            self._handle(api.ServerList(api.ListKind.FAILED))
+        if self.config.settings.subscribes:
+            self._handle(api.ServerListUpdate(api.ListUpdateKind.FAILED))
         else:
             self._loop.call_later(self.pause_s(), self._discovery.subscribe)
 
@@ -511,12 +515,12 @@
         """With jitter: what fails at one node often fails at all of them in the same moment."""
         return PUSHED_RETRY_S * (0.5 + self._rng.random())
 
-    def _take_listing(self, listing: Listing, kind: api.ListKind) -> None:
-        if kind is not api.ListKind.CHANGES:
+    def _take_listing(self, listing: Listing, kind: api.ListUpdateKind) -> None:
+        if kind is not api.ListUpdateKind.DELTA:
             for server in self._addresses.keys() - listing.addresses.keys():
                 self._forget(server)
         for entry in listing.entries:
-            if entry.health is api.Health.GONE:
+            if entry.health is api.Health.TERMINATED:
                 self._forget(entry.server)
                 continue
             self._addresses[entry.server] = listing.addresses[entry.server]
@@ -524,7 +528,7 @@
                 self._in_service.add(entry.server)
             else:
                 self._in_service.discard(entry.server)
-        self._handle(api.ServerList(kind, listing.index, listing.entries))
+        self._handle(api.ServerListUpdate(kind, listing.index, listing.entries))
         if self._shared is not None:
             self._shared.listed(listing)
 
--- a/orchidferry/peers.py
+++ b/orchidferry/peers.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, cast
 
+from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.balancer.interface import Event, Settings
-from dunlinloft.balancer.logic import Balancer
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.cells.cut import Cut
 from dunlinloft.fleet.cells.messages import Message as CellMessage
@@ -79,7 +79,7 @@
         """A node, by its configuration."""
         settings = config.settings
         return cls(
-            config.name, config.seed, settings.zone, settings.tier, settings.number, settings.nodes
+            config.name, config.seed, settings.zone, settings.tier, settings.replica_index, settings.replicas
         )  # fmt: skip
 
 
--- a/orchidferry/shared.py
+++ b/orchidferry/shared.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING, Any
 
 from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.balancer.interface import Result
-from dunlinloft.balancer.logic import Balancer
 from dunlinloft.fleet.cells.totals import CellCensus
 from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
@@ -30,18 +30,18 @@
 KNOWN_S = 0.25  # how often the fleet's part hears what the node knows
 HOW = {
     Result.SERVED: "good", Result.ERROR: "error", Result.RESET: "lost", Result.TIMEOUT: "lost",
-    Result.UNREACHABLE: "lost", Result.REFUSED: "full",
+    Result.UNREACHABLE: "lost", Result.REJECTED: "full",
 }  # fmt: skip
 
 
 def window_ms(settings: api.Settings) -> float:
     """The longest time within which servers drop the repeats of a keyed request."""
-    return max((cls.window_ms for cls in settings.classes if bound(cls)), default=0.0)
+    return max((cls.dedup_window_ms for cls in settings.classes if bound(cls)), default=0.0)
 
 
 def bound(cls: api.RequestClass) -> bool:
     """Whether requests of a class are to stay in one zone, wherever they come in."""
-    return cls.repeat is api.Repeat.KEYED and cls.group is api.Group.ZONE
+    return cls.idempotency is api.Idempotency.KEYED and cls.dedup_scope is api.DedupScope.ZONE
 
 
 def quotas(settings: api.Settings) -> dict[str, float]:
@@ -53,26 +53,26 @@
     balancer: Balancer, starts: dict[int, int], since_ms: dict[int, float] | None, now: float
 ) -> shared.Known:
     """What a node knows of its servers and its loop now; with `since_ms` also what releases need."""
-    listed = {server: starts.get(server, 0) for server in balancer.fleet.servers}
+    listed = {server: starts.get(server, 0) for server in balancer.server_set.servers}
     loop = balancer.controller
     servers: dict[int, Server] = {}
     if since_ms is not None:
-        ready = {server.id for server in balancer.fleet.ready}
-        for id, server in balancer.fleet.servers.items():
-            warmth = server.warmth(now, balancer.settings)
-            weight = server.part * warmth if id in ready else 0.0
+        ready = {server.id for server in balancer.server_set.ready}
+        for id, server in balancer.server_set.servers.items():
+            warmth = server.slow_start_share(now, balancer.settings)
+            weight = server.subset_share * warmth if id in ready else 0.0
             servers[id] = Server(mark(server.zone), since_ms.get(id, 0.0), weight, warmth < 1.0)
     return shared.Known(
-        listed, frozenset(balancer.silent(now)), balancer.zones(now), loop.allowed_rate, loop.tuned_rate,
-        servers,
+        listed, frozenset(balancer.unresponsive_servers(now)), balancer.zone_capacity(now),
+        loop.allowed_rate, loop.tuned_rate, servers,
     )  # fmt: skip
 
 
-def hearsay(verdicts: list[shared.Verdict], marks: dict[int, str]) -> api.Hearsay:
+def hearsay(verdicts: list[shared.Verdict], marks: dict[int, str]) -> api.PeerVerdicts:
     """The fleet's verdicts in the module's terms."""
-    return api.Hearsay(
+    return api.PeerVerdicts(
         [
-            api.Verdict(
+            api.PeerVerdict(
                 v.server, v.avoid, frozenset(marks[m] for m in v.classes if m in marks), v.slow, v.trial
             )
             for v in verdicts
@@ -150,8 +150,8 @@
         self._alone()
 
     def _alone(self) -> None:
-        self._told(api.Hearsay([]))
-        self._told(api.Parts({}))
+        self._told(api.PeerVerdicts([]))
+        self._told(api.QuotaShares({}))
 
     def _do(self, actions: list[shared.Action]) -> None:
         for action in actions:
@@ -165,9 +165,9 @@
                 case shared.Warn():
                     self._told(hearsay(action.verdicts, self._marks))
                 case shared.Part():
-                    self._told(api.Parts(action.quotas, action.retry_share))
+                    self._told(api.QuotaShares(action.quotas, action.retry_share))
                 case shared.Cap():
-                    self._told(api.Cohort(action.servers, action.share))
+                    self._told(api.CanaryLimit(action.servers, action.share))
 
     def _know(self) -> None:
         if self._over:
@@ -198,7 +198,7 @@
         self._starts |= listing.starts
         self._since |= listing.since_ms
         self._names |= {server: f"{host}:{port}" for server, (host, port) in listing.addresses.items()}
-        gone = [entry.server for entry in listing.entries if entry.health is api.Health.GONE]
+        gone = [entry.server for entry in listing.entries if entry.health is api.Health.TERMINATED]
         for server in gone:
             self._starts.pop(server, None)
             self._since.pop(server, None)
--- a/orchidferry/upstream.py
+++ b/orchidferry/upstream.py
@@ -115,7 +115,7 @@
 
     def _expire(self) -> None:
         if not self.written:  # the server can't have begun, as it waits for the last byte
-            self.break_off(Result.MOOT)
+            self.break_off(Result.NOT_SENT)
 
     def carried_by(self, cancel_io: Callable[[], object]) -> None:
         """Note what stops the attempt where it is: its dial, or its connection."""
@@ -384,7 +384,7 @@
             result = Result.SERVED
         else:
             refused = self._status in (503, 504) and self._rejected
-            result = Result.REFUSED if refused else Result.ERROR
+            result = Result.REJECTED if refused else Result.ERROR
         self._end(result, self._keep and self._attempt.written, answer)
 
     def _let_go(self) -> Attempt | None:
@@ -570,7 +570,7 @@
         # Connecting took time: the request may have ended, its server may have been called off.
         if attempt.over or attempt.expired() or not attempt.owner.may_send():
             self.put_back(connection)
-            attempt.end(Result.MOOT)
+            attempt.end(Result.NOT_SENT)
         else:
             connection.carry(attempt)
 
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from dunlinloft.balancer import interface as api
-from dunlinloft.balancer.interface import Group, Health, ListKind, Repeat, Result
+from dunlinloft.balancer.interface import DedupScope, Health, Idempotency, ListUpdateKind, Result
 
 
 class Broken(AssertionError):
@@ -48,16 +48,16 @@
         if isinstance(event, api.Request):
             self.taken[event.id] = Taken(self.classes[event.cls], now + event.ttl_ms)
             self.taken_at.append(now)
-        elif isinstance(event, api.AttemptEnded) and event.id in self.taken:
+        elif isinstance(event, api.AttemptCompleted) and event.id in self.taken:
             request = self.taken[event.id]
             request.attempts[event.attempt].result = event.result
-            request.over = request.over or event.settled
-        elif isinstance(event, api.ClientGone) and event.id in self.taken:
+            request.over = request.over or event.final
+        elif isinstance(event, api.ClientDisconnected) and event.id in self.taken:
             self.taken[event.id].over = True
-        elif isinstance(event, api.ServerList) and event.kind is not ListKind.FAILED:
+        elif isinstance(event, api.ServerListUpdate) and event.kind is not ListUpdateKind.FAILED:
             listed = {entry.server: entry for entry in event.entries}
             for number in self.known:
-                if event.kind is not ListKind.CHANGES and number not in listed:
+                if event.kind is not ListUpdateKind.DELTA and number not in listed:
                     self.out_of_service.setdefault(number, now)
             for number, entry in listed.items():
                 self.known[number] = entry
@@ -69,16 +69,18 @@
     def action(self, action: api.Action, now: float) -> None:
         if isinstance(action, api.Send):
             self._send(action, now)
-        elif isinstance(action, api.Fail | api.Refuse):
+        elif isinstance(action, api.Fail | api.Reject):
             request = self.taken[action.id]
             self._need(not request.over, "rule 1: a second final answer")
             late = now > request.deadline + self.settings.answer_slack_ms
             self._need(not late, "rule 1: an answer after the deadline")
             request.over = True
-            if isinstance(action, api.Refuse):
+            if isinstance(action, api.Reject):
                 cls = request.cls
-                everywhere = cls.repeat is Repeat.KEYED and cls.group is Group.ALL
-                harmless = cls.repeat is Repeat.SAFE or everywhere or not self._may_have_run(request)
+                everywhere = cls.idempotency is Idempotency.KEYED and cls.dedup_scope is DedupScope.ALL
+                harmless = (
+                    cls.idempotency is Idempotency.IDEMPOTENT or everywhere or not self._may_have_run(request)
+                )
                 self._need(harmless, "rule 2: a refusal of what may have run")
 
     def end(self) -> None:
@@ -92,28 +94,32 @@
         self._need(len(request.attempts) < self.settings.max_attempts, "more attempts than allowed")
         out = [attempt for attempt in request.attempts if attempt.result is None]
         self._need(not out or self.settings.parallel_attempts, "two attempts at once")
-        group = {Group.ALL: None, Group.ZONE: server.zone, Group.CELL: server.cell}[cls.group]
+        group = {DedupScope.ALL: None, DedupScope.ZONE: server.zone, DedupScope.CELL: server.cell}[
+            cls.dedup_scope
+        ]
         ran = self._may_have_run(request)
         if ran:
-            self._need(cls.repeat is not Repeat.UNSAFE, "rule 2: an unsafe request sent again")
-        if ran and cls.repeat is Repeat.KEYED:
+            self._need(
+                cls.idempotency is not Idempotency.NON_IDEMPOTENT, "rule 2: an unsafe request sent again"
+            )
+        if ran and cls.idempotency is Idempotency.KEYED:
             self._need(all(attempt.group == group for attempt in ran), "rule 2: another group")
-            self._need(now - ran[0].at <= cls.window_ms, "rule 2: after the window")
+            self._need(now - ran[0].at <= cls.dedup_window_ms, "rule 2: after the window")
         since = self.out_of_service.get(send.server, now)
         self._need(now - since <= self.settings.drain_grace_ms, "rule 3: sent to a server that drains")
-        if request.attempts and self.settings.repeat_ratio is not None:
-            span = self.settings.resend_span_ms
+        if request.attempts and self.settings.retry_budget_ratio is not None:
+            span = self.settings.retry_budget_window_ms
             self.further_at.append(now)
             further = sum(at >= now - span for at in self.further_at)
             taken = sum(at > now - span for at in self.taken_at)
-            allowed = self.settings.extra_floor + self.settings.repeat_ratio * taken
+            allowed = self.settings.retry_budget_floor + self.settings.retry_budget_ratio * taken
             self._need(further <= allowed, "rule 5: beyond the budget of attempts")
         request.attempts.append(Attempt(now, send.server, group))
 
     def _may_have_run(self, request: Taken) -> list[Attempt]:
-        proofs = {Result.UNREACHABLE, Result.MOOT}
-        if not self.settings.full_may_have_run:
-            proofs.add(Result.REFUSED)  # rule 6
+        proofs = {Result.UNREACHABLE, Result.NOT_SENT}
+        if not self.settings.rejected_may_have_run:
+            proofs.add(Result.REJECTED)  # rule 6
         return [attempt for attempt in request.attempts if attempt.result not in proofs]
 
     @staticmethod
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,11 +6,15 @@
 from typing import Any
 
 from dunlinloft.balancer import interface as api
-from dunlinloft.balancer.logic import Balancer
-
-SAFE = api.RequestClass("safe", 1000.0, 3000.0, 1.0, repeat=api.Repeat.SAFE)
-KEYED = api.RequestClass("keyed", 1000.0, 3000.0, 2.0, 0.0, api.Repeat.KEYED, api.Group.CELL, 2000.0)
-KEYED_ALL = api.RequestClass("keyed_all", 1000.0, 3000.0, 2.0, 0.0, api.Repeat.KEYED, api.Group.ALL, 2000.0)
+from dunlinloft.balancer.balancer import Balancer
+
+SAFE = api.RequestClass("safe", 1000.0, 3000.0, 1.0, idempotency=api.Idempotency.IDEMPOTENT)
+KEYED = api.RequestClass(
+    "keyed", 1000.0, 3000.0, 2.0, 0.0, api.Idempotency.KEYED, api.DedupScope.CELL, 2000.0
+)
+KEYED_ALL = api.RequestClass(
+    "keyed_all", 1000.0, 3000.0, 2.0, 0.0, api.Idempotency.KEYED, api.DedupScope.ALL, 2000.0
+)
 UNSAFE = api.RequestClass("unsafe", 1000.0, 3000.0, 8.0)
 
 
@@ -18,8 +22,8 @@
     defaults: dict[str, Any] = {
         "classes": [SAFE, KEYED, KEYED_ALL, UNSAFE],
         "max_attempts": 3,
-        "start_capacity": 0.25,
-        "ramp_time_ms": 8000.0,
+        "slow_start_initial_share": 0.25,
+        "slow_start_ms": 8000.0,
         "overload_factor": 3.0,
         "overload_for_ms": 1000.0,
         "drain_grace_ms": 500.0,
@@ -54,10 +58,10 @@
         return actions
 
     def list_all(self, servers: list[api.ServerEntry], version: int = 1) -> list[api.Action]:
-        return self.do(api.ServerList(api.ListKind.FULL, version, servers))
+        return self.do(api.ServerListUpdate(api.ListUpdateKind.SNAPSHOT, version, servers))
 
     def change(self, *servers: api.ServerEntry) -> list[api.Action]:
-        return self.do(api.ServerList(api.ListKind.CHANGES, 2, list(servers)))
+        return self.do(api.ServerListUpdate(api.ListUpdateKind.DELTA, 2, list(servers)))
 
     def ask(
         self, id: str, cls: str = "safe", ttl_ms: float = 3000.0, tenant: str | None = None
@@ -71,7 +75,7 @@
         self.now += after_ms
         number = len(self.sent[id]) - 1
         settled = result is api.Result.SERVED if settled is None else settled
-        event = api.AttemptEnded(id, number, self.sent[id][number], result, after_ms, settled)
+        event = api.AttemptCompleted(id, number, self.sent[id][number], result, after_ms, settled)
         return self.do(event)
 
     def serve(self, count: int, cls: str = "safe", gap_ms: float = 10.0, delay_ms: float = 50.0) -> list[int]:
@@ -95,4 +99,4 @@
 
 
 def ends(actions: list[api.Action]) -> list[api.Action]:
-    return [a for a in actions if isinstance(a, api.Fail | api.Refuse)]
+    return [a for a in actions if isinstance(a, api.Fail | api.Reject)]
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -5,14 +5,20 @@
 
 import pytest
 
-from dunlinloft.balancer.logic import ADDED, PHASE_MARGIN, START, TARGET_SHARE, DelayController
+from dunlinloft.balancer.delay_controller import (
+    ADDED_CALLS_PER_SERVER,
+    INITIAL_CALLS_PER_SERVER,
+    PHASE_MARGIN,
+    TARGET_SHARE,
+    DelayController,
+)
 
 
 def steady(controller: DelayController, delay_ms: float, count: int, gap_ms: float = 100.0) -> float:
     now = 0.0
     for _ in range(count):
         now += gap_ms
-        controller.answered(delay_ms, 1000.0, now, True)
+        controller.record_answer(delay_ms, 1000.0, now, True)
     return now
 
 
@@ -39,13 +45,13 @@
 def test_integral_and_rate_by_hand() -> None:
     """Two answers of 100 ms, aim 1 s, one second apart: tau0 = 0.4 s, e = 0.3 s."""
     controller = DelayController()
-    controller.answered(100.0, 1000.0, 1000.0, True)
+    controller.record_answer(100.0, 1000.0, 1000.0, True)
     # nu1 = 1 / 1 s; a fresh copy starts with its integral at nu1, where both are clamped.
     assert controller.tuned_rate == pytest.approx(1.0)
     assert controller.integral == pytest.approx(1.0)
     assert controller.allowed_rate == pytest.approx(1.0)
-    controller.answered(1300.0, 1000.0, 2000.0, True)
-    # The older sample has faded by exp(-1/5), and two show their error as two of FEW_SAMPLES = 4:
+    controller.record_answer(1300.0, 1000.0, 2000.0, True)
+    # The older sample has faded by exp(-1/5), and two show their error as two of MIN_SAMPLES = 4:
     # e = (0.3 * 0.81873 - 0.9) / 4 = -0.16360. nu1 leaves its band (1 + exp(-1/5) = 1.8187 > 1.5:
     # retuned, the integral scaled along).
     rate, error = 1.0 + math.exp(-0.2), (0.3 * math.exp(-0.2) - 0.9) / 4.0
@@ -64,20 +70,20 @@
             now += 200.0
             if controller is watched:
                 controller.window(1.0, now - 10.0)
-            controller.answered(700.0, 1000.0, now, True)
+            controller.record_answer(700.0, 1000.0, now, True)
     assert watched.integral == pytest.approx(plain.integral, rel=0.01)
-    assert 0.0 < plain.shed(now) < 1.0
+    assert 0.0 < plain.shed_share(now) < 1.0
 
 
 def test_what_is_shed_fades_with_its_evidence() -> None:
     """i45f18d: copies shed 80% on samples ten seconds old, and so saw no answers that could tell."""
     controller = DelayController()
     now = steady(controller, 2000.0, 50)
-    shed = controller.shed(now)
+    shed = controller.shed_share(now)
     assert shed > 0.5
-    assert controller.shed(now + 20_000.0) <= 0.2 * shed
-    controller.answered(100.0, 1000.0, now + 20_000.0, True)
-    assert controller.shed(now + 20_000.0) < 0.5 * shed
+    assert controller.shed_share(now + 20_000.0) <= 0.2 * shed
+    controller.record_answer(100.0, 1000.0, now + 20_000.0, True)
+    assert controller.shed_share(now + 20_000.0) < 0.5 * shed
 
 
 def test_gains_are_kept_inside_the_retune_band() -> None:
@@ -86,7 +92,7 @@
     tuned = controller.tuned_rate
     for _ in range(20):  # ten per cent faster
         now += 90.0
-        controller.answered(100.0, 1000.0, now, True)
+        controller.record_answer(100.0, 1000.0, now, True)
     assert controller.tuned_rate == tuned
 
 
@@ -97,7 +103,7 @@
     assert controller.retry_probability(now) == 0.0
     for _ in range(50):
         now += 100.0
-        controller.answered(100.0, 1000.0, now, True)
+        controller.record_answer(100.0, 1000.0, now, True)
     assert controller.retry_probability(now) == 1.0
 
 
@@ -109,8 +115,8 @@
         for _ in range(300):
             now += rng.expovariate(per_s / 1000.0)
             scale = delay_ms * (tail - 1.0) / tail
-            controller.answered(scale * rng.paretovariate(tail), 1000.0, now, True)
-            total += controller.shed(now)
+            controller.record_answer(scale * rng.paretovariate(tail), 1000.0, now, True)
+            total += controller.shed_share(now)
     return total / 20 / 300
 
 
@@ -124,12 +130,12 @@
     """Pohjola's quiet day: requests were refused in the first seconds."""
     controller = DelayController()
     for k in range(20):
-        assert controller.window(4.0, 100.0 * k) == START * 4.0
+        assert controller.window(4.0, 100.0 * k) == INITIAL_CALLS_PER_SERVER * 4.0
     now = 2000.0
     for _ in range(30):
         now += 50.0
-        controller.answered(600.0, 4000.0, now, True)
-    added = ADDED * 4.0
+        controller.record_answer(600.0, 4000.0, now, True)
+    added = ADDED_CALLS_PER_SERVER * 4.0
     assert controller.window(4.0, now) - added > 0.9 * 20 * TARGET_SHARE * 4.0  # nu1 20 a second, aim 4 s
 
 
@@ -137,7 +143,7 @@
     """case2553: a window for three quarters of the target refused calls while the loop had no error."""
     controller, delay_ms = DelayController(), 0.99 * TARGET_SHARE * 1000.0
     now = steady(controller, delay_ms, 300, gap_ms=10.0)
-    assert controller.shed(now) == 0.0
+    assert controller.shed_share(now) == 0.0
     assert controller.window(0.0, now) >= 0.95 * 100.0 * delay_ms / 1000.0  # nu1 100 a second
 
 
@@ -160,6 +166,6 @@
     for _ in range(600):
         rate = outstanding / delay_s
         now += 1000.0 / rate
-        controller.answered(1000.0 * delay_s, 1000.0, now, True)
+        controller.record_answer(1000.0 * delay_s, 1000.0, now, True)
         outstanding = controller.window(4.0, now)
     assert outstanding > 2.0 * 4.0
--- a/tests/test_dataplane_retry_budget.py
+++ b/tests/test_dataplane_retry_budget.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dunlinloft.balancer.logic import DelayController
+from dunlinloft.balancer.delay_controller import DelayController
 from dunlinloft.dataplane.retry_budget import RetryBudget, retry_gate_opens
 
 
@@ -36,9 +36,9 @@
     now = 0.0
     for _ in range(200):
         now += 20.0
-        controller.answered(20.0, 200.0, now, True)
+        controller.record_answer(20.0, 200.0, now, True)
     assert all(retry_gate_opens(controller, draw / 10.0, now) for draw in range(10))
     for _ in range(600):
         now += 20.0
-        controller.answered(900.0, 200.0, now, True)
+        controller.record_answer(900.0, 200.0, now, True)
     assert sum(retry_gate_opens(controller, draw / 10.0, now) for draw in range(10)) <= 1
--- a/tests/test_discovery_bound.py
+++ b/tests/test_discovery_bound.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from dunlinloft.balancer.logic import ASK_MOST_MS
+from dunlinloft.balancer.balancer import ASK_MOST_MS
 from orchidferry.config import address
 from orchidferry.discovery import CALL_MS, GRACE_MS, WATCH_MS
 from orchidferry.node import PUSHED_RETRY_S
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -100,8 +100,8 @@
 
 
 def test_processes_of_one_node_split_the_budgets_of_cold_servers_and_repeats() -> None:
-    node = Node(repeat_ratio=0.0, extra_floor=4.0, resend_span_ms=10_000.0)
-    node.do(api.Sharing(4))
+    node = Node(retry_budget_ratio=0.0, retry_budget_floor=4.0, retry_budget_window_ms=10_000.0)
+    node.do(api.ProcessCount(4))
     for n in range(3):
         node.ask(f"{n}")
         node.end(f"{n}", api.Result.ERROR)
@@ -113,7 +113,7 @@
     def cold_sends(processes: int) -> int:
         node = Node(servers=2)
         node.serve(200, gap_ms=0.0, delay_ms=5.0)
-        node.do(api.Sharing(processes))
+        node.do(api.ProcessCount(processes))
         node.change(api.ServerEntry(9, "z", "k", 1, started_ms=node.now))
         return node.serve(200, gap_ms=0.0, delay_ms=5.0).count(9)
 
--- a/tests/test_lab_oracle.py
+++ b/tests/test_lab_oracle.py
@@ -65,7 +65,7 @@
 
 
 def second_answer(node: Planted, action: api.Action) -> list[api.Action]:
-    if isinstance(action, api.Fail | api.Refuse) and action.id in node._live:
+    if isinstance(action, api.Fail | api.Reject) and action.id in node._live:
         order = node._live[action.id].order
         done = node._live[action.id].done
         node._host.after(5.0, done, 502, "", 0.0)
@@ -81,7 +81,7 @@
 
 
 def refuse_all(node: Planted, action: api.Action) -> list[api.Action]:
-    return [api.Refuse(action.id)] if isinstance(action, api.Fail) else [action]
+    return [api.Reject(action.id)] if isinstance(action, api.Fail) else [action]
 
 
 class Repeating(VirtualNode):
@@ -109,7 +109,7 @@
     """Takes servers that drain, or that start anew, for what they were."""
 
     def decide(self, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.ServerList):
+        if isinstance(event, api.ServerListUpdate):
             for entry in event.entries:
                 entry.health, entry.started_ms = api.Health.IN_SERVICE, None
                 self._in_service.add(entry.server)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-LOGIC = (ROOT / "dunlinloft" / "balancer" / "logic.py").read_text().splitlines()
+LOGIC = (ROOT / "dunlinloft" / "balancer" / "balancer.py").read_text().splitlines()
 
 
 def test_the_module_keeps_its_lines_and_columns() -> None:
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -7,9 +7,11 @@
 
 import pytest
 
-from dunlinloft.balancer import affine, logic
+from dunlinloft.balancer import balancer as logic
 from dunlinloft.balancer import interface as api
-from dunlinloft.balancer.averages import SlidingCount
+from dunlinloft.balancer.affinity import Member, choose_member
+from dunlinloft.balancer.averages import SlidingWindowCounter
+from dunlinloft.balancer.delay_controller import INITIAL_CALLS_PER_SERVER, TARGET_SHARE
 from dunlinloft.balancer.interface import Result
 from tests.helpers import KEYED, SAFE, UNSAFE, Node, ends, entries, sends, settings, timers
 
@@ -55,7 +57,7 @@
     node = Node()
     node.ask("a", "unsafe", 800.0)
     assert len(ends(node.end("a", Result.TIMEOUT, 800.0))) == 1
-    assert node.do(api.ClientGone("a")) == []
+    assert node.do(api.ClientDisconnected("a")) == []
 
 
 def test_rule_1_without_servers_a_request_still_ends_in_time() -> None:
@@ -65,7 +67,7 @@
     while not ends(actions):
         [timer] = timers(actions)
         actions = node.do(api.TimerFired(timer.token), timer.delay_ms)
-    assert isinstance(ends(actions)[0], api.Refuse)
+    assert isinstance(ends(actions)[0], api.Reject)
     assert node.now - start < 900.0
 
 
@@ -73,7 +75,7 @@
     node = Node()
     node.ask("a")
     [timer] = timers(node.end("a", Result.ERROR))
-    node.do(api.ClientGone("a"))
+    node.do(api.ClientDisconnected("a"))
     assert node.do(api.TimerFired(timer.token), timer.delay_ms) == []
 
 
@@ -87,7 +89,7 @@
 def test_rule_2_unsafe_is_repeated_when_it_never_ran() -> None:
     node = Node()
     node.ask("a", "unsafe")
-    [timer] = timers(node.end("a", Result.REFUSED))
+    [timer] = timers(node.end("a", Result.REJECTED))
     assert sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
 
 
@@ -128,12 +130,12 @@
 def test_a_failed_subscription_is_asked_for_again_with_jitter() -> None:
     delays = set()
     for salt in range(5):
-        node = Node(salt=salt, follow_list=True)
+        node = Node(salt=salt, subscribes=True)
         assert api.Subscribe() in [a for _, a in node.log]
-        [timer] = timers(node.do(api.ServerList(api.ListKind.FAILED)))
+        [timer] = timers(node.do(api.ServerListUpdate(api.ListUpdateKind.FAILED)))
         delays.add(timer.delay_ms)
         assert node.do(api.TimerFired(timer.token), timer.delay_ms) == [api.Subscribe()]
-        assert timer.delay_ms < node.balancer.settings.ask_every_ms / 4
+        assert timer.delay_ms < node.balancer.settings.poll_interval_ms / 4
     assert len(delays) == 5
 
 
@@ -165,7 +167,7 @@
     # akl big-2: two choked servers of fifty held up the whole tier.
     node = Node(servers=4)
     node.serve(80)
-    stuck = node.balancer.fleet.ready[0].id
+    stuck = node.balancer.server_set.ready[0].id
     given = 0
     for n in range(100):
         node.ask(f"r{n}")
@@ -182,7 +184,7 @@
         id = f"s{node.now}"
         node.ask(id)
         node.end(id, Result.SERVED, 400.0 if node.sent[id][0] == 0 else 50.0)
-    slow = node.balancer.fleet.servers[0]
+    slow = node.balancer.server_set.servers[0]
     assert slow.pace(node.now, 0.0) < 0.5
     assert node.serve(20, gap_ms=0.0).count(0) <= 2  # a fair part is 5
     assert slow.pace(node.now + 60_000.0, 0.0) == pytest.approx(1.0)
@@ -191,7 +193,7 @@
 def test_when_most_servers_look_slow_the_last_good_one_does_not_get_it_all() -> None:
     """case7198: of four servers three looked slow for a moment; the fourth got eight calls and choked."""
     node = Node(servers=4)
-    *slow, good = node.balancer.fleet.ready
+    *slow, good = node.balancer.server_set.ready
     for server in slow:
         server.slowness, server.slow_ms = 10.0, node.now
     picked = node.serve(60, gap_ms=0.0, delay_ms=0.0)
@@ -219,7 +221,7 @@
     for n in range(80):
         node.ask(f"e{n}", "unsafe")
         node.end(f"e{n}", Result.ERROR, 20.0)
-        assert sum(node.now < server.shut_ms for server in node.balancer.fleet.ready) <= 2
+        assert sum(node.now < server.shut_ms for server in node.balancer.server_set.ready) <= 2
 
 
 def test_copies_share_a_large_fleet_out_evenly() -> None:
@@ -227,36 +229,36 @@
     callers = dict.fromkeys(range(60), 0)
     load = dict.fromkeys(callers, 0.0)
     for number in range(40):
-        fleet = Node(60, nodes=40, number=number).balancer.fleet
+        fleet = Node(60, replicas=40, replica_index=number).balancer.server_set
         assert len(fleet.ready) < 30
-        assert math.isclose(sum(server.part for server in fleet.ready), logic.SLICES * 60 / 40)
+        assert math.isclose(sum(server.subset_share for server in fleet.ready), logic.SLICES * 60 / 40)
         for server in fleet.ready:
             callers[server.id] += 1
-            load[server.id] += server.part
+            load[server.id] += server.subset_share
     assert max(callers.values()) <= 40 / 2
     assert all(math.isclose(part, logic.SLICES) for part in load.values())
 
 
 def test_a_hot_caller_takes_more_of_the_fleet() -> None:
-    node = Node(60, nodes=40, tier=1)
-    few = len(node.balancer.fleet.ready)
+    node = Node(60, replicas=40, tier=1)
+    few = len(node.balancer.server_set.ready)
     node.serve(50)
-    assert len(node.balancer.fleet.ready) == few
+    assert len(node.balancer.server_set.ready) == few
     for n in range(40):
         node.ask(f"{n}")
-    assert len(node.balancer.fleet.ready) > few
+    assert len(node.balancer.server_set.ready) > few
     assert len({server for sent in node.sent.values() for server in sent}) > few
     node.list_all(entries(range(60)))
-    assert len(node.balancer.fleet.ready) == few
+    assert len(node.balancer.server_set.ready) == few
 
 
 def test_a_pinned_repeat_may_leave_the_copys_part_but_not_the_group() -> None:
-    node = Node(40, nodes=40)
-    own = {server.id for server in node.balancer.fleet.ready}
+    node = Node(40, replicas=40)
+    own = {server.id for server in node.balancer.server_set.ready}
     node.ask("k", "keyed")
     (first,) = node.sent["k"]
     node.list_all(entries(n for n in range(40) if n == first or n % 2 != first % 2 or n not in own))
-    node.change(*entries([first], health=api.Health.GONE))
+    node.change(*entries([first], health=api.Health.TERMINATED))
     (timer,) = timers(node.end("k", Result.ERROR))
     node.do(api.TimerFired(timer.token), timer.delay_ms)
     again = node.sent["k"][1]
@@ -270,7 +272,7 @@
     node.serve(200)
     for n in range(300):
         node.ask(f"b{n}")
-    out = sum(s.inflight for s in node.balancer.fleet.ready)
+    out = sum(s.inflight for s in node.balancer.server_set.ready)
     assert out < 100
     waiting = [a for _, a in node.log if isinstance(a, api.SetTimer)]
     assert len(waiting) >= 200
@@ -285,7 +287,7 @@
     node.serve(200)
     for n in range(300):
         node.ask(f"b{n}")
-    assert sum(s.inflight for s in node.balancer.fleet.ready) == 300
+    assert sum(s.inflight for s in node.balancer.server_set.ready) == 300
 
 
 def fill(node: Node) -> int:
@@ -314,7 +316,7 @@
     node = Node(servers=4)
     node.serve(200)
     stuck = len(lose(node, lost))
-    room = node.balancer.controller.window(node.balancer.fleet.slice, node.now)
+    room = node.balancer.controller.window(node.balancer.server_set.slice, node.now)
     out = 0
     while not timers(node.ask(f"more{out}")):
         out += 1
@@ -330,16 +332,16 @@
     """zone+vast: for 10 s after a zone was back the loop shed half of what came, with few calls out."""
     node = Node(servers=4)
     node.serve(200)
-    usual = node.balancer.controller.shed(node.now)
+    usual = node.balancer.controller.shed_share(node.now)
     for id in lose(node, {0}):
         node.end(id, Result.TIMEOUT, 2000.0)
-    assert node.balancer.controller.shed(node.now) == usual == 0.0
+    assert node.balancer.controller.shed_share(node.now) == usual == 0.0
     slow = [f"slow{n}" for n in range(8)]
     for id in slow:
         node.ask(id)
     for n, id in enumerate(slow):  # all of them slow: that is the tier's delay
         node.end(id, (Result.SERVED, Result.TIMEOUT)[n % 2], 800.0)
-    assert node.balancer.controller.shed(node.now) > 0.0
+    assert node.balancer.controller.shed_share(node.now) > 0.0
 
 
 def test_the_window_follows_the_capacity_that_is_left() -> None:
@@ -354,7 +356,7 @@
     left = 0
     while not timers(node.ask(f"left{left}")):
         left += 1
-    warm = (4.0 + 6.0 * node.balancer.settings.start_capacity) / 10.0
+    warm = (4.0 + 6.0 * node.balancer.settings.slow_start_initial_share) / 10.0
     assert left == pytest.approx(warm * whole, abs=1.0)
 
 
@@ -374,21 +376,21 @@
     node = Node(servers=4)
     load(node, 100, own_ms)
     load(node, 60, delay_ms)
-    assert (node.balancer.controller.shed(node.now) > 0.0) is sheds
-    assert (node.balancer.controller.target_share > logic.TARGET_SHARE) is not sheds
+    assert (node.balancer.controller.shed_share(node.now) > 0.0) is sheds
+    assert (node.balancer.controller.target_share > TARGET_SHARE) is not sheds
 
 
 def test_a_tier_that_is_slow_from_the_start_is_not_taken_for_a_target_without_bound() -> None:
     node = Node(servers=4)
     load(node, 1000, 900.0)
     assert node.balancer.controller.target_share == logic.TARGET_MOST
-    assert node.balancer.controller.shed(node.now) > 0.0
+    assert node.balancer.controller.shed_share(node.now) > 0.0
 
 
 def test_with_all_servers_out_of_reach_a_call_is_still_tried() -> None:
     node = Node(servers=2)
     node.serve(100)
-    for server in node.balancer.fleet.ready:
+    for server in node.balancer.server_set.ready:
         server.shut_ms = node.now + 1000.0
     assert len(sends(node.ask("a"))) == 1
 
@@ -420,7 +422,7 @@
     """pohjola-later rough-1: strict order of worth served 9% of the cheaper class."""
 
     def first(worst_class: float) -> str:
-        node = Node(servers=2, worst_class=worst_class)
+        node = Node(servers=2, worst_class_weight=worst_class)
         node.serve(100)
         node.serve(100, "keyed_all")
         for n in range(20):
@@ -452,7 +454,7 @@
 
 def test_over_share_tenants_wait_last() -> None:
     tenants = [api.Tenant("x", 0.5, 5.0), api.Tenant("y", 0.5, 5.0)]
-    node = Node(servers=2, tenants=tenants, over_share_worth=0.05)
+    node = Node(servers=2, tenants=tenants, over_quota_value=0.05)
     node.serve(200)
     n = 0
     while not timers(node.ask(f"b{n}", tenant="x")):
@@ -471,9 +473,9 @@
 def test_unknown_ids_and_timers_change_nothing() -> None:
     node = Node()
     assert node.do(api.TimerFired(999)) == []
-    assert node.do(api.ClientGone("nobody")) == []
-    node.do(api.AttemptEnded("nobody", 0, 0, Result.SERVED, 5.0, True))
-    node.do(api.AttemptEnded("nobody", 0, 77, Result.ERROR, 5.0, True))
+    assert node.do(api.ClientDisconnected("nobody")) == []
+    node.do(api.AttemptCompleted("nobody", 0, 0, Result.SERVED, 5.0, True))
+    node.do(api.AttemptCompleted("nobody", 0, 77, Result.ERROR, 5.0, True))
     assert math.isfinite(node.balancer.controller.allowed_rate)
 
 
@@ -490,14 +492,14 @@
     for n in range(40):
         node.ask(f"f{n}")
         node.end(f"f{n}", Result.UNREACHABLE, 100.0)
-    assert node.balancer.controller.window(4.0, node.now) == logic.START * 4.0
+    assert node.balancer.controller.window(4.0, node.now) == INITIAL_CALLS_PER_SERVER * 4.0
     assert sends(node.ask("later"))
 
 
 def gate(node: Node, id: str, server: int) -> bool:
     """Ask the gate itself, as a new feature that forgot a rule would."""
     balancer = node.balancer
-    return balancer._send(balancer._calls[id], balancer.fleet.servers[server], node.now)
+    return balancer._send(balancer._calls[id], balancer.server_set.servers[server], node.now)
 
 
 def test_the_gate_itself_keeps_rules_1_and_2() -> None:
@@ -547,7 +549,7 @@
 
 def test_an_attempt_is_not_waited_for_much_longer_than_usual() -> None:
     """i2750ee: calls to a lost zone waited out a whole deadline and filled the slots of the tier above."""
-    node = Node(servers=4, tier=1, passes_deadline=False)
+    node = Node(servers=4, tier=1, propagates_deadline=False)
     (early,) = sends(node.ask("early"))
     assert early.timeout_ms > 2000.0  # nothing is usual yet
     node.end("early", Result.SERVED)
@@ -564,21 +566,21 @@
     for n in range(100):
         node.ask(f"a{n}")
     first = list(node.sent)
-    assert logic.START * 4 * 0.8 <= len(first) <= logic.START * 4
+    assert INITIAL_CALLS_PER_SERVER * 4 * 0.8 <= len(first) <= INITIAL_CALLS_PER_SERVER * 4
     for id in first[:10]:
         node.end(id, Result.SERVED, 1.0)
     assert len(node.sent) >= len(first) + 18  # each answer lets two out: its own place and one more
 
 
 def test_a_copy_numbered_beyond_their_count_still_has_servers() -> None:
-    node = Node(60, nodes=40, number=57)
-    assert node.balancer.fleet.ready
+    node = Node(60, replicas=40, replica_index=57)
+    assert node.balancer.server_set.ready
     assert sends(node.ask("a"))
 
 
 def test_rule_5_further_attempts_stay_within_the_stated_budget() -> None:
     """Leiden's first score: 4 further attempts where 13 requests taken allow 3.4."""
-    node = Node(8, repeat_ratio=0.1, extra_floor=2.0, resend_span_ms=5000.0)
+    node = Node(8, retry_budget_ratio=0.1, retry_budget_floor=2.0, retry_budget_window_ms=5000.0)
 
     def further(count: int) -> int:
         """So many requests, of which each one's first attempt fails."""
@@ -600,10 +602,10 @@
 
 def test_a_sliding_count_that_nobody_reads_forgets_all_the_same() -> None:
     """case2060: a node kept a time for each of 1,025 retries, and more with every minute."""
-    count = SlidingCount(1000.0)
+    count = SlidingWindowCounter(1000.0)
     for n in range(500):
         count.add(100.0 * n)
-    assert len(count._times) == 11
+    assert len(count._times_ms) == 11
     assert count.count(100.0 * 499) == 11
 
 
@@ -616,11 +618,11 @@
 
 
 def test_rule_6_full_is_no_proof_where_so_stated() -> None:
-    node = Node(full_may_have_run=True)
+    node = Node(rejected_may_have_run=True)
     node.ask("a", "unsafe")
-    assert ends(node.end("a", Result.REFUSED)) == [api.Fail("a")]
+    assert ends(node.end("a", Result.REJECTED)) == [api.Fail("a")]
     node.ask("b", "keyed")
-    node.end("b", Result.REFUSED, 10.0)
+    node.end("b", Result.REJECTED, 10.0)
     assert not gate(node, "b", 1 - node.sent["b"][0] % 2)  # it stays inside its group
     node.ask("c", "unsafe")
     assert timers(node.end("c", Result.UNREACHABLE))  # that is still a proof
@@ -630,16 +632,16 @@
     """Kolin big-1: servers that held too many calls tipped one after another, and stayed so."""
     node = Node(servers=4)
     node.serve(100, delay_ms=50.0)
-    assert node.balancer.controller.shed(node.now) == 0.0
+    assert node.balancer.controller.shed_share(node.now) == 0.0
     for n in range(30):
         node.ask(f"slow{n}", "unsafe")
         if node.sent.get(f"slow{n}"):
             node.end(f"slow{n}", Result.SERVED, 900.0)
-    assert node.balancer.controller.shed(node.now) > 0.3
+    assert node.balancer.controller.shed_share(node.now) > 0.3
     cheap = sum(bool(sends(node.ask(f"cheap{n}"))) for n in range(100))
     assert cheap < 70  # the class of least value goes first
     deeper = Node(servers=4, tier=1)
-    deeper.balancer.controller._shed, deeper.balancer.controller._last_ms = 0.8, deeper.now
+    deeper.balancer.controller._shed_share, deeper.balancer.controller._sampled_ms = 0.8, deeper.now
     assert sends(deeper.ask("a"))  # deeper, a refusal wastes work done above
 
 
@@ -650,8 +652,8 @@
     for n in range(20):
         node.ask(f"f{n}", "unsafe")
         if node.sent.get(f"f{n}"):
-            node.end(f"f{n}", Result.REFUSED, 5.0)
-    assert node.balancer.controller.shed(node.now) > 0.0
+            node.end(f"f{n}", Result.REJECTED, 5.0)
+    assert node.balancer.controller.shed_share(node.now) > 0.0
 
 
 def test_a_call_overdue_takes_its_servers_weight_before_it_ends() -> None:
@@ -672,7 +674,7 @@
     node.serve(200)
     node.ask("a")
     [crowded] = node.sent["a"]
-    event = api.AttemptEnded("a", 0, crowded, Result.SERVED, 50.0, True, {"queue": 6.0})
+    event = api.AttemptCompleted("a", 0, crowded, Result.SERVED, 50.0, True, {"queue": 6.0})
     node.do(event, 50.0)
     assert crowded not in node.serve(20)
     node.now += 60_000.0
@@ -682,9 +684,9 @@
 def test_a_refusal_wherever_a_repeat_is_harmless() -> None:
     """Leiden's days: what was turned away and could be asked again was failed, which promises nothing."""
     for cls, result, end in (
-        ("safe", Result.ERROR, api.Refuse),
-        ("keyed_all", Result.ERROR, api.Refuse),
-        ("unsafe", Result.UNREACHABLE, api.Refuse),
+        ("safe", Result.ERROR, api.Reject),
+        ("keyed_all", Result.ERROR, api.Reject),
+        ("unsafe", Result.UNREACHABLE, api.Reject),
         ("keyed", Result.ERROR, api.Fail),
         ("unsafe", Result.ERROR, api.Fail),
     ):
@@ -724,7 +726,7 @@
 def test_new_settings_bind_new_calls_while_those_under_way_keep_their_class() -> None:
     node = Node(classes=[SAFE, UNSAFE], max_attempts=3)
     node.ask("old", "safe")
-    stricter = replace(SAFE, repeat=api.Repeat.UNSAFE)
+    stricter = replace(SAFE, idempotency=api.Idempotency.NON_IDEMPOTENT)
     node.do(api.Reconfigured(settings(classes=[stricter, KEYED], max_attempts=3)))
     retry = node.end("old", api.Result.ERROR)
     assert timers(retry), "it came as safe to repeat"
@@ -751,26 +753,26 @@
     node.do(api.Reconfigured(settings(classes=[KEYED])))
     node.list_all(entries(range(2)), 2)
     node.serve(30, "keyed")
-    assert node.balancer.record.worst() == 1.0
+    assert node.balancer.record.lowest_on_time_share() == 1.0
 
 
 def test_avoided_servers_are_those_ejected_silent_or_draining() -> None:
     node = Node(servers=4)
-    assert node.balancer.avoided(node.now) == 0
+    assert node.balancer.excluded_count(node.now) == 0
     node.change(api.ServerEntry(0, "z", "k", 0, api.Health.DRAINING))
-    assert node.balancer.avoided(node.now) == 1
+    assert node.balancer.excluded_count(node.now) == 1
     node.ask("a", "safe")
     node.end("a", api.Result.UNREACHABLE)
-    assert node.balancer.avoided(node.now) == 2
+    assert node.balancer.excluded_count(node.now) == 2
 
 
 def test_slices_double_no_further_once_a_copy_has_all_servers() -> None:
     # The drain day of seed 9101: 2 to the power of 280 slices, each cut anew, of a fleet of four servers.
-    node = Node(servers=4, nodes=8, tier=1)
+    node = Node(servers=4, replicas=8, tier=1)
     for n in range(200):
         node.ask(f"{n}")
-    assert node.balancer.fleet.slices == 8
-    assert len(node.balancer.fleet.ready) == 4
+    assert node.balancer.server_set.slices == 8
+    assert len(node.balancer.server_set.ready) == 4
 
 
 def test_a_time_with_nothing_to_do_does_not_shrink_the_window() -> None:
@@ -790,29 +792,29 @@
     assert let_in(20_000.0) == pytest.approx(let_in(0.0), abs=2)
 
 
-def hearsay(node: Node, *verdicts: api.Verdict) -> None:
-    node.do(api.Hearsay(list(verdicts)))
+def hearsay(node: Node, *verdicts: api.PeerVerdict) -> None:
+    node.do(api.PeerVerdicts(list(verdicts)))
 
 
 def test_a_server_that_others_warn_of_gets_nothing_until_its_own_answers_say_otherwise() -> None:
     node = Node(servers=4)
-    hearsay(node, api.Verdict(2, avoid=True))
+    hearsay(node, api.PeerVerdict(2, avoid=True))
     assert 2 not in node.serve(20)
-    hearsay(node, api.Verdict(2, avoid=True, trial=True))
+    hearsay(node, api.PeerVerdict(2, avoid=True, trial=True))
     assert node.serve(20).count(2) >= 2  # one was tried, and answered
-    hearsay(node, api.Verdict(2, avoid=True, classes=frozenset({"keyed"})))
+    hearsay(node, api.PeerVerdict(2, avoid=True, classes=frozenset({"keyed"})))
     assert 2 in node.serve(20)
 
 
 def test_a_warning_for_one_class_leaves_the_others() -> None:
     node = Node(servers=4)
-    hearsay(node, api.Verdict(2, avoid=True, classes=frozenset({"keyed"})))
+    hearsay(node, api.PeerVerdict(2, avoid=True, classes=frozenset({"keyed"})))
     assert 2 in node.serve(8)
 
 
 def test_half_of_the_servers_at_most_are_taken_away_by_hearsay() -> None:
     node = Node(servers=4)
-    hearsay(node, *(api.Verdict(n, avoid=True) for n in range(4)))
+    hearsay(node, *(api.PeerVerdict(n, avoid=True) for n in range(4)))
     assert set(node.serve(20)) == {2, 3}  # the worst come first
 
 
@@ -820,27 +822,27 @@
     back = []
     for salt in range(40):
         node = Node(servers=4, salt=salt)
-        hearsay(node, api.Verdict(2, avoid=True))
+        hearsay(node, api.PeerVerdict(2, avoid=True))
         hearsay(node)
-        back.append(node.balancer.fleet.servers[2].shut_ms - node.now)
+        back.append(node.balancer.server_set.servers[2].shut_ms - node.now)
     assert 0.0 <= min(back) < 0.2 * logic.RETURN_MS and 0.8 * logic.RETURN_MS < max(back) <= logic.RETURN_MS
 
 
 def test_what_is_said_of_a_server_is_void_once_it_has_started_anew() -> None:
     node = Node(servers=4)
-    hearsay(node, api.Verdict(2, avoid=True))
+    hearsay(node, api.PeerVerdict(2, avoid=True))
     node.list_all([api.ServerEntry(n, started_ms=-1e6 if n == 2 else None) for n in range(4)])
     assert 2 in node.serve(8)
 
 
 def test_a_request_bound_to_a_zone_goes_nowhere_else() -> None:
-    node = Node(servers=0, classes=[replace(KEYED, group=api.Group.ZONE)])
+    node = Node(servers=0, classes=[replace(KEYED, dedup_scope=api.DedupScope.ZONE)])
     node.list_all([api.ServerEntry(n, zone="wien" if n % 3 else "linz") for n in range(9)])
     for n in range(12):
-        [send] = sends(node.do(api.Request(f"p{n}", "keyed", 5_000.0, pin="linz")))
+        [send] = sends(node.do(api.Request(f"p{n}", "keyed", 5_000.0, pinned_group="linz")))
         assert send.server % 3 == 0
         node.end(f"p{n}", Result.SERVED)
-    node.do(api.Request("q", "keyed", 5_000.0, pin="linz"))
+    node.do(api.Request("q", "keyed", 5_000.0, pinned_group="linz"))
     first = node.sent["q"][0]
     [timer] = timers(node.end("q", Result.UNREACHABLE))
     [send] = sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
@@ -849,30 +851,30 @@
 
 def test_shared_parts_of_quotas_are_in_force_until_taken_back() -> None:
     tenants = [api.Tenant("t", quota_per_s=40.0)]
-    balancer = logic.Balancer(replace(settings(), tenants=tenants, nodes=4), 1)
+    balancer = logic.Balancer(replace(settings(), tenants=tenants, replicas=4), 1)
 
     def within(at: float) -> int:
-        before = balancer.shares.get("t", [0, 0])[0]
+        before = balancer.quota_counts.get("t", [0, 0])[0]
         for n in range(100):
             balancer.handle(api.Request(f"{at}{n}", "safe", 100.0, "t"), at + 10.0 * n)
-        return balancer.shares["t"][0] - before
+        return balancer.quota_counts["t"][0] - before
 
     within(0.0)
     assert within(1_000.0) == pytest.approx(10, abs=1)
-    balancer.handle(api.Parts({"t": 30.0}), 2_000.0)
+    balancer.handle(api.QuotaShares({"t": 30.0}), 2_000.0)
     within(2_000.0)
     assert within(3_000.0) == pytest.approx(30, abs=1)
-    balancer.handle(api.Parts({}), 4_000.0)
+    balancer.handle(api.QuotaShares({}), 4_000.0)
     within(4_000.0)
     assert within(5_000.0) == pytest.approx(10, abs=1)
 
 
 def test_keys_stay_with_their_server_within_the_bound_and_move_little() -> None:
-    members = [(n, 1.0, 0) for n in range(12)]
-    homes = {key: affine.choose(key, members, 1.25) for key in range(3_000)}
+    members = [Member(n, 1.0, 0) for n in range(12)]
+    homes = {key: choose_member(key, members, 1.25) for key in range(3_000)}
     assert max(list(homes.values()).count(n) for n in range(12)) < 1.35 * 3_000 / 12
     fewer = members[:11]
-    moved = sum(affine.choose(key, fewer, 1.25) != at for key, at in homes.items() if at != 11)
+    moved = sum(choose_member(key, fewer, 1.25) != at for key, at in homes.items() if at != 11)
     assert moved == 0
-    full = [(n, 1.0, 10 if n != homes[7] else 20) for n in range(12)]
-    assert affine.choose(7, full, 1.25) != homes[7]
+    full = [Member(n, 1.0, 10 if n != homes[7] else 20) for n in range(12)]
+    assert choose_member(7, full, 1.25) != homes[7]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -17,7 +17,7 @@
 import pytest
 
 from dunlinloft.balancer import interface as api
-from dunlinloft.balancer.logic import Balancer
+from dunlinloft.balancer.balancer import Balancer
 from orchidferry import discovery, frontend
 from orchidferry.__main__ import reload
 from orchidferry.config import address, server_id
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -253,7 +253,7 @@
         attempts, alive = Attempts(server.address), [True]
         attempts.send("a", alive)
         alive[0] = False
-        assert await attempts.result(1) is Result.MOOT
+        assert await attempts.result(1) is Result.NOT_SENT
         attempts.send("b")  # the connection itself is good, and used
         assert await attempts.result(2) is Result.SERVED
         assert [seen.id for seen in server.seen] == ["b"]
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -12,10 +12,10 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
+from dunlinloft.balancer import balancer as logic
 from dunlinloft.balancer import interface as api
-from dunlinloft.balancer import logic
+from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.balancer.interface import Result
-from dunlinloft.balancer.logic import Balancer
 from tests.checker import Broken, Checker
 from tests.helpers import settings
 
@@ -52,12 +52,14 @@
         started = self.now if self.rng.random() < 0.2 else None
         return api.ServerEntry(number, f"z{number % 2}", "k", number % 3, health, 1.0, started)
 
-    def news(self, entries: list[api.ServerEntry], kind: api.ListKind = api.ListKind.FULL) -> None:
-        if kind is api.ListKind.FULL:
+    def news(
+        self, entries: list[api.ServerEntry], kind: api.ListUpdateKind = api.ListUpdateKind.SNAPSHOT
+    ) -> None:
+        if kind is api.ListUpdateKind.SNAPSHOT:
             self.entries = {}
         for entry in entries:
             self.entries[entry.server] = entry
-        self.tell(api.ServerList(kind, 1, entries))
+        self.tell(api.ServerListUpdate(kind, 1, entries))
 
     def push(self, at: float, what: api.TimerFired | str) -> None:
         self.order += 1
@@ -76,7 +78,7 @@
         elif isinstance(action, api.Send):
             self.requests[action.id].attempts.append((self.now, action.server, None))
             self.sends.append((self.now, action.server))
-        elif isinstance(action, api.Fail | api.Refuse):
+        elif isinstance(action, api.Fail | api.Reject):
             self.requests[action.id].ends += 1
 
     def finish(self, id: str, result: Result) -> None:
@@ -87,7 +89,7 @@
         if result is Result.SERVED and not owed.ends:
             owed.ends += 1
         number = len(owed.attempts) - 1
-        self.tell(api.AttemptEnded(id, number, server, result, self.now - sent, settled))
+        self.tell(api.AttemptCompleted(id, number, server, result, self.now - sent, settled))
 
     def out(self) -> list[str]:
         return [id for id, owed in self.requests.items() if owed.attempts and owed.attempts[-1][2] is None]
@@ -119,17 +121,17 @@
             self.finish(self.rng.choice(self.out()), self.rng.choices(RESULTS, WEIGHTS)[0])
         elif choice < 0.75:
             number = self.rng.randrange(8)
-            health = self.rng.choice([api.Health.IN_SERVICE, api.Health.DRAINING, api.Health.GONE])
-            self.news([self.entry(number, health)], api.ListKind.CHANGES)
+            health = self.rng.choice([api.Health.IN_SERVICE, api.Health.DRAINING, api.Health.TERMINATED])
+            self.news([self.entry(number, health)], api.ListUpdateKind.DELTA)
         elif choice < 0.77:
             self.news([self.entry(n) for n in range(8) if self.rng.random() < 0.7])
         elif choice < 0.78:
-            self.tell(api.ServerList(api.ListKind.FAILED))
+            self.tell(api.ServerListUpdate(api.ListUpdateKind.FAILED))
         else:
             self.pass_time(self.rng.choice([1.0, 5.0, 40.0, 300.0]))
 
 
-BUDGET = {"repeat_ratio": 0.03, "extra_floor": 3.0, "resend_span_ms": 5000.0}
+BUDGET = {"retry_budget_ratio": 0.03, "retry_budget_floor": 3.0, "retry_budget_window_ms": 5000.0}
 
 
 def play(seed: int, **changes: Any) -> World:
@@ -146,7 +148,14 @@
 @given(st.integers(0, 2**32), st.integers(1, 5), st.integers(0, 2), st.booleans(), st.booleans())
 def test_rules_hold_on_random_days(seed: int, attempts: int, tier: int, budget: bool, full: bool) -> None:
     extra = BUDGET if budget else {}
-    play(seed, max_attempts=attempts, tier=tier, follow_list=bool(seed % 2), full_may_have_run=full, **extra)
+    play(
+        seed,
+        max_attempts=attempts,
+        tier=tier,
+        subscribes=bool(seed % 2),
+        rejected_may_have_run=full,
+        **extra,
+    )
 
 
 def breaks(**changes: Any) -> str:
@@ -161,7 +170,7 @@
 
 def test_the_checker_catches_broken_modules(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each fault is one that a careless change could bring; without a fault nothing is reported."""
-    assert breaks(**BUDGET, full_may_have_run=True) == "none"
+    assert breaks(**BUDGET, rejected_may_have_run=True) == "none"
 
     def always(*_: object) -> bool:
         return True
@@ -180,7 +189,9 @@
         assert breaks().startswith("rule 1")
     with monkeypatch.context() as patch:
         patch.setattr(
-            logic, "Health", type("AllInService", (), {"IN_SERVICE": api.Health.DRAINING, "GONE": 0})
+            logic,
+            "Health",
+            type("AllInService", (), {"IN_SERVICE": api.Health.DRAINING, "TERMINATED": 0}),
         )
         assert breaks(drain_grace_ms=0.0).startswith("rule 3")
 
@@ -193,7 +204,7 @@
 
     with monkeypatch.context() as patch:
         patch.setattr("tests.test_property.Balancer", Deaf)
-        assert breaks(full_may_have_run=True).startswith("rule 2")
+        assert breaks(rejected_may_have_run=True).startswith("rule 2")
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -15,7 +15,7 @@
 import pytest
 
 from dunlinloft.balancer import interface as api
-from dunlinloft.balancer.logic import Balancer
+from dunlinloft.balancer.balancer import Balancer
 from orchidferry import frontend
 from orchidferry.frontend import Reply
 from orchidferry.node import UNHEARD_S, Node
