--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -375,15 +375,15 @@
     node = Node(servers=8)
     assert 0.2 < shares(node, 200) < 0.3
     for cap in (0.01, 0.05, 0.125):
-        node.do(api.Cohort(frozenset({0, 1}), cap))
+        node.do(api.CanaryLimit(frozenset({0, 1}), cap))
         for cls in ("safe", "unsafe"):
             got = shares(node, 400, cls)
             assert abs(got - cap) <= 0.1 * cap + 2.0 / 400.0
-    node.do(api.Cohort(frozenset({0, 1}), 0.9))  # a bound, never a reason
+    node.do(api.CanaryLimit(frozenset({0, 1}), 0.9))  # a bound, never a reason
     assert 0.2 < shares(node, 200) < 0.3
-    node.do(api.Cohort(frozenset({0, 1}), 0.0))
+    node.do(api.CanaryLimit(frozenset({0, 1}), 0.0))
     assert shares(node, 200) == 0.0
-    node.do(api.Cohort(frozenset(), 1.0))
+    node.do(api.CanaryLimit(frozenset(), 1.0))
     assert 0.2 < shares(node, 200) < 0.3
 
 
@@ -391,14 +391,14 @@
     got = 0
     for salt in range(300):
         node = Node(servers=8, salt=salt)
-        node.do(api.Cohort(frozenset({0, 1}), 0.05))
+        node.do(api.CanaryLimit(frozenset({0, 1}), 0.05))
         got += sum(server < 2 for server in node.serve(4))
     assert 35 <= got <= 85  # of 1,200 calls 60
 
 
 def test_retries_go_to_the_old_and_without_old_servers_there_is_nothing_to_cap() -> None:
     node = Node(servers=4)
-    node.do(api.Cohort(frozenset({0, 1}), 0.4))
+    node.do(api.CanaryLimit(frozenset({0, 1}), 0.4))
     for n in range(60):
         node.serve(2)
         node.ask(f"r{n}")
@@ -409,7 +409,7 @@
     repeats = [server for sent in node.sent.values() for server in sent[1:]]
     assert len(repeats) > 20 and min(repeats) >= 2
     node = Node(servers=2)
-    node.do(api.Cohort(frozenset({0, 1}), 0.01))
+    node.do(api.CanaryLimit(frozenset({0, 1}), 0.01))
     assert shares(node, 50) == 1.0
 
 
@@ -419,7 +419,7 @@
     fresh = [api.ServerEntry(n, "z", "k", n % 2, started_ms=node.now) for n in (0, 1)]
     node.change(*fresh)
     free, capped = Node(servers=4), node
-    capped.do(api.Cohort(frozenset({0, 1}), 0.5))
+    capped.do(api.CanaryLimit(frozenset({0, 1}), 0.5))
     assert shares(capped, 40) < 0.5 <= shares(free, 40) + 0.1
 
 
