--- a/orchidferry/shared.py
+++ b/orchidferry/shared.py
@@ -63,7 +63,7 @@
             weight = server.subset_share * warmth if id in ready else 0.0
             servers[id] = Server(mark(server.zone), since_ms.get(id, 0.0), weight, warmth < 1.0)
     return shared.Known(
-        listed, frozenset(balancer.unresponsive_servers(now)), balancer.zone_capacity(now),
+        listed, frozenset(balancer.unresponsive_servers(now)), dict(balancer.zone_capacity(now)),
         loop.allowed_rate, loop.tuned_rate, servers,
     )  # fmt: skip
 
