--- a/dunlinloft/coordination/placement/server_load.py
+++ b/dunlinloft/coordination/placement/server_load.py
@@ -37,7 +37,7 @@
     ----------
     kv_cache_tokens
         Its KV cache memory.
-    turn
+    rotation_weight
         Its position in the weighted rotation; read and written by `Rotation`.
     in_flight
         Requests that were sent to it and have not completed.
