--- a/dunlinloft/controlplane/loops.py
+++ b/dunlinloft/controlplane/loops.py
@@ -65,7 +65,7 @@
         addresses = tuple(member.address for member in view.roster)
         chain = tuple(member.address for member in view.chain)
         components.quotas.follow_view(view)
-        components.publisher.publish_replicas(
+        components.publisher.publish_view(
             ControlPlaneView(view.epoch, addresses, chain, components.nodes.active_count())
         )
 
--- a/dunlinloft/controlplane/node_publisher.py
+++ b/dunlinloft/controlplane/node_publisher.py
@@ -48,13 +48,13 @@
         self._update: LogEntry | None = None
         self._confirmed = False
         self._frames_by_form: dict[bool, bytes] = {}  # of the state: True as a delta, False in full
-        self._replicas: ControlPlaneView | None = None
+        self._view: ControlPlaneView | None = None
 
     def subscribe(self, subscription: NodeSubscription, servers: ServerSnapshot) -> None:
         """Add a node, and send it what it lacks: the replicas, servers, then the configuration."""
         self.subscriptions.add(subscription)
-        if self._replicas is not None:
-            subscription.writer.send(self._replicas)
+        if self._view is not None:
+            subscription.writer.send(self._view)
         subscription.writer.send(servers)
         if subscription.receives_configurations:
             self._send_state(subscription)
@@ -111,11 +111,11 @@
         if update.changed or update.removed:
             self.broadcast(message_stream.encode_frame(update))
 
-    def publish_replicas(self, replicas: ControlPlaneView) -> None:
+    def publish_view(self, view: ControlPlaneView) -> None:
         """Publish the control plane's membership, where it changed."""
-        if replicas != self._replicas:
-            self._replicas = replicas
-            self.broadcast(message_stream.encode_frame(replicas))
+        if view != self._view:
+            self._view = view
+            self.broadcast(message_stream.encode_frame(view))
 
     def publish_servers_complete(self) -> None:
         """Publish that every live server has had the time to register here."""
--- a/dunlinloft/controlplane/placement_service.py
+++ b/dunlinloft/controlplane/placement_service.py
@@ -46,20 +46,20 @@
         wait_ms = NO_CAPACITY_RETRY_MS if server_id is None and message.wait_for_capacity else 0.0
         return PlacementReply(message.request_id, message.service, server_id or "", wait_ms)
 
-    def on_chosen(self, stream_number: int, message: LocalPlacement) -> None:
+    def on_local_placement(self, stream_number: int, message: LocalPlacement) -> None:
         """Record that a node chose a server by itself, as no advice came in time."""
         request = PlacementDemand(message.prompt_segments, message.max_output_tokens)
         service = self._placements.service(message.service)
         placement_id = PlacementId(stream_number, message.request_id)
         service.on_local_placement(placement_id, request, message.server_id, now_ms())
 
-    def on_decode_started(self, stream_number: int, message: PrefillCompleted) -> None:
+    def on_prefill_completed(self, stream_number: int, message: PrefillCompleted) -> None:
         """Record that the first token of a placed request's answer came: its prefill is over."""
         self._placements.service(message.service).on_prefill_completed(
             PlacementId(stream_number, message.request_id)
         )
 
-    def on_finished(self, stream_number: int, message: PlacementCompleted) -> None:
+    def on_completed(self, stream_number: int, message: PlacementCompleted) -> None:
         """Record that a placed request is no longer in flight."""
         service = self._placements.service(message.service)
         service.on_completed(PlacementId(stream_number, message.request_id), message.server_failed, now_ms())
--- a/dunlinloft/controlplane/quota_service.py
+++ b/dunlinloft/controlplane/quota_service.py
@@ -69,17 +69,17 @@
         """Drop shares and holdings that have ended; called every second or so."""
         self._owner.expire(now_ms())
 
-    def node_subscribed(self, node: str, uptime_ms: float, holdings: QuotaHoldingsReport) -> None:
+    def on_node_subscribed(self, node: str, uptime_ms: float, holdings: QuotaHoldingsReport) -> None:
         """Register a node whose stream began."""
         self._owner.on_node_subscribed(uptime_ms, now_ms())
-        self.set_holdings(node, holdings)
+        self.on_holdings(node, holdings)
 
-    def set_holdings(self, node: str, message: QuotaHoldingsReport) -> None:
+    def on_holdings(self, node: str, message: QuotaHoldingsReport) -> None:
         """Record a node's quota shares and reserves."""
         holdings = QuotaHoldings(message.epoch, message.shares, message.reserves)
         self._owner.on_holdings(node, holdings, now_ms())
 
-    def on_handed_over(self, message: QuotaHandover) -> None:
+    def on_handover(self, message: QuotaHandover) -> None:
         """Record the remaining levels of quotas that another replica owned until now."""
         self._owner.on_handover(message.epoch, message.levels)
 
--- a/dunlinloft/controlplane/stream_session.py
+++ b/dunlinloft/controlplane/stream_session.py
@@ -104,7 +104,7 @@
         self._subscription = subscription
         now = now_ms()
         services.nodes.on_message(message.node, False, now)
-        services.quotas.node_subscribed(message.node, message.uptime_ms, message.quota_holdings)
+        services.quotas.on_node_subscribed(message.node, message.uptime_ms, message.quota_holdings)
         services.registrar.publish_changes()
         ranges = services.registry.digests.differing(message.server_digests)
         servers = ServerSnapshot(
@@ -129,7 +129,7 @@
             case ConfigurationApplied():
                 subscription.acknowledged_id = message.id
             case QuotaHoldingsReport():
-                services.quotas.set_holdings(subscription.node, message)
+                services.quotas.on_holdings(subscription.node, message)
             case NodeShutdown():
                 services.nodes.on_shutdown(subscription.node, now_ms())
             case NodeKeepalive():
@@ -145,11 +145,11 @@
             case PlacementQuery():
                 self._writer.send(placement.choose_server(self._number, message))
             case LocalPlacement():
-                placement.on_chosen(self._number, message)
+                placement.on_local_placement(self._number, message)
             case PrefillCompleted():
-                placement.on_decode_started(self._number, message)
+                placement.on_prefill_completed(self._number, message)
             case PlacementCompleted():
-                placement.on_finished(self._number, message)
+                placement.on_completed(self._number, message)
 
     def _handle_peer(
         self, message: ServerHeartbeats | ServerHeartbeatsAck | QuotaHandover | NodeSightings
@@ -161,6 +161,6 @@
             case ServerHeartbeatsAck():
                 services.registrar.on_replication_acknowledged(message)
             case QuotaHandover():
-                services.quotas.on_handed_over(message)
+                services.quotas.on_handover(message)
             case NodeSightings():
                 services.nodes.merge(message.nodes, now_ms())
--- a/tests/test_stream_session.py
+++ b/tests/test_stream_session.py
@@ -113,7 +113,7 @@
     scene = _Scene()
     scene.session.handle(SUBSCRIBE)
     assert scene.nodes.active_names() == ("n",)
-    assert scene.quotas.calls == [("node_subscribed", SUBSCRIBE.quota_holdings)]
+    assert scene.quotas.calls == [("on_node_subscribed", SUBSCRIBE.quota_holdings)]
     assert scene.registrar.calls == [("publish_changes", None)]
     assert isinstance(scene.writer.sent[0], ServerSnapshot)
     (subscription,) = scene.publisher.subscriptions
