--- a/dunlinloft/fleet/cells/wire.py
+++ b/dunlinloft/fleet/cells/wire.py
@@ -59,7 +59,7 @@
         return encode_datagram(self._prefix(), message)
 
     def read(self, data: bytes) -> tuple[AnyMessage, Cut | None]:
-        """What a datagram says, and its sender's cut; `Refused` where it says nothing here."""
+        """What a datagram says, and its sender's cut; `MessageRejected` where it says nothing here."""
         if data[:1] == self._directory[:1]:
             return read_directory(self._directory, data), None
         body, cut = self._body(data, MAX_DATAGRAM_BYTES)
@@ -70,7 +70,7 @@
         return encode_state(self._prefix(), state)
 
     def read_state(self, data: bytes) -> tuple[State, Cut | None]:
-        """The view that these bytes are; `Refused` as with `read`."""
+        """The view that these bytes are; `MessageRejected` as with `read`."""
         body, cut = self._body(data, MAX_STATE_BYTES)
         return decode(_state, body), cut
 
@@ -99,7 +99,7 @@
         return self._prefix + _encode(message)
 
     def read(self, data: bytes) -> CellMessage:
-        """What a datagram says; `Refused` where it says nothing to this fleet."""
+        """What a datagram says; `MessageRejected` where it says nothing to this fleet."""
         return read_directory(self._prefix, data)
 
 
--- a/dunlinloft/fleet/interface.py
+++ b/dunlinloft/fleet/interface.py
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True)
 class LeaveRequested:
-    """The process shuts down gracefully: other members are to be told that it leaves."""
+    """The process shuts down gracefully: the other members are notified that it leaves."""
 
 
 Event = (
--- a/dunlinloft/fleet/member_count.py
+++ b/dunlinloft/fleet/member_count.py
@@ -4,7 +4,7 @@
 would add up to more than there is. So a share shrinks at once and grows late. A new member counts at once.
 A missing one goes on counting until the view has been without it for `MISSING_MEMBER_GRACE_MS`, and then
 only where those in view are more than half of all that counted: at most one side of a partition can do
-that, the others keep the small shares that they had. All sides together take less than 1.5 times the
+that, the others stay at the small shares that they had. All sides together take less than 1.5 times the
 budget (all of it on the one side, and less than half of the shares on the others); the shares of members
 that die on the majority's side are taken over after the grace time.
 """
--- a/dunlinloft/fleet/membership/core.py
+++ b/dunlinloft/fleet/membership/core.py
@@ -1,7 +1,7 @@
 """The membership of one process: a pure state machine that is given events and returns actions.
 
 SWIM (Das, Gupta, Motivala 2002) with Lifeguard's refinements (Dadgar, Phillips, Currey 2017) and some of
-our own; `docs/membership.md` says which and why. Hosts: `orchidferry.peers`, `lab.virtual`, `lab.explore`.
+our own; `docs/membership.md` explains which and why. Its hosts are named in `fleet.interface`.
 """
 
 from __future__ import annotations
@@ -111,7 +111,7 @@
                 self._handle_extension_timer(timer.kind, now)
 
     def _handle_extension_timer(self, kind: TimerKind, now: float) -> None:
-        """A timer that a subclass has set; here nothing."""
+        """Hook for the timers of a subclass; does nothing by itself."""
 
     def _schedule_push_pull(self) -> None:
         self.set_timer(PUSH_PULL_INTERVAL_MS * (0.5 + self.rng.random()), TimerKind.PUSH_PULL)
--- a/dunlinloft/fleet/membership/failure_detection.py
+++ b/dunlinloft/fleet/membership/failure_detection.py
@@ -36,7 +36,7 @@
     # Records
 
     def _merge_record(self, record: Record, now: float) -> None:
-        """Take in what a message or a state says of a member or of this process."""
+        """Merge a received record, of another member or of this process."""
         if not 0 <= record.status <= LEFT:
             return
         if record.name == self.name:
@@ -54,7 +54,7 @@
         self._record_changed(member, change, now)
 
     def _death_as_suspicion(self, record: Record, now: float) -> Record:
-        """A reported death as it is believed: of a member that was well just now, a suspicion only.
+        """A reported death as it is believed: of a member that was alive just now, only a suspicion.
 
         Its time to refute begins with us. Otherwise the two sides of a healed partition would declare dead
         for a moment members that only the other side could not reach.
@@ -143,7 +143,7 @@
         """An ack, from the member itself or by another; `source` is "" if it came over a stream."""
         member = self.prober.handle_ack(number, name, incarnation, now, source)
         if member is not None and member.status == SUSPECT:
-            # It is alive whatever is said: it has to learn of the suspicion, and gets its time to refute.
+            # It is alive whatever others claim: it has to learn of the suspicion and gets time to refute.
             member.status_since_ms = now
             self._start_suspicion(member, now)
 
--- a/dunlinloft/fleet/membership/local_health.py
+++ b/dunlinloft/fleet/membership/local_health.py
@@ -1,14 +1,14 @@
-"""Local health: how well this process itself gets to run, so that a late one accuses others more slowly.
+"""Local health: whether this process is scheduled in time; one that is not suspects others more slowly.
 
 After Lifeguard's local health multiplier (Dadgar, Phillips, Currey 2017, section IV.A). Here the lateness of
-this process's own timers counts first: it shows at once, whether or not anything was asked of anybody.
+this process's own timers counts first: it shows at once, whether or not a probe is pending.
 """
 
 from __future__ import annotations
 
 MAX_SCORE = 8  # the saturation S of Lifeguard's multiplier, which the paper sets to 8 too
 LATE_TIMER_MS = 60.0  # a timer that fires this late shows that the process was not scheduled
-UNRELIABLE_AFTER_LATE_MS = 1_000.0  # how long after a late timer no time-out is held against others
+UNRELIABLE_AFTER_LATE_MS = 1_000.0  # for so long after a late timer no time-out counts against others
 
 
 class LocalHealth:
@@ -37,7 +37,7 @@
         return False
 
     def is_reliable(self, now: float) -> bool:
-        """Whether time-outs of late may be held against other members."""
+        """Whether recent time-outs may be taken for a failure of other members."""
         return now - self._last_late_ms > UNRELIABLE_AFTER_LATE_MS
 
     def multiplier(self) -> float:
--- a/dunlinloft/fleet/membership/local_member.py
+++ b/dunlinloft/fleet/membership/local_member.py
@@ -42,7 +42,7 @@
 
 
 class LocalMember:
-    """State that all parts of the membership share, and the means to send, to set timers and to log."""
+    """State shared by all layers of the membership, and the means to send, to set timers and to log."""
 
     def __init__(
         self, identity: Identity, rng: random.Random, metadata: dict[str, MetadataValue] | None
@@ -52,7 +52,7 @@
         self._seeds = identity.seeds
         self._uid = identity.uid
         self.incarnation = identity.incarnation
-        self.revision = 0  # how often this incarnation has refuted what was said against it
+        self.revision = 0  # how often this incarnation has refuted a suspicion or its death
         self.status = ALIVE
         self.muted = False  # another process owns our name: nothing is sent under it
         self.rng = rng
@@ -66,7 +66,7 @@
         self._last_timer_token = 0
         self._now = 0.0  # of the event at hand, ms
 
-    # What others see of it
+    # What hosts and other members read
 
     def alive_count(self) -> int:
         """How many members are alive or suspect, this one included."""
@@ -107,7 +107,7 @@
         """The header of a message that is sent now."""
         return Header(self.name, self.incarnation, self.revision, self.digest(), self.alive_count())
 
-    # What the parts act by
+    # Actions
 
     def send_datagram(self, address: str, message: api.AnyMessage) -> None:
         """Send a datagram, unless this process is muted or the address is not known."""
--- a/dunlinloft/fleet/membership/member.py
+++ b/dunlinloft/fleet/membership/member.py
@@ -7,7 +7,7 @@
 from dunlinloft.fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, MetadataValue, Precedence, Record
 from dunlinloft.fleet.rendezvous import rank
 
-# Independent suspecters that are kept and sent; `suspicion.FULL_CONFIRMATIONS` need no more.
+# Independent suspecters that are stored and sent: one and `suspicion_timeout.FULL_CONFIRMATIONS` more.
 MAX_SUSPECTED_BY = 4
 
 # Round-trip estimate after Jacobson and Karels, "Congestion Avoidance and Control" (1988), appendix A.
@@ -21,14 +21,14 @@
 
 
 class Member:
-    """One name and what is believed of it. Written by `View` and by the parts of `Membership`.
+    """One name and what is believed of it. Written by `View` and by the layers of `Membership`.
 
     Attributes
     ----------
     incarnation: the process under this name, -1 before the first record.
-    revision: how often that process has refuted what was said against it.
+    revision: how often that process has refuted a suspicion or its death.
     status: one of `messages.ALIVE`, `SUSPECT`, `DEAD`, `LEFT`.
-    status_since_ms: when the status or the incarnation last changed, or a suspect was last heard.
+    status_since_ms: when the status or the incarnation last changed, or a suspect last acked.
     suspected_by: names of those that suspect it, at most `MAX_SUSPECTED_BY`.
     suspicion_timer: token of the timer of its suspicion, 0 for none.
     final_probe: number of the last probe before it is declared dead, 0 for none.
--- a/dunlinloft/fleet/membership/name_ownership.py
+++ b/dunlinloft/fleet/membership/name_ownership.py
@@ -1,4 +1,4 @@
-"""What is said of this process's own name: wrong claims are refuted, and conflicts over the name resolved.
+"""Claims about this process's own name: wrong ones are refuted, and conflicts over the name resolved.
 
 Two processes under one name, on two machines: the first newer incarnation may be a restart with a wrong
 clock, so it is answered by a newer one. If that is answered too, the other process is alive. The one that
@@ -19,6 +19,9 @@
 
 NAME_CHECK_INTERVAL_MS = 30_000.0  # how often a muted process checks whether its name is free
 INCARNATION_STEP = 1  # beyond the incarnation that is to be superseded
+# Events of the operators' log, under the names that their tools know.
+NAME_CONFLICT_EVENT = "rival"
+NAME_CONFLICT_OVER_EVENT = "rival gone"
 
 
 class NameOwnership(Rejoin):
@@ -75,7 +78,7 @@
         if record.uid < self._uid:
             self._mute_for(record)
         else:
-            self._log("rival", name=self.name, address=record.address, yields=False)
+            self._log(NAME_CONFLICT_EVENT, name=self.name, address=record.address, yields=False)
             self._start_incarnation(record.incarnation)
 
     def _start_incarnation(self, superseded: int) -> None:
@@ -88,7 +91,7 @@
     def _mute_for(self, record: Record) -> None:
         """Yield the name to an older process: send nothing under it, and check later whether it is free."""
         self.muted = True
-        self._log("rival", name=self.name, address=record.address, yields=True)
+        self._log(NAME_CONFLICT_EVENT, name=self.name, address=record.address, yields=True)
         self.set_timer(NAME_CHECK_INTERVAL_MS, TimerKind.NAME_CHECK)
 
     def _check_name_free(self) -> None:
@@ -104,5 +107,5 @@
         self.muted = False
         self._conflicting_uid = 0
         self.conflicting_address = ""
-        self._log("rival gone", name=self.name)
+        self._log(NAME_CONFLICT_OVER_EVENT, name=self.name)
         self._start_incarnation(record.incarnation if record is not None else self.incarnation)
--- a/dunlinloft/fleet/membership/probing.py
+++ b/dunlinloft/fleet/membership/probing.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbe:
-    """A ping on behalf of another member: its address, its number of the probe, and whom it probes."""
+    """A ping on behalf of another member: the requester's address and probe number, and the target."""
 
     requester: str
     requester_number: int
--- a/dunlinloft/fleet/membership/rejoin.py
+++ b/dunlinloft/fleet/membership/rejoin.py
@@ -1,8 +1,8 @@
 """Join and rejoin: finding members that this view lacks.
 
-A process that starts asks a seed for its state. Parts of a fleet that were partitioned find each other
-again by pinging dead members; islands that never knew each other have no dead to ping, so seeds that are
-not in view are asked for ever.
+A process that starts exchanges states with a seed. The sides of a partition find each other after it has
+healed by pinging dead members. Islands that never knew each other have no dead to ping, so the attempts at
+seeds that are not in view never end.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 JOIN_BACKOFF_MS = 500.0  # first wait between attempts to join while alone; doubles
 MAX_JOIN_BACKOFF_MS = 4_000.0
 REJOIN_INTERVAL_MS = 10_000.0  # between attempts at seeds that are not in view, once there are others
-DEAD_PROBE_INTERVAL_MS = 1_000.0  # each member pings at most one dead member so often
+DEAD_PROBE_INTERVAL_MS = 1_000.0  # in which a member pings at most one dead member
 # Pings that each dead member gets in that interval from all members together, about: enough that one
 # arrives soon after a partition heals, and no more the larger the fleet.
 DEAD_PROBES_PER_INTERVAL = 20.0
 
 
 class Rejoin(StateExchange):
-    """Asks absent seeds for their state, and pings members that are dead by this view."""
+    """Pulls the state of absent seeds, and pings members that are dead by this view."""
 
     def __init__(
         self, identity: Identity, rng: random.Random, metadata: dict[str, MetadataValue] | None
@@ -57,9 +57,9 @@
         return [seed for seed in absent if seed not in reached]
 
     def _probe_dead(self) -> None:
-        """Ping a random dead member: so the sides of a healed partition find each other again."""
+        """Ping a random dead member: so the sides of a healed partition find each other."""
         dead = self.view.dead
-        # All members draw, so that each of the dead is pinged about so often by all together.
+        # All members draw, so that together they send about `DEAD_PROBES_PER_INTERVAL` pings to each.
         is_drawn = self.rng.random() * self.alive_count() < DEAD_PROBES_PER_INTERVAL * len(dead)
         for name in dead.sample(1) if is_drawn else ():
             member = self.view.members[name]
--- a/dunlinloft/fleet/membership/state_exchange.py
+++ b/dunlinloft/fleet/membership/state_exchange.py
@@ -19,7 +19,7 @@
 
 
 class StateExchange(Dissemination):
-    """Decides when a push-pull exchange is due, and with whom."""
+    """Decides when a push-pull exchange is due, and with which member."""
 
     def __init__(
         self, identity: Identity, rng: random.Random, metadata: dict[str, MetadataValue] | None
--- a/dunlinloft/fleet/membership/timers.py
+++ b/dunlinloft/fleet/membership/timers.py
@@ -3,32 +3,32 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from enum import StrEnum
+from enum import Enum, auto
 
 
-class TimerKind(StrEnum):
-    """What a timer is for."""
+class TimerKind(Enum):
+    """What a timer is for. Never encoded."""
 
-    UNKNOWN = ""  # a token that was never given out, or has fired before
-    PROBE_PERIOD = "period"
-    DIRECT_TIMEOUT = "direct"  # no ack to the direct ping
-    RESEND_PING = "again"
-    PROBE_TIMEOUT = "ends"  # nor to those that followed
-    INDIRECT_TIMEOUT = "errand"  # no ack to a ping on behalf of another member
-    INDIRECT_EXPIRY = "forget"  # its ack would be of no use any more
-    CONFIRM = "confirm"
-    GOSSIP = "spread"
-    SUSPICION = "suspicion"
-    REJOIN = "join"
-    PUSH_PULL = "exchange"
-    PROBE_DEAD = "knock"
-    NAME_CHECK = "return"
-    CELL = "cell"  # of `fleet.cells.core`
+    UNKNOWN = auto()  # of a token that was never given out, or has fired before
+    PROBE_PERIOD = auto()  # probe the next member
+    DIRECT_TIMEOUT = auto()  # no ack to the first, direct ping of a probe
+    RESEND_PING = auto()  # the third direct ping is due
+    PROBE_TIMEOUT = auto()  # no ack to any ping of a probe
+    INDIRECT_TIMEOUT = auto()  # no ack to a ping on behalf of another member
+    INDIRECT_EXPIRY = auto()  # an ack to it would be of no use any more
+    CONFIRM = auto()  # probe a member that others suspect
+    GOSSIP = auto()
+    SUSPICION = auto()  # a suspicion was not refuted in time
+    REJOIN = auto()
+    PUSH_PULL = auto()
+    PROBE_DEAD = auto()
+    NAME_CHECK = auto()  # of a muted process
+    CELL = auto()  # of `fleet.cells.core`
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """A timer that is set. `member` or `probe_number` says what it concerns, for the kinds that need it."""
+    """A timer that is set. `member` or `probe_number` is what it concerns, for the kinds that need it."""
 
     kind: TimerKind
     due_ms: float
--- a/dunlinloft/fleet/membership/view.py
+++ b/dunlinloft/fleet/membership/view.py
@@ -17,7 +17,7 @@
 
 # Records of members that are dead or left; beyond that the oldest are dropped.
 MAX_DEAD_RECORDS = 4096
-# How long the record of a dead member is kept: datagrams that were delayed that long must not revive it.
+# Age at which the record of a dead member is dropped: no datagram that is younger may revive the member.
 DEAD_RECORD_TTL_MS = 24 * 3_600_000.0
 
 _CHANGE_TO_STATUS = {
@@ -42,7 +42,7 @@
         self.digest = 0
 
     def get(self, name: str) -> Member | None:
-        """The member of this name, or None if nothing was ever heard of it."""
+        """The member of this name, or None if no record of it was ever merged."""
         return self.members.get(name)
 
     def merge(self, record: Record, now: float) -> tuple[Member, MemberChange]:
--- a/dunlinloft/fleet/messages.py
+++ b/dunlinloft/fleet/messages.py
@@ -38,9 +38,9 @@
     ----------
     name: of the member, unique in the fleet.
     incarnation: the process under that name: its start by the wall clock (ms), or a number beyond.
-    revision: how often that process has refuted what was said against it; SWIM's incarnation number.
+    revision: how often that process has refuted a suspicion or its death; SWIM's incarnation number.
     status: `ALIVE`, `SUSPECT`, `DEAD` or `LEFT`.
-    uid: of the process, 0 if not known; tells two processes under one name apart.
+    uid: of the process, 0 if not known; distinguishes two processes under one name.
     address: where it is reached, "" if not known.
     metadata_version: of the metadata, within the incarnation.
     metadata: of that version; None if it is not sent along.
--- a/dunlinloft/fleet/timers.py
+++ b/dunlinloft/fleet/timers.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """Event: the timer that a `SetTimer` of this token asked for has come due."""
+    """Event: the timer that was requested by a `SetTimer` of this token has expired."""
 
     token: int
 
--- a/lab/virtual/cell_processes.py
+++ b/lab/virtual/cell_processes.py
@@ -100,7 +100,7 @@
 
 
 def read(process: Process, data: bytes) -> tuple[api.AnyMessage, Cut | None]:
-    """What a datagram says to this process, and its sender's cut; `Refused` where it says nothing."""
+    """What a datagram says to this process, and its sender's cut; `MessageRejected` where it says nothing."""
     if isinstance(process, Guide) and process.link.mine(data):
         return process.link.read(data), None
     assert isinstance(process, Member | Guide)
