--- a/dunlinloft/balancer/balancer.py
+++ b/dunlinloft/balancer/balancer.py
@@ -52,7 +52,7 @@
 class Balancer:
     """One replica's decisions: feed it events in the order of time, carry out the actions it returns.
 
-    Not thread-safe. Called by the node (`orchidferry.node`), the simulator's adapter (`wirehost`) and `lab`.
+    Not thread-safe. Called by the node (`node.node`), the simulator's adapter (`wirehost`) and `lab`.
     The same settings, salt and events always give the same actions.
 
     Attributes
--- a/dunlinloft/balancer/interface.py
+++ b/dunlinloft/balancer/interface.py
@@ -1,6 +1,6 @@
 """Events, actions and settings: the contract between a node and the balancer's decisions.
 
-The node (`orchidferry`, the simulator's adapter `wirehost`, or `lab`) turns what happens on its sockets into
+The node (`dunlinloft.node`, the simulator's adapter `wirehost`, or `lab`) turns its sockets' happenings into
 events, passes them to `dunlinloft.balancer.balancer.Balancer.handle` and carries out the actions that come
 back. Times are milliseconds on one monotonic clock of the node's choosing. Ids are the node's own and come
 back unchanged. Nothing here decides anything.
--- a/dunlinloft/cli/commands/node.py
+++ b/dunlinloft/cli/commands/node.py
@@ -28,14 +28,14 @@
 @click.argument("config", required=False, type=click.Path(dir_okay=False))
 def serve(config: str | None) -> None:
     """Run a node from CONFIG, or from the file that NODE_CONFIG names."""
-    _replace_process("orchidferry", config)
+    _replace_process("dunlinloft.node", config)
 
 
 @click.command()
 @click.argument("config", required=False, type=click.Path(dir_okay=False))
 def directory(config: str | None) -> None:
     """Run a process of the directory of cells from CONFIG, or from the file that NODE_CONFIG names."""
-    _replace_process("orchidferry.directory", config)
+    _replace_process("dunlinloft.node.fleet.directory", config)
 
 
 @click.command()
--- a/dunlinloft/cli/handlers/config_check.py
+++ b/dunlinloft/cli/handlers/config_check.py
@@ -15,7 +15,7 @@
 from typing import Any, TypeAlias
 
 from dunlinloft.balancer.settings import Malformed
-from orchidferry.config import parse_config, parse_directory, path_in
+from dunlinloft.node.config import parse_config, parse_directory, path_in
 
 MAX_PROBLEMS = 200  # that are reported; a file with more is no configuration
 MIN_KEY_SIMILARITY = 0.8  # difflib's ratio from which an unknown key is taken for a misspelt missing one
--- a/dunlinloft/fleet/interface.py
+++ b/dunlinloft/fleet/interface.py
@@ -1,7 +1,7 @@
 """Events that a host gives to the membership state machine, and actions that it carries out for it.
 
 The state machine is pure: `Membership.handle(event, now)` returns actions and touches neither sockets nor
-clocks. Times are milliseconds on the host's own monotonic clock. The hosts are `orchidferry.peers`
+clocks. Times are milliseconds on the host's own monotonic clock. The hosts are `dunlinloft.node.fleet.peers`
 (sockets), `lab.virtual` (virtual time) and `lab.explore` (an explorer of message orders).
 """
 
--- a/dunlinloft/fleet/member_count.py
+++ b/dunlinloft/fleet/member_count.py
@@ -28,7 +28,7 @@
 class MemberCount:
     """Counts the processes that share this one's budgets.
 
-    Owned by the host (`orchidferry.peers`), which reports who is alive (`observe`) and reads `position`.
+    Owned by the host (`node.fleet.peers`), which reports who is alive (`observe`) and reads `position`.
 
     Parameters
     ----------
--- a/orchidferry/__main__.py
+++ b/dunlinloft/node/__main__.py
@@ -19,10 +19,10 @@
 
 import uvloop
 
-from orchidferry import logs
-from orchidferry.config import BadConfig, read_change, read_config
-from orchidferry.handover import Siblings, handed_socket
-from orchidferry.node import Node
+from dunlinloft.node import logs
+from dunlinloft.node.config import BadConfig, read_change, read_config
+from dunlinloft.node.http.handover import Siblings, handed_socket
+from dunlinloft.node.node import Node
 
 ACCEPT_ON_S = 0.45  # after SIGTERM: connections go on coming for up to 0.4 s
 SIBLINGS_S = 0.1  # how often the other processes of this node are looked for
@@ -34,7 +34,7 @@
     try:
         config = read_config(path)
     except BadConfig as problem:
-        print(f"orchidferry: {problem}", file=sys.stderr)
+        print(f"dunlinloft.node: {problem}", file=sys.stderr)
         return 2
     logs.setup(config.name, config.log)
     loop = asyncio.get_running_loop()
@@ -53,7 +53,7 @@
         if handed is None:
             address = await node.frontend.listen(loop, config.listen)
     except OSError as problem:
-        print(f"orchidferry: can't listen on {address[0]}:{address[1]}: {problem}", file=sys.stderr)
+        print(f"dunlinloft.node: can't listen on {address[0]}:{address[1]}: {problem}", file=sys.stderr)
         return 2
     if handed is not None:
         siblings = Siblings(Path(os.environ.get("TMPDIR") or tempfile.gettempdir()))
@@ -162,7 +162,7 @@
     """The program."""
     path = os.environ.get("NODE_CONFIG")
     if not path:
-        print("orchidferry: NODE_CONFIG must name the configuration file", file=sys.stderr)
+        print("dunlinloft.node: NODE_CONFIG must name the configuration file", file=sys.stderr)
         return 2
     return uvloop.run(run(path))
 
--- a/orchidferry/config.py
+++ b/dunlinloft/node/config.py
@@ -27,7 +27,7 @@
     read_settings,
     required,
 )
-from orchidferry import logs
+from dunlinloft.node import logs
 
 Address = tuple[str, int]
 T = TypeVar("T")
--- a/orchidferry/discovery.py
+++ b/dunlinloft/node/discovery.py
@@ -16,7 +16,7 @@
 import httptools
 
 from dunlinloft.balancer.settings import Malformed
-from orchidferry.config import Address, Listing, read_listing
+from dunlinloft.node.config import Address, Listing, read_listing
 
 WATCH_MS = 1_000  # how long discovery may keep a watch open: one that falls silent is noticed no sooner
 GRACE_MS = 500  # what it gets beyond that: 2 s after the wait its news counts as told
--- a/orchidferry/cells.py
+++ b/dunlinloft/node/fleet/cells.py
@@ -14,11 +14,11 @@
 from dunlinloft.fleet.cells.totals import BOUND_MS, CellCensus
 from dunlinloft.fleet.cells.wire import CellWire
 from dunlinloft.fleet.messages import MetadataValue
-from orchidferry import logs
-from orchidferry.config import CellsConfig, FleetConfig, now_ms
+from dunlinloft.node import logs
+from dunlinloft.node.config import CellsConfig, FleetConfig, now_ms
 
 if TYPE_CHECKING:
-    from orchidferry.peers import Own
+    from dunlinloft.node.fleet.peers import Own
 
 
 class Member(CellMembership):
--- a/orchidferry/directory.py
+++ b/dunlinloft/node/fleet/directory.py
@@ -1,7 +1,7 @@
 """A process of the directory: for control machines, without a request path.
 
 It answers members of cells and takes their reports on the socket on which the directory's processes meet
-each other. Started by `python -m orchidferry.directory` with the file that NODE_CONFIG names.
+each other. Started by `python -m dunlinloft.node.fleet.directory` with the file that NODE_CONFIG names.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 from dunlinloft.fleet.messages import ApplicationMessage, Message
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.wire import MessageRejected
-from orchidferry import logs
-from orchidferry.config import BadConfig, DirectoryConfig, now_ms, read_directory
-from orchidferry.management import AdminEndpoint
-from orchidferry.peers import GOODBYE_S, Own, Peers
+from dunlinloft.node import logs
+from dunlinloft.node.config import BadConfig, DirectoryConfig, now_ms, read_directory
+from dunlinloft.node.fleet.peers import GOODBYE_S, Own, Peers
+from dunlinloft.node.management import AdminEndpoint
 
 SEEN_S = 1.0  # how often it is looked at which other processes are there
 OWN_FLEET = "{}/directory"  # the name under which the directory's processes meet
@@ -161,7 +161,7 @@
     try:
         config = read_directory(path)
     except BadConfig as problem:
-        print(f"orchidferry.directory: {problem}", file=sys.stderr)
+        print(f"dunlinloft directory: {problem}", file=sys.stderr)
         return 2
     logs.setup(config.name, config.log)
     loop = asyncio.get_running_loop()
@@ -172,7 +172,7 @@
     try:
         await host.start()
     except OSError as problem:
-        print(f"orchidferry.directory: can't listen: {problem}", file=sys.stderr)
+        print(f"dunlinloft directory: can't listen: {problem}", file=sys.stderr)
         return 2
     logs.info("started", "a process of the directory of %(fleet)s", fleet=config.fleet.name)
     await stopping.wait()
@@ -185,7 +185,7 @@
     """The program."""
     path = os.environ.get("NODE_CONFIG")
     if not path:
-        print("orchidferry.directory: NODE_CONFIG must name the configuration file", file=sys.stderr)
+        print("dunlinloft directory: NODE_CONFIG must name the configuration file", file=sys.stderr)
         return 2
     return uvloop.run(run(path))
 
--- a/orchidferry/duties.py
+++ b/dunlinloft/node/fleet/duties.py
@@ -24,8 +24,8 @@
 from dunlinloft.fleet.leases.watch import DIVERGENCE_WATCH_ROLE, DivergenceWatch
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import Ack, ApplicationMessage, Message, MetadataValue
-from orchidferry import logs
-from orchidferry.config import now_ms
+from dunlinloft.node import logs
+from dunlinloft.node.config import now_ms
 
 ALL = (DIVERGENCE_WATCH_ROLE, STATE_TABLE_ROLE)
 SEEN_S = 0.4  # how often the cores are told who is there
--- a/orchidferry/peers.py
+++ b/dunlinloft/node/fleet/peers.py
@@ -35,15 +35,15 @@
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.shared_state.core import RELEASES
 from dunlinloft.fleet.wire import MAX_STATE_BYTES, MessageRejected, RejectReason, Wire
-from orchidferry import VERSION, logs
-from orchidferry.config import Address, Config, FleetConfig, address, now_ms
-from orchidferry.duties import DutyHost
-from orchidferry.releases import Releases
-from orchidferry.shared import SharedHost
+from dunlinloft.node import VERSION, logs
+from dunlinloft.node.config import Address, Config, FleetConfig, address, now_ms
+from dunlinloft.node.fleet.duties import DutyHost
+from dunlinloft.node.fleet.releases import Releases
+from dunlinloft.node.fleet.shared import SharedHost
 
 if TYPE_CHECKING:
     from dunlinloft.fleet.cells.totals import CellCensus
-    from orchidferry.cells import CellHost
+    from dunlinloft.node.fleet.cells import CellHost
 
 SOCKETS = 28  # of the node's limit: two of its own, and what follows
 MOST_IN, MOST_OUT = 16, 8  # streams at a time
@@ -122,7 +122,7 @@
         self.core: Membership
         self.census: MemberCount | CellCensus
         if fleet.cells is not None:
-            from orchidferry.cells import CellHost
+            from dunlinloft.node.fleet.cells import CellHost
 
             self.cells = CellHost(own, fleet, fleet.cells, uid, wall_ms, rng, facts)
             self.core, self.census = self.cells.core, self.cells.census
--- a/orchidferry/releases.py
+++ b/dunlinloft/node/fleet/releases.py
@@ -12,8 +12,8 @@
 from dunlinloft.fleet.releases.steward import FRESH_MS, Steward, Telling
 from dunlinloft.fleet.shared_state.core import Shared
 from dunlinloft.fleet.shared_state.messages import TALLY, Steer
-from orchidferry.config import server_id
-from orchidferry.duties import Entries
+from dunlinloft.node.config import server_id
+from dunlinloft.node.fleet.duties import Entries
 
 KEPT = 20  # releases that ended and are remembered
 
--- a/orchidferry/shared.py
+++ b/dunlinloft/node/fleet/shared.py
@@ -21,11 +21,11 @@
 from dunlinloft.fleet.releases.member import Server
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.shared_state.core import AFFINITY, LIMITS, PARTS, RELEASES, Shared, mark
-from orchidferry import logs
-from orchidferry.config import FleetConfig, Listing, now_ms
+from dunlinloft.node import logs
+from dunlinloft.node.config import FleetConfig, Listing, now_ms
 
 if TYPE_CHECKING:
-    from orchidferry.peers import Peers
+    from dunlinloft.node.fleet.peers import Peers
 
 KNOWN_S = 0.25  # how often the fleet's part hears what the node knows
 HOW = {
--- a/orchidferry/frontend.py
+++ b/dunlinloft/node/http/frontend.py
@@ -20,10 +20,10 @@
 
 import httptools
 
-from orchidferry.bodies import MAX_BODY, PIECE, WHOLE, Body, Memory
-from orchidferry.config import Address, now_ms
-from orchidferry.sockets import descriptor, shows
-from orchidferry.upstream import MAX_HEAD, Flow
+from dunlinloft.node.config import Address, now_ms
+from dunlinloft.node.http.bodies import MAX_BODY, PIECE, WHOLE, Body, Memory
+from dunlinloft.node.http.sockets import descriptor, shows
+from dunlinloft.node.http.upstream import MAX_HEAD, Flow
 
 BACKLOG = 1024
 MOST_BUDGET_S = 3600.0  # a caller that says it waits longer has made a mistake
--- a/orchidferry/upstream.py
+++ b/dunlinloft/node/http/upstream.py
@@ -15,9 +15,9 @@
 import httptools
 
 from dunlinloft.balancer.interface import Result
-from orchidferry.bodies import MAX_BODY, PIECE, WHOLE, Body, Memory
-from orchidferry.config import Address, now_ms
-from orchidferry.sockets import descriptor, shows
+from dunlinloft.node.config import Address, now_ms
+from dunlinloft.node.http.bodies import MAX_BODY, PIECE, WHOLE, Body, Memory
+from dunlinloft.node.http.sockets import descriptor, shows
 
 MAX_HEAD = 16 * 1024
 IDLE_SHARE = 0.5  # of the servers' idle limit: a request that crosses their close ends as a reset
--- a/orchidferry/logs.py
+++ b/dunlinloft/node/logs.py
@@ -13,7 +13,7 @@
 
 TEXT, JSON = "text", "json"
 FORMS = {TEXT: TEXT, JSON: JSON}
-_log = logging.getLogger("orchidferry")
+_log = logging.getLogger("dunlinloft.node")
 
 
 def info(event: str, text: str, **fields: Any) -> None:
--- a/orchidferry/management.py
+++ b/dunlinloft/node/management.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from orchidferry.config import Address
+from dunlinloft.node.config import Address
 
 MOST_CALLERS = 24  # at once; beyond that the one that has waited longest has to go
 WAIT_S = 2.0  # for a call to come whole
--- a/orchidferry/node.py
+++ b/dunlinloft/node/node.py
@@ -16,18 +16,18 @@
 from dunlinloft.balancer import interface as api
 from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.balancer.interface import Result
-from orchidferry import logs
-from orchidferry.bodies import Memory
-from orchidferry.config import Address, Config, FleetConfig, Listing, key_id, now_ms
-from orchidferry.discovery import Discovery
-from orchidferry.figures import Figures
-from orchidferry.frontend import Answering, Frontend, Message, Reply, Unacceptable
-from orchidferry.management import MOST_CALLERS, AdminEndpoint
-from orchidferry.upstream import Answer, Attempt, Flow, Upstream
+from dunlinloft.node import logs
+from dunlinloft.node.config import Address, Config, FleetConfig, Listing, key_id, now_ms
+from dunlinloft.node.discovery import Discovery
+from dunlinloft.node.figures import Figures
+from dunlinloft.node.http.bodies import Memory
+from dunlinloft.node.http.frontend import Answering, Frontend, Message, Reply, Unacceptable
+from dunlinloft.node.http.upstream import Answer, Attempt, Flow, Upstream
+from dunlinloft.node.management import MOST_CALLERS, AdminEndpoint
 
 if TYPE_CHECKING:
-    from orchidferry.peers import Peers
-    from orchidferry.shared import SharedHost
+    from dunlinloft.node.fleet.peers import Peers
+    from dunlinloft.node.fleet.shared import SharedHost
 
 MARGIN_MS = 10.0  # of a budget: it ran before the request was read, and the answer takes its time
 SPARE_SOCKETS = 24  # of the limit: listener, discovery, event loop, log, and sockets half closed
@@ -168,7 +168,7 @@
 
     def _meet(self, fleet: FleetConfig) -> None:
         """Become a member of a fleet; a node alone does not even load what that needs."""
-        from orchidferry import peers
+        from dunlinloft.node.fleet import peers
 
         self._peers = peers.Peers(
             self._loop, peers.Own.of(self.config), fleet, self._placed, self._live.__len__, self._balancer,
--- a/lab/capacity/lists.py
+++ b/lab/capacity/lists.py
@@ -10,10 +10,10 @@
 from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.balancer.interface import ListUpdateKind, Result
 from dunlinloft.balancer.settings import read_settings
+from dunlinloft.node.config import Address, Listing, read_listing
 from lab.capacity import sizes
 from lab.capacity.model import TIMED, Experiment, Figure
 from lab.capacity.tools import best_ms, held_bytes, mean_us
-from orchidferry.config import Address, Listing, read_listing
 
 REQUESTS, OUT = 400, 8  # that are timed; that are out meanwhile, as 365 a second of 20 ms each are
 TAKES_MS = 20.0
--- a/lab/capacity/membership.py
+++ b/lab/capacity/membership.py
@@ -15,15 +15,15 @@
 from dunlinloft.fleet.membership.dissemination_queue import DisseminationQueue
 from dunlinloft.fleet.messages import Header, Ping, State
 from dunlinloft.fleet.wire import Wire
+from dunlinloft.node.config import FleetConfig, parse_config
+from dunlinloft.node.fleet.duties import SEEN_S
+from dunlinloft.node.fleet.peers import Own, Peers
+from dunlinloft.node.fleet.shared import seen
 from lab.capacity import sizes
 from lab.capacity.model import TIMED, Experiment, Figure
 from lab.capacity.tools import StillLoop, best_ms, held_bytes, mean_us, peak_bytes, rss_bytes
 from lab.members import settled
 from lab.virtual.fleet import Fleet
-from orchidferry.config import FleetConfig, parse_config
-from orchidferry.duties import SEEN_S
-from orchidferry.peers import Own, Peers
-from orchidferry.shared import seen
 
 FLEET = "capacity"
 PREFIX_BYTES = 5  # before every message: the version, and the fleet's name
--- a/lab/capacity/sizes.py
+++ b/lab/capacity/sizes.py
@@ -29,7 +29,7 @@
 
 
 def record(n: int) -> Record:
-    """What a node's process says of itself, as `orchidferry.peers` has it."""
+    """What a node's process says of itself, as `dunlinloft.node.fleet.peers` has it."""
     facts: dict[str, Any] = {
         "zone": f"zone-{n % ZONES:02}", "tier": 0.0, "program": "0.1.0", "number": float(n), "load": 8.0,
         "draining": False,
--- a/lab/processes/child.py
+++ b/lab/processes/child.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from pathlib import Path
 
-import orchidferry
+import dunlinloft.node
 
-ROOT = Path(orchidferry.__file__).parent.parent
+ROOT = Path(dunlinloft.node.__file__).parent.parent.parent
 SIGNALS = {
     "kill": signal.SIGKILL,
     "term": signal.SIGTERM,
@@ -102,7 +102,7 @@
 
 def node_command() -> list[str]:
     """How a node is started."""
-    return [sys.executable, "-B", "-m", "orchidferry"]
+    return [sys.executable, "-B", "-m", "dunlinloft.node"]
 
 
 def hog_command(for_s: float) -> list[str]:
--- a/lab/scale/directory.py
+++ b/lab/scale/directory.py
@@ -20,7 +20,7 @@
 
 
 class DirectoryProcesses:
-    """So many processes of `python -m orchidferry.directory`."""
+    """So many processes of `python -m dunlinloft.node.fleet.directory`."""
 
     def __init__(self, plan: Plan, block: Block, loop: asyncio.AbstractEventLoop, folder: Path) -> None:
         self._loop, self._folder = loop, folder
@@ -42,7 +42,7 @@
             path = self._folder / f"directory-{n}.json"
             path.write_text(json.dumps(config))
             told = environment(self._folder, NODE_CONFIG=str(path))
-            command = [sys.executable, "-B", "-m", "orchidferry.directory"]
+            command = [sys.executable, "-B", "-m", "dunlinloft.node.fleet.directory"]
             log = self._folder / f"directory-{n}.log"
             self._children.append(Child(self._loop, command, told, log, ()))
         async with asyncio.timeout(READY_S):
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -11,9 +11,9 @@
 import uvloop
 
 from dunlinloft.fleet import interface as api
+from dunlinloft.node.config import Config, parse_config
+from dunlinloft.node.fleet.peers import Own, Peers
 from lab.scale import talk
-from orchidferry.config import Config, parse_config
-from orchidferry.peers import Own, Peers
 
 TURN_S = 0.05  # how often it is looked whether this process is late
 
--- a/lab/scale/limits.py
+++ b/lab/scale/limits.py
@@ -7,9 +7,9 @@
 
 import socket
 
+from dunlinloft.node.config import LEAST_CELL
+from dunlinloft.node.fleet.peers import MOST_IN, MOST_OUT
 from lab.scale.plan import CELLS_APART_S, Machine, Plan
-from orchidferry.config import LEAST_CELL
-from orchidferry.peers import MOST_IN, MOST_OUT
 
 LOCK = ("127.15.0.1", 7398)  # whoever listens here is the one scale run of this machine
 MOST_PROCESSES = 300
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -14,6 +14,7 @@
 import msgspec
 import uvloop
 
+from dunlinloft.node import VERSION
 from lab.day import rare_collections
 from lab.processes.block import NoBlock
 from lab.scale import talk
@@ -21,7 +22,6 @@
 from lab.scale.plan import Machine, Plan, Results, Sample
 from lab.scale.size import SizeRun, TooMuchMemory
 from lab.scale.worker import Worker
-from orchidferry import VERSION
 
 Say = Callable[[str], None]
 SLOWER = 5.0  # than estimated, and a size in virtual time is given up
--- a/lab/startup_cost.py
+++ b/lab/startup_cost.py
@@ -39,7 +39,7 @@
 
 # The one place that names the programs' modules. The two planes import in `load`, once settings are read.
 PROGRAMS: dict[str, Program] = {
-    "node": Program(("-B",), ("import orchidferry.__main__",)),
+    "node": Program(("-B",), ("import dunlinloft.node.__main__",)),
     "data-plane": Program(
         ("-S",),
         (
--- a/lab/virtual/host.py
+++ b/lab/virtual/host.py
@@ -11,6 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from dunlinloft.balancer import interface as api
+from dunlinloft.node.config import server_id
 from lab import records
 from lab.callers import Done, Order
 from lab.names import CALLERS
@@ -20,7 +21,6 @@
 from lab.servers import Job
 from lab.virtual.node import ANSWER_BYTES, REQUEST_BYTES, Attempt, VirtualNode
 from lab.world import CONNECT_MS, World, release_query
-from orchidferry.config import server_id
 
 if TYPE_CHECKING:
     from lab.virtual.member import NodeMeeting
--- a/lab/virtual/member.py
+++ b/lab/virtual/member.py
@@ -1,4 +1,4 @@
-"""The fleet's part of a virtual node: the same cores that `orchidferry` hosts, over the lab's links."""
+"""The fleet's part of a virtual node: the same cores that `dunlinloft.node` hosts, over the lab's links."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from dunlinloft.fleet.releases.steward import LOOK_MS
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.shared_state.core import AFFINITY, RELEASES, Shared, mark
+from dunlinloft.node.config import key_id
+from dunlinloft.node.fleet.duties import DutyHost
+from dunlinloft.node.fleet.peers import COUNT_S, of_tier
+from dunlinloft.node.fleet.releases import Releases
+from dunlinloft.node.fleet.shared import HOW, KNOWN_S, hearsay, known, place, quotas, seen, window_ms
 from lab.virtual.meeting import Meeting, Process
-from orchidferry.config import key_id
-from orchidferry.duties import DutyHost
-from orchidferry.peers import COUNT_S, of_tier
-from orchidferry.releases import Releases
-from orchidferry.shared import HOW, KNOWN_S, hearsay, known, place, quotas, seen, window_ms
 
 if TYPE_CHECKING:
     from lab.virtual.host import VirtualHost
--- a/lab/virtual/node.py
+++ b/lab/virtual/node.py
@@ -1,6 +1,6 @@
 """A node in virtual time: the same `Balancer` among connections, time-outs and a deadline's backstop.
 
-It does what `orchidferry/node.py` and `orchidferry/upstream.py` do on sockets, and decides as little.
+It does what `dunlinloft.node.node` and `dunlinloft.node.http.upstream` do on sockets, and decides as little.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from dunlinloft.balancer.interface import Result
 from dunlinloft.balancer.settings import read_settings
 from dunlinloft.fleet import interface as fleet_api
+from dunlinloft.node.__main__ import ACCEPT_ON_S
+from dunlinloft.node.config import STATUSES, start_mark
+from dunlinloft.node.http.upstream import IDLE_SHARE
+from dunlinloft.node.node import KNOWN_AGAIN_S, MARGIN_MS
 from lab import records
 from lab.callers import Done, Order
 from lab.records import UNREACHED
 from lab.registry import ACTIVE, LEFT, Entry, told
 from lab.servers import Job, Server
 from lab.settings import settings
-from orchidferry.__main__ import ACCEPT_ON_S
-from orchidferry.config import STATUSES, start_mark
-from orchidferry.node import KNOWN_AGAIN_S, MARGIN_MS
-from orchidferry.upstream import IDLE_SHARE
 
 if TYPE_CHECKING:
     from lab.virtual.host import VirtualHost
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -14,8 +14,8 @@
 
 import uvloop
 
-from orchidferry.config import read_config
-from orchidferry.node import Node
+from dunlinloft.node.config import read_config
+from dunlinloft.node.node import Node
 from tests.test_wire import ENV
 
 LIMIT_S = 30.0  # for what a test waits for: generous, as a busy machine must not change the verdict
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -11,10 +11,10 @@
 import pytest
 
 from dunlinloft.balancer import interface as api
-from orchidferry import frontend
-from orchidferry.bodies import PIECE, WHOLE, Body, Memory
-from orchidferry.config import Address
-from orchidferry.upstream import Attempt, Upstream
+from dunlinloft.node.config import Address
+from dunlinloft.node.http import frontend
+from dunlinloft.node.http.bodies import PIECE, WHOLE, Body, Memory
+from dunlinloft.node.http.upstream import Attempt, Upstream
 from tests.helpers import Node, ends, sends, timers
 from tests.peers import LIMIT_S, Caller, Server, World, answer, request, run, until, world
 
--- a/tests/test_discovery_bound.py
+++ b/tests/test_discovery_bound.py
@@ -13,9 +13,9 @@
 import pytest
 
 from dunlinloft.balancer.balancer import RESUBSCRIBE_MAX_MS
-from orchidferry.config import address
-from orchidferry.discovery import CALL_MS, GRACE_MS, WATCH_MS
-from orchidferry.node import PUSHED_RETRY_S
+from dunlinloft.node.config import address
+from dunlinloft.node.discovery import CALL_MS, GRACE_MS, WATCH_MS
+from dunlinloft.node.node import PUSHED_RETRY_S
 from tests.peers import CLOSE, HANG, RESET, Registry, Seen, Server, World, answer, world
 from tests.test_rare_moments import hanging
 from tests.virtual_time import run_virtually
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -37,12 +37,13 @@
 from dunlinloft.fleet.leases import voters
 from dunlinloft.fleet.releases import messages as release_messages
 from dunlinloft.fleet.shared_state import messages as shared_messages
+from dunlinloft.node import config
+from dunlinloft.node.http import handover
 from dunlinloft.transport import message_stream
 from lab import cells as lab_cells
 from lab import records, results
 from lab.capacity import model
 from lab.scale import plan, talk
-from orchidferry import config, handover
 
 FIXTURES = Path(__file__).parent / "fixtures"
 ENCODED = FIXTURES / "encoded"
--- a/tests/test_lab_processes.py
+++ b/tests/test_lab_processes.py
@@ -65,10 +65,10 @@
 
 PLANTED = """
 import sys
-import orchidferry.node as node
+import dunlinloft.node.node as node
 old = node.request_head
 node.request_head = lambda *args: old(*args).replace({what})
-from orchidferry.__main__ import main
+from dunlinloft.node.__main__ import main
 sys.exit(main())
 """
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -11,9 +11,10 @@
 from click.testing import CliRunner
 
 from dunlinloft.cli import main
-from orchidferry import frontend, management
-from orchidferry.config import read_config
-from orchidferry.figures import Figures
+from dunlinloft.node import management
+from dunlinloft.node.config import read_config
+from dunlinloft.node.figures import Figures
+from dunlinloft.node.http import frontend
 from tests.peers import Caller, Server, World, answer, request, run, until, world
 
 
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -10,7 +10,7 @@
 
 from dunlinloft.balancer import interface as api
 from dunlinloft.balancer.interface import Result
-from orchidferry.config import BadConfig, read_change, read_config
+from dunlinloft.node.config import BadConfig, read_change, read_config
 from tests import peers
 from tests.helpers import SAFE, Node, ends, entries, settings
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -12,10 +12,10 @@
 import pytest
 
 from dunlinloft.balancer.interface import Result
-from orchidferry import upstream
-from orchidferry.bodies import Body, Memory
-from orchidferry.config import Address
-from orchidferry.upstream import Answer, Connection, Flow, Upstream, read_report
+from dunlinloft.node.config import Address
+from dunlinloft.node.http import upstream
+from dunlinloft.node.http.bodies import Body, Memory
+from dunlinloft.node.http.upstream import Answer, Connection, Flow, Upstream, read_report
 from tests.peers import CLOSE, HANG, LIMIT_S, RESET, Server, answer, request, run, until, world
 
 NOISE = b"\x00\xff not HTTP at all\r\n\r\n"
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -16,9 +16,9 @@
 
 from dunlinloft.balancer import interface as api
 from dunlinloft.balancer.balancer import Balancer
-from orchidferry import frontend
-from orchidferry.frontend import Reply
-from orchidferry.node import UNHEARD_S, Node
+from dunlinloft.node.http import frontend
+from dunlinloft.node.http.frontend import Reply
+from dunlinloft.node.node import UNHEARD_S, Node
 from tests.peers import (
     CLOSE,
     HANG,
