--- a/dunlinloft/coordination/__init__.py
+++ b/dunlinloft/coordination/__init__.py
@@ -5,7 +5,7 @@
 virtual time.
 
 - Replicated state: `replica` composes the chain (`chain`), the Paxos round that decides the next view
-  (`voting`, `proposal`), failure detection and leases (`failure_detector`), the planning of views
+  (`voting`, `acceptor`, `proposer`), failure detection and leases (`failure_detector`), the planning of views
   (`view_planning`, `view_reconciler`) and operators' calls (`calls`, `change_queue`, `tail_reads`,
   `epoch_confirmation`).
 - Data: `views`, `state`, `history`, `document_changes`, `records` (on disk) and `messages` (on the wire).
--- /dev/null
+++ b/dunlinloft/coordination/acceptor.py
@@ -0,0 +1,80 @@
+"""An acceptor's side of single-decree Paxos, for the view after the one in force.
+
+Follows Lamport, "Paxos Made Simple" (2001), section 2.2: a promise or an acceptance is on disk before it is
+answered.
+"""
+
+from __future__ import annotations
+
+from dunlinloft.coordination.records import AcceptRecord, DurableState, PrepareRecord, Record
+from dunlinloft.coordination.views import AcceptedProposal, Member, ProposalNumber
+from dunlinloft.coordination.voting_hooks import VotingHooks
+from dunlinloft.coordination.voting_messages import (
+    Accept,
+    Accepted,
+    Prepare,
+    PrepareResponse,
+    ProposalRejected,
+)
+
+
+class Acceptor:
+    """Promises and acceptances of one replica in one epoch. Owned by `voting.Voting`, which checks epochs."""
+
+    def __init__(self, me: Member, durable: DurableState, hooks: VotingHooks) -> None:
+        self._me = me
+        self._hooks = hooks
+        self.promised: ProposalNumber | None = durable.promised
+        self.accepted: AcceptedProposal | None = durable.accepted
+
+    def reset(self) -> None:
+        """Begin anew for the view after a view that was just learned."""
+        self.promised = None
+        self.accepted = None
+
+    def on_prepare(self, message: Prepare, epoch: int) -> None:
+        """Promise to accept no lower-numbered proposal for the view of `epoch`, or reject."""
+        number = message.proposal_number
+        if self._reject_lower(message.sender, epoch, number):
+            return
+        self.promised = number
+        response = PrepareResponse(self._me, epoch, number, self.accepted)
+        self._answer_once_durable(PrepareRecord(number), message.sender, response)
+
+    def on_accept(self, message: Accept) -> None:
+        """Accept a proposal, unless a higher-numbered one was promised or its epoch can't be sealed here."""
+        epoch = message.view.epoch
+        number = message.proposal_number
+        if self._reject_lower(message.sender, epoch, number):
+            return
+        if message.view.sealed_by == self._me.id and not self._seal_current_epoch():
+            return
+        self.promised = number
+        self.accepted = AcceptedProposal(number, message.view)
+        response = Accepted(self._me, epoch, number)
+        self._answer_once_durable(AcceptRecord(number, message.view), message.sender, response)
+
+    def observe_promised(self, number: ProposalNumber) -> None:
+        """Take notice of another acceptor's promise, so that this replica's next proposal is higher.
+
+        It need not be on disk, as it is no promise of this acceptor.
+        """
+        if self.promised is None or self.promised < number:
+            self.promised = number
+
+    def _reject_lower(self, proposer: Member, epoch: int, number: ProposalNumber) -> bool:
+        """Reject a proposal whose number is below the promised one; return whether it was."""
+        if self.promised is None or number >= self.promised:
+            return False
+        self._hooks.send(proposer.address, ProposalRejected(self._me, epoch, self.promised))
+        return True
+
+    def _seal_current_epoch(self) -> bool:
+        """Ensure that the epoch in force commits nothing for want of this replica, if it does not yet."""
+        sealed = self.accepted is not None and self.accepted.view.sealed_by == self._me.id
+        return sealed or self._hooks.seal_epoch()
+
+    def _answer_once_durable(
+        self, record: Record, proposer: Member, response: PrepareResponse | Accepted
+    ) -> None:
+        self._hooks.persist(record, lambda: self._hooks.send(proposer.address, response))
--- a/dunlinloft/coordination/replica.py
+++ b/dunlinloft/coordination/replica.py
@@ -30,7 +30,8 @@
 from dunlinloft.coordination.verdicts import Validator
 from dunlinloft.coordination.view_reconciler import ViewReconciler
 from dunlinloft.coordination.views import Member, View
-from dunlinloft.coordination.voting import Voting, VotingHooks
+from dunlinloft.coordination.voting import Voting
+from dunlinloft.coordination.voting_hooks import VotingHooks
 from dunlinloft.coordination.voting_messages import (
     Accept,
     Accepted,
