--- a/dunlinloft/balancer/admission.py
+++ b/dunlinloft/balancer/admission.py
@@ -48,9 +48,8 @@
         self._canary = canary
         self._rng = rng
         self._current: list[str] = []  # names of the classes that requests may come for
-        self._latency_target_ms: dict[
-            str, float
-        ] = {}  # of classes that have vanished too: their calls may be queued
+        # Of classes that have vanished too: their calls may be queued.
+        self._latency_target_ms: dict[str, float] = {}
         self._measured_capacity = 0.0  # that the recent answers came from
         self.reconfigure(settings)
 
@@ -81,14 +80,12 @@
         if not self._in_flight.count:  # while nothing was in flight, nothing was measured
             self._controller.busy_answer_rate.skip(now_ms)
         window = self._controller.window(self._server_set.slice_size, now_ms)
-        if (
-            self._measured_capacity
-        ):  # the rate was measured with servers that may have left or restarted by now
+        if self._measured_capacity:  # the rate's servers may have left or restarted by now
             window = max(1.0, window * min(1.0, self._capacity(now_ms) / self._measured_capacity))
         unreserved = (1.0 - RESERVED_SHARE) * window
         if self._in_flight.count < unreserved:
             return False
-        self.mark_stuck(now_ms)
+        self.note_stuck(now_ms)
         in_flight = self._in_flight.count - len(self._in_flight.stuck)
         if in_flight < unreserved:
             return False
@@ -107,15 +104,14 @@
         if statistics.on_time_share[cls] <= statistics.lowest_on_time_share():  # strict order would starve it
             request_share = max(statistics.request_share[cls], 1.0 / PEER_SAMPLES**2)
             value += self._settings.worst_class_weight / request_share
-        value *= (
-            self._settings.over_quota_value if over_quota else 1.0
-        )  # a flooding tenant waits behind others
+        if over_quota:  # a flooding tenant waits behind others
+            value *= self._settings.over_quota_value
         usual_ms = statistics.latency_ms[cls] or self._baseline.usual_share * self._latency_target_ms[cls]
         return value / max(1.0, usual_ms)
 
-    def mark_stuck(self, now_ms: float) -> None:
+    def note_stuck(self, now_ms: float) -> None:
         """Note which calls are stuck at servers that stopped responding."""
-        self._in_flight.mark_stuck(self._server_set.unresponsive(now_ms, self._baseline.usual_share))
+        self._in_flight.note_stuck(self._server_set.unresponsive(now_ms, self._baseline.usual_share))
 
     def record_answer(self, now_ms: float) -> None:
         """An answer was measured: the window follows the capacity that such answers came from."""
@@ -127,9 +123,7 @@
         lost = self._server_set.unresponsive(now_ms, self._baseline.usual_share)
         ready = self._server_set.ready
         canary = self._canary
-        factor = canary.weight_factor(
-            ready, self._settings, now_ms
-        )  # what may not be sent there bears nothing
+        factor = canary.weight_factor(ready, self._settings, now_ms)  # the rest may not be sent there
         capacity = 0.0
         for server in ready:  # a loop, as this is asked several times for each call
             if now_ms < server.ejected_until_ms or (lost and server in lost):
--- a/dunlinloft/balancer/balancer.py
+++ b/dunlinloft/balancer/balancer.py
@@ -3,8 +3,9 @@
 The decisions are in the modules it is built from: `delay_controller` (retries and window by delay),
 `admission` (window, shedding, priority), `selection` with `rotation`, `affinity` and `canary` (where an
 attempt goes), `outlier_ejection` and `server` (health and weight), `retry_policy` (what may be sent again),
-`tenant_quotas`, `idle_connections`, `server_set` with `subsetting`. `docs/design.md` says what is kept from
-their sources, what is changed and why. None of them does I/O, reads a clock or owns a socket.
+`attempt_timeout`, `tenant_quotas`, `idle_connections`, `server_set` with `subsetting`; `measurements` passes
+results on to them. `docs/design.md` says what is kept from their sources, what is changed and why. None of
+them does I/O, reads a clock or owns a socket.
 """
 
 from __future__ import annotations
@@ -15,6 +16,7 @@
 
 from dunlinloft.balancer import interface as api
 from dunlinloft.balancer.admission import Admission
+from dunlinloft.balancer.attempt_timeout import attempt_timeout_ms
 from dunlinloft.balancer.averages import ClassStatistics
 from dunlinloft.balancer.call import Call
 from dunlinloft.balancer.calls_in_flight import CallsInFlight
@@ -23,6 +25,7 @@
 from dunlinloft.balancer.idle_connections import IdleConnections
 from dunlinloft.balancer.interface import ListUpdateKind, Result
 from dunlinloft.balancer.latency_baseline import PEER_SAMPLES, LatencyBaseline
+from dunlinloft.balancer.measurements import Measurements
 from dunlinloft.balancer.outlier_ejection import OutlierEjection
 from dunlinloft.balancer.retry_policy import RetryPolicy
 from dunlinloft.balancer.selection import ServerSelection
@@ -30,16 +33,9 @@
 from dunlinloft.balancer.server_set import ServerSet, ZoneCapacity
 from dunlinloft.balancer.tenant_quotas import QuotaCounts, TenantQuotas
 
-TIMEOUT_SHARE = 0.95  # of the time left, for an attempt that another may follow
-TIMEOUT_FACTOR = 8.0  # times the usual delay: the longest that an attempt may take
-TIMEOUT_SHARE_MIN = (
-    0.1  # of the latency target, as the node itself may be late by more than a few milliseconds
-)
 RESUBSCRIBE_SHARE = 0.1  # of the poll interval: mean wait before subscribing again after a failure,
 RESUBSCRIBE_MAX_MS = 500.0  # as, whatever the interval, the node must know what discovery has known for 6 s
 RESUBSCRIBE_TOKEN = 0  # of that timer; those of calls count from 1
-# Results that prove no sign of life of their server.
-NO_RESPONSE = (Result.TIMEOUT, Result.UNREACHABLE, Result.CANCELLED, Result.NOT_SENT)
 
 
 class _QueueKey(NamedTuple):
@@ -96,6 +92,14 @@
             self._canary,
             self._rng,
         )
+        self._measurements = Measurements(
+            self.controller,
+            self._baseline,
+            self.statistics,
+            self._admission,
+            self.outlier_ejection,
+            self._idle_connections,
+        )
         self._calls: dict[str, Call] = {}
         self._queues: dict[_QueueKey, deque[Call]] = {}  # first attempts that wait for the window
         self._timers: dict[int, Call] = {}  # by token
@@ -222,15 +226,15 @@
             self.outlier_ejection.record_result(server, Result.SERVED, now_ms)
         if call is not None:
             call.streaming = True
-            self._record_delay(call, server, event.duration_ms, True, now_ms)
-            self._record_answer(call, event.duration_ms, now_ms)
+            self._measurements.record_delay(call, server, event.duration_ms, True, now_ms)
+            self._measurements.record_answer(call, event.duration_ms, now_ms)
         self._release_queued(now_ms)
 
     def _handle_attempt_completed(self, event: api.AttemptCompleted, now_ms: float) -> None:
         call = self._calls.get(event.id)
         server = self.server_set.servers.get(event.server)
         if event.result is Result.TIMEOUT:
-            self._admission.mark_stuck(now_ms)
+            self._admission.note_stuck(now_ms)
         stuck = event.id in self._in_flight.stuck
         self._in_flight.stuck.discard(event.id)
         self._in_flight.remove(event.id, server)
@@ -238,13 +242,13 @@
         # A response that flowed was measured when it began.
         measured = call is not None and call.streaming and event.result is Result.SERVED
         if server is not None:
-            self._record_result(event, call, server, measured, now_ms)
+            self._measurements.record_result(event, call, server, measured, now_ms)
         if call is not None:
-            self._record_outcome(event, call, server, measured, stuck, now_ms)
+            self._measurements.record_outcome(event, call, server, measured, stuck, now_ms)
             if event.final:
                 del self._calls[event.id]
                 if not call.streaming:
-                    self._record_answer(call, event.duration_ms, now_ms)
+                    self._measurements.record_answer(call, event.duration_ms, now_ms)
             else:
                 self._retry_or_end(event, call, now_ms)
         self._release_queued(now_ms)
@@ -259,64 +263,6 @@
             else:
                 self._attempt(call, now_ms)
 
-    # What results say of servers and of the tier
-
-    def _record_result(
-        self, event: api.AttemptCompleted, call: Call | None, server: Server, measured: bool, now_ms: float
-    ) -> None:
-        """Take what a result says of its server and of idle connections."""
-        if event.result not in NO_RESPONSE:
-            server.last_response_ms = now_ms
-        server.record_report(event.report, now_ms)
-        server.last_used_ms = now_ms
-        if call is not None and call.idle_ms:
-            self._idle_connections.record_result(call.idle_ms, event.result)
-        if not measured:
-            self.outlier_ejection.record_result(server, event.result, now_ms)
-
-    def _record_outcome(
-        self,
-        event: api.AttemptCompleted,
-        call: Call,
-        server: Server | None,
-        measured: bool,
-        stuck: bool,
-        now_ms: float,
-    ) -> None:
-        """Take what a result says of the tier's delay."""
-        served = event.result is Result.SERVED
-        if event.result in (Result.SERVED, Result.TIMEOUT) and not measured:
-            if stuck:
-                self._compare_delay(call, server, event.duration_ms, now_ms)
-            else:
-                self._record_delay(call, server, event.duration_ms, served, now_ms)
-        elif event.result is Result.REJECTED:  # full is as slow as a server gets
-            target_ms = call.cls.latency_target_ms
-            self.controller.record_answer(target_ms, target_ms, now_ms, False)
-
-    def _record_delay(
-        self, call: Call, server: Server | None, delay_ms: float, served: bool, now_ms: float
-    ) -> None:
-        """Take a call's delay as a sample of the tier's, and of its server against the others."""
-        self._baseline.record(delay_ms / call.cls.latency_target_ms)
-        if self._baseline.established:
-            self.controller.target_share = self._baseline.target_share()
-        self.controller.record_answer(delay_ms, call.cls.latency_target_ms, now_ms, served)
-        self._compare_delay(call, server, delay_ms, now_ms)
-
-    def _compare_delay(self, call: Call, server: Server | None, delay_ms: float, now_ms: float) -> None:
-        """Judge a server by a call's delay; that of a stuck call says nothing of the tier."""
-        usual_share = self._baseline.usual_share
-        if server is not None and usual_share:
-            server.record_latency(delay_ms / call.cls.latency_target_ms / usual_share, now_ms)
-
-    def _record_answer(self, call: Call, delay_ms: float, now_ms: float) -> None:
-        """A request has its answer, or that has begun."""
-        self._admission.record_answer(now_ms)
-        on_time = now_ms - call.arrived_ms <= call.cls.latency_target_ms
-        self.statistics.count_answer(call.cls.name, on_time)
-        self.statistics.record_latency(call.cls.name, delay_ms)
-
     # The way of a call: queued, sent, retried, ended
 
     def _attempt(self, call: Call, now_ms: float) -> None:
@@ -359,8 +305,8 @@
 
     def _send(self, call: Call, server: Server, now_ms: float) -> bool:
         """The one gate that every attempt passes, rules 1 to 6; whether it went out."""
-        left_ms = call.deadline_ms - now_ms if call.complete else call.ttl_ms
-        if not self._may_send(call, server, left_ms, now_ms):
+        remaining_ms = call.deadline_ms - now_ms if call.complete else call.ttl_ms
+        if not self._may_send(call, server, remaining_ms, now_ms):
             return False
         slow_start_share = server.slow_start_share(now_ms, self.settings)
         if slow_start_share < 1.0:  # rule 4
@@ -382,14 +328,15 @@
             self._in_flight.add(call, server, now_ms)
         else:
             self._in_flight.without_load.add(call.id)
-        timeout_ms = self._timeout_ms(call, left_ms)
+        last = self.retry_policy.is_last_attempt(call)
+        timeout_ms = attempt_timeout_ms(call.cls, self._baseline, remaining_ms, last)
         window_ms = self.retry_policy.send_window_ms(call, now_ms)
         self._actions.append(api.Send(call.id, server.id, timeout_ms, window_ms))
         return True
 
-    def _may_send(self, call: Call, server: Server, left_ms: float, now_ms: float) -> bool:
+    def _may_send(self, call: Call, server: Server, remaining_ms: float, now_ms: float) -> bool:
         """Rules 1, 2, 3, 5 and 6; rule 4 takes from a budget and comes last."""
-        if call.id not in self._calls or call.in_flight or left_ms <= self.settings.tick_ms:  # rule 1
+        if call.id not in self._calls or call.in_flight or remaining_ms <= self.settings.tick_ms:  # rule 1
             return False
         if call.attempts >= self.settings.max_attempts or not self.retry_policy.may_send(call, now_ms):
             return False
@@ -406,19 +353,6 @@
             self._actions.append(api.CloseIdle(server.id))
             call.idle_ms = 0.0
 
-    def _timeout_ms(self, call: Call, left_ms: float) -> float:
-        """How long an attempt may take.
-
-        Calls to a lost zone that wait out a whole deadline would fill the slots of the tier above (i2750ee).
-        """
-        if self._baseline.established:
-            share = max(TIMEOUT_FACTOR * self._baseline.usual_share, TIMEOUT_SHARE_MIN)
-            longest_ms = share * call.cls.latency_target_ms
-        else:
-            longest_ms = left_ms
-        last = self.retry_policy.is_last_attempt(call)
-        return min(longest_ms, left_ms if last else TIMEOUT_SHARE * left_ms)
-
     def _retry_or_end(self, event: api.AttemptCompleted, call: Call, now_ms: float) -> None:
         """An attempt has failed: let the delay controller decide about the next."""
         call.in_flight = False
--- a/dunlinloft/balancer/delay_controller.py
+++ b/dunlinloft/balancer/delay_controller.py
@@ -104,12 +104,12 @@
     def _add_sample(self, delay_ms: float, latency_target_ms: float, decay: float) -> None:
         # Old samples fade with time too: a replica that sheds gets few new ones, and would go on shedding
         # for the old.
-        kept = min(1.0 - 1.0 / SAMPLES, decay)
-        self._samples = self._samples * kept + 1.0
-        self._latency_target_sum_s = self._latency_target_sum_s * kept + latency_target_ms / 1000.0
+        retained = min(1.0 - 1.0 / SAMPLES, decay)
+        self._samples = self._samples * retained + 1.0
+        self._latency_target_sum_s = self._latency_target_sum_s * retained + latency_target_ms / 1000.0
         error_s = (self.target_share * latency_target_ms - delay_ms) / 1000.0
-        self._error_sum_s = self._error_sum_s * kept + error_s
-        self._error_square_sum = self._error_square_sum * kept + error_s**2
+        self._error_sum_s = self._error_sum_s * retained + error_s
+        self._error_square_sum = self._error_square_sum * retained + error_s**2
 
     def _retune(self) -> None:
         """Tune the gains to the answer rate where it has left the band around the rate they are tuned to."""
--- a/dunlinloft/balancer/latency_baseline.py
+++ b/dunlinloft/balancer/latency_baseline.py
@@ -7,9 +7,7 @@
 from dunlinloft.balancer.delay_controller import SAMPLES, TARGET_SHARE
 
 PEER_SAMPLES = 100.0  # answers over which what all servers have in common is averaged
-TARGET_OVER_MINIMUM = (
-    1.25  # times the least mean delay measured is the target, where that is over `TARGET_SHARE`
-)
+TARGET_OVER_MINIMUM = 1.25  # times the least mean delay is the target, where that is over `TARGET_SHARE`
 TARGET_SHARE_MAX = 0.6
 
 
--- a/dunlinloft/balancer/outlier_ejection.py
+++ b/dunlinloft/balancer/outlier_ejection.py
@@ -23,9 +23,7 @@
 PEER_ERROR_SHARE_MIN = 0.01  # what peers are taken for at least
 REJECTION_LIMIT_FACTOR = 0.9  # on the calls that a server may hold from here, once it has rejected an attempt
 TRUSTED_OWN_SUCCESSES = 1.0  # since the verdict, from which a replica trusts these and not its peers
-READMISSION_SPREAD_MS = (
-    2_000.0  # a server that peers no longer warn of comes back to each replica within this time
-)
+READMISSION_SPREAD_MS = 2_000.0  # within which a server comes back that peers no longer warn of
 
 
 class OutlierEjection:
--- a/dunlinloft/balancer/selection.py
+++ b/dunlinloft/balancer/selection.py
@@ -18,9 +18,8 @@
 from dunlinloft.balancer.server import Server
 from dunlinloft.balancer.server_set import ServerSet
 
-CROWDED_FACTOR = (
-    1.2  # a server holding this many times its share of the calls in flight, and one, is passed over
-)
+# A server holding this many times its share of the calls in flight, and one, is passed over.
+CROWDED_FACTOR = 1.2
 LATENCY_WEIGHT_SHARE_MIN = 0.5  # of all weight stays in turns, whatever the servers' latency
 AFFINITY_LOAD_BOUND = 1.25  # times its share of the load that a server may hold of those that belong to it
 SLOW_START_BUDGET_SHARE = 0.5  # of the stated budget that all replicas together use
@@ -86,9 +85,7 @@
         if capped:
             available, crowded = self._canary.filter(call, factor, available, crowded)
         available = available or [pair for pair in crowded if pair[0].in_flight < pair[0].concurrency_limit]
-        if (
-            call.last_server is not None and len(available) > 1
-        ):  # another than last time, where there is a choice
+        if call.last_server is not None and len(available) > 1:  # another than last time
             available = [pair for pair in available if pair[0] is not call.last_server]
         return available
 
@@ -128,11 +125,11 @@
         for server, weight, latency_weight in candidates:
             weight *= latency_weight + even * (1.0 - latency_weight)
             # A slow or stuck server shows first by what it holds: passed over until its peers hold as much.
-            has_room = server.in_flight < min(server.concurrency_limit, max(1.0, fair * weight))
+            has_capacity = server.in_flight < min(server.concurrency_limit, max(1.0, fair * weight))
             fit = now_ms >= server.ejected_until_ms and not (
                 server.verdict and avoided_by_verdict(server, call.cls.name)
             )
-            (available if has_room and fit else crowded).append((server, weight))
+            (available if has_capacity and fit else crowded).append((server, weight))
         if unbound:
             self._ready_weight = total
         return available, crowded
--- a/dunlinloft/balancer/server.py
+++ b/dunlinloft/balancer/server.py
@@ -15,9 +15,7 @@
 SLOWNESS_SAMPLE_MAX = 10.0  # times its peers' delay that one answer may count for
 SLOWNESS_SAMPLES = 3.0  # answers that a server's slowness is averaged over
 SLOWNESS_DECAY_MS = 10_000.0  # time constant in which it is forgotten
-OVERDUE_FACTOR = (
-    1.5  # a call in flight for this many usual delays makes its server look as slow as one answer
-)
+OVERDUE_FACTOR = 1.5  # a call in flight for this many usual delays counts as one answer that slow
 REPORTED_QUEUE_DECAY_MS = 5_000.0  # time constant in which a reported queue is forgotten
 REPORTED_QUEUE_EXPONENT = 3  # of the queue, one added, that the weight is divided by
 UNRESPONSIVE_FACTOR = 3.0  # usual delays without a sign of life, from which a server is taken for lost
@@ -151,8 +149,8 @@
         if self.slowness > SLOWNESS_THRESHOLD:  # else it is less now too
             slowness = max(slowness, self._slowness_at(now_ms))
         if self.verdict is not None:
-            told = 1.0 + (self.verdict.slow - 1.0) * 0.5**self.fast_since_verdict
-            slowness = max(slowness, told)
+            reported = 1.0 + (self.verdict.slow - 1.0) * 0.5**self.fast_since_verdict
+            slowness = max(slowness, reported)
         if not self.reported_queue and slowness == SLOWNESS_THRESHOLD:
             return 1.0
         weight = math.pow(SLOWNESS_THRESHOLD / slowness, SLOWNESS_EXPONENT)
--- a/dunlinloft/balancer/server_set.py
+++ b/dunlinloft/balancer/server_set.py
@@ -10,9 +10,9 @@
 from dunlinloft.balancer.server import Server
 from dunlinloft.balancer.subsetting import subset_shares
 
-INITIAL_SLICES = (
-    4  # of the fleet, each divided evenly among all replicas: few servers, so that each is used often
-)
+# Slices of the fleet that a replica begins with, each 1/replicas of it: few servers, so that each is used
+# often.
+INITIAL_SLICES = 4
 UNRESPONSIVE_SHARE_MAX = 0.5  # of the servers may be taken for lost: where more are silent, the tier is slow
 # Peers are told of a server once it has been silent this many times as long as to be taken for lost here: by
 # chance one call in many takes that long.
--- a/dunlinloft/balancer/wirehost.py
+++ b/dunlinloft/balancer/wirehost.py
@@ -1,7 +1,9 @@
-"""The adapter: hosts one `Balancer` per simulated node and speaks the bench's wire.
+"""The simulator's adapter: hosts one `Balancer` for each simulated node and speaks the bench's wire.
 
-One JSON batch a line on standard input, one JSON reply a line on standard output. No decisions are
-made here. Malformed input ends the process with one line on standard error and exit status 2.
+One JSON batch a line on standard input, one JSON reply a line on standard output. No decisions are made here.
+Malformed input ends the process with one line on standard error and exit status 2. Run as
+`python -m dunlinloft.balancer.wirehost` (`deploy/balancer.toml`, `sim`). The kinds, keys and codes are the
+wire's.
 """
 
 from __future__ import annotations
@@ -29,13 +31,13 @@
     "terminating": api.Health.DRAINING,
     "terminated": api.Health.TERMINATED,
 }
-FORMS = {
+LIST_FORMS = {
     "INCREMENTAL": api.ListUpdateKind.DELTA,
     "FULL": api.ListUpdateKind.SNAPSHOT,
     "SAVED": api.ListUpdateKind.CACHED,
     "FAILED": api.ListUpdateKind.FAILED,
 }
-RESULTS = {
+DISPOSITIONS = {
     100: api.Result.SERVED,
     301: api.Result.ERROR,
     302: api.Result.REJECTED,
@@ -45,34 +47,35 @@
     306: api.Result.CANCELLED,
     307: api.Result.NOT_SENT,
 }
+EXIT_MALFORMED = 2
 
 
-def _entries(item: Json) -> list[api.ServerEntry]:
+def _read_entries(item: Json) -> list[api.ServerEntry]:
     return [
         api.ServerEntry(
-            server=required(e, "server", int),
-            zone=optional(e, "failure_domain", str, ""),
-            kind=optional(e, "sku", str, ""),
-            cell=optional(e, "group", int, 0),
-            health=choice(e, "health", HEALTH),
-            share=optional(e, "share", NUMBER, 1.0),
-            started_ms=optional(e, "boot_time_ms", NUMBER, 0.0) or None,
+            server=required(element, "server", int),
+            zone=optional(element, "failure_domain", str, ""),
+            kind=optional(element, "sku", str, ""),
+            cell=optional(element, "group", int, 0),
+            health=choice(element, "health", HEALTH),
+            share=optional(element, "share", NUMBER, 1.0),
+            started_ms=optional(element, "boot_time_ms", NUMBER, 0.0) or None,
         )
-        for e in object_list(item, "elements")
+        for element in object_list(item, "elements")
     ]
 
 
-def _request(item: Json) -> api.Event:
+def _read_request(item: Json) -> api.Event:
     return api.Request(
-        required(item, "request_id", str),
-        required(item, "type", str),
-        required(item, "ttl_ms", NUMBER),
-        None if item.get("owner") == 0 else optional(item, "owner", str, None),  # 0: no tenants here
-        optional(item, "again_by_client", bool, False),
+        id=required(item, "request_id", str),
+        cls=required(item, "type", str),
+        ttl_ms=required(item, "ttl_ms", NUMBER),
+        tenant=None if item.get("owner") == 0 else optional(item, "owner", str, None),  # 0: no tenants here
+        client_retry=optional(item, "again_by_client", bool, False),
     )
 
 
-def _report(item: Json) -> dict[str, float] | None:
+def _read_report(item: Json) -> dict[str, float] | None:
     """A load report; values that are absent are left out, negative ones (they are noisy) count as 0."""
     report = optional(item, "report", dict, None)
     if report is None:
@@ -82,36 +85,38 @@
     }
 
 
-def _completed(item: Json) -> api.Event:
+def _read_attempt_completed(item: Json) -> api.Event:
     return api.AttemptCompleted(
-        required(item, "request_id", str),
-        required(item, "send_no", int),
-        required(item, "server", int),
-        choice(item, "disposition", RESULTS, int),
-        required(item, "duration_ms", NUMBER),
-        required(item, "settled", bool),
-        _report(item),
+        id=required(item, "request_id", str),
+        attempt=required(item, "send_no", int),
+        server=required(item, "server", int),
+        result=choice(item, "disposition", DISPOSITIONS, int),
+        duration_ms=required(item, "duration_ms", NUMBER),
+        final=required(item, "settled", bool),
+        report=_read_report(item),
     )
 
 
-def _streaming(item: Json) -> api.Event:
-    request, attempt = required(item, "request_id", str), required(item, "send_no", int)
+def _read_stream_started(item: Json) -> api.Event:
     return api.StreamStarted(
-        request, attempt, required(item, "server", int), required(item, "duration_ms", NUMBER)
+        id=required(item, "request_id", str),
+        attempt=required(item, "send_no", int),
+        server=required(item, "server", int),
+        duration_ms=required(item, "duration_ms", NUMBER),
     )
 
 
 READERS: dict[str, Callable[[Json], api.Event]] = {
-    "JobIn": _request,
-    "Completed": _completed,
+    "JobIn": _read_request,
+    "Completed": _read_attempt_completed,
     "Fired": lambda item: api.TimerFired(required(item, "nonce", int)),
     "ClientGone": lambda item: api.ClientDisconnected(required(item, "request_id", str)),
-    "Streaming": _streaming,
+    "Streaming": _read_stream_started,
 }
-IGNORED = {"NeighbourSays", "StatusBack"}  # the module neither probes nor talks to peers
+IGNORED = {"NeighbourSays", "StatusBack"}  # the balancer neither probes nor talks to peers
 
 
-def _write(node: str, action: api.Action) -> Json:
+def _write_action(node: str, action: api.Action) -> Json:
     match action:
         case api.Send():
             return {"kind": "SubmitTo", "node": node, "request_id": action.id, "server": action.server,
@@ -134,57 +139,62 @@
 
 
 class Host:
-    """All instances of one process, kept apart; they share the list pages only."""
+    """All simulated nodes of one process; they share the pages of server lists and nothing else."""
 
     def __init__(self) -> None:
-        self._nodes: dict[str, Balancer] = {}
-        self._pages: dict[int, list[api.ServerEntry]] = {}
+        self._balancers: dict[str, Balancer] = {}  # by node
+        self._pages: dict[int, list[api.ServerEntry]] = {}  # by bank
 
-    def batch(self, message: Json) -> Json:
-        """Answer one batch."""
-        now: float = required(message, "ts_ms", NUMBER)
-        number = required(message, "round", int)
+    def handle_batch(self, batch: Json) -> Json:
+        """The reply to one batch; `Malformed` names the item that breaks the wire."""
+        now_ms: float = required(batch, "ts_ms", NUMBER)
+        number = required(batch, "round", int)
         actions: list[Json] = []
-        for n, item in enumerate(object_list(message, "items")):
+        for index, item in enumerate(object_list(batch, "items")):
             try:
-                self._item(item, now, actions)
-            except Malformed as problem:
-                raise Malformed(f"items[{n}] ({item.get('kind')!r:.40}): {problem}") from None
+                self._handle_item(item, now_ms, actions)
+            except Malformed as error:
+                raise Malformed(f"items[{index}] ({item.get('kind')!r:.40}): {error}") from None
         return {"round": number, "actions": actions}
 
-    def _item(self, item: Json, now: float, actions: list[Json]) -> None:
+    def _handle_item(self, item: Json, now_ms: float, actions: list[Json]) -> None:
+        """Carry out one item of a batch; the actions that follow are appended."""
         kind = required(item, "kind", str)
         if kind == "Page":
-            self._pages[required(item, "bank", int)] = _entries(item)
+            self._pages[required(item, "bank", int)] = _read_entries(item)
             return
-        name = required(item, "node", str)
+        node = required(item, "node", str)
         if kind == "Launch":
-            try:
-                settings = read_settings(required(item, "env", dict))
-            except ValueError as problem:
-                raise Malformed(f"'env' has impossible settings: {problem}") from None
-            self._nodes[name] = Balancer(settings, required(item, "salt", int))
+            self._launch(node, item)
             event: api.Event = api.Started()
-        elif name not in self._nodes:
-            raise Malformed(f"node {name!r:.40} is not running")
+        elif node not in self._balancers:
+            raise Malformed(f"node {node!r:.40} is not running")
         elif kind == "PowerOff":
-            del self._nodes[name]
+            del self._balancers[node]
             return
         elif kind == "View":
-            event = self._view(item)
+            event = self._read_list_update(item)
         elif kind in READERS:
             event = READERS[kind](item)
-            if isinstance(event, api.Request) and event.cls not in self._nodes[name].classes:
+            if isinstance(event, api.Request) and event.cls not in self._balancers[node].classes:
                 raise Malformed(f"'type' is {event.cls!r:.40}, which is no class of the settings")
         elif kind in IGNORED:
             return
         else:
             raise Malformed("unknown kind of event")
-        for action in self._nodes[name].handle(event, now):
-            actions.append(_write(name, action))
+        for action in self._balancers[node].handle(event, now_ms):
+            actions.append(_write_action(node, action))
+
+    def _launch(self, node: str, item: Json) -> None:
+        """Start a node, anew where it ran."""
+        try:
+            settings = read_settings(required(item, "env", dict))
+        except ValueError as error:
+            raise Malformed(f"'env' has impossible settings: {error}") from None
+        self._balancers[node] = Balancer(settings, required(item, "salt", int))
 
-    def _view(self, item: Json) -> api.Event:
-        form = choice(item, "form", FORMS)
+    def _read_list_update(self, item: Json) -> api.Event:
+        form = choice(item, "form", LIST_FORMS)
         if form is api.ListUpdateKind.FAILED:
             return api.ServerListUpdate(form)
         bank = required(item, "bank", int)
@@ -193,24 +203,33 @@
         return api.ServerListUpdate(form, required(item, "stamp", int), self._pages[bank])
 
 
+def _read_batch(source: TextIO) -> Json | None:
+    """The next batch; None at the end of input."""
+    try:
+        text = source.readline()
+        batch = json.loads(text) if text else None
+    except (ValueError, RecursionError) as error:
+        raise Malformed(f"not JSON: {error!s:.200}") from None
+    if not text:
+        return None
+    if not isinstance(batch, dict):
+        raise Malformed(f"a batch must be an object, not {batch!r:.60}")
+    return batch
+
+
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Answer batches until input ends; the exit status."""
-    host, number = Host(), 1
+    """Reply to batches until input ends; returns the exit status."""
+    host = Host()
+    number = 1
     while True:
         try:
-            try:
-                line = source.readline()
-                message = json.loads(line) if line else None
-            except (ValueError, RecursionError) as problem:
-                raise Malformed(f"not JSON: {problem!s:.200}") from None
-            if not line:
+            batch = _read_batch(source)
+            if batch is None:
                 return 0
-            if not isinstance(message, dict):
-                raise Malformed(f"a batch must be an object, not {message!r:.60}")
-            reply = host.batch(message)
-        except Malformed as problem:
-            print(f"nickelbridge: input line {number}: {problem}", file=errors)
-            return 2
+            reply = host.handle_batch(batch)
+        except Malformed as error:
+            print(f"nickelbridge: input line {number}: {error}", file=errors)
+            return EXIT_MALFORMED
         number += 1
         sink.write(json.dumps(reply, separators=(",", ":")) + "\n")
         sink.flush()
