--- a/dunlinloft/dataplane/replica_streams.py
+++ b/dunlinloft/dataplane/replica_streams.py
@@ -2,6 +2,9 @@
 
 from __future__ import annotations
 
+import contextlib
+from collections.abc import Iterator
+
 from msgspec import Struct
 
 from dunlinloft.coordination.stream import ControlPlaneView
@@ -27,14 +30,16 @@
         """Whether a stream to a replica is open."""
         return address in self._writers
 
-    def open(self, address: str, writer: MessageWriter) -> None:
-        """A stream was established."""
+    @contextlib.contextmanager
+    def open(self, address: str, writer: MessageWriter) -> Iterator[None]:
+        """Register an established stream until its context ends; then its connection is aborted."""
         self._writers[address] = writer
         self._received_ms[address] = now_ms()
-
-    def close(self, address: str) -> None:
-        """A stream ended; its writer has been aborted."""
-        del self._writers[address]
+        try:
+            yield
+        finally:
+            writer.abort()
+            del self._writers[address]
 
     def on_received(self, address: str) -> None:
         """A message arrived."""
--- a/dunlinloft/dataplane/subscriptions.py
+++ b/dunlinloft/dataplane/subscriptions.py
@@ -184,20 +184,18 @@
         self, address: str, reader: asyncio.StreamReader, writer: message_stream.MessageWriter
     ) -> message_stream.StreamEnd:
         """Subscribe on a new connection and receive until it ends; returns why it did."""
-        self._streams.open(address, writer)
-        try:
+        with self._streams.open(address, writer):
             wants_configurations = address in self._preference()[:CONFIGURATION_STREAMS]
             if not wants_configurations:
                 await self._wait_for_server_listing()
             writer.send(self._subscribe_message(wants_configurations))
-            return await message_stream.read_messages(
-                reader, _decoder, lambda message: self._on_message(address, message), RECEIVE_TIMEOUT_S
-            )
-        finally:
-            writer.abort()
-            self._streams.close(address)
-            self._node_counts.pop(address, None)
-            self._subscriber.on_stream_lost(address)
+            try:
+                return await message_stream.read_messages(
+                    reader, _decoder, lambda message: self._on_message(address, message), RECEIVE_TIMEOUT_S
+                )
+            finally:
+                self._node_counts.pop(address, None)
+                self._subscriber.on_stream_lost(address)
 
     def _subscribe_message(self, wants_configurations: bool) -> Subscribe:
         return Subscribe(
--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -8,7 +8,7 @@
 
 from dunlinloft.coordination.stream import ConfigurationId, ControlKeepalive, ControlToNode
 from dunlinloft.dataplane.replica_streams import ReplicaStreams
-from dunlinloft.dataplane.subscriptions import Subscriptions
+from dunlinloft.dataplane.subscriptions import CONFIGURATION_STREAMS, Subscriptions
 
 REPLICA = "127.0.0.1:1"
 
@@ -122,3 +122,31 @@
         maintaining.cancel()
 
     asyncio.run(main())
+
+
+def test_stream_that_ends_before_its_subscription_is_closed(
+    streams: ReplicaStreams, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Streams that carry no configurations wait for the others' server listing before they subscribe."""
+
+    class _StartedSubscriber(_IdleSubscriber):
+        has_all_servers = False
+
+    replicas = tuple(f"127.0.0.1:{port}" for port in range(1, CONFIGURATION_STREAMS + 2))
+
+    async def main() -> None:
+        async def connect(_: str) -> tuple[asyncio.StreamReader, _Writer]:
+            return asyncio.StreamReader(), _Writer()
+
+        monkeypatch.setattr("dunlinloft.transport.message_stream.connect", connect)
+        subscriptions = Subscriptions("node", "a", lambda: replicas, streams, _StartedSubscriber())
+        running = asyncio.create_task(subscriptions.run())
+        while len(streams.addresses()) < len(replicas):
+            await asyncio.sleep(0)
+        running.cancel()
+        await asyncio.wait((running,))
+        await subscriptions.close()
+        assert streams.addresses() == []
+        assert asyncio.all_tasks() == {asyncio.current_task()}
+
+    asyncio.run(main())
