--- a/dunlinloft/dataplane/routing.py
+++ b/dunlinloft/dataplane/routing.py
@@ -16,7 +16,7 @@
     """A backend of a route with its state in the route's rotation."""
 
     backend: Backend
-    rotation_weight: float | None = None  # name and meaning are those of the rotation
+    rotation_weight: float | None = None  # kept by `Rotation`; None before its first round
 
 
 @dataclass(slots=True, eq=False)
--- a/dunlinloft/dataplane/server_pool.py
+++ b/dunlinloft/dataplane/server_pool.py
@@ -38,7 +38,7 @@
     """One incarnation of a server, and what this node has seen of it."""
 
     record: ServerRecord
-    rotation_weight: float | None = None  # name and meaning are those of the rotation
+    rotation_weight: float | None = None  # kept by `Rotation`; None before its first round
     in_flight: int = 0
     consecutive_failures: int = 0
     ejected_until_ms: float = 0.0
