--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -100,3 +100,9 @@
 
 def ends(actions: list[api.Action]) -> list[api.Action]:
     return [a for a in actions if isinstance(a, api.Fail | api.Reject)]
+
+
+def passes_gate(node: Node, id: str, server: int) -> bool:
+    """Ask the gate itself, as a new feature that forgot a rule would."""
+    balancer = node.balancer
+    return balancer._send(balancer._calls[id], balancer.server_set.servers[server], node.now)
--- a/tests/test_property.py
+++ b/tests/test_balancer_properties.py
@@ -204,7 +204,7 @@
             self.retry_policy.proofs_not_run = PROOFS_NOT_RUN
 
     with monkeypatch.context() as patch:
-        patch.setattr("tests.test_property.Balancer", Deaf)
+        patch.setattr("tests.test_balancer_properties.Balancer", Deaf)
         assert breaks(rejected_may_have_run=True).startswith("rule 2")
 
 
--- /dev/null
+++ b/tests/test_balancer_reconfiguration.py
@@ -0,0 +1,76 @@
+"""New settings and quota shares while calls are in flight; events about what is not there."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import replace
+
+import pytest
+
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.balancer import Balancer
+from dunlinloft.balancer.interface import Result
+from dunlinloft.balancer.tenant_quotas import QuotaCounts
+from tests.helpers import KEYED, SAFE, UNSAFE, Node, ends, entries, sends, settings, timers
+
+
+def test_new_settings_bind_new_calls_while_those_in_flight_keep_their_class() -> None:
+    node = Node(classes=[SAFE, UNSAFE], max_attempts=3)
+    node.ask("old", "safe")
+    stricter = replace(SAFE, idempotency=api.Idempotency.NON_IDEMPOTENT)
+    node.do(api.Reconfigured(settings(classes=[stricter, KEYED], max_attempts=3)))
+    retry = node.end("old", api.Result.ERROR)
+    assert timers(retry), "it came as safe to repeat"
+    node.ask("new", "safe")
+    assert isinstance(ends(node.end("new", api.Result.ERROR))[0], api.Fail)
+    node.ask("keyed", "keyed")
+    assert sends(node.end("keyed", api.Result.SERVED)) == []
+    assert set(node.balancer.classes) == {"safe", "keyed"}
+
+
+def test_fewer_attempts_bind_calls_in_flight() -> None:
+    node = Node(max_attempts=3)
+    node.ask("a", "safe")
+    assert timers(node.end("a", api.Result.ERROR))
+    node.do(api.Reconfigured(settings(max_attempts=1)))
+    [timer] = [a for _, a in node.log if isinstance(a, api.SetTimer)][-1:]
+    actions = node.do(api.TimerFired(timer.token), timer.delay_ms)
+    assert not sends(actions) and ends(actions)
+
+
+def test_a_class_that_vanished_while_its_calls_wait_does_no_harm() -> None:
+    node = Node(servers=0, classes=[SAFE, UNSAFE])
+    node.ask("a", "unsafe")
+    node.do(api.Reconfigured(settings(classes=[KEYED])))
+    node.list_all(entries(range(2)), 2)
+    node.serve(30, "keyed")
+    assert node.balancer.statistics.lowest_on_time_share() == 1.0
+
+
+def test_quota_shares_hold_until_replaced() -> None:
+    tenants = [api.Tenant("t", quota_per_s=40.0)]
+    balancer = Balancer(replace(settings(), tenants=tenants, replicas=4), 1)
+
+    def within(at: float) -> int:
+        before = balancer.quota_counts.get("t", QuotaCounts()).within
+        for n in range(100):
+            balancer.handle(api.Request(f"{at}{n}", "safe", 100.0, "t"), at + 10.0 * n)
+        return balancer.quota_counts["t"].within - before
+
+    within(0.0)
+    assert within(1_000.0) == pytest.approx(10, abs=1)
+    balancer.handle(api.QuotaShares({"t": 30.0}), 2_000.0)
+    within(2_000.0)
+    assert within(3_000.0) == pytest.approx(30, abs=1)
+    balancer.handle(api.QuotaShares({}), 4_000.0)
+    within(4_000.0)
+    assert within(5_000.0) == pytest.approx(10, abs=1)
+
+
+def test_unknown_ids_and_timers_change_nothing() -> None:
+    node = Node()
+    assert node.do(api.TimerFired(999)) == []
+    assert node.do(api.ClientDisconnected("nobody")) == []
+    node.do(api.AttemptCompleted("nobody", 0, 0, Result.SERVED, 5.0, True))
+    node.do(api.AttemptCompleted("nobody", 0, 77, Result.ERROR, 5.0, True))
+    assert math.isfinite(node.balancer.controller.allowed_rate)
