--- a/dunlinloft/balancer/admission.py
+++ b/dunlinloft/balancer/admission.py
@@ -85,7 +85,7 @@
         unreserved = (1.0 - RESERVED_SHARE) * window
         if self._in_flight.count < unreserved:
             return False
-        self.note_stuck(now_ms)
+        self.record_stuck(now_ms)
         in_flight = self._in_flight.count - len(self._in_flight.stuck)
         if in_flight < unreserved:
             return False
@@ -109,9 +109,9 @@
         usual_ms = statistics.latency_ms[cls] or self._baseline.usual_share * self._latency_target_ms[cls]
         return value / max(1.0, usual_ms)
 
-    def note_stuck(self, now_ms: float) -> None:
+    def record_stuck(self, now_ms: float) -> None:
         """Note which calls are stuck at servers that stopped responding."""
-        self._in_flight.note_stuck(self._server_set.unresponsive(now_ms, self._baseline.usual_share))
+        self._in_flight.record_stuck(self._server_set.unresponsive(now_ms, self._baseline.usual_share))
 
     def record_answer(self, now_ms: float) -> None:
         """An answer was measured: the window follows the capacity that such answers came from."""
--- a/dunlinloft/balancer/balancer.py
+++ b/dunlinloft/balancer/balancer.py
@@ -234,7 +234,7 @@
         call = self._calls.get(event.id)
         server = self.server_set.servers.get(event.server)
         if event.result is Result.TIMEOUT:
-            self._admission.note_stuck(now_ms)
+            self._admission.record_stuck(now_ms)
         stuck = event.id in self._in_flight.stuck
         self._in_flight.stuck.discard(event.id)
         self._in_flight.remove(event.id, server)
--- a/dunlinloft/balancer/calls_in_flight.py
+++ b/dunlinloft/balancer/calls_in_flight.py
@@ -47,7 +47,7 @@
             server.in_flight = max(0, server.in_flight - 1)
             server.outstanding.pop(call_id, None)
 
-    def note_stuck(self, servers: list[Server]) -> None:
+    def record_stuck(self, servers: list[Server]) -> None:
         """Note the calls at servers that have stopped responding."""
         for server in servers:
             self.stuck.update(server.outstanding)
--- a/dunlinloft/balancer/settings.py
+++ b/dunlinloft/balancer/settings.py
@@ -52,11 +52,13 @@
 
 
 @overload
-def required(obj: Json, key: str, kind: type[T]) -> T: ...
+def required(obj: Json, key: str, kind: type[T]) -> T:
+    """A value of one type."""
 
 
 @overload
-def required(obj: Json, key: str, kind: NumberType) -> float: ...
+def required(obj: Json, key: str, kind: NumberType) -> float:
+    """A number, whole or not."""
 
 
 def required(obj: Json, key: str, kind: type | NumberType) -> object:
@@ -81,11 +83,13 @@
 
 
 @overload
-def optional(obj: Json, key: str, kind: type[T], default: D) -> T | D: ...
+def optional(obj: Json, key: str, kind: type[T], default: D) -> T | D:
+    """A value of one type, or the default."""
 
 
 @overload
-def optional(obj: Json, key: str, kind: NumberType, default: D) -> float | D: ...
+def optional(obj: Json, key: str, kind: NumberType, default: D) -> float | D:
+    """A number, or the default."""
 
 
 def optional(obj: Json, key: str, kind: type | NumberType, default: object) -> object:
