--- a/tests/checker.py
+++ b/tests/checker.py
@@ -1,7 +1,7 @@
 """The six operating rules, checked from outside on what was told to a node and what it did.
 
 Written from the wire page's wording of the rules, and of nothing in the decision module: it keeps its
-own books. Rule 4 is checked for one node alone: what it sends to a cold server in any window.
+own records. Rule 4 is checked for one node alone: what it sends to a server in slow start in any window.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
         self.classes = {cls.name: cls for cls in settings.classes}
         self.taken: dict[str, Taken] = {}
         self.taken_at: list[float] = []
-        self.further_at: list[float] = []
+        self.retries_at: list[float] = []
         self.known: dict[int, api.ServerEntry] = {}
         self.out_of_service: dict[int, float] = {}  # since when the node knows
 
@@ -109,11 +109,11 @@
         self._need(now - since <= self.settings.drain_grace_ms, "rule 3: sent to a server that drains")
         if request.attempts and self.settings.retry_budget_ratio is not None:
             span = self.settings.retry_budget_window_ms
-            self.further_at.append(now)
-            further = sum(at >= now - span for at in self.further_at)
+            self.retries_at.append(now)
+            retries = sum(at >= now - span for at in self.retries_at)
             taken = sum(at > now - span for at in self.taken_at)
             allowed = self.settings.retry_budget_floor + self.settings.retry_budget_ratio * taken
-            self._need(further <= allowed, "rule 5: beyond the budget of attempts")
+            self._need(retries <= allowed, "rule 5: beyond the budget of attempts")
         request.attempts.append(Attempt(now, send.server, group))
 
     def _may_have_run(self, request: Taken) -> list[Attempt]:
@@ -123,6 +123,6 @@
         return [attempt for attempt in request.attempts if attempt.result not in proofs]
 
     @staticmethod
-    def _need(kept: bool, rule: str) -> None:
-        if not kept:
+    def _need(held: bool, rule: str) -> None:
+        if not held:
             raise Broken(rule)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -38,7 +38,7 @@
 
 
 class Node:
-    """A balancer with a clock; remembers what it did."""
+    """A balancer with a clock of its own; records its actions, and to which servers each request was sent."""
 
     def __init__(self, servers: int = 4, salt: int = 1, **changes: Any) -> None:
         self.balancer = Balancer(settings(**changes), salt)
@@ -63,29 +63,29 @@
     def change(self, *servers: api.ServerEntry) -> list[api.Action]:
         return self.do(api.ServerListUpdate(api.ListUpdateKind.DELTA, 2, list(servers)))
 
-    def ask(
+    def request(
         self, id: str, cls: str = "safe", ttl_ms: float = 3000.0, tenant: str | None = None
     ) -> list[api.Action]:
         return self.do(api.Request(id, cls, ttl_ms, tenant))
 
-    def end(
-        self, id: str, result: api.Result, after_ms: float = 50.0, settled: bool | None = None
+    def complete(
+        self, id: str, result: api.Result, after_ms: float = 50.0, final: bool | None = None
     ) -> list[api.Action]:
-        """End the last attempt of a request."""
+        """Complete the last attempt of a request; final if it was served, unless said otherwise."""
         self.now += after_ms
         number = len(self.sent[id]) - 1
-        settled = result is api.Result.SERVED if settled is None else settled
-        event = api.AttemptCompleted(id, number, self.sent[id][number], result, after_ms, settled)
+        final = result is api.Result.SERVED if final is None else final
+        event = api.AttemptCompleted(id, number, self.sent[id][number], result, after_ms, final)
         return self.do(event)
 
     def serve(self, count: int, cls: str = "safe", gap_ms: float = 10.0, delay_ms: float = 50.0) -> list[int]:
-        """Ask and serve so many requests one after another; the servers picked."""
+        """Send and serve so many requests one after another; the servers picked."""
         picked = []
         for n in range(count):
             id = f"serve-{self.now}-{n}"
-            self.ask(id, cls)
+            self.request(id, cls)
             picked.append(self.sent[id][0])
-            self.end(id, api.Result.SERVED, delay_ms)
+            self.complete(id, api.Result.SERVED, delay_ms)
             self.now += gap_ms
         return picked
 
--- a/tests/test_balancer_admission.py
+++ b/tests/test_balancer_admission.py
@@ -19,7 +19,7 @@
     node = Node(servers=2)
     node.serve(200)
     for n in range(300):
-        node.ask(f"b{n}")
+        node.request(f"b{n}")
     out = sum(s.in_flight for s in node.balancer.server_set.ready)
     assert out < 100
     waiting = [a for _, a in node.log if isinstance(a, api.SetTimer)]
@@ -34,14 +34,14 @@
     node = Node(servers=2, tier=1)
     node.serve(200)
     for n in range(300):
-        node.ask(f"b{n}")
+        node.request(f"b{n}")
     assert sum(s.in_flight for s in node.balancer.server_set.ready) == 300
 
 
 def fill(node: Node) -> int:
     """Ask for cheap calls until one has to wait; how many went out."""
     n = 0
-    while not timers(node.ask(f"fill{n}")):
+    while not timers(node.request(f"fill{n}")):
         n += 1
     return n
 
@@ -51,10 +51,10 @@
     ids = [f"fill{n}" for n in range(fill(node) + 1)]  # the last one waits
     for n in range(20):
         ids.append(f"lose{n}")
-        node.ask(ids[-1])
+        node.request(ids[-1])
         while answered := [id for id in ids if id in node.sent and node.sent[id][0] not in lost]:
             ids.remove(answered[0])
-            node.end(answered[0], Result.SERVED, 25.0)  # this may send one that was held
+            node.complete(answered[0], Result.SERVED, 25.0)  # this may send one that was held
     return [id for id in ids if id in node.sent]
 
 
@@ -66,16 +66,16 @@
     node = Node(servers=4)
     node.serve(200)
     stuck = len(lose(node, lost))
-    room = node.balancer.controller.window(node.balancer.server_set.slice_size, node.now)
+    window = node.balancer.controller.window(node.balancer.server_set.slice_size, node.now)
     out = 0
-    while not timers(node.ask(f"more{out}")):
+    while not timers(node.request(f"more{out}")):
         out += 1
-    whole = math.ceil((1.0 - RESERVED_SHARE) * room)
+    full = math.ceil((1.0 - RESERVED_SHARE) * window)
     assert stuck >= 2 * len(lost)
     if left_out:  # all that the answering servers' part of it can bear
-        assert out >= whole * (4 - len(lost)) / 4 - 1.0
+        assert out >= full * (4 - len(lost)) / 4 - 1.0
     else:
-        assert out <= whole - stuck
+        assert out <= full - stuck
 
 
 def test_time_outs_at_unresponsive_servers_say_nothing_of_the_tier() -> None:
@@ -84,13 +84,13 @@
     node.serve(200)
     usual = node.balancer.controller.shed_share(node.now)
     for id in lose(node, {0}):
-        node.end(id, Result.TIMEOUT, 2000.0)
+        node.complete(id, Result.TIMEOUT, 2000.0)
     assert node.balancer.controller.shed_share(node.now) == usual == 0.0
     slow = [f"slow{n}" for n in range(8)]
     for id in slow:
-        node.ask(id)
+        node.request(id)
     for n, id in enumerate(slow):  # all of them slow: that is the tier's delay
-        node.end(id, (Result.SERVED, Result.TIMEOUT)[n % 2], 800.0)
+        node.complete(id, (Result.SERVED, Result.TIMEOUT)[n % 2], 800.0)
     assert node.balancer.controller.shed_share(node.now) > 0.0
 
 
@@ -98,25 +98,25 @@
     """join+vast: the four servers that a release had left warm got 25 calls each, and choked."""
     node = Node(servers=10)
     node.serve(400)
-    whole = fill(node)
-    for n in range(whole):
-        node.end(f"fill{n}", Result.SERVED, 0.0)
-    cold = entries(range(10, 16), started_ms=node.now)
-    node.list_all([*entries(range(4)), *cold], 2)
+    full = fill(node)
+    for n in range(full):
+        node.complete(f"fill{n}", Result.SERVED, 0.0)
+    restarted = entries(range(10, 16), started_ms=node.now)
+    node.list_all([*entries(range(4)), *restarted], 2)
     left = 0
-    while not timers(node.ask(f"left{left}")):
+    while not timers(node.request(f"left{left}")):
         left += 1
     warm = (4.0 + 6.0 * node.balancer.settings.slow_start_initial_share) / 10.0
-    assert left == pytest.approx(warm * whole, abs=1.0)
+    assert left == pytest.approx(warm * full, abs=1.0)
 
 
 def load(node: Node, count: int, delay_ms: float) -> None:
     """Ask so many times, and serve what is sent."""
     for _ in range(count):
         id = f"load-{node.now}"
-        node.ask(id)
+        node.request(id)
         if id in node.sent:
-            node.end(id, Result.SERVED, delay_ms)
+            node.complete(id, Result.SERVED, delay_ms)
         node.now += 10.0
 
 
@@ -141,9 +141,9 @@
     node = Node(servers=2)
     node.serve(200)
     n = fill(node)
-    while sends(node.ask(f"dear{n}", "unsafe")):  # the last of the window is kept for it
+    while sends(node.request(f"dear{n}", "unsafe")):  # the last of the window is kept for it
         n += 1
-    sent = [send for k in range(5) for send in sends(node.end(f"fill{k}", Result.SERVED, 1.0))]
+    sent = [send for k in range(5) for send in sends(node.complete(f"fill{k}", Result.SERVED, 1.0))]
     assert sent[0].id == f"dear{n}"
 
 
@@ -153,10 +153,10 @@
     node.serve(200)
     node.serve(200, "keyed_all", delay_ms=400.0)
     n = fill(node)
-    node.ask("slow", "keyed_all")
+    node.request("slow", "keyed_all")
     sent: list[api.Send] = []
     for k in range(n):
-        sent += sends(node.end(f"fill{k}", Result.SERVED, 1.0))
+        sent += sends(node.complete(f"fill{k}", Result.SERVED, 1.0))
     assert next(send.id for send in sent if send.id in (f"fill{n}", "slow")) == f"fill{n}"
 
 
@@ -168,13 +168,13 @@
         node.serve(100)
         node.serve(100, "keyed_all")
         for n in range(20):
-            node.ask(f"f{n}")
-            node.end(f"f{n}", Result.ERROR, 1.0, settled=False)
+            node.request(f"f{n}")
+            node.complete(f"f{n}", Result.ERROR, 1.0, final=False)
             node.do(api.TimerFired(node.balancer._last_token), 3000.0)
         n = fill(node)
-        node.ask("dear", "keyed_all")
+        node.request("dear", "keyed_all")
         for k in range(n):
-            sent = sends(node.end(f"fill{k}", Result.SERVED, 1.0))
+            sent = sends(node.complete(f"fill{k}", Result.SERVED, 1.0))
             if sent:
                 return sent[0].id
         raise AssertionError("nothing was released")
@@ -189,9 +189,9 @@
     node.serve(200)
     node.serve(200, "unsafe")
     n = fill(node)
-    assert sends(node.ask("dear", "unsafe"))
-    room = node.balancer.controller.window(2.0, node.now)
-    assert n < room <= n + 3
+    assert sends(node.request("dear", "unsafe"))
+    window = node.balancer.controller.window(2.0, node.now)
+    assert n < window <= n + 3
 
 
 def test_tenants_over_their_quota_wait_last() -> None:
@@ -199,14 +199,14 @@
     node = Node(servers=2, tenants=tenants, over_quota_value=0.05)
     node.serve(200)
     n = 0
-    while not timers(node.ask(f"b{n}", tenant="x")):
+    while not timers(node.request(f"b{n}", tenant="x")):
         n += 1
     for k in range(5):
-        node.ask(f"x{k}", tenant="x")
-    node.ask("fair", tenant="y")
+        node.request(f"x{k}", tenant="x")
+    node.request("fair", tenant="y")
     sent: list[api.Send] = []
     for k in range(n):
-        sent += sends(node.end(f"b{k}", Result.SERVED, 1.0))
+        sent += sends(node.complete(f"b{k}", Result.SERVED, 1.0))
         if sent:
             break
     assert sent[0].id == "fair"
@@ -216,21 +216,21 @@
     # Pohjola rules-1: a restarted copy divided by no samples after a second of refusals.
     node = Node()
     for n in range(40):
-        node.ask(f"f{n}")
-        node.end(f"f{n}", Result.UNREACHABLE, 100.0)
+        node.request(f"f{n}")
+        node.complete(f"f{n}", Result.UNREACHABLE, 100.0)
     assert node.balancer.controller.window(4.0, node.now) == INITIAL_CALLS_PER_SERVER * 4.0
-    assert sends(node.ask("later"))
+    assert sends(node.request("later"))
 
 
 def test_a_new_replica_starts_with_a_few_calls_a_server_and_grows_with_answers() -> None:
-    """sulcast-later overload: a copy without a bound in its first second let a whole tier choke."""
+    """sulcast-later overload: a copy without a bound in its first second let a full tier choke."""
     node = Node(servers=4)
     for n in range(100):
-        node.ask(f"a{n}")
+        node.request(f"a{n}")
     first = list(node.sent)
     assert INITIAL_CALLS_PER_SERVER * 4 * 0.8 <= len(first) <= INITIAL_CALLS_PER_SERVER * 4
     for id in first[:10]:
-        node.end(id, Result.SERVED, 1.0)
+        node.complete(id, Result.SERVED, 1.0)
     assert len(node.sent) >= len(first) + 18  # each answer lets two out: its own place and one more
 
 
@@ -240,15 +240,15 @@
     node.serve(100, delay_ms=50.0)
     assert node.balancer.controller.shed_share(node.now) == 0.0
     for n in range(30):
-        node.ask(f"slow{n}", "unsafe")
+        node.request(f"slow{n}", "unsafe")
         if node.sent.get(f"slow{n}"):
-            node.end(f"slow{n}", Result.SERVED, 900.0)
+            node.complete(f"slow{n}", Result.SERVED, 900.0)
     assert node.balancer.controller.shed_share(node.now) > 0.3
-    cheap = sum(bool(sends(node.ask(f"cheap{n}"))) for n in range(100))
+    cheap = sum(bool(sends(node.request(f"cheap{n}"))) for n in range(100))
     assert cheap < 70  # the class of least value goes first
     deeper = Node(servers=4, tier=1)
     deeper.balancer.controller._shed_share, deeper.balancer.controller._sampled_ms = 0.8, deeper.now
-    assert sends(deeper.ask("a"))  # deeper, a refusal wastes work done above
+    assert sends(deeper.request("a"))  # deeper, a refusal wastes work done above
 
 
 def test_a_rejection_is_a_delay_sample_of_one_latency_target() -> None:
@@ -256,9 +256,9 @@
     node = Node(servers=4)
     node.serve(100, delay_ms=50.0)
     for n in range(20):
-        node.ask(f"f{n}", "unsafe")
+        node.request(f"f{n}", "unsafe")
         if node.sent.get(f"f{n}"):
-            node.end(f"f{n}", Result.REJECTED, 5.0)
+            node.complete(f"f{n}", Result.REJECTED, 5.0)
     assert node.balancer.controller.shed_share(node.now) > 0.0
 
 
@@ -268,12 +268,12 @@
         node = Node(servers=4)
         for n in range(0, 600, 30):
             for m in range(n, n + 30):
-                node.ask(f"{m}")
+                node.request(f"{m}")
             for m in range(n, n + 30):
                 if f"{m}" in node.sent:
-                    node.end(f"{m}", Result.SERVED, 10.0)
+                    node.complete(f"{m}", Result.SERVED, 10.0)
         node.now += pause_ms
-        return sum(bool(sends(node.ask(f"later-{n}"))) for n in range(200))
+        return sum(bool(sends(node.request(f"later-{n}"))) for n in range(200))
 
     assert let_in(0.0) > 30
     assert let_in(20_000.0) == pytest.approx(let_in(0.0), abs=2)
--- a/tests/test_balancer_ejection.py
+++ b/tests/test_balancer_ejection.py
@@ -13,10 +13,10 @@
     node.serve(100)
     bad = 0
     for n in range(60):
-        node.ask(f"e{n}", "unsafe")
+        node.request(f"e{n}", "unsafe")
         failing = node.sent[f"e{n}"][0] == 0
         bad += failing
-        node.end(f"e{n}", Result.ERROR if failing else Result.SERVED, 20.0)
+        node.complete(f"e{n}", Result.ERROR if failing else Result.SERVED, 20.0)
     assert bad <= 4
     node.now += 60_000.0
     assert 0 in node.serve(8)
@@ -26,8 +26,8 @@
     node = Node(servers=4)
     node.serve(100)
     for n in range(80):
-        node.ask(f"e{n}", "unsafe")
-        node.end(f"e{n}", Result.ERROR, 20.0)
+        node.request(f"e{n}", "unsafe")
+        node.complete(f"e{n}", Result.ERROR, 20.0)
         assert sum(node.now < server.ejected_until_ms for server in node.balancer.server_set.ready) <= 2
 
 
@@ -84,11 +84,11 @@
 
     def idle_send(id: str) -> list[api.Action]:
         node.now += 3000.0
-        return node.ask(id)
+        return node.request(id)
 
     for n in range(2):
         assert not [a for a in idle_send(f"l{n}") if isinstance(a, api.CloseIdle)]
-        node.end(f"l{n}", Result.TIMEOUT, 500.0)
+        node.complete(f"l{n}", Result.TIMEOUT, 500.0)
     actions = idle_send("later")
     assert isinstance(actions[0], api.CloseIdle) and isinstance(actions[1], api.Send)
     assert actions[0].server == actions[1].server
@@ -100,5 +100,5 @@
     node.serve(10)
     for n, result in enumerate([Result.TIMEOUT, Result.SERVED, Result.TIMEOUT, Result.SERVED]):
         node.now += 3000.0 + 1000.0 * n
-        assert not [a for a in node.ask(f"{n}") if isinstance(a, api.CloseIdle)]
-        node.end(f"{n}", result, 500.0)
+        assert not [a for a in node.request(f"{n}") if isinstance(a, api.CloseIdle)]
+        node.complete(f"{n}", result, 500.0)
--- a/tests/test_balancer_properties.py
+++ b/tests/test_balancer_properties.py
@@ -46,27 +46,27 @@
         self.requests: dict[str, Owed] = {}
         self.entries: dict[int, api.ServerEntry] = {}
         self.sends: list[tuple[float, int]] = []
-        self.tell(api.Started())
-        self.news([self.entry(n) for n in range(self.rng.randrange(7))])
+        self.give(api.Started())
+        self.update_list([self.entry(n) for n in range(self.rng.randrange(7))])
 
     def entry(self, number: int, health: api.Health = api.Health.IN_SERVICE) -> api.ServerEntry:
         started = self.now if self.rng.random() < 0.2 else None
         return api.ServerEntry(number, f"z{number % 2}", "k", number % 3, health, 1.0, started)
 
-    def news(
+    def update_list(
         self, entries: list[api.ServerEntry], kind: api.ListUpdateKind = api.ListUpdateKind.SNAPSHOT
     ) -> None:
         if kind is api.ListUpdateKind.SNAPSHOT:
             self.entries = {}
         for entry in entries:
             self.entries[entry.server] = entry
-        self.tell(api.ServerListUpdate(kind, 1, entries))
+        self.give(api.ServerListUpdate(kind, 1, entries))
 
     def push(self, at: float, what: api.TimerFired | str) -> None:
         self.order += 1
         heapq.heappush(self.due, (at, self.order, what))
 
-    def tell(self, event: api.Event) -> None:
+    def give(self, event: api.Event) -> None:
         self.checker.event(event, self.now)
         for action in self.balancer.handle(event, self.now):
             self.check(action)
@@ -86,11 +86,11 @@
         owed = self.requests[id]
         sent, server, _ = owed.attempts[-1]
         owed.attempts[-1] = (sent, server, result)
-        settled = bool(owed.ends) or result is Result.SERVED
+        final = bool(owed.ends) or result is Result.SERVED
         if result is Result.SERVED and not owed.ends:
             owed.ends += 1
         number = len(owed.attempts) - 1
-        self.tell(api.AttemptCompleted(id, number, server, result, self.now - sent, settled))
+        self.give(api.AttemptCompleted(id, number, server, result, self.now - sent, final))
 
     def out(self) -> list[str]:
         return [id for id, owed in self.requests.items() if owed.attempts and owed.attempts[-1][2] is None]
@@ -101,7 +101,7 @@
             at, _, what = heapq.heappop(self.due)
             self.now = max(self.now, at)
             if isinstance(what, api.TimerFired):
-                self.tell(what)
+                self.give(what)
             elif not self.requests[what].ends:
                 owed = self.requests[what]
                 if not owed.attempts or owed.attempts[-1][2] is not None:
@@ -117,17 +117,17 @@
             ttl = self.rng.choice([1.0, 50.0, 700.0, 3000.0])
             self.requests[id] = Owed(cls, self.now + ttl)
             self.push(self.now + ttl, id)
-            self.tell(api.Request(id, cls.name, ttl))
+            self.give(api.Request(id, cls.name, ttl))
         elif choice < 0.7 and self.out():
             self.finish(self.rng.choice(self.out()), self.rng.choices(RESULTS, WEIGHTS)[0])
         elif choice < 0.75:
             number = self.rng.randrange(8)
             health = self.rng.choice([api.Health.IN_SERVICE, api.Health.DRAINING, api.Health.TERMINATED])
-            self.news([self.entry(number, health)], api.ListUpdateKind.DELTA)
+            self.update_list([self.entry(number, health)], api.ListUpdateKind.DELTA)
         elif choice < 0.77:
-            self.news([self.entry(n) for n in range(8) if self.rng.random() < 0.7])
+            self.update_list([self.entry(n) for n in range(8) if self.rng.random() < 0.7])
         elif choice < 0.78:
-            self.tell(api.ServerListUpdate(api.ListUpdateKind.FAILED))
+            self.give(api.ServerListUpdate(api.ListUpdateKind.FAILED))
         else:
             self.pass_time(self.rng.choice([1.0, 5.0, 40.0, 300.0]))
 
@@ -147,7 +147,7 @@
 
 @hypothesis_settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 2**32), st.integers(1, 5), st.integers(0, 2), st.booleans(), st.booleans())
-def test_rules_hold_on_random_days(seed: int, attempts: int, tier: int, budget: bool, full: bool) -> None:
+def test_rules_are_kept_on_random_days(seed: int, attempts: int, tier: int, budget: bool, full: bool) -> None:
     extra = BUDGET if budget else {}
     play(
         seed,
@@ -196,29 +196,29 @@
         )
         assert breaks(drain_grace_ms=0.0).startswith("rule 3")
 
-    class Deaf(Balancer):
-        """Holds that 'full' proves that an attempt never ran, whatever the settings say."""
+    class CreditsRejections(Balancer):
+        """Takes a rejection for a proof that an attempt never ran, whatever the settings say."""
 
         def __init__(self, settings: api.Settings, salt: int) -> None:
             super().__init__(settings, salt)
             self.retry_policy.proofs_not_run = PROOFS_NOT_RUN
 
     with monkeypatch.context() as patch:
-        patch.setattr("tests.test_balancer_properties.Balancer", Deaf)
+        patch.setattr("tests.test_balancer_properties.Balancer", CreditsRejections)
         assert breaks(rejected_may_have_run=True).startswith("rule 2")
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_burst_onto_cold_servers_stays_in_budget(seed: int) -> None:
-    """Two cold servers join, then a burst comes: each gets less than the stated multiple of its part."""
+def test_a_burst_onto_servers_in_slow_start_stays_in_budget(seed: int) -> None:
+    """Two servers start, then a burst comes: each gets less than the stated multiple of its share."""
     world = World(seed, tier=1)
-    world.news([api.ServerEntry(n) for n in range(4)])
+    world.update_list([api.ServerEntry(n) for n in range(4)])
 
     def load(seconds: float, gap: float, first: int) -> None:
         for k in range(int(seconds * 1000 / gap)):
             id = f"{first}-{k}"
             world.requests[id] = Owed(world.settings.classes[0], world.now + 3000.0)
-            world.tell(api.Request(id, "safe", 3000.0))
+            world.give(api.Request(id, "safe", 3000.0))
             world.pass_time(gap)
             for other in world.out():
                 if world.now - world.requests[other].attempts[-1][0] >= 30.0:
@@ -227,12 +227,12 @@
     load(20, 10.0, 0)
     rate = 100.0 / 4  # a second, to a warm server
     start = world.now
-    cold = [api.ServerEntry(n, started_ms=start) for n in (8, 9)]
-    world.news([api.ServerEntry(n) for n in range(4)] + cold)
+    starting = [api.ServerEntry(n, started_ms=start) for n in (8, 9)]
+    world.update_list([api.ServerEntry(n) for n in range(4)] + starting)
     load(3, 4.0, 1)
     for server in (8, 9):
         times = [at for at, to in world.sends if to == server]
-        assert times, "a cold server gets something"
+        assert times, "a server in slow start gets something"
         for at in times:
             span = [t for t in times if at <= t < at + 1000.0]
             warmth = 0.25 + 0.75 * (at - start) / 8000.0
--- a/tests/test_balancer_reconfiguration.py
+++ b/tests/test_balancer_reconfiguration.py
@@ -16,22 +16,22 @@
 
 def test_new_settings_bind_new_calls_while_those_in_flight_keep_their_class() -> None:
     node = Node(classes=[SAFE, UNSAFE], max_attempts=3)
-    node.ask("old", "safe")
+    node.request("old", "safe")
     stricter = replace(SAFE, idempotency=api.Idempotency.NON_IDEMPOTENT)
     node.do(api.Reconfigured(settings(classes=[stricter, KEYED], max_attempts=3)))
-    retry = node.end("old", api.Result.ERROR)
+    retry = node.complete("old", api.Result.ERROR)
     assert timers(retry), "it came as safe to repeat"
-    node.ask("new", "safe")
-    assert isinstance(ends(node.end("new", api.Result.ERROR))[0], api.Fail)
-    node.ask("keyed", "keyed")
-    assert sends(node.end("keyed", api.Result.SERVED)) == []
+    node.request("new", "safe")
+    assert isinstance(ends(node.complete("new", api.Result.ERROR))[0], api.Fail)
+    node.request("keyed", "keyed")
+    assert sends(node.complete("keyed", api.Result.SERVED)) == []
     assert set(node.balancer.classes) == {"safe", "keyed"}
 
 
 def test_fewer_attempts_bind_calls_in_flight() -> None:
     node = Node(max_attempts=3)
-    node.ask("a", "safe")
-    assert timers(node.end("a", api.Result.ERROR))
+    node.request("a", "safe")
+    assert timers(node.complete("a", api.Result.ERROR))
     node.do(api.Reconfigured(settings(max_attempts=1)))
     [timer] = [a for _, a in node.log if isinstance(a, api.SetTimer)][-1:]
     actions = node.do(api.TimerFired(timer.token), timer.delay_ms)
@@ -40,7 +40,7 @@
 
 def test_a_class_that_vanished_while_its_calls_wait_does_no_harm() -> None:
     node = Node(servers=0, classes=[SAFE, UNSAFE])
-    node.ask("a", "unsafe")
+    node.request("a", "unsafe")
     node.do(api.Reconfigured(settings(classes=[KEYED])))
     node.list_all(entries(range(2)), 2)
     node.serve(30, "keyed")
--- a/tests/test_balancer_retries.py
+++ b/tests/test_balancer_retries.py
@@ -12,8 +12,8 @@
 
 def test_a_retry_backs_off_and_goes_to_another_server() -> None:
     node = Node()
-    node.ask("a")
-    [timer] = timers(node.end("a", Result.ERROR))
+    node.request("a")
+    [timer] = timers(node.complete("a", Result.ERROR))
     assert timer.delay_ms > 0
     [send] = sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
     assert send.server != node.sent["a"][0]
@@ -24,10 +24,10 @@
     firsts, seconds = [], []
     for salt in range(200):
         node = Node(salt=salt)
-        node.ask("a", ttl_ms=30_000.0)
-        [first] = timers(node.end("a", Result.ERROR))
+        node.request("a", ttl_ms=30_000.0)
+        [first] = timers(node.complete("a", Result.ERROR))
         node.do(api.TimerFired(first.token), first.delay_ms)
-        [second] = timers(node.end("a", Result.ERROR))
+        [second] = timers(node.complete("a", Result.ERROR))
         firsts.append(first.delay_ms)
         seconds.append(second.delay_ms)
     assert sum(seconds) == pytest.approx(2.0 * sum(firsts), rel=0.1)
@@ -36,14 +36,14 @@
 
 def test_rule_1_a_time_out_at_the_deadline_is_answered_once() -> None:
     node = Node()
-    node.ask("a", "unsafe", 800.0)
-    assert len(ends(node.end("a", Result.TIMEOUT, 800.0))) == 1
+    node.request("a", "unsafe", 800.0)
+    assert len(ends(node.complete("a", Result.TIMEOUT, 800.0))) == 1
     assert node.do(api.ClientDisconnected("a")) == []
 
 
 def test_rule_1_without_servers_a_request_still_ends_in_time() -> None:
     node = Node(servers=0)
-    actions = node.ask("a", ttl_ms=900.0)
+    actions = node.request("a", ttl_ms=900.0)
     start = node.now
     while not ends(actions):
         [timer] = timers(actions)
@@ -54,8 +54,8 @@
 
 def test_rule_1_nothing_is_sent_after_the_client_has_disconnected() -> None:
     node = Node()
-    node.ask("a")
-    [timer] = timers(node.end("a", Result.ERROR))
+    node.request("a")
+    [timer] = timers(node.complete("a", Result.ERROR))
     node.do(api.ClientDisconnected("a"))
     assert node.do(api.TimerFired(timer.token), timer.delay_ms) == []
 
@@ -63,72 +63,72 @@
 def test_rule_2_non_idempotent_is_not_retried_once_it_may_have_run() -> None:
     for result in (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED):
         node = Node()
-        node.ask("a", "unsafe")
-        assert ends(node.end("a", result)) == [api.Fail("a")]
+        node.request("a", "unsafe")
+        assert ends(node.complete("a", result)) == [api.Fail("a")]
 
 
 def test_rule_2_non_idempotent_is_retried_when_it_never_ran() -> None:
     node = Node()
-    node.ask("a", "unsafe")
-    [timer] = timers(node.end("a", Result.REJECTED))
+    node.request("a", "unsafe")
+    [timer] = timers(node.complete("a", Result.REJECTED))
     assert sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
 
 
 def test_rule_2_keyed_stays_in_its_group() -> None:
     for salt in range(20):
         node = Node(servers=8, salt=salt)
-        node.ask("a", "keyed")
-        [timer] = timers(node.end("a", Result.ERROR))
+        node.request("a", "keyed")
+        [timer] = timers(node.complete("a", Result.ERROR))
         [send] = sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
         assert send.server % 2 == node.sent["a"][0] % 2
 
 
 def test_rule_2_keyed_is_not_sent_after_its_deduplication_window() -> None:
     node = Node()
-    node.ask("a", "keyed", ttl_ms=3000.0)
-    actions = node.end("a", Result.TIMEOUT, 1990.0)
+    node.request("a", "keyed", ttl_ms=3000.0)
+    actions = node.complete("a", Result.TIMEOUT, 1990.0)
     assert ends(actions) == [api.Fail("a")] and not timers(actions)
 
 
 def test_the_gate_itself_keeps_rules_1_and_2() -> None:
     node = Node(servers=4)
-    node.ask("out", "safe")
+    node.request("out", "safe")
     assert not passes_gate(node, "out", 1)  # one is out already
-    node.ask("late", "safe", 400.0)
-    node.end("late", Result.ERROR, 100.0)
+    node.request("late", "safe", 400.0)
+    node.complete("late", Result.ERROR, 100.0)
     node.now += 298.0
     assert not passes_gate(node, "late", 1)  # no time left
-    node.ask("keyed", "keyed")
-    node.end("keyed", Result.ERROR, 10.0)
+    node.request("keyed", "keyed")
+    node.complete("keyed", Result.ERROR, 10.0)
     other = 1 - node.sent["keyed"][0] % 2
     assert not passes_gate(node, "keyed", other)  # another group
     node.now += 1995.0
     assert not passes_gate(node, "keyed", 1 - other)  # the window is over
-    node.ask("again", "safe")
-    node.end("again", Result.ERROR, 10.0)
+    node.request("again", "safe")
+    node.complete("again", Result.ERROR, 10.0)
     assert passes_gate(node, "again", 1)  # the gate does open
 
 
 def test_rule_5_retries_stay_within_the_stated_budget() -> None:
-    """Leiden's first score: 4 further attempts where 13 requests taken allow 3.4."""
+    """Leiden's first score: 4 retries_sent attempts where 13 requests taken allow 3.4."""
     node = Node(8, retry_budget_ratio=0.1, retry_budget_floor=2.0, retry_budget_window_ms=5000.0)
 
-    def further(count: int) -> int:
+    def retries_sent(count: int) -> int:
         """So many requests, of which each one's first attempt fails."""
         retries = 0
         for n in range(count):
             id = f"{node.now}-{n}"
-            node.ask(id)
-            node.end(id, Result.UNREACHABLE, 0.0)
+            node.request(id)
+            node.complete(id, Result.UNREACHABLE, 0.0)
             retries += passes_gate(node, id, n % 8)
         return retries
 
-    assert further(9) == 2
-    assert further(1) == 1  # the tenth request taken earns one
+    assert retries_sent(9) == 2
+    assert retries_sent(1) == 1  # the tenth request taken earns one
     node.now += 4990.0
-    assert further(1) == 0  # within the window, whatever else is in it
+    assert retries_sent(1) == 0  # within the window, whatever else is in it
     node.now += 20.0
-    assert further(8) == 2  # the first have left it, and nine taken earn none
+    assert retries_sent(8) == 2  # the first have left it, and nine taken earn none
 
 
 def test_a_sliding_window_that_is_never_read_drops_old_events() -> None:
@@ -143,20 +143,20 @@
 def test_without_a_stated_budget_retries_are_not_limited() -> None:
     node = Node(8)
     for n in range(20):
-        node.ask(f"{n}")
-        node.end(f"{n}", Result.UNREACHABLE, 0.0)
+        node.request(f"{n}")
+        node.complete(f"{n}", Result.UNREACHABLE, 0.0)
         assert passes_gate(node, f"{n}", 1)
 
 
 def test_rule_6_a_rejection_is_no_proof_where_so_stated() -> None:
     node = Node(rejected_may_have_run=True)
-    node.ask("a", "unsafe")
-    assert ends(node.end("a", Result.REJECTED)) == [api.Fail("a")]
-    node.ask("b", "keyed")
-    node.end("b", Result.REJECTED, 10.0)
+    node.request("a", "unsafe")
+    assert ends(node.complete("a", Result.REJECTED)) == [api.Fail("a")]
+    node.request("b", "keyed")
+    node.complete("b", Result.REJECTED, 10.0)
     assert not passes_gate(node, "b", 1 - node.sent["b"][0] % 2)  # it stays inside its group
-    node.ask("c", "unsafe")
-    assert timers(node.end("c", Result.UNREACHABLE))  # that is still a proof
+    node.request("c", "unsafe")
+    assert timers(node.complete("c", Result.UNREACHABLE))  # that is still a proof
 
 
 def test_an_unserved_request_is_rejected_wherever_a_retry_is_harmless() -> None:
@@ -169,33 +169,33 @@
         ("unsafe", Result.ERROR, api.Fail),
     ):
         node = Node(max_attempts=1)
-        node.ask("a", cls)
-        [answer] = ends(node.end("a", result))
+        node.request("a", cls)
+        [answer] = ends(node.complete("a", result))
         assert isinstance(answer, end)
 
 
 def test_a_stream_binds_its_request_to_one_attempt() -> None:
     node = Node()
-    node.ask("a")
+    node.request("a")
     node.do(api.StreamStarted("a", 0, node.sent["a"][0], 20.0))
-    assert not sends(node.end("a", Result.RESET, 50.0, settled=True))
+    assert not sends(node.complete("a", Result.RESET, 50.0, final=True))
 
 
 def test_an_attempt_times_out_no_sooner_than_the_node_may_be_late() -> None:
     node = Node()
     node.serve(100, delay_ms=0.5)  # eight times that is over before a busy machine looks again
-    [send] = sends(node.ask("next"))
+    [send] = sends(node.request("next"))
     assert 100.0 <= send.timeout_ms < 200.0
 
 
 def test_an_attempt_times_out_after_several_usual_delays() -> None:
     """i2750ee: calls to a lost zone waited out a whole deadline and filled the slots of the tier above."""
     node = Node(servers=4, tier=1, propagates_deadline=False)
-    (early,) = sends(node.ask("early"))
+    (early,) = sends(node.request("early"))
     assert early.timeout_ms > 2000.0  # nothing is usual yet
-    node.end("early", Result.SERVED)
+    node.complete("early", Result.SERVED)
     node.serve(100, delay_ms=50.0)
-    (send,) = sends(node.ask("lost"))
+    (send,) = sends(node.request("lost"))
     assert 200.0 < send.timeout_ms < 600.0
-    (other,) = sends(node.ask("brief", ttl_ms=100.0))
+    (other,) = sends(node.request("brief", ttl_ms=100.0))
     assert other.timeout_ms < 100.0
--- a/tests/test_balancer_selection.py
+++ b/tests/test_balancer_selection.py
@@ -28,8 +28,8 @@
 def test_a_server_with_its_share_in_flight_is_passed_over() -> None:
     """big-1: with a call more than its part allowed, some held four calls while others had none."""
     node = Node(servers=4)
-    node.ask("a")
-    node.ask("b")
+    node.request("a")
+    node.request("b")
     holding = {node.sent["a"][0], node.sent["b"][0]}
     assert holding.isdisjoint(node.serve(20, gap_ms=0.0, delay_ms=0.0))
 
@@ -41,11 +41,11 @@
     stuck = node.balancer.server_set.ready[0].id
     given = 0
     for n in range(100):
-        node.ask(f"r{n}")
+        node.request(f"r{n}")
         if node.sent[f"r{n}"][0] == stuck:
             given += 1
         else:
-            node.end(f"r{n}", Result.SERVED)
+            node.complete(f"r{n}", Result.SERVED)
     assert given <= 5
 
 
@@ -53,8 +53,8 @@
     node = Node(servers=4)
     for _ in range(200):
         id = f"s{node.now}"
-        node.ask(id)
-        node.end(id, Result.SERVED, 400.0 if node.sent[id][0] == 0 else 50.0)
+        node.request(id)
+        node.complete(id, Result.SERVED, 400.0 if node.sent[id][0] == 0 else 50.0)
     slow = node.balancer.server_set.servers[0]
     assert slow.latency_weight(node.now, 0.0) < 0.5
     assert node.serve(20, gap_ms=0.0).count(0) <= 2  # a fair part is 5
@@ -77,18 +77,18 @@
     node.serve(100)
     for server in node.balancer.server_set.ready:
         server.ejected_until_ms = node.now + 1000.0
-    assert len(sends(node.ask("a"))) == 1
+    assert len(sends(node.request("a"))) == 1
 
 
 def test_an_overdue_call_lowers_its_servers_weight_before_it_completes() -> None:
     """Kolin big-1: slow and silent servers were sent several more calls before a first one timed out."""
     node = Node(servers=4, tier=1)
     node.serve(200)
-    node.ask("stuck")
+    node.request("stuck")
     [stuck] = node.sent["stuck"]
     node.now += 1000.0
     assert stuck not in node.serve(30)
-    node.end("stuck", Result.SERVED, 0.0)
+    node.complete("stuck", Result.SERVED, 0.0)
     assert stuck in node.serve(30)
 
 
@@ -96,7 +96,7 @@
     """Kolin: a crowded server says so in its answers, before it tips."""
     node = Node(servers=4, tier=1)
     node.serve(200)
-    node.ask("a")
+    node.request("a")
     [crowded] = node.sent["a"]
     event = api.AttemptCompleted("a", 0, crowded, Result.SERVED, 50.0, True, {"queue": 6.0})
     node.do(event, 50.0)
@@ -111,10 +111,10 @@
     for n in range(12):
         [send] = sends(node.do(api.Request(f"p{n}", "keyed", 5_000.0, pinned_group="linz")))
         assert send.server % 3 == 0
-        node.end(f"p{n}", Result.SERVED)
+        node.complete(f"p{n}", Result.SERVED)
     node.do(api.Request("q", "keyed", 5_000.0, pinned_group="linz"))
     first = node.sent["q"][0]
-    [timer] = timers(node.end("q", Result.UNREACHABLE))
+    [timer] = timers(node.complete("q", Result.UNREACHABLE))
     [send] = sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
     assert send.server in {0, 3, 6} - {first}
 
--- a/tests/test_balancer_server_set.py
+++ b/tests/test_balancer_server_set.py
@@ -61,7 +61,7 @@
     node.serve(50)
     assert len(node.balancer.server_set.ready) == few
     for n in range(40):
-        node.ask(f"{n}")
+        node.request(f"{n}")
     assert len(node.balancer.server_set.ready) > few
     assert len({server for sent in node.sent.values() for server in sent}) > few
     node.list_all(entries(range(60)))
@@ -71,28 +71,28 @@
 def test_a_keyed_retry_may_leave_the_subset_but_not_its_group() -> None:
     node = Node(40, replicas=40)
     own = {server.id for server in node.balancer.server_set.ready}
-    node.ask("k", "keyed")
+    node.request("k", "keyed")
     (first,) = node.sent["k"]
     node.list_all(entries(n for n in range(40) if n == first or n % 2 != first % 2 or n not in own))
     node.change(*entries([first], health=api.Health.TERMINATED))
-    (timer,) = timers(node.end("k", Result.ERROR))
+    (timer,) = timers(node.complete("k", Result.ERROR))
     node.do(api.TimerFired(timer.token), timer.delay_ms)
-    again = node.sent["k"][1]
-    assert again not in own
-    assert again % 2 == first % 2
+    retried_at = node.sent["k"][1]
+    assert retried_at not in own
+    assert retried_at % 2 == first % 2
 
 
 def test_a_replica_index_beyond_their_count_still_has_servers() -> None:
     node = Node(60, replicas=40, replica_index=57)
     assert node.balancer.server_set.ready
-    assert sends(node.ask("a"))
+    assert sends(node.request("a"))
 
 
 def test_slices_double_no_further_once_a_replica_has_all_servers() -> None:
     # The drain day of seed 9101: 2 to the power of 280 slices, each cut anew, of a fleet of four servers.
     node = Node(servers=4, replicas=8, tier=1)
     for n in range(200):
-        node.ask(f"{n}")
+        node.request(f"{n}")
     assert node.balancer.server_set.slices == 8
     assert len(node.balancer.server_set.ready) == 4
 
@@ -102,6 +102,6 @@
     assert node.balancer.excluded_count(node.now) == 0
     node.change(api.ServerEntry(0, "z", "k", 0, api.Health.DRAINING))
     assert node.balancer.excluded_count(node.now) == 1
-    node.ask("a", "safe")
-    node.end("a", api.Result.UNREACHABLE)
+    node.request("a", "safe")
+    node.complete("a", api.Result.UNREACHABLE)
     assert node.balancer.excluded_count(node.now) == 2
--- a/tests/test_balancer_slow_start.py
+++ b/tests/test_balancer_slow_start.py
@@ -28,8 +28,8 @@
     node.change(api.ServerEntry(9, started_ms=node.now))
     passed = 0
     for n in range(60):  # in no time
-        node.ask(f"c{n}")
-        node.end(f"c{n}", Result.UNREACHABLE, 0.0)
+        node.request(f"c{n}")
+        node.complete(f"c{n}", Result.UNREACHABLE, 0.0)
         passed += passes_gate(node, f"c{n}", 9)
     assert passed <= 4
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -444,7 +444,7 @@
     node.now += 60_000.0  # however long it takes to come
     node.do(api.RequestComplete("a"))
     assert node.balancer.in_flight == 1
-    retry = node.end("a", api.Result.ERROR, 300.0)
+    retry = node.complete("a", api.Result.ERROR, 300.0)
     assert timers(retry), "most of its time is left"
     assert node.balancer.in_flight == 0
 
@@ -463,11 +463,11 @@
     node = Node(servers=1)
     node.serve(30, delay_ms=50.0)
     usual = node.balancer._baseline.usual_share
-    node.ask("a")
+    node.request("a")
     assert node.balancer.in_flight == 1
     node.do(api.StreamStarted("a", 0, node.sent["a"][0], 50.0), 50.0)
     assert node.balancer.in_flight == 0
-    node.end("a", api.Result.SERVED, 30_000.0)
+    node.complete("a", api.Result.SERVED, 30_000.0)
     assert node.balancer.in_flight == 0
     assert node.balancer._baseline.usual_share == pytest.approx(usual, rel=0.2), (
         "the caller's pace is none of the tier's"
@@ -503,7 +503,7 @@
     node.do(api.StreamStarted("a", 0, node.sent["a"][0], 0.0))
     node.do(api.RequestComplete("a"))
     assert node.balancer.in_flight == 0
-    node.end("a", api.Result.SERVED)
+    node.complete("a", api.Result.SERVED)
     assert node.balancer.in_flight == 0
     assert not node.balancer.server_set.servers[0].outstanding
 
--- a/tests/test_delay_controller.py
+++ b/tests/test_delay_controller.py
@@ -61,7 +61,7 @@
     assert controller.allowed_rate == pytest.approx(rate * math.sqrt(0.5) * error + integral)
 
 
-def test_the_integral_gets_the_whole_time_between_answers() -> None:
+def test_the_integral_gets_all_time_between_answers() -> None:
     """i45f18d: the window reads the rate for every request, and took the integral's time away."""
     plain, watched = DelayController(), DelayController()
     for controller in (plain, watched):
@@ -86,7 +86,7 @@
     assert controller.shed_share(now + 20_000.0) < 0.5 * shed
 
 
-def test_gains_are_kept_inside_the_retune_band() -> None:
+def test_gains_stay_inside_the_retune_band() -> None:
     controller = DelayController()
     now = steady(controller, 100.0, 300)
     tuned = controller.tuned_rate
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -103,8 +103,8 @@
     node = Node(retry_budget_ratio=0.0, retry_budget_floor=4.0, retry_budget_window_ms=10_000.0)
     node.do(api.ProcessCount(4))
     for n in range(3):
-        node.ask(f"{n}")
-        node.end(f"{n}", api.Result.ERROR)
+        node.request(f"{n}")
+        node.complete(f"{n}", api.Result.ERROR)
     for _, action in list(node.log):
         if isinstance(action, api.SetTimer):
             node.do(api.TimerFired(action.token), 1_000.0)
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -37,14 +37,14 @@
 
 def test_a_node_works_with_no_server_one_server_zero_weights_and_a_stopped_clock() -> None:
     empty = Node(servers=0)
-    assert not [a for a in empty.ask("a") if isinstance(a, api.Send)]
+    assert not [a for a in empty.request("a") if isinstance(a, api.Send)]
     for servers in ([api.ServerEntry(1)], entries(range(3), share=0.0)):
         node = Node(servers=0)
         node.list_all(servers)
         for n in range(30):
-            node.ask(f"{n}")
+            node.request(f"{n}")
             if f"{n}" in node.sent:
-                node.end(f"{n}", [Result.SERVED, Result.ERROR, Result.TIMEOUT][n % 3], 0.0)
+                node.complete(f"{n}", [Result.SERVED, Result.ERROR, Result.TIMEOUT][n % 3], 0.0)
         assert node.sent or not any(s.share for s in servers)
         assert not ends(node.do(api.TimerFired(0)))
 
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -401,8 +401,8 @@
     node.do(api.CanaryLimit(frozenset({0, 1}), 0.4))
     for n in range(60):
         node.serve(2)
-        node.ask(f"r{n}")
-        node.end(f"r{n}", Result.ERROR)
+        node.request(f"r{n}")
+        node.complete(f"r{n}", Result.ERROR)
         node.now += 400.0
         for action in [a for _, a in node.log[-3:] if isinstance(a, api.SetTimer)]:
             node.do(api.TimerFired(action.token))
