--- a/dunlinloft/coordination/node_registry.py
+++ b/dunlinloft/coordination/node_registry.py
@@ -14,8 +14,7 @@
 # A node from which nothing was received for so long may be spending without its owner. Keepalives come every
 # 300 ms; `quota.reserves.AUTONOMY_DELAY_MS` has to be longer.
 NODE_CONTACT_TIMEOUT_MS = 450.0
-# A node from which no replica received anything for so long has left: as long as its shares are accounted for
-# (`quota.shares.SHARE_ACCOUNTING_MS`).
+# A node from which no replica received anything for so long has left.
 NODE_EXPIRY_MS = 20_000.0
 
 
--- a/dunlinloft/coordination/placement/cost.py
+++ b/dunlinloft/coordination/placement/cost.py
@@ -11,10 +11,12 @@
 RECENT_PREFILL_FRACTION = 0.25
 # Times its tokens that a shared segment costs where it was used a moment ago and would be prefilled again.
 REPEATED_PREFILL_MULTIPLE = 4.0
+# A server whose cost exceeds the lowest by no more than this is about as good (`service`). In tokens.
+NEAR_BEST_TOKENS = 400.0
 # For each request in flight, where nothing is known of the prompt. In tokens.
-UNKNOWN_PROMPT_COST_TOKENS = 800.0
-# Of a server without free capacity, and of one that failed within `FAILURE_PENALTY_MS`: chosen only where
-# there is no other. In tokens.
+UNKNOWN_PROMPT_COST_TOKENS = 2.0 * NEAR_BEST_TOKENS
+# Of a server without free capacity, and of one that failed within `FAILURE_PENALTY_MS`: so high that others
+# are preferred. In tokens.
 FULL_SERVER_COST_TOKENS = 1e6
 FAILED_SERVER_COST_TOKENS = 1e5
 FAILURE_PENALTY_MS = 1_000.0
--- a/dunlinloft/coordination/placement/directory.py
+++ b/dunlinloft/coordination/placement/directory.py
@@ -16,7 +16,7 @@
 
 
 class PlacementDirectory:
-    """The placement of each service; owned by the control plane's roles."""
+    """The placement of each service; owned by the control plane's components."""
 
     def __init__(self, rng: random.Random, reuse_window_ms: float) -> None:
         """Start without services; for `reuse_window_ms` see `RecentSegments`."""
--- a/dunlinloft/coordination/placement/server_load.py
+++ b/dunlinloft/coordination/placement/server_load.py
@@ -10,9 +10,9 @@
 from dunlinloft.coordination.placement.prefix_cache import PrefixCache
 from dunlinloft.coordination.stream import ServerRecord
 
-# A prompt of at least so many tokens slows down, while it is prefilled, whatever decodes beside it.
+# A prompt of at least so many tokens slows down whatever runs beside it while it is prefilled.
 LONG_PROMPT_TOKENS = 1_024
-# Share of a server's KV cache memory that is taken to hold prompt segments; the rest is in use by requests.
+# Share of a server's KV cache memory that is taken to hold prompt segments.
 PREFIX_CACHE_MEMORY_SHARE = 0.7
 # KV cache memory of a server of which the configuration says nothing, in tokens.
 DEFAULT_KV_CACHE_TOKENS = 200_000
--- a/dunlinloft/coordination/placement/service.py
+++ b/dunlinloft/coordination/placement/service.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from dunlinloft.balancer.rotation import Rotation
-from dunlinloft.coordination.placement.cost import FULL_SERVER_COST_TOKENS, placement_cost
+from dunlinloft.coordination.placement.cost import FULL_SERVER_COST_TOKENS, NEAR_BEST_TOKENS, placement_cost
 from dunlinloft.coordination.placement.demand import KeyedRequest, PlacementDemand, SharedPrefix
 from dunlinloft.coordination.placement.recent_segments import RecentSegments
 from dunlinloft.coordination.placement.server_load import (
@@ -18,10 +18,9 @@
 from dunlinloft.coordination.stream import ServerRecord
 from dunlinloft.fleet.rendezvous import rank
 
-# A server takes part in the rotation if its cost exceeds the lowest by at most this fraction of it, and so
-# many tokens.
+# A server takes part in the rotation if its cost exceeds the lowest by at most this fraction of it, and
+# `NEAR_BEST_TOKENS`.
 NEAR_BEST_FRACTION = 0.15
-NEAR_BEST_TOKENS = 400.0
 # Fraction of its shared tokens by which a prompt prefers its home, the first server in rendezvous order.
 HOME_PREFERENCE_FRACTION = 0.5
 # Requests in flight that are counted; beyond, there is no advice.
--- a/dunlinloft/coordination/quota/bounds.py
+++ b/dunlinloft/coordination/quota/bounds.py
@@ -6,14 +6,14 @@
 from enum import Enum, auto
 
 # Fractions of the permitted excess (`QuotaBounds.permitted_excess`). The bucket holds the first beside the
-# burst, all nodes' reserves together the second; the rest covers what is in flight when an owner changes.
+# burst, all nodes' reserves together the second.
 BUCKET_EXCESS_FRACTION = 0.1
 RESERVE_EXCESS_FRACTION = 0.6
 # Fractions of the tolerance: of all reserves together, and of a new owner's first level.
 RESERVE_TOLERANCE_FRACTION = 0.6
 INITIAL_TOLERANCE_FRACTION = 0.2
-# A new owner's first level, in seconds of the tenant's rate. While ownership changed, nodes spent none of the
-# rate for at least as long as its lease had to be waited for; with an earlier start that was less.
+# A new owner's first level, in seconds of the tenant's rate: while ownership changed, nodes spent none of the
+# rate for longer than that. An owner that starts before the full wait gets less.
 TAKEOVER_LEVEL_S = 0.3
 EARLY_TAKEOVER_LEVEL_S = 0.2
 FLEET_RESTART_LEVEL_S = 1.0  # all processes had been down, so nothing was spent meanwhile
--- a/dunlinloft/coordination/quota/bucket.py
+++ b/dunlinloft/coordination/quota/bucket.py
@@ -7,12 +7,11 @@
 from dunlinloft.coordination.decaying_sum import DecayingSum
 from dunlinloft.coordination.quota.shares import USAGE_DECAY_MS, TenantShares
 
-# A reserve is filled only while the bucket is above this fraction of its capacity: what is short stays where
-# every node can ask for it.
+# A reserve is filled only while the bucket is above this fraction of its capacity.
 RESERVE_MIN_LEVEL_FRACTION = 0.3
-# Told to a node whose tenant has no rate: nothing will ever come in.
+# The wait that a node is given where its tenant has no rate, so that none can be computed.
 NO_RATE_WAIT_MS = 1_000.0
-# Added to each computed wait, so that rounding never lets a node ask just before the amount is there.
+# Added to each computed wait.
 WAIT_MARGIN_MS = 1.0
 
 
--- a/dunlinloft/coordination/quota/owner.py
+++ b/dunlinloft/coordination/quota/owner.py
@@ -14,9 +14,9 @@
 from dunlinloft.coordination.quota.ownership import OwnershipChange, QuotaOwnership, ReleasedQuotas
 from dunlinloft.coordination.quota.shares import MAX_SHARE_MULTIPLE, TenantShares
 
-# A node that started at most so long before its owner started together with it, as after a power cut.
+# A node that started no earlier than so long before its owner started together with it.
 FLEET_RESTART_WINDOW_MS = 2_000.0
-# Buckets are refilled in steps of at least so long: its cost grows with nodes, not with requests.
+# Buckets are refilled in steps of at least so long: what that takes grows with nodes, not with requests.
 REFILL_INTERVAL_MS = 10.0
 # Multiple of its amount that has to be there for a retry: that request is late, and whatever is short goes to
 # first attempts, which can be answered in time (docs/deciding.md, round 11).
@@ -28,8 +28,9 @@
 class QuotaOwner:
     """The quotas that one control plane owns.
 
-    Owned by the control plane's roles, which call it with each message of a node or replica and with each
-    tick. It holds no clock: every call says the time. The `NodeRegistry` is kept up to date by the host.
+    Owned by the control plane's `QuotaService`, which calls it with each message of a node or replica and
+    with each tick. It holds no clock: every call says the time. The `NodeRegistry` is kept up to date by the
+    host.
     """
 
     def __init__(
@@ -138,7 +139,7 @@
     def refill(self, leased: bool, now_ms: float) -> None:
         """Fill the buckets for the time since the last call, and open those that may be; called each tick.
 
-        Time counts only where the lease was held at both its ends: without an owner, nodes spend the whole
+        Time counts only where the lease was valid at both its ends: without an owner, nodes spend the full
         rate.
         """
         elapsed_s = max(0.0, now_ms - self._refilled_ms) / 1_000.0
@@ -159,10 +160,7 @@
                 continue
             level = self._ownership.handed_over_level(tenant)
             if level is None:
-                start = (
-                    BucketStart.FLEET_RESTART if self._fleet_restarted else self._ownership.start_of(tenant)
-                )
-                level = self._bounds.initial_level(limit, start)
+                level = self._bounds.initial_level(limit, self._start_of(tenant))
             pool = self._bounds.reserve_pool(limit)
             unreported = 0.0 if self._fleet_restarted else pool
             bucket = QuotaBucket(
--- a/dunlinloft/coordination/quota/ownership.py
+++ b/dunlinloft/coordination/quota/ownership.py
@@ -13,7 +13,7 @@
 from dunlinloft.fleet.rendezvous import rank
 
 # A new owner waits for so long after it learned of its chain. The previous owner stops `LEASE_MS` (600 ms,
-# `liveness`) after a majority last confirmed it; the rest is for clocks that drift.
+# `failure_detector`) after a majority last confirmed it; the rest is margin.
 HANDOVER_WAIT_MS = 750.0
 
 
--- a/dunlinloft/coordination/quota/reserves.py
+++ b/dunlinloft/coordination/quota/reserves.py
@@ -19,7 +19,7 @@
 # Without any answer of an owner for so long, a late reply to the next request is no longer waited for
 # (docs/deciding.md, round 10).
 LATE_REPLY_GRACE_MS = 100.0
-# Before the standing share is added; the margin is for the owner's own count of the contact time-out.
+# Before the standing share is added: by then the owner, if there is one, counts this node as disconnected.
 AUTONOMY_DELAY_MS = NODE_CONTACT_TIMEOUT_MS + 50.0
 # Multiple of the mean recent request that a reserve has to be able to hold, to be of any use.
 USEFUL_RESERVE_MULTIPLE = 1.0
--- a/dunlinloft/coordination/quota/shares.py
+++ b/dunlinloft/coordination/quota/shares.py
@@ -19,8 +19,7 @@
 
 SHARE_LIFETIME_MS = 15_000.0
 SHARE_ACCOUNTING_MS = 20_000.0  # longer: a message may be delayed for long, and clocks drift apart
-# Time constant of recent usage: it averages over some requests even of a slow tenant, and follows a shift of
-# its traffic.
+# Time constant with which recent usage decays.
 USAGE_DECAY_MS = 4_000.0
 # Fraction of the rate that is split evenly, so that a node whose traffic has just begun has something.
 EVEN_SPLIT_FRACTION = 0.25
