--- a/dunlinloft/coordination/placement/directory.py
+++ b/dunlinloft/coordination/placement/directory.py
@@ -1,4 +1,4 @@
-"""All services that a control plane may be asked about, and which control plane owns a service."""
+"""All services that a control plane may advise on, and which control plane owns a service."""
 
 from __future__ import annotations
 
--- a/dunlinloft/coordination/quota/bounds.py
+++ b/dunlinloft/coordination/quota/bounds.py
@@ -59,7 +59,7 @@
         return self.overshoot * (limit.rate_per_s * self.window_s + limit.burst)
 
     def base_capacity(self, limit: QuotaLimit) -> float:
-        """Return the capacity of a bucket while the whole reserve pool is drawn by nodes."""
+        """Return the capacity of a bucket while nodes have drawn the full reserve pool."""
         return limit.burst + BUCKET_EXCESS_FRACTION * self.permitted_excess(limit)
 
     def reserve_pool(self, limit: QuotaLimit) -> float:
--- a/dunlinloft/coordination/quota/bucket.py
+++ b/dunlinloft/coordination/quota/bucket.py
@@ -22,9 +22,9 @@
     Attributes
     ----------
     base_capacity
-        Capacity while the whole reserve pool is drawn.
+        Capacity while nodes have drawn the full reserve pool.
     reserve_pool
-        What nodes' reserves may hold together; the part that no node holds adds to the bucket's capacity.
+        What nodes' reserves may hold together; what no node holds adds to the bucket's capacity.
     level
         What is left now.
     reported_reserves
--- a/dunlinloft/coordination/quota/demand.py
+++ b/dunlinloft/coordination/quota/demand.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaDecision:
-    """The owner's decision: the whole amount was granted where there is no wait, else nothing was."""
+    """The owner's decision: the full amount was granted where there is no wait, else nothing was."""
 
     wait_ms: float
     reserve: float  # drawn beside it, for the node to keep
--- a/dunlinloft/coordination/quota/reserves.py
+++ b/dunlinloft/coordination/quota/reserves.py
@@ -24,7 +24,7 @@
 # Multiple of the mean recent request that a reserve has to be able to hold, to be of any use.
 USEFUL_RESERVE_MULTIPLE = 1.0
 MEAN_REQUEST_WEIGHT = 0.1  # of the latest request in the moving average
-# Bounds of the wait that a rejected request is told.
+# Bounds of the wait before a rejected request is retried.
 RETRY_WAIT_MIN_MS = 100.0
 RETRY_WAIT_MAX_MS = 1_000.0
 
--- a/dunlinloft/coordination/stream/placement.py
+++ b/dunlinloft/coordination/stream/placement.py
@@ -6,7 +6,7 @@
 
 
 class PlacementQuery(Struct, frozen=True, tag="place"):
-    """From a node: asks which server a request should go to.
+    """From a node: requests advice on which server a request should go to.
 
     Attributes
     ----------
@@ -33,8 +33,8 @@
 class PlacementReply(Struct, frozen=True, tag="placed"):
     """To a node: the reply to `PlacementQuery`.
 
-    `server_id` is empty where no server is advised; `wait_ms` is then the time after which to ask again, or 0
-    where that is of no use.
+    `server_id` is empty where no server is advised; `wait_ms` is then the time after which to query anew,
+    or 0 where that is of no use.
     """
 
     request_id: int = field(name="number")
--- a/dunlinloft/coordination/stream/quota.py
+++ b/dunlinloft/coordination/stream/quota.py
@@ -17,7 +17,7 @@
 
 
 class QuotaRequest(Struct, frozen=True, tag="take_quota"):
-    """From a node: asks the owner for an amount of a tenant's quota.
+    """From a node: requests an amount of a tenant's quota from its owner.
 
     Attributes
     ----------
@@ -56,7 +56,7 @@
     wait_ms
         Time until the requested amount will be available.
     is_owner
-        False where the replica that was asked does not own the quota now.
+        False where the replica that received the request does not own the quota now.
     scarce
         Demand exceeds the quota, so that waiting is of no use.
     """
