--- a/dunlinloft/balancer/selection.py
+++ b/dunlinloft/balancer/selection.py
@@ -4,7 +4,6 @@
 
 import math
 import random
-from typing import NamedTuple
 
 from dunlinloft.balancer import interface as api
 from dunlinloft.balancer.affinity import Member, choose_member
@@ -25,12 +24,9 @@
 SLOW_START_BUDGET_SHARE = 0.5  # of the stated budget that all replicas together use
 
 
-class _Candidate(NamedTuple):
-    """A server, its weight by capacity, and the share of that which its latency leaves."""
-
-    server: Server
-    weight: float
-    latency_weight: float
+# A server, its weight by capacity, and the share of it that its latency leaves. A plain tuple for speed, as
+# one is made for each server and attempt.
+_Candidate = tuple[Server, float, float]
 
 
 class ServerSelection:
@@ -92,17 +88,18 @@
     def _weigh(self, servers: list[Server], canary_factor: float, now_ms: float) -> list[_Candidate]:
         """The servers that are not held back by slow start, with their weights."""
         candidates: list[_Candidate] = []
+        usual_share = self._baseline.usual_share
+        capped = self._canary.servers
         for server in servers:
             weight = server.subset_share
-            if server.id in self._canary.servers:
+            if server.id in capped:
                 weight *= canary_factor
             if server.started_ms is not None:
                 share = server.slow_start_share(now_ms, self._settings)
                 if share < 1.0 and self.slow_start_budget(server, share, now_ms) < 1.0:
                     continue
                 weight *= share
-            latency_weight = server.latency_weight(now_ms, self._baseline.usual_share)
-            candidates.append(_Candidate(server, weight, latency_weight))
+            candidates.append((server, weight, server.latency_weight(now_ms, usual_share)))
         return candidates
 
     def _split(
