--- a/dunlinloft/fleet/shared_state/core.py
+++ b/dunlinloft/fleet/shared_state/core.py
@@ -10,8 +10,8 @@
 import zlib
 from collections.abc import Iterator
 
-from dunlinloft.fleet.releases.member import Follower
-from dunlinloft.fleet.releases.messages import NONE, Order, Tally
+from dunlinloft.fleet.releases.follower import ReleaseFollower
+from dunlinloft.fleet.releases.messages import NO_ORDER, Order, Tally
 from dunlinloft.fleet.shared_state import limits, verdicts
 from dunlinloft.fleet.shared_state.affinity import FRESH_MS, Affinity, Place, Voices
 from dunlinloft.fleet.shared_state.limits import Limits, retry_share
@@ -77,7 +77,7 @@
         self.pool = Pool(zone, tier, rng)
         self.limits = Limits(name, quotas, now)
         self.affinity = Affinity(groups, window_ms)
-        self.follower = Follower(tier)
+        self.follower = ReleaseFollower(tier)
         self._tallied_ms = self._steered_ms = -1e18
         self.seen = Seen(life, {}, frozenset((name,)), 1)
         self._known = Known({}, frozenset(), {}, 0.0, 0.0)
@@ -105,7 +105,7 @@
         match event:
             case Ended():
                 if RELEASES in self.parts:
-                    self.follower.ended(event.server, mark(event.cls), event.how, event.ms)
+                    self.follower.attempt_completed(event.server, mark(event.cls), event.how, event.ms)
                 if VERDICTS in self.parts and event.how != "full":
                     self.witness.ended(event.server, mark(event.cls), event.how, event.ms, now)
             case Asked():
@@ -121,7 +121,7 @@
             case Known():
                 self._known = event
                 if RELEASES in self.parts:
-                    self.follower.know(event.servers)
+                    self.follower.set_servers(event.servers)
                 self.witness.known(event.starts, event.silent, now)
             case Seen():
                 self.seen = event
@@ -178,24 +178,24 @@
         return self._follow(order, 0.0, now)
 
     def _follow(self, order: Order, age_ms: float, now: float) -> list[Action]:
-        self.follower.obey(order, age_ms, now)
-        if not self.follower.changed:
+        self.follower.apply_order(order, age_ms, now)
+        if not self.follower.new_servers_changed:
             return []
-        self.follower.changed = False
+        self.follower.new_servers_changed = False
         self._tallied_ms = -1e18  # who obeys says so at once
-        return [Cap(self.follower.cohort(), self.follower.order.share)]
+        return [Cap(self.follower.new_servers(), self.follower.order.share)]
 
     def _release(self, now: float) -> list[Action]:
         """Obey the greatest order that is to be had: from its steward, or from whoever obeys it."""
-        best, age = NONE, 0.0
+        best, age = NO_ORDER, 0.0
         for _, held in self.store.others(RELEASE):
-            if isinstance(held.content, Order) and held.content.key() >= best.key():
+            if isinstance(held.content, Order) and held.content.version() >= best.version():
                 best, age = held.content, held.age_ms(now)
         for _, held in self.store.others(TALLY):
-            if isinstance(held.content, Tally) and held.content.order.key() > best.key():
+            if isinstance(held.content, Tally) and held.content.order.version() > best.version():
                 best, age = held.content.order, 1e18
         actions = self._follow(best, age, now)
-        if self.follower.order.id and now - self._tallied_ms >= TALLY_MS:
+        if self.follower.order.release_id and now - self._tallied_ms >= TALLY_MS:
             self._tallied_ms = now
             says = self.follower.tally()
             self.store.write(TALLY, encode(says), says, now)
--- a/dunlinloft/fleet/shared_state/messages.py
+++ b/dunlinloft/fleet/shared_state/messages.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from dunlinloft.fleet.cells.messages import Summary
-from dunlinloft.fleet.releases.member import Server
+from dunlinloft.fleet.releases.follower import ObservedServer
 from dunlinloft.fleet.releases.messages import Order, Tally
 from dunlinloft.fleet.timers import SetTimer as SetTimer
 from dunlinloft.fleet.timers import TimerFired as TimerFired
@@ -219,7 +219,7 @@
     groups: dict[str, tuple[int, int]]
     allowed: float
     tuned: float
-    servers: dict[int, Server] = field(default_factory=dict)  # for releases: what is known of each
+    servers: dict[int, ObservedServer] = field(default_factory=dict)  # for releases: what is known of each
 
 
 Event = Heard | TimerFired | Seen | Asked | Ended | Known | Ordered | Steer
--- a/dunlinloft/node/fleet/releases.py
+++ b/dunlinloft/node/fleet/releases.py
@@ -8,8 +8,10 @@
 from urllib.parse import parse_qs
 
 from dunlinloft.fleet.leases.table_primary import TablePrimary
-from dunlinloft.fleet.releases.messages import ENDED, ROW, NotSo, Order, Plan, Tally, read_plan, read_wanted
-from dunlinloft.fleet.releases.steward import FRESH_MS, Steward, Telling
+from dunlinloft.fleet.releases.controller import MAX_TALLY_AGE_MS, ReleaseController, ReleaseRejected
+from dunlinloft.fleet.releases.messages import RELEASE_KEY, TERMINAL_STATES, Order, Plan, Tally, decode_plan
+from dunlinloft.fleet.releases.request import InvalidReleaseRequest, parse_release_request
+from dunlinloft.fleet.releases.traffic import MemberTally
 from dunlinloft.fleet.shared_state.core import Shared
 from dunlinloft.fleet.shared_state.messages import TALLY, Steer
 from dunlinloft.node.config import server_id
@@ -27,26 +29,29 @@
     ) -> None:  # fmt: skip
         self._shared, self._entries, self._give, self._now = shared, entries, give, now
         self._holder = holder
-        self.steward = Steward(self._write, server_id, lambda: int(time.time()))
+        self.steward = ReleaseController(self._write, server_id, lambda: int(time.time()))
         self._history: list[Plan] = []
 
     def opened(self, ledger: TablePrimary) -> None:
         """This process holds the ledger, and it is open."""
-        rows = {key: read_plan(row.value) for key, row in ledger.rows.items() if key.startswith(ROW)}
-        past = [plan for key, plan in rows.items() if key != ROW and plan is not None]
+        rows = {
+            key: decode_plan(row.value) for key, row in ledger.rows.items() if key.startswith(RELEASE_KEY)
+        }
+        past = [plan for key, plan in rows.items() if key != RELEASE_KEY and plan is not None]
         self._history = sorted(past, key=lambda plan: plan.id)
-        self.steward.start(ledger.token, rows.get(ROW), self._now())
+        self.steward.start(ledger.token, rows.get(RELEASE_KEY), self._now())
 
     def closed(self) -> None:
         """It holds the ledger no more."""
         self.steward.stop()
 
-    def _write(self, plan: Plan) -> str:
-        why = self._entries.keep(ROW, plan.write(), self.steward.settled)
-        if not why and plan.state in ENDED:
-            self._entries.keep(f"{ROW}/{plan.id % KEPT}", plan.write(), lambda kept: None)
+    def _write(self, plan: Plan) -> None:
+        why = self._entries.keep(RELEASE_KEY, plan.encode(), self.steward.write_completed)
+        if why:
+            raise ReleaseRejected(why)
+        if plan.state in TERMINAL_STATES:
+            self._entries.keep(f"{RELEASE_KEY}/{plan.id % KEPT}", plan.encode(), lambda kept: None)
             self._history = [*self._history, plan][-KEPT:]
-        return why
 
     def look(self, holds: bool) -> None:
         """To be called every so often; `holds`: this process holds the ledger at this instant."""
@@ -54,11 +59,11 @@
             return
         now, store = self._now(), self._shared.store
         told = [
-            Telling(writer, held.life, held.age_ms(now), held.content)
-            for writer, held in store.read(TALLY, FRESH_MS, now)
+            MemberTally(writer, held.life, held.age_ms(now), held.content)
+            for writer, held in store.read(TALLY, MAX_TALLY_AGE_MS, now)
             if isinstance(held.content, Tally) and held.content.tier == self._shared.tier
         ]
-        told.append(Telling(store.name, store.life, 0.0, self._shared.follower.tally()))
+        told.append(MemberTally(store.name, store.life, 0.0, self._shared.follower.tally()))
         order: Order | None = self.steward.look(told, self._shared.seen.base, now)
         if order is not None:
             self._give(Steer(order))
@@ -69,36 +74,44 @@
         """Begin a release of servers."""
         asked = _asked(query)
         try:
-            wanted = read_wanted(asked)
-        except NotSo as problem:
+            wanted = parse_release_request(asked)
+            self.steward.start_release(wanted, asked.get("by", ""), asked.get("why", ""))
+        except InvalidReleaseRequest as problem:
             return 400, {"error": str(problem)}
-        return self._answer(self.steward.begin(wanted, asked.get("by", ""), asked.get("why", "")))
+        except ReleaseRejected as rejection:
+            return self._reject(rejection)
+        return 202, {"taken": True}
 
     def say(self, query: str) -> tuple[int, dict[str, Any]]:
         """Pause, resume, skip, halt or abort it."""
         asked = _asked(query)
         try:
-            why = self.steward.say(asked.get("what", ""), asked.get("by", ""), asked.get("why", ""))
-        except NotSo as problem:
+            self.steward.command(asked.get("what", ""), asked.get("by", ""), asked.get("why", ""))
+        except InvalidReleaseRequest as problem:
             return 400, {"error": str(problem)}
-        return self._answer(why)
+        except ReleaseRejected as rejection:
+            return self._reject(rejection)
+        return 202, {"taken": True}
 
-    def _answer(self, why: str) -> tuple[int, dict[str, Any]]:
-        return (409, {"error": why, "holder": self._holder()}) if why else (202, {"taken": True})
+    def _reject(self, rejection: ReleaseRejected) -> tuple[int, dict[str, Any]]:
+        return 409, {"error": str(rejection), "holder": self._holder()}
 
     def show(self, mark_names: dict[int, str]) -> dict[str, Any]:
         """All that the admin endpoint tells of releases; `mark_names` are the classes by their marks."""
-        follower, found = self._shared.follower, self.steward.show()
+        follower, found = self._shared.follower, self.steward.status()
         for row in found["evidence"]:
             row["class"] = mark_names.get(row["class"], "all" if not row["class"] else str(row["class"]))
         order = follower.order
         return found | {
             "self": self._shared.name, "holder": self._holder(),
-            "order": {"token": order.token, "step": order.step, "release": order.id, "share": order.share},
-            "new_servers": len(follower.cohort()), "servers": len(follower.servers),
-            "stale": follower.stale(self._now()),
+            "order": {
+                "token": order.token, "step": order.step, "release": order.release_id, "share": order.share,
+            },
+            "new_servers": len(follower.new_servers()), "servers": len(follower.servers),
+            "stale": follower.is_stale(self._now()),
             "history": [
-                {"id": p.id, "state": p.state, "stage": p.stage, "by": p.by, "why": p.why, "at_s": p.at_s}
+                {"id": p.id, "state": p.state, "stage": p.stage, "by": p.changed_by, "why": p.reason,
+                 "at_s": p.changed_at_s}
                 for p in self._history
             ],
         }  # fmt: skip
--- a/dunlinloft/node/fleet/shared.py
+++ b/dunlinloft/node/fleet/shared.py
@@ -18,7 +18,7 @@
 from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import ApplicationMessage, Message
-from dunlinloft.fleet.releases.member import Server
+from dunlinloft.fleet.releases.follower import ObservedServer
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.shared_state.core import AFFINITY, LIMITS, PARTS, RELEASES, Shared, mark
 from dunlinloft.node import logs
@@ -55,13 +55,13 @@
     """What a node knows of its servers and its loop now; with `since_ms` also what releases need."""
     listed = {server: starts.get(server, 0) for server in balancer.server_set.servers}
     loop = balancer.controller
-    servers: dict[int, Server] = {}
+    servers: dict[int, ObservedServer] = {}
     if since_ms is not None:
         ready = {server.id for server in balancer.server_set.ready}
         for id, server in balancer.server_set.servers.items():
             warmth = server.slow_start_share(now, balancer.settings)
             weight = server.subset_share * warmth if id in ready else 0.0
-            servers[id] = Server(mark(server.zone), since_ms.get(id, 0.0), weight, warmth < 1.0)
+            servers[id] = ObservedServer(mark(server.zone), since_ms.get(id, 0.0), weight, warmth < 1.0)
     return shared.Known(
         listed, frozenset(balancer.unresponsive_servers(now)), dict(balancer.zone_capacity(now)),
         loop.allowed_rate, loop.tuned_rate, servers,
@@ -235,9 +235,9 @@
             "fleet_keys_refused": lambda: sum(
                 count for why, count in core.affinity.counts.items() if why != "elsewhere"
             ),
-            "fleet_release_stale": lambda: int(core.follower.stale(now_ms())),
+            "fleet_release_stale": lambda: int(core.follower.is_stale(now_ms())),
             "fleet_release_percent": lambda: round(100.0 * core.follower.order.share),
-            "fleet_release_new": lambda: len(core.follower.cohort()),
+            "fleet_release_new": lambda: len(core.follower.new_servers()),
             "fleet_records": lambda: sum(1 for _ in core.store.all()),
         }
 
--- a/lab/capacity/control.py
+++ b/lab/capacity/control.py
@@ -9,9 +9,10 @@
 from dunlinloft.fleet.leases.table_read import TableReadSession
 from dunlinloft.fleet.leases.table_rows import STATE_TABLE_ROLE, page_after
 from dunlinloft.fleet.messages import ApplicationMessage, Header
-from dunlinloft.fleet.releases.member import MOST_COUNTS
-from dunlinloft.fleet.releases.messages import Count, Order, Plan, Tally
-from dunlinloft.fleet.releases.steward import LOOK_MS, Steward, Telling
+from dunlinloft.fleet.releases.controller import LOOK_INTERVAL_MS, ReleaseController
+from dunlinloft.fleet.releases.follower import MAX_COUNTS
+from dunlinloft.fleet.releases.messages import CallCounts, Order, Plan, Tally
+from dunlinloft.fleet.releases.traffic import MemberTally
 from dunlinloft.fleet.shared_state.messages import encode
 from dunlinloft.fleet.wire import Wire
 from lab.capacity import sizes
@@ -92,32 +93,34 @@
 
 def full_tally(order: Order, calls: int) -> Tally:
     """A member's counts of the most classes and zones that it tells, after so many calls of each."""
-    cells = [divmod(n, MOST_COUNTS // CLASSES + 1) for n in range(MOST_COUNTS)]
+    cells = [divmod(n, MAX_COUNTS // CLASSES + 1) for n in range(MAX_COUNTS)]
     eighths = [calls // 8] * 8
-    counts = [Count(cls + 1, zone + 1, calls, calls // 50, eighths, calls, 1, eighths) for cls, zone in cells]
+    counts = [
+        CallCounts(cls + 1, zone + 1, calls, calls // 50, eighths, calls, 1, eighths) for cls, zone in cells
+    ]
     return Tally(order, 0, counts, 1.5, 22.25, 0)
 
 
 def _steward(members: int, seed: int) -> dict[str, float]:
     """The steward's look at a tally of each member, in the midst of a stage."""
-    steward = Steward(lambda plan: "", lambda name: 0, lambda: 0)
+    steward = ReleaseController(lambda plan: None, lambda name: 0, lambda: 0)
     steward.start(7, Plan(1, "baking", (0.01, 1.0), 30.0, 0, 0.01, 1e12), 0.0)
     now, calls = 0.0, 100
 
-    def told() -> list[Telling]:
+    def told() -> list[MemberTally]:
         return [
-            Telling(sizes.name(n), 1, 10.0, full_tally(steward.order, calls)) for n in range(members)
+            MemberTally(sizes.name(n), 1, 10.0, full_tally(steward.order, calls)) for n in range(members)
         ]  # fmt: skip
 
     for _ in range(3):  # obeyed, and seen once
-        now += LOOK_MS
+        now += LOOK_INTERVAL_MS
         steward.look(told(), members, now)
     took = []
     for _ in range(8):
-        now, calls = now + LOOK_MS, calls + 40
+        now, calls = now + LOOK_INTERVAL_MS, calls + 40
         tellings = told()
         took.append(best_ms(partial(steward.look, tellings, members, now), 1))
-    assert not steward.held, steward.held
+    assert not steward.waiting_for, steward.waiting_for
     size = float(len(encode(full_tally(steward.order, 400))))
     return {"look": min(took), "judged": max(took), "tally": size}
 
--- a/lab/capacity/shared.py
+++ b/lab/capacity/shared.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from dunlinloft.fleet.messages import ApplicationMessage, Header
-from dunlinloft.fleet.releases.member import Follower
+from dunlinloft.fleet.releases.controller import LOOK_INTERVAL_MS, MAX_TALLY_AGE_MS
+from dunlinloft.fleet.releases.follower import ReleaseFollower
 from dunlinloft.fleet.releases.messages import Order, Tally
-from dunlinloft.fleet.releases.steward import FRESH_MS, LOOK_MS
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.shared_state.core import LIMITS, RELEASES, Shared
 from dunlinloft.fleet.shared_state.limits import BOUND_MS
@@ -57,11 +57,11 @@
         super().__init__(name, life, zone, tier, frozenset((LIMITS,)), *rest)
 
 
-class Counting(Follower):
+class Counting(ReleaseFollower):
     """A member whose calls go to so many classes and zones that its tally is full."""
 
     def tally(self) -> Tally:
-        """As `Follower.tally`."""
+        """As `ReleaseFollower.tally`."""
         return full_tally(self.order, 400)
 
 
@@ -104,7 +104,7 @@
         """The first member is the steward of a release, and says so again and again."""
         order = Order(7, 1, 1, 0.05, 1e12, (), True)
         self.give(self.processes[self.names[0]], shared.Steer(order))
-        self.after(LOOK_MS, self.steer)
+        self.after(LOOK_INTERVAL_MS, self.steer)
 
 
 def _pulse(members: int, seed: int) -> dict[str, float]:
@@ -118,7 +118,7 @@
     """A release that goes on: an order to all, a full tally of each to the steward by way of all."""
     world = Loud(seed, members, Judged)
     world.steer()
-    return _measured(world) | _known(world, shared.TALLY, FRESH_MS)
+    return _measured(world) | _known(world, shared.TALLY, MAX_TALLY_AGE_MS)
 
 
 def _measured(world: Loud) -> dict[str, float]:
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -117,7 +117,7 @@
     "shared-6.hex": _shared(6, release_messages.Tally),
     "shared-7.hex": _shared(7, cell_messages.Summary),
     "ledger-releases.jsonl": Form(
-        release_messages.Plan, release_messages.read_plan, lambda value: bytes(value.write()) + b"\n"
+        release_messages.Plan, release_messages.decode_plan, lambda value: bytes(value.encode()) + b"\n"
     ),
     "ledger-voters.jsonl": Form(
         voters.VoterRow, voters.decode_voter_row, lambda value: bytes(value.encode()) + b"\n"
--- /dev/null
+++ b/tests/test_release_cap.py
@@ -0,0 +1,63 @@
+"""The balancer caps the first sends that go to the servers of a new build."""
+
+from __future__ import annotations
+
+from dunlinloft.balancer import interface as api
+from dunlinloft.balancer.interface import Result
+from tests.helpers import Node
+
+
+def shares(node: Node, count: int, cls: str = "safe") -> float:
+    return sum(server < 2 for server in node.serve(count, cls)) / count
+
+
+def test_a_cohort_gets_its_share_of_each_class_and_no_more() -> None:
+    node = Node(servers=8)
+    assert 0.2 < shares(node, 200) < 0.3
+    for cap in (0.01, 0.05, 0.125):
+        node.do(api.CanaryLimit(frozenset({0, 1}), cap))
+        for cls in ("safe", "unsafe"):
+            got = shares(node, 400, cls)
+            assert abs(got - cap) <= 0.1 * cap + 2.0 / 400.0
+    node.do(api.CanaryLimit(frozenset({0, 1}), 0.9))  # a bound, never a reason
+    assert 0.2 < shares(node, 200) < 0.3
+    node.do(api.CanaryLimit(frozenset({0, 1}), 0.0))
+    assert shares(node, 200) == 0.0
+    node.do(api.CanaryLimit(frozenset(), 1.0))
+    assert 0.2 < shares(node, 200) < 0.3
+
+
+def test_of_many_copies_few_calls_the_cohort_gets_its_share_too() -> None:
+    got = 0
+    for salt in range(300):
+        node = Node(servers=8, salt=salt)
+        node.do(api.CanaryLimit(frozenset({0, 1}), 0.05))
+        got += sum(server < 2 for server in node.serve(4))
+    assert 35 <= got <= 85  # of 1,200 calls 60
+
+
+def test_retries_go_to_the_old_and_without_old_servers_there_is_nothing_to_cap() -> None:
+    node = Node(servers=4)
+    node.do(api.CanaryLimit(frozenset({0, 1}), 0.4))
+    for n in range(60):
+        node.serve(2)
+        node.request(f"r{n}")
+        node.complete(f"r{n}", Result.ERROR)
+        node.now += 400.0
+        for action in [a for _, a in node.log[-3:] if isinstance(a, api.SetTimer)]:
+            node.do(api.TimerFired(action.token))
+    repeats = [server for sent in node.sent.values() for server in sent[1:]]
+    assert len(repeats) > 20 and min(repeats) >= 2
+    node = Node(servers=2)
+    node.do(api.CanaryLimit(frozenset({0, 1}), 0.01))
+    assert shares(node, 50) == 1.0
+
+
+def test_a_cap_pushes_no_cold_server() -> None:
+    node = Node(servers=4)
+    node.serve(50)
+    fresh = [api.ServerEntry(n, "z", "k", n % 2, started_ms=node.now) for n in (0, 1)]
+    node.change(*fresh)
+    free, capped = Node(servers=4), node
+    capped.do(api.CanaryLimit(frozenset({0, 1}), 0.5))
+    assert shares(capped, 40) < 0.5 <= shares(free, 40) + 0.1
