--- a/lab/explore/duties.py
+++ b/lab/explore/duties.py
@@ -233,7 +233,7 @@
     # Telling states apart
 
     def mark(self, state: State) -> bytes:
-        """VoterSet that were not restarted are alike: only what each knows matters, not which it is."""
+        """Voters that were not restarted are alike: only what each knows matters, not which it is."""
         marks = state.marks
         for name, voter in state.voters.items():
             if name not in marks:
--- a/lab/explore/ledger.py
+++ b/lab/explore/ledger.py
@@ -166,7 +166,7 @@
         if state.restarts:
             order = sorted(state.marks)
             return rest + b"".join(state.marks[name] for name in order) + b"".join(state.net.marks())
-        # VoterSet are alike: of all ways to name them the one with the least text stands for all.
+        # Voters are alike: of all ways to name them the one with the least text stands for all.
         return rest + min(self._named(state, order) for order in ORDERS)
 
     def _named(self, state: State, order: tuple[str, ...]) -> bytes:
--- /dev/null
+++ b/tests/lease_world.py
@@ -0,0 +1,97 @@
+"""Helpers of the tests of leases: worlds in virtual time, their faults, and what is observed of them."""
+
+from __future__ import annotations
+
+from dunlinloft.fleet.leases.manager import LeaseManager
+from lab.virtual.duties import Process, World
+
+TERM_MS = 3000.0  # of a lease, as `World` has it
+# What the world's oracle says of a broken rule.
+TWO_LEADERS = "is held by"
+OLD_TOKEN = "token"
+
+
+def all_roles_led(world: World) -> bool:
+    """Whether each role has a leader that would act now."""
+    return all(world.holders(duty) for duty in world.duties)
+
+
+def settled_world(
+    seed: int, core: type[LeaseManager] = LeaseManager, members: int = 8, voters: int = 5
+) -> World:
+    """A world that has run until each role is led."""
+    world = World(seed, members, voters, core=core)
+    assert world.run(30_000.0, lambda: all_roles_led(world)) < 30_000.0, f"a role has no leader, seed {seed}"
+    return world
+
+
+def partition(world: World, some: list[str], others: list[str], both: bool = True) -> None:
+    """Partition the links from `some` to `others`; `both`: and the other way."""
+    for a in some:
+        for b in others:
+            world.cut.add((a, b))
+            if both:
+                world.cut.add((b, a))
+
+
+def voters_without_memory(world: World, but: str) -> int:
+    """How many voters, this one not counted, are dead or have not recovered their memory yet."""
+    others = (world.processes[name] for name in world.voters if name != but)
+    return sum(not p.alive or not has_recovered(p) for p in others)
+
+
+def has_recovered(process: Process) -> bool:
+    """Whether a voter knows the tokens that were issued, and has the state table's base."""
+    member = process.core.member
+    if member.acceptor is None or not member.acceptor.recovered():
+        return False
+    return member.replica is None or member.replica.ready
+
+
+def storm(world: World, for_ms: float, harsh: bool = False) -> None:
+    """Faults at random: kills, restarts, suspensions, partitions, loss, replayed messages, handovers.
+
+    The draws of the world's random source, and their order, decide what the seeds of the tests play.
+    """
+    rng, end = world.rng, world.now + for_ms
+    # Voters that may be without memory at once: a majority keeps it, unless this is harsh.
+    spare = len(world.voters) if harsh else (len(world.voters) - 1) // 2
+    while world.now < end:
+        name = rng.choice(world.names)
+        other = rng.choice(world.names)
+        process = world.processes[name]
+        match rng.randrange(9):
+            case 0 | 2 if name in world.voters and voters_without_memory(world, name) >= spare:
+                pass
+            case 0 if process.alive:
+                world.kill(name)
+            case 1 if not process.alive:
+                world.start(name)
+            case 2 if process.alive:
+                world.kill(name)
+                world.start(name)
+            case 3 if process.alive and not process.stopped:
+                world.stop(name)
+                world.after(rng.choice((300.0, 3_500.0, 8_000.0)), world.cont, name)
+            case 4:
+                partition(world, [name], rng.sample(world.names, len(world.names) // 2), rng.random() < 0.5)
+            case 5:
+                world.cut.clear()
+            case 6:
+                world.loss = rng.choice((0.0, 0.05, 0.3))
+            case 7:
+                world.replay()
+            case 8:
+                world.hand_over(rng.choice(world.duties), rng.choice(("", other)))
+        for holder in world.holders(world.duties[0]):
+            if rng.random() < 0.4:  # leaders are the most worthwhile to suspend
+                world.stop(holder)
+                world.after(rng.choice((1_000.0, 4_000.0)), world.cont, holder)
+        world.run(rng.random() * 900.0)
+
+
+def write_rows(world: World, for_ms: float) -> None:
+    """Let operators write rows all the while."""
+    for _ in range(int(for_ms / 150.0)):
+        world.book.enter(f"k{world.rng.randrange(5)}")
+        world.run(150.0)
