--- a/dunlinloft/fleet/leases/voters.py
+++ b/dunlinloft/fleet/leases/voters.py
@@ -27,7 +27,7 @@
 
 VOTERS_KEY = "voters"  # of the row of the state table that holds the latest change
 MIN_VOTERS = 3  # with fewer no voter may fail
-MAX_VOTERS = 7  # each lease costs messages with all of them
+MAX_VOTERS = 7
 
 
 class VoterChangeStep(StrEnum):
--- a/dunlinloft/fleet/releases/likelihood.py
+++ b/dunlinloft/fleet/releases/likelihood.py
@@ -15,7 +15,7 @@
 import math
 from dataclasses import dataclass
 
-# Expected normal scores of eight equal classes (van der Waerden), by octile, the fastest first.
+# Normal quantiles at the midpoints of eight equal classes (van der Waerden), the fastest first.
 OCTILE_SCORES = (-1.534, -0.887, -0.489, -0.157, 0.157, 0.489, 0.887, 1.534)
 
 
--- a/tests/test_release_cap.py
+++ b/tests/test_release_cap.py
@@ -11,7 +11,7 @@
     return sum(server < 2 for server in node.serve(count, cls)) / count
 
 
-def test_a_cohort_gets_its_share_of_each_class_and_no_more() -> None:
+def test_new_servers_get_their_share_of_each_class_and_no_more() -> None:
     node = Node(servers=8)
     assert 0.2 < shares(node, 200) < 0.3
     for cap in (0.01, 0.05, 0.125):
@@ -27,7 +27,7 @@
     assert 0.2 < shares(node, 200) < 0.3
 
 
-def test_of_many_copies_few_calls_the_cohort_gets_its_share_too() -> None:
+def test_of_the_few_calls_of_many_nodes_new_servers_get_their_share_too() -> None:
     got = 0
     for salt in range(300):
         node = Node(servers=8, salt=salt)
@@ -36,7 +36,7 @@
     assert 35 <= got <= 85  # of 1,200 calls 60
 
 
-def test_retries_go_to_the_old_and_without_old_servers_there_is_nothing_to_cap() -> None:
+def test_retries_go_to_old_servers_and_without_any_nothing_is_capped() -> None:
     node = Node(servers=4)
     node.do(api.CanaryLimit(frozenset({0, 1}), 0.4))
     for n in range(60):
@@ -53,7 +53,7 @@
     assert shares(node, 50) == 1.0
 
 
-def test_a_cap_pushes_no_cold_server() -> None:
+def test_a_cap_pushes_no_load_onto_a_server_that_warms_up() -> None:
     node = Node(servers=4)
     node.serve(50)
     fresh = [api.ServerEntry(n, "z", "k", n % 2, started_ms=node.now) for n in (0, 1)]
--- a/tests/test_release_judge.py
+++ b/tests/test_release_judge.py
@@ -33,7 +33,7 @@
 
 @given(st.integers(1, 8), st.integers(1, 12), st.data(), st.sampled_from([1.0, 1.1, 1.25]))
 @settings(derandomize=True, database=None, max_examples=150, deadline=None)
-def test_failures_alike_make_no_evidence_on_average(
+def test_equal_failures_make_no_evidence_on_average(
     new: int, old: int, data: st.DataObject, odds: float
 ) -> None:
     bad = data.draw(st.integers(0, new + old))
@@ -50,7 +50,9 @@
 
 @given(st.lists(st.integers(0, 7), min_size=2, max_size=9), st.data(), st.floats(0.0, 0.05))
 @settings(derandomize=True, database=None, max_examples=100, deadline=None)
-def test_times_alike_make_no_evidence_on_average(pool: list[int], data: st.DataObject, tilt: float) -> None:
+def test_equal_latencies_make_no_evidence_on_average(
+    pool: list[int], data: st.DataObject, tilt: float
+) -> None:
     count = data.draw(st.integers(1, len(pool) - 1))
     chances: list[tuple[float, LatencyStratum]] = []
     for chosen in combinations(range(len(pool)), count):
@@ -81,7 +83,7 @@
     return found
 
 
-def test_a_zone_that_fails_with_most_of_the_new_servers_is_no_fault_of_theirs() -> None:
+def test_a_failing_zone_with_most_of_the_new_servers_is_no_evidence_against_them() -> None:
     zones = {1: (20, 5, 0.4), 2: (2, 30, 0.002)}
     assert not any(drawn(random.Random(seed), 100, zones).is_worse() for seed in range(40))
     # The same calls without their zones would be evidence at once.
@@ -91,7 +93,7 @@
     assert pooled.is_worse()
 
 
-def test_harm_that_begins_late_is_found_in_spite_of_all_that_was_well() -> None:
+def test_harm_that_begins_late_is_found_despite_all_good_calls_before() -> None:
     found = ReleaseJudge()
     none = LatencyStratum((0,) * 8, (0,) * 8)
     for _ in range(2_000):
--- a/tests/test_release_processes.py
+++ b/tests/test_release_processes.py
@@ -8,7 +8,7 @@
 from lab.scenario import parse
 
 
-def test_a_bad_build_is_taken_back_among_processes(tmp_path: Path) -> None:
+def test_a_bad_build_is_rolled_back_among_processes(tmp_path: Path) -> None:
     """Rules always; and in the end no process sends first calls to the new servers."""
     day = """
 name = "bad build"
--- a/tests/test_release_requests.py
+++ b/tests/test_release_requests.py
@@ -30,12 +30,14 @@
         ({"names": "a", "backe": "3"}, "backe: not known"),
     ],
 )
-def test_a_release_that_can_t_be_is_refused_with_its_place(asked: dict[str, str], why: str) -> None:
+def test_an_invalid_request_is_rejected_with_its_parameter_and_reason(
+    asked: dict[str, str], why: str
+) -> None:
     with pytest.raises(InvalidReleaseRequest, match=why.replace("(", r"\(")):
         parse_release_request(asked)
 
 
-def test_the_longest_plan_fits_a_row_of_the_ledger_and_comes_back() -> None:
+def test_the_longest_plan_fits_a_row_of_the_state_table_and_is_decoded() -> None:
     names = tuple(f"slot-{n:04d}" for n in range(MAX_SERVER_NAMES))
     stages = tuple(0.0125 * n for n in range(1, MAX_STAGES + 1))
     plan = Plan(
