--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -152,10 +152,15 @@
 
 
 def test_a_node_without_a_fleet_loads_none_of_it() -> None:
+    """Nor anything else of the project but the node, its connections and the balancer."""
     code = (
         "import sys, dunlinloft.node.__main__; "
-        "print(sorted({name.split('.')[0] for name in sys.modules} & "
-        "{'fleet', 'msgspec', 'click', 'rich', 'numpy', 'lab', 'dunlinloft'}))"
+        "own = ('dunlinloft.node', 'dunlinloft.balancer'); "
+        "fleet = ('dunlinloft.node.fleet', 'dunlinloft.fleet'); "
+        "others = {'fleet', 'msgspec', 'click', 'rich', 'numpy', 'lab'}; "
+        "below = lambda name, packages: any((name + '.').startswith(package + '.') for package in packages); "
+        "print(sorted(name for name in sys.modules if name.split('.')[0] in others or below(name, fleet) "
+        "or (name.startswith('dunlinloft.') and not below(name, own))))"
     )
     found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
     assert found.stdout.strip() == "[]"
