--- a/dunlinloft/cli/admin_client.py
+++ b/dunlinloft/cli/admin_client.py
@@ -7,8 +7,10 @@
 import urllib.error
 import urllib.request
 from collections.abc import Callable
-from typing import Any, TypeAlias
+from typing import Any, TypeAlias, TypeVar
 
+import msgspec
+from msgspec import Struct
 from rich.console import Group
 from rich.live import Live
 from rich.markup import escape
@@ -20,8 +22,9 @@
 REQUEST_TIMEOUT_S = 3.0  # an operator waits; the endpoint answers from memory
 WATCH_INTERVAL_S = 1.0  # between two requests of a live display
 
-# A JSON object of the admin endpoint as decoded; docs/operations.md describes its fields.
+# A JSON object of the admin endpoint, as `--json` prints it.
 AdminDocument: TypeAlias = dict[str, Any]
+View = TypeVar("View", bound=Struct)  # a type of `dunlinloft.cli.admin_documents`
 
 
 class AdminRequestError(DunlinloftError):
@@ -51,6 +54,14 @@
     return document
 
 
+def decode_document(document: AdminDocument, view: type[View]) -> View:
+    """The fields of a document that a command reads. Raises `AdminRequestError` where they don't fit."""
+    try:
+        return msgspec.convert(document, view)
+    except msgspec.ValidationError as error:
+        raise AdminRequestError(f"the endpoint's document is not understood: {error}") from None
+
+
 def _rejection_reason(error: urllib.error.HTTPError) -> str:
     """The endpoint's own reason, with the member to ask instead where it names one."""
     try:
@@ -61,13 +72,14 @@
         return f"the endpoint says {error.code}"
 
 
-def watch_document(admin: str, path: str, render: Callable[[AdminDocument], Group]) -> ExitCode:
+def watch_document(admin: str, path: str, view: type[View], render: Callable[[View], Group]) -> ExitCode:
     """Display the document at a path, refreshed until the operator interrupts."""
     try:
         with Live(console=stdout, auto_refresh=False) as live:
             while True:
                 try:
-                    live.update(render(request_document(admin, path)), refresh=True)
+                    document = decode_document(request_document(admin, path), view)
+                    live.update(render(document), refresh=True)
                 except AdminRequestError as error:
                     live.update(f"[red]{escape(str(error))}[/]", refresh=True)
                 time.sleep(WATCH_INTERVAL_S)
--- a/dunlinloft/cli/handlers/capacity.py
+++ b/dunlinloft/cli/handlers/capacity.py
@@ -10,6 +10,8 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
+from dunlinloft.cli.admin_client import decode_document
+from dunlinloft.cli.admin_documents import MembershipDocument
 from dunlinloft.cli.consoles import report_invalid, stderr
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.handlers import fleet_members
@@ -29,7 +31,7 @@
     """The time that `fleet members` takes to print a node's view, and the bytes printed."""
     host = Host(members)
     fill(host.core, members)
-    document = host.peers.show()[1]
+    document = decode_document(host.peers.show()[1], MembershipDocument)
     printed = io.StringIO()
 
     def write() -> None:
--- a/dunlinloft/cli/handlers/cells.py
+++ b/dunlinloft/cli/handlers/cells.py
@@ -8,32 +8,33 @@
 from rich.markup import escape
 from rich.table import Table
 
-from dunlinloft.cli.admin_client import AdminDocument, AdminRequestError, request_document
+from dunlinloft.cli.admin_client import AdminRequestError, decode_document, request_document
+from dunlinloft.cli.admin_documents import CellDocument, DirectoryDocument
 from dunlinloft.cli.consoles import report_invalid, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
 
 
-def cell_lines(document: AdminDocument) -> list[str]:
+def cell_lines(document: CellDocument) -> list[str]:
     """A node's cell for a person to read; warnings come last, where the eye stops."""
-    position, known = document["place"], document["directory"]
+    position = document.position
+    known = document.directory
     lines = [
-        f"service {escape(document['service'])} in {escape(document['region'])}: cell {document['cell']}, "
-        f"epoch {document['epoch']}, {document['members']} members there of {document['most']} at most"
-        + (", and this one reports" if document["reporter"] else ""),
-        f"part {position['number'] + 1} of {position['nodes']}; "
-        f"{document['cuts']} cuts or merges since the start",
+        f"service {escape(document.service)} in {escape(document.region)}: cell {document.cell}, "
+        f"epoch {document.epoch}, {document.members} members there of {document.max_members} at most"
+        + (", and this one reports" if document.reporter else ""),
+        f"part {position.number + 1} of {position.nodes}; {document.splits} cuts or merges since the start",
     ]
-    if known["age_s"] is None:
+    if known.age_s is None:
         lines.append("[red]the directory has not answered yet[/]")
     else:
         lines.append(
-            f"the directory: {known['service_members']} members in {known['cells']} cells, known for "
-            f"{known['age_s']} s at the oldest ({known['bound_s']:.0f} s is the bound)"
+            f"the directory: {known.service_members} members in {known.cells} cells, known for "
+            f"{known.age_s} s at the oldest ({known.bound_s:.0f} s is the bound)"
         )
-    if known["unanswered"]:
-        lines.append(f"[yellow]{known['unanswered']} questions to it in a row had no answer[/]")
-    if document["fallback"]:
+    if known.unanswered:
+        lines.append(f"[yellow]{known.unanswered} questions to it in a row had no answer[/]")
+    if document.fallback:
         lines.append("[yellow]the fallback is in force: no part of a budget grows[/]")
     return lines
 
@@ -41,36 +42,37 @@
 def show_cell(admin: str, as_json: bool) -> ExitCode:
     """Print a node's cell; fails where the fallback is in force."""
     try:
-        document = request_document(admin, "/admin/fleet/cell")
+        raw = request_document(admin, "/admin/fleet/cell")
+        document = decode_document(raw, CellDocument)
     except AdminRequestError as error:
         return report_invalid(error)
     if as_json:
-        stdout.print_json(json.dumps(document))
+        stdout.print_json(json.dumps(raw))
     else:
         for line in cell_lines(document):
             stdout.print(line, highlight=False)
-    return ExitCode.CHECK_FAILED if document["fallback"] else ExitCode.SUCCESS
+    return ExitCode.CHECK_FAILED if document.fallback else ExitCode.SUCCESS
 
 
-def render_directory(document: AdminDocument, service: str = "") -> Group:
+def render_directory(document: DirectoryDocument, service: str = "") -> Group:
     """All cells of a service, or of all services where none is named; stale ones first."""
-    services = {name: cells for name, cells in document["services"].items() if service in ("", name)}
-    counted = sum(cell["counted"] for cells in services.values() for cell in cells)
+    services = {name: cells for name, cells in document.services.items() if service in ("", name)}
+    counted = sum(cell.counted for cells in services.values() for cell in cells)
     lines = [
-        f"directory of {escape(document['fleet'])} at {escape(document['name'])}, "
-        f"{document['processes']} processes: {len(services)} services, "
+        f"directory of {escape(document.fleet)} at {escape(document.name)}, "
+        f"{document.processes} processes: {len(services)} services, "
         f"{sum(map(len, services.values()))} cells, {counted} members"
     ]
-    if document["learning"]:
+    if document.learning:
         lines.append("[yellow]it has started lately and may not know of all yet[/]")
     columns = ("service", "region", "cell", "epoch", "members", "load", "program", "age s", "")
     rows = Table(*columns, **PLAIN_STYLE)
     flat = [(name, cell) for name, cells in services.items() for cell in cells]
-    for name, cell in sorted(flat, key=lambda item: (not item[1]["stale"], item[0], item[1]["region"])):
+    for name, cell in sorted(flat, key=lambda item: (not item[1].stale, item[0], item[1].region)):
         rows.add_row(
-            escape(name), escape(cell["region"]), cell["cell"], str(cell["epoch"]), str(cell["members"]),
-            f"{cell['load']:.0f}", escape(cell["program"]), f"{cell['age_s']:.0f}",
-            "[yellow]stale[/]" if cell["stale"] else "",
+            escape(name), escape(cell.region), cell.cell, str(cell.epoch), str(cell.members),
+            f"{cell.load:.0f}", escape(cell.program), f"{cell.age_s:.0f}",
+            "[yellow]stale[/]" if cell.stale else "",
         )  # fmt: skip
     return Group(*lines, rows)
 
@@ -78,14 +80,15 @@
 def show_directory(admin: str, service: str, as_json: bool) -> ExitCode:
     """Print the cells that a process of the directory knows; fails where some are stale."""
     try:
-        document = request_document(admin, "/admin/directory")
+        raw = request_document(admin, "/admin/directory")
+        document = decode_document(raw, DirectoryDocument)
     except AdminRequestError as error:
         return report_invalid(error)
-    if service and service not in document["services"]:
+    if service and service not in document.services:
         return report_invalid(f"{admin}: no cell of a service {service!r} is known there")
     if as_json:
-        stdout.print_json(json.dumps(document))
+        stdout.print_json(json.dumps(raw))
     else:
         stdout.print(render_directory(document, service))
-    stale = any(cell["stale"] for cells in document["services"].values() for cell in cells)
-    return ExitCode.CHECK_FAILED if stale or document["learning"] else ExitCode.SUCCESS
+    stale = any(cell.stale for cells in document.services.values() for cell in cells)
+    return ExitCode.CHECK_FAILED if stale or document.learning else ExitCode.SUCCESS
--- a/dunlinloft/cli/handlers/fleet_members.py
+++ b/dunlinloft/cli/handlers/fleet_members.py
@@ -9,7 +9,13 @@
 from rich.markup import escape
 from rich.table import Table
 
-from dunlinloft.cli.admin_client import AdminDocument, AdminRequestError, request_document, watch_document
+from dunlinloft.cli.admin_client import (
+    AdminRequestError,
+    decode_document,
+    request_document,
+    watch_document,
+)
+from dunlinloft.cli.admin_documents import FleetMember, MembershipDocument
 from dunlinloft.cli.consoles import report_invalid, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
@@ -19,51 +25,53 @@
 LAST_IN_ORDER = 9
 
 
-def render_members(document: AdminDocument) -> Group:
+def render_members(document: MembershipDocument) -> Group:
     """The membership view for a person: summary lines and warnings first, then a row a member."""
     columns = ("member", "state", "for", "started", "rev", "accusers", "rtt ms", "agrees", "zone", "notes")
     rows = Table(*columns, **PLAIN_STYLE)
     ordered = sorted(
-        document["members"],
-        key=lambda member: (STATE_ORDER.get(member["state"], LAST_IN_ORDER), member["name"]),
+        document.members,
+        key=lambda member: (STATE_ORDER.get(member.state, LAST_IN_ORDER), member.name),
     )
     for member in ordered:
         rows.add_row(*_member_cells(member))
     return Group(*_summary_lines(document), rows)
 
 
-def _summary_lines(document: AdminDocument) -> list[str]:
-    own, divergence, position = document["self"], document["divergence"], document["place"]
+def _summary_lines(document: MembershipDocument) -> list[str]:
+    own = document.own
+    divergence = document.divergence
+    position = document.position
     lines = [
-        f"fleet {document['fleet']} as {own['name']} sees it: {document['members_alive']} members there, "
-        f"part {position['number'] + 1} of {position['nodes']}",
-        f"own state {own['state']}, local health {document['health']} (0 is well), "
-        f"{document['messages_s']:.0f} messages and {document['bytes_s']:.0f} bytes a second",
+        f"fleet {document.fleet} as {own.name} sees it: {document.alive_members} members there, "
+        f"part {position.number + 1} of {position.nodes}",
+        f"own state {own.state}, local health {document.health} (0 is well), "
+        f"{document.messages_s:.0f} messages and {document.bytes_s:.0f} bytes a second",
     ]
-    if divergence["members"]:
+    if divergence.members:
         lines.append(
-            f"[yellow]{divergence['members']} views differ from this, "
-            f"the longest for {divergence['longest_s']} s[/]"
+            f"[yellow]{divergence.members} views differ from this, "
+            f"the longest for {divergence.longest_s} s[/]"
         )
-    if own["rival"]:
-        lines.append(f"[red]another machine has the name {escape(own['name'])}: {escape(own['rival'])}[/]")
+    if own.conflicting_address:
+        address = escape(own.conflicting_address)
+        lines.append(f"[red]another machine has the name {escape(own.name)}: {address}[/]")
     return lines
 
 
-def _member_cells(member: AdminDocument) -> list[str]:
-    facts = member["facts"]
-    colour = STATE_COLOURS.get(member["state"], "white")
+def _member_cells(member: FleetMember) -> list[str]:
+    colour = STATE_COLOURS.get(member.state, "white")
     return [
-        escape(member["name"]),
-        f"[{colour}]{member['state']}[/]",
-        _duration_text(member["since_s"]),
-        time.strftime("%d %H:%M:%S", time.gmtime(member["life"] / 1000.0)),
-        str(member["revision"]),
-        escape(", ".join(member["accusers"])),
-        f"{member['rtt_ms']:.1f}",
-        "yes" if member["agrees"] else "[yellow]no[/]",
-        escape(str(facts.get("zone", ""))),
-        "draining" if facts.get("draining") else "",
+        escape(member.name),
+        f"[{colour}]{member.state}[/]",
+        _duration_text(member.since_s),
+        time.strftime("%d %H:%M:%S", time.gmtime(member.started_ms / 1000.0)),
+        str(member.revision),
+        escape(", ".join(member.accusers)),
+        f"{member.rtt_ms:.1f}",
+        "yes" if member.agrees else "[yellow]no[/]",
+        escape(str(member.metadata.get("zone", ""))),
+        "draining" if member.metadata.get("draining") else "",
     ]
 
 
@@ -76,17 +84,18 @@
 def show_members(admin: str, as_json: bool) -> ExitCode:
     """Print the members; fails where views differ or another machine has this node's name."""
     try:
-        document = request_document(admin)
+        raw = request_document(admin)
+        document = decode_document(raw, MembershipDocument)
     except AdminRequestError as error:
         return report_invalid(error)
     if as_json:
-        print(json.dumps(document, indent=2))
+        print(json.dumps(raw, indent=2))
     else:
         stdout.print(render_members(document), highlight=False)
-    consistent = not document["divergence"]["members"] and not document["self"]["rival"]
+    consistent = not document.divergence.members and not document.own.conflicting_address
     return ExitCode.SUCCESS if consistent else ExitCode.CHECK_FAILED
 
 
 def watch_members(admin: str) -> ExitCode:
     """Display the members, refreshed until interrupted."""
-    return watch_document(admin, "/admin/fleet", render_members)
+    return watch_document(admin, "/admin/fleet", MembershipDocument, render_members)
--- a/dunlinloft/cli/handlers/releases.py
+++ b/dunlinloft/cli/handlers/releases.py
@@ -12,7 +12,13 @@
 from rich.markup import escape
 from rich.table import Table
 
-from dunlinloft.cli.admin_client import AdminDocument, AdminRequestError, request_document, watch_document
+from dunlinloft.cli.admin_client import (
+    AdminRequestError,
+    decode_document,
+    request_document,
+    watch_document,
+)
+from dunlinloft.cli.admin_documents import ReleaseDocument, ReleasePlan
 from dunlinloft.cli.consoles import report_invalid, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
@@ -80,61 +86,55 @@
     return ExitCode.SUCCESS
 
 
-def render_release(document: AdminDocument) -> Group:
+def render_release(document: ReleaseDocument) -> Group:
     """A release for a person to read: as a follower obeys it, or in full from its controller."""
-    if not document["steward"]:
+    if not document.is_controller:
         return _render_follower(document)
-    if document["release"] is None:
-        return Group(f"{escape(document['self'])} is the steward; there has been no release")
+    if document.plan is None:
+        return Group(f"{escape(document.own_name)} is the steward; there has been no release")
     rows = Table("evidence", "class", "new", "bad", "old", "bad", "says", **PLAIN_STYLE)
-    for evidence in document["evidence"][:EVIDENCE_SHOWN]:
-        new_ratio = evidence["new_bad"] / max(1, evidence["new"])
-        old_ratio = evidence["old_bad"] / max(1, evidence["old"])
+    for evidence in document.evidence[:EVIDENCE_SHOWN]:
+        new_ratio = evidence.new_bad / max(1, evidence.new)
+        old_ratio = evidence.old_bad / max(1, evidence.old)
         rows.add_row(
-            evidence["metric"], escape(evidence["class"]), str(evidence["new"]), f"{new_ratio:.2%}",
-            str(evidence["old"]), f"{old_ratio:.2%}", f"{evidence['value']:.2f}",
+            evidence.metric, escape(evidence.request_class), str(evidence.new), f"{new_ratio:.2%}",
+            str(evidence.old), f"{old_ratio:.2%}", f"{evidence.value:.2f}",
         )  # fmt: skip
-    total = f"evidence of harm in all {document['value']:.2f}; at 100 it is taken back"
-    return Group(*_release_lines(document), rows, total)
+    total = f"evidence of harm in all {document.value:.2f}; at 100 it is taken back"
+    return Group(*_release_lines(document, document.plan), rows, total)
 
 
-def _render_follower(document: AdminDocument) -> Group:
+def _render_follower(document: ReleaseDocument) -> Group:
     """What a node that isn't the controller's obeys."""
-    order = document["order"]
-    controller = document["holder"] or "nobody"
-    obeyed = (
-        f"release {order['release']}, new servers get {order['share']:.0%} at most"
-        if order["release"]
-        else ""
-    )
+    order = document.order
+    controller = document.controller or "nobody"
+    obeyed = f"release {order.release}, new servers get {order.share:.0%} at most" if order.release else ""
     lines = [
-        f"as {escape(document['self'])} obeys it: {obeyed or 'no release'}",
+        f"as {escape(document.own_name)} obeys it: {obeyed or 'no release'}",
         f"the steward is {escape(controller)}: ask there",
     ]
-    if document["stale"]:
+    if document.stale:
         lines.append("[yellow]the steward is not heard: this share stays[/]")
     return Group(*lines)
 
 
-def _release_lines(document: AdminDocument) -> list[str]:
+def _release_lines(document: ReleaseDocument, plan: ReleasePlan) -> list[str]:
     """The release's state, its progress through the stages, and what stops it."""
-    plan = document["release"]
-    state = plan["state"]
-    current_stage = plan.get("stage", 0)
+    state = plan.state
     stages = " ".join(
-        f"[bold]{share:.0%}[/]" if number == current_stage else f"{share:.0%}"
-        for number, share in enumerate(plan["stages"])
+        f"[bold]{share:.0%}[/]" if number == plan.stage else f"{share:.0%}"
+        for number, share in enumerate(plan.stages)
     )
     lines = [
-        f"release {plan['id']}: [{STATE_COLOURS.get(state, 'white')}]{state}[/], "
-        f"new servers get {plan.get('share', 0.0):.0%} at most; stages {stages}",
-        f"{document['new_servers']} of {document['servers']} servers are new; "
-        f"this stage has baked {document['baked_s']:.0f} of {plan['bake_s']:.0f} s",
-        f"latest change by {escape(plan.get('by', ''))}: {escape(plan.get('why') or 'no reason given')}",
+        f"release {plan.id}: [{STATE_COLOURS.get(state, 'white')}]{state}[/], "
+        f"new servers get {plan.share:.0%} at most; stages {stages}",
+        f"{document.new_servers} of {document.servers} servers are new; "
+        f"this stage has baked {document.baked_s:.0f} of {plan.bake_s:.0f} s",
+        f"latest change by {escape(plan.changed_by)}: {escape(plan.reason or 'no reason given')}",
     ]
-    if document["held"]:
-        lines.append(f"[yellow]it holds: {escape(document['held'])}[/]")
-    if document["short"] and state == "back":
+    if document.hold_reason:
+        lines.append(f"[yellow]it holds: {escape(document.hold_reason)}[/]")
+    if document.lacks_capacity and state == "back":
         lines.append("[red]the old servers can't bear all: calls of little worth are refused meanwhile[/]")
     return lines
 
@@ -142,38 +142,38 @@
 def show_status(admin: str, as_json: bool) -> ExitCode:
     """Print the release; fails where it is halted, taken back, undone, or its controller isn't reached."""
     try:
-        document = request_document(admin, ADMIN_PATH)
+        raw = request_document(admin, ADMIN_PATH)
+        document = decode_document(raw, ReleaseDocument)
     except AdminRequestError as error:
         return report_invalid(error)
     if as_json:
-        print(json.dumps(document, indent=2))
+        print(json.dumps(raw, indent=2))
     else:
         stdout.print(render_release(document), highlight=False)
-    state = (document["release"] or {}).get("state", "")
-    failed = state in FAILED_STATES or document["stale"]
+    failed = document.stale or (document.plan is not None and document.plan.state in FAILED_STATES)
     return ExitCode.CHECK_FAILED if failed else ExitCode.SUCCESS
 
 
 def watch_status(admin: str) -> ExitCode:
     """Display the release, refreshed until interrupted."""
-    return watch_document(admin, ADMIN_PATH, render_release)
+    return watch_document(admin, ADMIN_PATH, ReleaseDocument, render_release)
 
 
 def show_history(admin: str) -> ExitCode:
     """Print the releases that have ended; only the controller's node knows them."""
     try:
-        document = request_document(admin, ADMIN_PATH)
+        document = decode_document(request_document(admin, ADMIN_PATH), ReleaseDocument)
     except AdminRequestError as error:
         return report_invalid(error)
     rows = Table("release", "ended", "how", "at", "by", "why", **PLAIN_STYLE)
-    for row in document["history"]:
-        end_time = time.strftime("%d %b %H:%M:%S", time.gmtime(row["at_s"]))
-        state = f"[{STATE_COLOURS.get(row['state'], 'white')}]{row['state']}[/]"
-        stage = f"stage {row['stage'] + 1}"
-        rows.add_row(str(row["id"]), end_time, state, stage, escape(row["by"]), escape(row["why"]))
-    if not document["steward"]:
-        controller = escape(document["holder"] or "nobody")
-        stdout.print(f"{escape(document['self'])} is not the steward; ask {controller}")
+    for row in document.history:
+        end_time = time.strftime("%d %b %H:%M:%S", time.gmtime(row.ended_s))
+        state = f"[{STATE_COLOURS.get(row.state, 'white')}]{row.state}[/]"
+        stage = f"stage {row.stage + 1}"
+        rows.add_row(str(row.id), end_time, state, stage, escape(row.changed_by), escape(row.reason))
+    if not document.is_controller:
+        controller = escape(document.controller or "nobody")
+        stdout.print(f"{escape(document.own_name)} is not the steward; ask {controller}")
     else:
         stdout.print(rows)
     return ExitCode.SUCCESS
--- a/dunlinloft/cli/handlers/shared_state.py
+++ b/dunlinloft/cli/handlers/shared_state.py
@@ -7,7 +7,8 @@
 from rich.markup import escape
 from rich.table import Table
 
-from dunlinloft.cli.admin_client import AdminDocument, AdminRequestError, request_document
+from dunlinloft.cli.admin_client import AdminRequestError, decode_document, request_document
+from dunlinloft.cli.admin_documents import KeyAffinity, SharedLimits, SharedStateDocument
 from dunlinloft.cli.consoles import report_invalid, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
@@ -16,75 +17,78 @@
 def show_shared_state(admin: str, as_json: bool) -> ExitCode:
     """Print the shared state; fails where a fallback is in force."""
     try:
-        document = request_document(admin, "/admin/shared")
+        raw = request_document(admin, "/admin/shared")
+        document = decode_document(raw, SharedStateDocument)
     except AdminRequestError as error:
         return report_invalid(error)
-    limits, affinity = document["limits"], document["affinity"]
+    limits = document.limits
+    affinity = document.affinity
     if as_json:
-        print(json.dumps(document, indent=2))
+        print(json.dumps(raw, indent=2))
     else:
         _print_shared_state(document)
-    fallback = (limits["in_use"] and limits["fallback"]) or (affinity["in_use"] and affinity["cut_off"])
+    fallback = (limits.in_use and limits.fallback) or (affinity.in_use and affinity.isolated)
     return ExitCode.CHECK_FAILED if fallback else ExitCode.SUCCESS
 
 
-def _print_shared_state(document: AdminDocument) -> None:
-    stdout.print(f"as {document['self']} has it; shared are {', '.join(document['share'])}", highlight=False)
+def _print_shared_state(document: SharedStateDocument) -> None:
+    stdout.print(
+        f"as {document.own_name} has it; shared are {', '.join(document.shared_kinds)}", highlight=False
+    )
     lines = (
         *_verdict_lines(document),
-        *_limit_lines(document["limits"]),
-        *_affinity_lines(document["affinity"]),
+        *_limit_lines(document.limits),
+        *_affinity_lines(document.affinity),
     )
     for line in lines:
         stdout.print(line, highlight=False)
     rows = Table("kind", "of", "version", "age", "by way of", "bytes", **PLAIN_STYLE)
-    for record in document["records"]:
-        source, age = escape(record["from"] or "itself"), f"{record['age_s']:.2f} s"
+    for record in document.records:
+        source = escape(record.source or "itself")
+        age = f"{record.age_s:.2f} s"
         rows.add_row(
-            record["kind"], escape(record["writer"]), str(record["version"]), age, source,
-            str(record["bytes"]),
+            record.kind, escape(record.writer), str(record.version), age, source,
+            str(record.bytes),
         )  # fmt: skip
     stdout.print(rows)
 
 
-def _verdict_lines(document: AdminDocument) -> list[str]:
+def _verdict_lines(document: SharedStateDocument) -> list[str]:
     """The fleet's shared outlier verdicts on servers."""
-    if "verdicts" not in document["share"]:
+    if "verdicts" not in document.shared_kinds:
         return []
     lines = []
-    for verdict in document["verdicts"]:
-        classes = ", ".join(verdict["classes"]) or "all classes"
-        findings = [f"avoided for {classes}"] if verdict["avoid"] else []
-        findings += [f"{verdict['slow']:.1f} times slower than its peers"] if verdict["slow"] > 1.0 else []
-        lines.append(f"[yellow]server {escape(verdict['name'])}: {escape(', '.join(findings))}[/]")
+    for verdict in document.verdicts:
+        classes = ", ".join(verdict.classes) or "all classes"
+        findings = [f"avoided for {classes}"] if verdict.avoid else []
+        findings += [f"{verdict.slowdown:.1f} times slower than its peers"] if verdict.slowdown > 1.0 else []
+        lines.append(f"[yellow]server {escape(verdict.name)}: {escape(', '.join(findings))}[/]")
     return lines or ["no server is spoken against"]
 
 
-def _limit_lines(limits: AdminDocument) -> list[str]:
+def _limit_lines(limits: SharedLimits) -> list[str]:
     """This member's share of the tenants' rate limits."""
-    if not limits["in_use"]:
+    if not limits.in_use:
         return []
-    known = f"demand of {limits['known']} of {limits['counted']} members is known"
-    lines = [f"[yellow]{known}; the others count with even parts[/]" if limits["fallback"] else known]
-    for tenant, share in limits["parts"].items():
-        lines.append(
-            f"{escape(tenant)}: {share['part_per_s']:.1f} of {share['quota_per_s']:.0f} a second here"
-        )
-    return [*lines, f"loops together allow {limits['retry_share']:.0%} of retries"]
+    known = f"demand of {limits.known} of {limits.counted} members is known"
+    lines = [f"[yellow]{known}; the others count with even parts[/]" if limits.fallback else known]
+    for tenant, share in limits.shares.items():
+        lines.append(f"{escape(tenant)}: {share.share_per_s:.1f} of {share.quota_per_s:.0f} a second here")
+    return [*lines, f"loops together allow {limits.retry_share:.0%} of retries"]
 
 
-def _affinity_lines(affinity: AdminDocument) -> list[str]:
+def _affinity_lines(affinity: KeyAffinity) -> list[str]:
     """The zones that requests with an idempotency key are pinned to."""
-    if not affinity["in_use"]:
+    if not affinity.in_use:
         return []
-    lines = [f"keyed requests have homes in {', '.join(affinity['homes'])}"]
-    if affinity["cut_off"]:
+    lines = [f"keyed requests have homes in {', '.join(affinity.home_zones)}"]
+    if affinity.isolated:
         lines.append("[red]too few members are heard: repeats of keyed requests are refused[/]")
-    for zone in affinity["out"]:
-        status = "keys go elsewhere" if zone in affinity["open"] else "the others do not all know yet"
+    for zone in affinity.unavailable:
+        status = "keys go elsewhere" if zone in affinity.redirected else "the others do not all know yet"
         lines.append(f"[yellow]{escape(zone)} is out for this node: {status}[/]")
-    for name, zones in affinity["others"].items():
+    for name, zones in affinity.elsewhere.items():
         if zones:
             lines.append(f"[yellow]{escape(name)} sends keys of {escape(', '.join(zones))} elsewhere[/]")
-    counts = [f"{count} {outcome}" for outcome, count in sorted(affinity["counts"].items())]
+    counts = [f"{count} {outcome}" for outcome, count in sorted(affinity.counts.items())]
     return [*lines, f"so far {', '.join(counts)}"] if counts else lines
--- a/dunlinloft/cli/handlers/state_table.py
+++ b/dunlinloft/cli/handlers/state_table.py
@@ -9,11 +9,14 @@
 from rich.markup import escape
 from rich.table import Table
 
-from dunlinloft.cli.admin_client import AdminDocument, AdminRequestError, request_document
+from dunlinloft.cli.admin_client import AdminRequestError, decode_document, request_document
+from dunlinloft.cli.admin_documents import StateTableDocument, VotersDocument
 from dunlinloft.cli.consoles import report_invalid, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
 
+TABLE_PATH = "/admin/ledger"
+VOTERS_PATH = "/admin/voters"
 POLL_INTERVAL_S = 0.1  # between two looks at an entry that is not committed yet
 MAX_POLLS = 20
 # States of an entry as the endpoint encodes them.
@@ -27,11 +30,12 @@
         for entry in entries:
             if _write_entry(admin, entry) != COMMITTED:
                 status = ExitCode.CHECK_FAILED
-        document = request_document(admin, "/admin/ledger")
+        raw = request_document(admin, TABLE_PATH)
+        document = decode_document(raw, StateTableDocument)
     except AdminRequestError as error:
         return report_invalid(error)
     if as_json:
-        print(json.dumps(document, indent=2))
+        print(json.dumps(raw, indent=2))
     else:
         _print_state_table(document)
     return status
@@ -42,25 +46,27 @@
     if not key or not equals:
         raise AdminRequestError(f"{entry!r}: expected KEY=VALUE")
     query = urllib.parse.urlencode({"key": key, "value": value})
-    number = request_document(admin, f"/admin/ledger/enter?{query}", "POST")["entry"]
+    number = request_document(admin, f"{TABLE_PATH}/enter?{query}", "POST")["entry"]
     state = _await_entry(admin, number)
     stdout.print(f"{key}: {state}", highlight=False)
     return state
 
 
-def _print_state_table(document: AdminDocument) -> None:
-    if not document["here"]:
-        owner = document["holder"] or "nobody"
-        stdout.print(f"{document['self']} does not hold the ledger; {owner} does: ask there", highlight=False)
+def _print_state_table(document: StateTableDocument) -> None:
+    if not document.is_owner:
+        owner = document.owner or "nobody"
+        stdout.print(
+            f"{document.own_name} does not hold the ledger; {owner} does: ask there", highlight=False
+        )
         return
-    if document["lost"]:
+    if document.rows_lost:
         stdout.print(
             "[red]rows may be lost: a majority of the voters has forgotten. Enter what is missing[/]"
         )
     rows = Table("key", "value", "token", **PLAIN_STYLE)
-    for row in document["rows"]:
-        rows.add_row(escape(row["key"]), escape(row["value"]), str(row["token"]))
-    stdout.print(f"the ledger is {document['step']}, token {document['token']}", highlight=False)
+    for row in document.rows:
+        rows.add_row(escape(row.key), escape(row.value), str(row.token))
+    stdout.print(f"the ledger is {document.step}, token {document.token}", highlight=False)
     stdout.print(rows)
 
 
@@ -70,26 +76,27 @@
     try:
         if add or remove:
             query = urllib.parse.urlencode({"add": add, "remove": remove})
-            number = request_document(admin, f"/admin/voters/change?{query}", "POST")["entry"]
+            number = request_document(admin, f"{VOTERS_PATH}/change?{query}", "POST")["entry"]
             state = _await_entry(admin, number)
             stdout.print(f"{'+' + add if add else '-' + remove}: {state}", highlight=False)
             status = ExitCode.SUCCESS if state == COMMITTED else ExitCode.CHECK_FAILED
-        document = request_document(admin, "/admin/voters")
+        raw = request_document(admin, VOTERS_PATH)
+        document = decode_document(raw, VotersDocument)
     except AdminRequestError as error:
         return report_invalid(error)
-    missing = [row["name"] for row in document["voters"] if not row["there"]]
+    missing = [row.name for row in document.voters if not row.alive]
     if as_json:
-        print(json.dumps(document, indent=2))
+        print(json.dumps(raw, indent=2))
     else:
         _print_voters(document, missing)
-    return ExitCode.CHECK_FAILED if missing or document["behind"] else status
+    return ExitCode.CHECK_FAILED if missing or document.outdated else status
 
 
-def _print_voters(document: AdminDocument, missing: list[str]) -> None:
-    names = [row["name"] for row in document["voters"]]
-    configured = document["configured"]
+def _print_voters(document: VotersDocument, missing: list[str]) -> None:
+    names = [row.name for row in document.voters]
+    configured = document.configured
     quorum = len(names) // 2 + 1
-    source = f"as {document['self']} has it, after change {document['change']}"
+    source = f"as {document.own_name} has it, after change {document.change}"
     stdout.print(f"{source}: {', '.join(names)} vote, {quorum} have to agree", highlight=False)
     if missing:
         stdout.print(f"[red]not there: {escape(', '.join(missing))}[/]", highlight=False)
@@ -98,11 +105,11 @@
         stdout.print(f"[yellow]the configuration still names {listed}: bring the files up to date[/]")
     if len(names) % 2 == 0:
         stdout.print("[yellow]an even number: add or remove one more[/]")
-    for name, known_voters in document["behind"].items():
+    for name, known_voters in document.outdated.items():
         stdout.print(f"[yellow]{escape(name)} takes them for {escape(known_voters)}[/]", highlight=False)
-    if document["why_no_change"]:
-        owner = document["holder"] or "nobody"
-        reason = document["why_no_change"] if document["here"] else f"ask {owner}, the holder"
+    if document.change_blocked_reason:
+        owner = document.owner or "nobody"
+        reason = document.change_blocked_reason if document.is_owner else f"ask {owner}, the holder"
         stdout.print(f"no change here now: {escape(reason)}", highlight=False)
 
 
@@ -110,8 +117,8 @@
     """The state of an entry once it is decided, or after the last poll."""
     state = PENDING
     for _ in range(MAX_POLLS):
-        entries = request_document(admin, "/admin/ledger")["entries"]
-        state = next((str(entry["state"]) for entry in entries if entry["entry"] == number), UNKNOWN)
+        entries = decode_document(request_document(admin, TABLE_PATH), StateTableDocument).entries
+        state = next((entry.state for entry in entries if entry.number == number), UNKNOWN)
         if state != PENDING:
             break
         time.sleep(POLL_INTERVAL_S)
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -15,6 +15,8 @@
 
 import pytest
 
+from dunlinloft.cli.admin_client import decode_document
+from dunlinloft.cli.admin_documents import CellDocument, DirectoryDocument
 from dunlinloft.cli.handlers.cells import cell_lines, render_directory
 from dunlinloft.cli.handlers.config_check import check_file
 from dunlinloft.fleet.cells.cut import path
@@ -109,10 +111,11 @@
 
             await until(listed)  # both: what one was told the other pulls
             state = service.directory[0].show()[1]
-            assert state["learning"] and "not know of all yet" in str(render_directory(state).renderables[1])
+            directory = render_directory(decode_document(state, DirectoryDocument))
+            assert state["learning"] and "not know of all yet" in str(directory.renderables[1])
             shown = newcomer.cells.show()[1] if newcomer.cells else {}
             assert shown["fallback"] and shown["directory"]["age_s"] is not None  # it has just started
-            assert any("fallback" in line for line in cell_lines(shown))
+            assert any("fallback" in line for line in cell_lines(decode_document(shown, CellDocument)))
             assert all(p.census.total() >= 14 for p in service.members.values())  # a cut takes nobody out
         finally:
             await service.close()
