--- a/dunlinloft/cli/admin_documents.py
+++ b/dunlinloft/cli/admin_documents.py
@@ -288,7 +288,7 @@
     value: float
 
 
-class EndedRelease(Struct, frozen=True):
+class CompletedRelease(Struct, frozen=True):
     """A release that has ended."""
 
     id: int
@@ -296,7 +296,7 @@
     stage: int
     changed_by: str = field(name="by")
     reason: str = field(name="why")
-    ended_s: int | float = field(name="at_s")  # Unix time
+    completed_s: int | float = field(name="at_s")  # Unix time
 
 
 class ReleaseDocument(Struct, frozen=True):
@@ -308,11 +308,11 @@
     plan: ReleasePlan | None = field(name="release")
     order: ReleaseOrder
     stale: bool  # the controller has not been heard for long
-    hold_reason: str = field(name="held")
+    blocked_reason: str = field(name="held")
     lacks_capacity: bool = field(name="short")
     baked_s: float
     value: float
     evidence: list[HarmEvidence]
     new_servers: int
     servers: int
-    history: list[EndedRelease]
+    history: list[CompletedRelease]
--- a/dunlinloft/cli/handlers/releases.py
+++ b/dunlinloft/cli/handlers/releases.py
@@ -132,8 +132,8 @@
         f"this stage has baked {document.baked_s:.0f} of {plan.bake_s:.0f} s",
         f"latest change by {escape(plan.changed_by)}: {escape(plan.reason or 'no reason given')}",
     ]
-    if document.hold_reason:
-        lines.append(f"[yellow]it holds: {escape(document.hold_reason)}[/]")
+    if document.blocked_reason:
+        lines.append(f"[yellow]it holds: {escape(document.blocked_reason)}[/]")
     if document.lacks_capacity and state == "back":
         lines.append("[red]the old servers can't bear all: calls of little worth are refused meanwhile[/]")
     return lines
@@ -167,7 +167,7 @@
         return report_invalid(error)
     rows = Table("release", "ended", "how", "at", "by", "why", **PLAIN_STYLE)
     for row in document.history:
-        end_time = time.strftime("%d %b %H:%M:%S", time.gmtime(row.ended_s))
+        end_time = time.strftime("%d %b %H:%M:%S", time.gmtime(row.completed_s))
         state = f"[{STATE_COLOURS.get(row.state, 'white')}]{row.state}[/]"
         stage = f"stage {row.stage + 1}"
         rows.add_row(str(row.id), end_time, state, stage, escape(row.changed_by), escape(row.reason))
