--- a/dunlinloft/fleet/cells/directory.py
+++ b/dunlinloft/fleet/cells/directory.py
@@ -19,8 +19,8 @@
 from dunlinloft.fleet.cells.messages import Find, Found, Report, Summary
 from dunlinloft.fleet.cells.totals import BOUND_MS
 from dunlinloft.fleet.shared_state import messages as shared
-from dunlinloft.fleet.shared_state.messages import SUMMARY, Content, Entry, Pour
-from dunlinloft.fleet.shared_state.spread import Partner, Spread
+from dunlinloft.fleet.shared_state.anti_entropy import AntiEntropy, Partner
+from dunlinloft.fleet.shared_state.messages import SUMMARY, Content, Entry, PullResponse
 from dunlinloft.fleet.shared_state.store import Store
 
 MOST_POURS = 32  # datagrams that answer one question of another process
@@ -46,8 +46,8 @@
     here: dict[str, int]
 
 
-Event = Said | Seen | shared.Heard | shared.TimerFired
-Action = api.SendDatagram | shared.Tell | shared.SetTimer
+Event = Said | Seen | shared.MessageReceived | shared.TimerFired
+Action = api.SendDatagram | shared.SendMessage | shared.SetTimer
 
 
 class Table(Store):
@@ -57,37 +57,37 @@
         super().__init__(name, life, MOST_CELLS)
         self._index, self._now = index, 0.0
 
-    def take(self, entry: Entry, transit_ms: float, source: str, now: float) -> bool:
+    def merge(self, entry: Entry, transit_ms: float, source: str, now: float) -> bool:
         self._now = now
-        held = self._held.get((entry.kind, entry.writer))
+        held = self._records.get((entry.kind, entry.writer))
         # A reporter that started anew with a clock that went back has a lesser life than its former one.
         if held is not None and held.age_ms(now) > BOUND_MS > entry.age_ms + transit_ms:
-            del self._held[entry.kind, entry.writer]
-        return super().take(entry, transit_ms, source, now)
+            del self._records[entry.kind, entry.writer]
+        return super().merge(entry, transit_ms, source, now)
 
-    def _keep(self, entry: Entry, content: Content, born_ms: float, source: str) -> None:
-        super()._keep(entry, content, born_ms, source)
+    def _insert(self, entry: Entry, content: Content, written_ms: float, source: str) -> None:
+        super()._insert(entry, content, written_ms, source)
         if isinstance(content, Summary):
             cell, _, name = entry.writer.partition("|")
             service, _, region = cell.rpartition("@")
-            self._index.take(service, region, name, content, born_ms, self._now)
+            self._index.take(service, region, name, content, written_ms, self._now)
 
     def forget(self, now: float, after_ms: float) -> None:
         """Let go of what nobody has renewed for so long."""
-        for key in [key for key, held in self._held.items() if held.age_ms(now) > after_ms]:
-            del self._held[key]
+        for key in [key for key, held in self._records.items() if held.age_ms(now) > after_ms]:
+            del self._records[key]
 
 
-class Replica(Spread):
+class Replica(AntiEntropy):
     """Pulls among the directory's processes, whose answers are of many datagrams."""
 
     def __init__(self, store: Store, rng: random.Random) -> None:
         super().__init__(store, rng, MOST_POURS)
 
-    def _advance(self, partner: Partner, pour: Pour) -> None:
+    def _advance(self, partner: Partner, response: PullResponse) -> None:
         """Pieces that come out of order are not asked for again once those before them have come."""
-        ahead = partner.ahead
-        ahead[pour.since] = max(pour.cursor, ahead.get(pour.since, 0))
+        ahead = partner.out_of_order
+        ahead[response.from_cursor] = max(response.cursor, ahead.get(response.from_cursor, 0))
         for since in sorted(ahead):
             if since > partner.cursor:
                 break
@@ -124,10 +124,10 @@
                     return self._find(event.message, event.source, now)
                 self._report(event.message, now)
             case Seen():
-                self.table.reborn(event.life)
-                self.spread.seen(event.here, now)
-            case shared.Heard():
-                return [*self.spread.hear(event.message, event.sender, now)]
+                self.table.set_incarnation(event.life)
+                self.spread.set_members(event.here, now)
+            case shared.MessageReceived():
+                return [*self.spread.receive(event.message, event.sender, now)]
             case shared.TimerFired():
                 return self._fired(event.token, now)
         return []
@@ -175,4 +175,4 @@
         writer = f"{report.service}@{report.region}|{report.name}"
         content = msgspec.msgpack.encode(report.summary)
         entry = Entry(SUMMARY, writer, report.writer_life, report.version, int(age_ms), content)
-        self.table.take(entry, 0.0, "", now)
+        self.table.merge(entry, 0.0, "", now)
--- a/dunlinloft/fleet/messages.py
+++ b/dunlinloft/fleet/messages.py
@@ -143,6 +143,8 @@
     """Estimate of the encoded size of a message (bytes)."""
     size = HEADER_BYTES + len(message.header.name)
     size += sum(record.estimated_size() for record in message.records)
-    if isinstance(message, ApplicationMessage) and isinstance(message.content, shared_state_messages.Pour):
+    if isinstance(message, ApplicationMessage) and isinstance(
+        message.content, shared_state_messages.PullResponse
+    ):
         size += sum(ENTRY_BYTES + len(e.writer) + len(e.content) for e in message.content.entries)
     return size
--- a/dunlinloft/fleet/shared_state/affinity.py
+++ b/dunlinloft/fleet/shared_state/affinity.py
@@ -1,10 +1,10 @@
-"""Where keyed requests go: each key has a home among the groups, so a repeat needs nobody's memory.
+"""Affinity of keyed requests to groups: each key has a home group, so a retry needs nobody's memory.
 
-A repeat of a call that may have run has to go to the group that the first went to, from whatever process.
-So the first goes to the key's home, which all processes compute alike (rendezvous hashing, Thaler and
-Ravishankar 1998, over groups that the configuration names). A process sends elsewhere only while the home
-is out, and only after the others know that it may; then it tells which keys. Whoever cannot know refuses a
-repeat, which is harmless, and counts it. Why that is safe: `docs/shared.md`.
+A retry of a call that may have run has to go to the group of the first attempt, whichever process it comes
+to. So the first goes to the key's home, which all processes compute alike (rendezvous hashing, Thaler and
+Ravishankar 1998, over the groups that the configuration names). A process sends a key elsewhere only while
+its home is unavailable, and only after the others know that it may; then it reports these keys. A process
+that cannot know refuses a retry, which is harmless, and counts that. Why it is safe: `docs/shared.md`.
 """
 
 from __future__ import annotations
@@ -13,194 +13,243 @@
 import math
 from collections import Counter
 from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import NamedTuple
 
-from dunlinloft.fleet.shared_state.messages import Bindings
-from dunlinloft.fleet.shared_state.store import DRIFT
+from dunlinloft.fleet.shared_state.messages import (
+    AffinityBindings,
+    BoundKey,
+    KnownEpoch,
+)
+from dunlinloft.fleet.shared_state.store import MAX_CLOCK_DRIFT
 
-FRESH_MS = 3_000.0  # pulses of more than half of those that count, no older: else it may be cut off
-OUT_MS, BACK_MS = 800.0, 3_000.0  # a group has to be out, and fit again, for so long
-OUT_SHARE = 0.3  # of its servers fit, below which a group is out
-MOST_KEYS = 60  # bound away from home at a time; what would be more is refused
+# Without heartbeats of a majority no older than this, the process may be isolated.
+MAX_HEARTBEAT_AGE_MS = 3_000.0
+UNAVAILABLE_AFTER_MS = 800.0  # a group has to be unhealthy for this long
+AVAILABLE_AFTER_MS = 3_000.0  # and healthy again for this long
+# Healthy servers, relative to the greatest group, below which a group is unhealthy.
+MIN_HEALTHY_SHARE = 0.3
+MAX_BOUND_KEYS = 60  # away from home at a time; beyond that requests are refused
+
+
+class RefusalReason(StrEnum):
+    """Why a keyed request is refused; operators see the values."""
+
+    NONE = ""
+    ISOLATED = "cut off"  # this process has no fresh heartbeats of a majority
+    BINDINGS_UNKNOWN = "not told"  # another process may have bound the key, and its bindings are not known
+    TOO_MANY_KEYS = "too many"
 
 
 @dataclass(slots=True)
-class Place:
-    """Where a keyed request may go: a group; or nowhere, and why."""
+class KeyRoute:
+    """The group that a keyed request is sent to; none ("") if it is refused."""
 
     group: str
-    why: str = ""
+    refusal: RefusalReason = RefusalReason.NONE
 
 
-@dataclass(slots=True)
-class _Elsewhere:
-    """Another process that may send elsewhere, as far as it is known."""
+class Binding(NamedTuple):
+    """A key's group away from home, and when the binding expires."""
 
-    epoch: int  # the latest that is known of,
-    read: int = -1  # and the latest whose bindings were read
-    out: frozenset[str] = frozenset()
-    keys: dict[int, tuple[str, float]] = field(default_factory=dict)  # group, and until when
-    until_ms: float = 0.0  # it is remembered for so long
+    group: str
+    expires_ms: float
 
 
 @dataclass(slots=True)
-class Voices:
-    """How long those who were heard may be counted on: when each one's pulse becomes too old.
+class PeerBindings:
+    """What is known of the bindings of another process."""
 
-    `acks` are of those whose pulse knows this process's epoch. This process itself is in neither.
-    """
+    epoch: int  # the latest that is known of
+    read_epoch: int = -1  # the latest whose bindings were read
+    unavailable: frozenset[str] = frozenset()
+    keys: dict[int, Binding] = field(default_factory=dict)
+    expires_ms: float = 0.0  # when this row is removed
 
-    fresh: list[float]
-    acks: list[float]
-    base: int  # how many count, this process too
+
+@dataclass(slots=True)
+class Quorum:
+    """When the heartbeats of the other members that count expire, one time for each member."""
+
+    fresh_until: list[float]
+    acked_until: list[float]  # of those whose heartbeat knows this process's epoch
+    member_count: int  # all that count, this process included
 
 
-def order(key: int, groups: list[str]) -> list[str]:
-    """The groups in the order in which a key prefers them."""
+def preference(key: int, groups: list[str]) -> list[str]:
+    """The groups in the key's order of preference (rendezvous hashing); the first is its home."""
     data = key.to_bytes(8, "big")
     return sorted(groups, key=lambda g: hashlib.blake2b(data + g.encode(), digest_size=8).digest())
 
 
-def _most(ends: list[float], base: int) -> float:
-    """Until when these, with this process, are more than half of those that count."""
-    needed = base // 2  # others
+def _majority_until(ends: list[float], member_count: int) -> float:
+    """Until when these members, with this process, are a majority."""
+    needed = member_count // 2  # others
     if not needed:
         return math.inf
     return sorted(ends, reverse=True)[needed - 1] if len(ends) >= needed else -math.inf
 
 
 class Affinity:
-    """One process's bindings, and what it knows of the others'."""
+    """One process's bindings, and what it knows of the others'.
+
+    Parameters
+    ----------
+    groups
+        All groups that the configuration names; the same at all processes.
+    window_ms
+        The time for which a retry has to go to the group of the first attempt.
+    """
 
     def __init__(self, groups: list[str], window_ms: float) -> None:
-        self.groups, self._window_ms = sorted(groups), window_ms
+        self.groups = sorted(groups)
+        self._window_ms = window_ms
         self.epoch = 0
-        self.out: dict[str, float] = {}  # groups announced as out, and from when keys may go elsewhere
-        self._bad_since: dict[str, float] = {}
-        self._fit_since: dict[str, float] = {}
-        self.keys: dict[int, tuple[str, float]] = {}  # bound elsewhere by this process
-        self.elsewhere: dict[tuple[str, int], _Elsewhere] = {}  # by name and life
-        self.whole_ms = self.acked_ms = -math.inf  # until when more than half are heard, and know this epoch
-        self.counts: Counter[str] = Counter()
-
-    def place(self, key: int, again: bool, now: float) -> Place:
-        """Where a request with this key goes; `again` where its caller has asked for it before."""
-        home, *others = order(key, self.groups)
-        mine = self.keys.get(key)
-        if mine is not None:
-            return Place(mine[0])
-        if again:
-            return self._again(key, home, now)
-        if now < self.out.get(home, math.inf) or now >= self.acked_ms:
-            return Place(home)  # it is not out, or others would not know
+        # Groups announced as unavailable, and from when their keys may be bound elsewhere.
+        self.unavailable: dict[str, float] = {}
+        self._unhealthy_since: dict[str, float] = {}
+        self._healthy_since: dict[str, float] = {}
+        self.keys: dict[int, Binding] = {}  # bound away from home by this process
+        self.peers: dict[tuple[str, int], PeerBindings] = {}  # by name and incarnation
+        self.fresh_until_ms = -math.inf  # a majority's heartbeats are fresh
+        self.acked_until_ms = -math.inf  # a majority is known to know this process's epoch
+        self.counts: Counter[str] = Counter()  # elsewhere, and refusals by reason
+
+    def route(self, key: int, retry: bool, now: float) -> KeyRoute:
+        """The group for a request with this key; `retry` if its caller has sent it before."""
+        home, *others = preference(key, self.groups)
+        own = self.keys.get(key)
+        if own is not None:
+            return KeyRoute(own.group)
+        if retry:
+            return self._route_retry(key, home, now)
+        if now < self.unavailable.get(home, math.inf) or now >= self.acked_until_ms:
+            return KeyRoute(home)  # it is available, or the others would not know of a binding
         return self._bind(key, home, others, now)
 
-    def _again(self, key: int, home: str, now: float) -> Place:
-        if now >= self.whole_ms:
-            return self._no("cut off")
-        for other in self.elsewhere.values():
-            if key in other.keys:
-                return Place(other.keys[key][0])
-        for other in self.elsewhere.values():
-            if home in other.out or other.read < other.epoch:
-                return self._no("not told")
-        return Place(home)
-
-    def _bind(self, key: int, home: str, others: list[str], now: float) -> Place:
-        fit = [group for group in others if group not in self._bad_since]
-        if not fit:
-            return Place(home)
-        if len(self.keys) >= MOST_KEYS:
-            return self._no("too many")
-        self.keys[key] = fit[0], now + self._window_ms * (1.0 + DRIFT)
+    def _route_retry(self, key: int, home: str, now: float) -> KeyRoute:
+        if now >= self.fresh_until_ms:
+            return self._refuse(RefusalReason.ISOLATED)
+        for peer in self.peers.values():
+            if key in peer.keys:
+                return KeyRoute(peer.keys[key].group)
+        for peer in self.peers.values():
+            if home in peer.unavailable or peer.read_epoch < peer.epoch:
+                return self._refuse(RefusalReason.BINDINGS_UNKNOWN)
+        return KeyRoute(home)
+
+    def _bind(self, key: int, home: str, others: list[str], now: float) -> KeyRoute:
+        healthy = [group for group in others if group not in self._unhealthy_since]
+        if not healthy:
+            return KeyRoute(home)
+        if len(self.keys) >= MAX_BOUND_KEYS:
+            return self._refuse(RefusalReason.TOO_MANY_KEYS)
+        self.keys[key] = Binding(healthy[0], now + self._window_ms * (1.0 + MAX_CLOCK_DRIFT))
         self.counts["elsewhere"] += 1
-        return Place(fit[0])
+        return KeyRoute(healthy[0])
 
-    def _no(self, why: str) -> Place:
-        self.counts[why] += 1
-        return Place("", why)
+    def _refuse(self, reason: RefusalReason) -> KeyRoute:
+        self.counts[reason.value] += 1
+        return KeyRoute("", reason)
 
     # What is known of the groups and of the others
 
-    def look(
-        self, groups: dict[str, tuple[int, int]], voices: Voices, here: dict[str, int], now: float
-    ) -> Bindings | None:
-        """Take how the groups are (fit, of so many), whose voice can be counted on, who is there by life.
-
-        What to tell, where it is new.
+    def update(
+        self, groups: dict[str, tuple[int, int]], quorum: Quorum, alive: dict[str, int], now: float
+    ) -> AffinityBindings | None:
+        """Update from the state of the groups and the members; the bindings to report, if they changed.
+
+        Parameters
+        ----------
+        groups
+            By group: healthy servers, and servers in service.
+        quorum
+            The heartbeats that are fresh.
+        alive
+            The other members that are alive, with their incarnations.
         """
         before = self.epoch, frozenset(self.keys)
-        self.keys = {key: bound for key, bound in self.keys.items() if now < bound[1]}
-        for (name, life), other in self.elsewhere.items():
-            other.keys = {key: bound for key, bound in other.keys.items() if now < bound[1]}
-            if here.get(name) == life and (other.out or other.read < other.epoch):
-                other.until_ms = self._until(now)
-        self.elsewhere = {who: other for who, other in self.elsewhere.items() if now < other.until_ms}
-        self._watch(groups, now)
-        self._count(voices, before[0] == self.epoch, now)
+        self.keys = {key: bound for key, bound in self.keys.items() if now < bound.expires_ms}
+        for (name, incarnation), peer in self.peers.items():
+            peer.keys = {key: bound for key, bound in peer.keys.items() if now < bound.expires_ms}
+            if alive.get(name) == incarnation and (peer.unavailable or peer.read_epoch < peer.epoch):
+                peer.expires_ms = self._expiry(now)
+        self.peers = {who: peer for who, peer in self.peers.items() if now < peer.expires_ms}
+        self._update_groups(groups, now)
+        self._update_quorum(quorum, before[0] == self.epoch, now)
         return self.bindings(now) if before != (self.epoch, frozenset(self.keys)) else None
 
-    def _count(self, voices: Voices, same: bool, now: float) -> None:
-        self.whole_ms = _most(voices.fresh, voices.base)
-        acked = _most(voices.acks, voices.base) if same else -math.inf
-        if now >= acked:  # nobody is known to know: what was open is shut until all know again
-            self.out = dict.fromkeys(self.out, math.inf)
-        elif now >= self.acked_ms:
-            # From now on each fresh pulse of one of these was written after it knew.
-            ready = now + FRESH_MS * (1.0 + 2.0 * DRIFT)
-            self.out = {group: min(at, ready) for group, at in self.out.items()}
-        self.acked_ms = acked
-
-    def bindings(self, now: float) -> Bindings:
-        """What this process tells."""
-        keys = [(key, group, int(until - now)) for key, (group, until) in self.keys.items()]
-        return Bindings(self.epoch, sorted(self.out), keys)
-
-    def _watch(self, groups: dict[str, tuple[int, int]], now: float) -> None:
-        """Which groups are out, after some time, and which are back."""
-        most = max((listed for _, listed in groups.values()), default=0)
+    def _update_quorum(self, quorum: Quorum, same_epoch: bool, now: float) -> None:
+        self.fresh_until_ms = _majority_until(quorum.fresh_until, quorum.member_count)
+        acked = _majority_until(quorum.acked_until, quorum.member_count) if same_epoch else -math.inf
+        if now >= acked:  # no majority is known to know: no key is bound elsewhere until it does again
+            self.unavailable = dict.fromkeys(self.unavailable, math.inf)
+        elif now >= self.acked_until_ms:
+            # From now on each fresh heartbeat of one of these was written after it knew the epoch.
+            ready_ms = now + MAX_HEARTBEAT_AGE_MS * (1.0 + 2.0 * MAX_CLOCK_DRIFT)
+            self.unavailable = {group: min(at, ready_ms) for group, at in self.unavailable.items()}
+        self.acked_until_ms = acked
+
+    def bindings(self, now: float) -> AffinityBindings:
+        """The bindings that this process reports."""
+        keys = [BoundKey(key, bound.group, int(bound.expires_ms - now)) for key, bound in self.keys.items()]
+        return AffinityBindings(self.epoch, sorted(self.unavailable), keys)
+
+    def _update_groups(self, groups: dict[str, tuple[int, int]], now: float) -> None:
+        """Mark groups unavailable or available, each after a delay."""
+        largest = max((in_service for _, in_service in groups.values()), default=0)
         changed = False
         for group in self.groups:
-            fit, _ = groups.get(group, (0, 0))
-            if fit < OUT_SHARE * most:
-                self._bad_since.setdefault(group, now)
-                self._fit_since.pop(group, None)
+            healthy, _ = groups.get(group, (0, 0))
+            if healthy < MIN_HEALTHY_SHARE * largest:
+                self._unhealthy_since.setdefault(group, now)
+                self._healthy_since.pop(group, None)
             else:
-                self._bad_since.pop(group, None)
-                self._fit_since.setdefault(group, now)
-            if group not in self.out and now - self._bad_since.get(group, now) >= OUT_MS:
-                self.out[group], changed = math.inf, True
-            elif group in self.out and now - self._fit_since.get(group, now) >= BACK_MS:
-                del self.out[group]
+                self._unhealthy_since.pop(group, None)
+                self._healthy_since.setdefault(group, now)
+            unhealthy_ms = now - self._unhealthy_since.get(group, now)
+            healthy_ms = now - self._healthy_since.get(group, now)
+            if group not in self.unavailable and unhealthy_ms >= UNAVAILABLE_AFTER_MS:
+                self.unavailable[group] = math.inf
+                changed = True
+            elif group in self.unavailable and healthy_ms >= AVAILABLE_AFTER_MS:
+                del self.unavailable[group]
                 changed = True
         self.epoch += changed
 
-    def told(self, name: str, life: int, says: Bindings, now: float) -> None:
-        """Another's bindings have been read."""
-        if not says.epoch:
+    def bindings_received(self, name: str, incarnation: int, bindings: AffinityBindings, now: float) -> None:
+        """Take in the bindings of another process."""
+        if not bindings.epoch:
             return
-        other = self._of(name, life, says.epoch, now)
-        if says.epoch >= other.read:
-            other.read, other.out = says.epoch, frozenset(says.out)
-            other.keys |= {key: (group, now + left * (1.0 + DRIFT)) for key, group, left in says.keys}
-
-    def mentioned(self, name: str, life: int, epoch: int, now: float) -> None:
-        """Somebody knows of an epoch of another's."""
-        self._of(name, life, epoch, now)
-
-    def _of(self, name: str, life: int, epoch: int, now: float) -> _Elsewhere:
-        other = self.elsewhere.get((name, life))
-        if other is None:
-            other = self.elsewhere[name, life] = _Elsewhere(epoch, until_ms=self._until(now))
-        if epoch > other.epoch:
-            other.epoch, other.until_ms = epoch, self._until(now)
-        return other
-
-    def _until(self, now: float) -> float:
-        return now + (self._window_ms + 2.0 * FRESH_MS) * (1.0 + 2.0 * DRIFT)
-
-    def heard(self, here: dict[str, int]) -> list[tuple[str, int, int, bool]]:
-        """Whose epochs are known here, former lives too, and which are there, for this process's pulse."""
+        peer = self._peer(name, incarnation, bindings.epoch, now)
+        if bindings.epoch >= peer.read_epoch:
+            peer.read_epoch = bindings.epoch
+            peer.unavailable = frozenset(bindings.unavailable)
+            peer.keys |= {
+                key: Binding(group, now + remaining_ms * (1.0 + MAX_CLOCK_DRIFT))
+                for key, group, remaining_ms in bindings.keys
+            }
+
+    def epoch_received(self, name: str, incarnation: int, epoch: int, now: float) -> None:
+        """A member's heartbeat says that it knows of this epoch of another process."""
+        self._peer(name, incarnation, epoch, now)
+
+    def _peer(self, name: str, incarnation: int, epoch: int, now: float) -> PeerBindings:
+        peer = self.peers.get((name, incarnation))
+        if peer is None:
+            peer = PeerBindings(epoch, expires_ms=self._expiry(now))
+            self.peers[name, incarnation] = peer
+        if epoch > peer.epoch:
+            peer.epoch = epoch
+            peer.expires_ms = self._expiry(now)
+        return peer
+
+    def _expiry(self, now: float) -> float:
+        return now + (self._window_ms + 2.0 * MAX_HEARTBEAT_AGE_MS) * (1.0 + 2.0 * MAX_CLOCK_DRIFT)
+
+    def known_epochs(self, alive: dict[str, int]) -> list[KnownEpoch]:
+        """The epochs known here, of former incarnations too, for this process's heartbeat."""
         return [
-            (name, life, other.epoch, here.get(name) == life)
-            for (name, life), other in self.elsewhere.items()
+            KnownEpoch(name, incarnation, peer.epoch, alive.get(name) == incarnation)
+            for (name, incarnation), peer in self.peers.items()
         ]
--- a/dunlinloft/fleet/shared_state/core.py
+++ b/dunlinloft/fleet/shared_state/core.py
@@ -1,7 +1,7 @@
-"""One process's part in the state that all share: told what happens here, it says what follows from it.
+"""`SharedState`: one process's part in the shared state, a state machine of events and actions.
 
-It joins the store, how it spreads, and what is shared: verdicts on servers, limits, affinity. Which of
-these are in use the configuration says; the others cost nothing.
+It joins the store and anti-entropy with what is shared: verdicts on servers, quota shares, affinity,
+releases. The configuration says which of these features are in use; the others cost nothing.
 """
 
 from __future__ import annotations
@@ -9,293 +9,370 @@
 import random
 import zlib
 from collections.abc import Iterator
+from enum import StrEnum
+from typing import NamedTuple
 
-from dunlinloft.fleet.releases.follower import ReleaseFollower
+from dunlinloft.fleet.releases.follower import AttemptOutcome, ReleaseFollower
 from dunlinloft.fleet.releases.messages import NO_ORDER, Order, Tally
-from dunlinloft.fleet.shared_state import limits, verdicts
-from dunlinloft.fleet.shared_state.affinity import FRESH_MS, Affinity, Place, Voices
-from dunlinloft.fleet.shared_state.limits import Limits, retry_share
+from dunlinloft.fleet.shared_state import quota_shares, verdicts
+from dunlinloft.fleet.shared_state.affinity import MAX_HEARTBEAT_AGE_MS, Affinity, KeyRoute, Quorum
+from dunlinloft.fleet.shared_state.anti_entropy import AntiEntropy
 from dunlinloft.fleet.shared_state.messages import (
-    BINDINGS,
-    FINDINGS,
-    ORDERS,
-    PULSE,
+    AFFINITY_BINDINGS,
+    HEARTBEAT,
+    OBSERVATION_REPORT,
+    OPERATOR_LIMITS,
     RELEASE,
     TALLY,
     Action,
-    Asked,
-    Bindings,
-    Cap,
-    Ended,
+    AffinityBindings,
+    ApplyQuotaShares,
+    ApplyVerdicts,
+    AttemptCompleted,
     Event,
-    Findings,
-    Heard,
-    Known,
-    Ordered,
-    Orders,
-    Part,
-    Pulse,
-    Seen,
+    Heartbeat,
+    LimitNewServers,
+    MembershipUpdated,
+    MessageReceived,
+    NodeStatus,
+    ObservationReport,
+    OperatorLimits,
+    OperatorLimitsRead,
+    ReleaseOrderIssued,
+    RequestReceived,
     SetTimer,
-    Steer,
     TimerFired,
     Verdict,
-    Warn,
     encode,
 )
-from dunlinloft.fleet.shared_state.spread import Spread
-from dunlinloft.fleet.shared_state.store import DRIFT, Store
-from dunlinloft.fleet.shared_state.verdicts import Pool
-from dunlinloft.fleet.shared_state.witness import Witness
+from dunlinloft.fleet.shared_state.observations import ServerObservations
+from dunlinloft.fleet.shared_state.quota_shares import QuotaAllocator, retry_share
+from dunlinloft.fleet.shared_state.store import MAX_CLOCK_DRIFT, Store
+from dunlinloft.fleet.shared_state.verdicts import ReceivedReport, VerdictPool
 
-VERDICTS, LIMITS, AFFINITY, RELEASES = "verdicts", "limits", "affinity", "releases"
-PARTS = (VERDICTS, LIMITS, AFFINITY, RELEASES)
-LOOK_MS = 250.0  # how often it is looked at what follows from what is held
-PULSE_MS = 750.0  # how often each says how it is, whether anything changed or not
-FINDINGS_MS = 400.0  # how often findings are told, while there are any
-TALLY_MS = 750.0  # how often each tells its counts while a release goes on
-CHANGED = 0.02  # of a part, from which the node is told
-PULL, LOOK = "pull", "look"
+# Features, as the configuration names them.
+VERDICTS = "verdicts"
+LIMITS = "limits"
+AFFINITY = "affinity"
+RELEASES = "releases"
+FEATURES = (VERDICTS, LIMITS, AFFINITY, RELEASES)
+UPDATE_INTERVAL_MS = 250.0  # of what follows from the records
+HEARTBEAT_INTERVAL_MS = 750.0
+REPORT_INTERVAL_MS = 400.0  # of observation reports, while any server stands out
+TALLY_INTERVAL_MS = 750.0  # while a release is in progress
+# Of a quota, and of the share of retries: smaller changes are not handed to the node.
+MIN_SHARE_CHANGE = 0.02
+LONG_AGO_MS = -1e18
 
 
-def mark(text: str) -> int:
-    """A class by two bytes; 0 is kept for all classes."""
-    return 1 + zlib.crc32(text.encode()) % 65535
+class _Timer(StrEnum):
+    """What a timer is for."""
 
+    PULL = "pull"
+    UPDATE = "update"
 
-class Shared:
-    """All that is shared, as one process has it."""
+
+class _ReceivedHeartbeat(NamedTuple):
+    """A member's heartbeat, and an upper bound on its age."""
+
+    writer: str
+    age_ms: float
+    heartbeat: Heartbeat
+
+
+def class_hash(name: str) -> int:
+    """A request class (or zone) in two bytes; 0 is reserved for all classes."""
+    return 1 + zlib.crc32(name.encode()) % 65535
+
+
+class SharedState:
+    """The shared state as one process holds it; owned by the host, which gives it events.
+
+    Parameters
+    ----------
+    name, incarnation
+        Of this process.
+    features
+        Which of `FEATURES` are in use.
+    quotas
+        Of tenants, requests a second.
+    groups, window_ms
+        See `Affinity`.
+    """
 
     def __init__(
-        self, name: str, life: int, zone: str, tier: int, parts: frozenset[str], quotas: dict[str, float],
-        groups: list[str], window_ms: float, rng: random.Random, now: float,
+        self, name: str, incarnation: int, zone: str, tier: int, features: frozenset[str],
+        quotas: dict[str, float], groups: list[str], window_ms: float, rng: random.Random, now: float,
     ) -> None:  # fmt: skip
-        self.name, self.zone, self.tier, self.parts, self._rng = name, zone, tier, parts, rng
-        self.store = Store(name, life)
-        self.spread = Spread(self.store, rng)
-        self.witness = Witness()
-        self.pool = Pool(zone, tier, rng)
-        self.limits = Limits(name, quotas, now)
+        self.name = name
+        self.zone = zone
+        self.tier = tier
+        self.features = features
+        self._rng = rng
+        self.store = Store(name, incarnation)
+        self.anti_entropy = AntiEntropy(self.store, rng)
+        self.observations = ServerObservations()
+        self.verdict_pool = VerdictPool(zone, tier, rng)
+        self.quota_allocator = QuotaAllocator(name, quotas, now)
         self.affinity = Affinity(groups, window_ms)
         self.follower = ReleaseFollower(tier)
-        self._tallied_ms = self._steered_ms = -1e18
-        self.seen = Seen(life, {}, frozenset((name,)), 1)
-        self._known = Known({}, frozenset(), {}, 0.0, 0.0)
-        self._timers: dict[int, str] = {}
-        self._token = 0
+        self.membership = MembershipUpdated(incarnation, {}, frozenset((name,)), 1)
+        self._status = NodeStatus({}, frozenset(), {}, 0.0, 0.0)
+        self._timers: dict[int, _Timer] = {}
+        self._timer_token = 0
         self._quotas = dict(quotas)
-        self.orders: dict[str, float] = {}  # operators' limits, by tenant, and the token they came with
-        self.orders_token = 0
-        self._looked_ms = self._pulsed_ms = self._found_ms = -1e18
-        self._read: dict[str, tuple[int, int]] = {}  # bindings that were taken in, by writer
-        self._speaks = False  # findings were told, and not yet that there are none
+        self.operator_limits: dict[str, float] = {}  # by tenant, of the greatest fencing token so far
+        self.operator_limits_token = 0
+        self._updated_ms = LONG_AGO_MS
+        self._heartbeat_ms = LONG_AGO_MS
+        self._reported_ms = LONG_AGO_MS
+        self._tallied_ms = LONG_AGO_MS
+        self._order_written_ms = LONG_AGO_MS
+        self._read_bindings: dict[str, tuple[int, int]] = {}  # by writer: incarnation and version
+        self._has_reported = False  # the last observation report was not empty
         self.verdicts: list[Verdict] = []
-        self.part = Part({}, 1.0, True)
-        self._told_part = self.part
+        self.quota_shares = ApplyQuotaShares({}, 1.0, True)
+        self._applied_shares = self.quota_shares  # the last that were handed to the node
 
     def begin(self) -> list[Action]:
-        """The process is up."""
+        """Start the timers, once the process can be reached."""
         return [
-            self._timer(PULL, 100.0 * self._rng.random()),
-            self._timer(LOOK, LOOK_MS * self._rng.random()),
+            self._set_timer(_Timer.PULL, 100.0 * self._rng.random()),
+            self._set_timer(_Timer.UPDATE, UPDATE_INTERVAL_MS * self._rng.random()),
         ]
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take one event; what to do about it."""
+        """Handle an event; the actions for the host."""
         match event:
-            case Ended():
-                if RELEASES in self.parts:
-                    self.follower.attempt_completed(event.server, mark(event.cls), event.how, event.ms)
-                if VERDICTS in self.parts and event.how != "full":
-                    self.witness.ended(event.server, mark(event.cls), event.how, event.ms, now)
-            case Asked():
-                self.limits.asked(event.tenant, now)
-            case Heard():
-                return [*self.spread.hear(event.message, event.sender, now)]
+            case AttemptCompleted():
+                self._handle_attempt_completed(event, now)
+            case RequestReceived():
+                self.quota_allocator.request_received(event.tenant, now)
+            case MessageReceived():
+                return [*self.anti_entropy.receive(event.message, event.sender, now)]
             case TimerFired():
-                return self._fired(event.token, now)
-            case Ordered():
-                self._tell_orders(event, now)
-            case Steer():
-                return self._steer(event.order, now)
-            case Known():
-                self._known = event
-                if RELEASES in self.parts:
+                return self._handle_timer(event.token, now)
+            case OperatorLimitsRead():
+                self._handle_operator_limits(event, now)
+            case ReleaseOrderIssued():
+                return self._handle_release_order(event.order, now)
+            case NodeStatus():
+                self._status = event
+                if RELEASES in self.features:
                     self.follower.set_servers(event.servers)
-                self.witness.known(event.starts, event.silent, now)
-            case Seen():
-                self.seen = event
-                self.store.reborn(event.life)
-                self.store.seen(event.here)
-                self.spread.seen(event.here, now)
+                self.observations.update_servers(event.start_ids, event.unresponsive, now)
+            case MembershipUpdated():
+                self.membership = event
+                self.store.set_incarnation(event.incarnation)
+                self.store.set_members(event.alive)
+                self.anti_entropy.set_members(event.alive, now)
         return []
 
-    def place(self, key: int, again: bool, now: float) -> Place:
-        """Where a keyed request goes: asked before it is begun, and answered from memory."""
-        return self.affinity.place(key, again, now)
-
-    def _timer(self, what: str, delay_ms: float) -> SetTimer:
-        self._token += 1
-        self._timers[self._token] = what
-        return SetTimer(self._token, delay_ms)
-
-    def _fired(self, token: int, now: float) -> list[Action]:
-        what = self._timers.pop(token, "")
-        if what == PULL:
-            tells, wait = self.spread.pull(now)
-            return [*tells, self._timer(PULL, wait)]
-        if what == LOOK:
-            actions = self._look(now)
-            self._looked_ms = now
-            return [*actions, self._timer(LOOK, LOOK_MS * (0.9 + 0.2 * self._rng.random()))]
+    def route(self, key: int, retry: bool, now: float) -> KeyRoute:
+        """The group for a keyed request, before its first attempt; decided from memory."""
+        return self.affinity.route(key, retry, now)
+
+    def _set_timer(self, purpose: _Timer, delay_ms: float) -> SetTimer:
+        self._timer_token += 1
+        self._timers[self._timer_token] = purpose
+        return SetTimer(self._timer_token, delay_ms)
+
+    def _handle_timer(self, token: int, now: float) -> list[Action]:
+        purpose = self._timers.pop(token, None)
+        if purpose is _Timer.PULL:
+            requests, delay_ms = self.anti_entropy.pull(now)
+            return [*requests, self._set_timer(_Timer.PULL, delay_ms)]
+        if purpose is _Timer.UPDATE:
+            actions = self._update(now)
+            self._updated_ms = now
+            delay_ms = UPDATE_INTERVAL_MS * (0.9 + 0.2 * self._rng.random())
+            return [*actions, self._set_timer(_Timer.UPDATE, delay_ms)]
         return []
 
-    def know(self, quotas: dict[str, float]) -> None:
-        """The file's quotas are these now; what operators have set goes before them."""
+    def _handle_attempt_completed(self, event: AttemptCompleted, now: float) -> None:
+        if RELEASES in self.features:
+            self.follower.attempt_completed(
+                event.server, class_hash(event.class_name), event.outcome, event.duration_ms
+            )
+        if VERDICTS in self.features and event.outcome != AttemptOutcome.FULL:
+            self.observations.attempt_completed(
+                event.server, class_hash(event.class_name), event.outcome, event.duration_ms, now
+            )
+
+    def set_quotas(self, quotas: dict[str, float]) -> None:
+        """The quotas of the settings; limits that operators have set take precedence."""
         self._quotas = dict(quotas)
-        self.limits.quotas = self._quotas | {t: q for t, q in self.orders.items() if t in self._quotas}
+        self.quota_allocator.quotas = self._quotas | {
+            tenant: limit for tenant, limit in self.operator_limits.items() if tenant in self._quotas
+        }
 
-    def _tell_orders(self, event: Ordered, now: float) -> None:
-        says = Orders(event.token, event.limits)
-        held = self.store.get(ORDERS, self.name)
-        if (event.token, event.limits) != (self.orders_token, self.orders) or held is None:
-            self.store.write(ORDERS, encode(says), says, now)
-            self._obey(says)
+    def _handle_operator_limits(self, event: OperatorLimitsRead, now: float) -> None:
+        limits = OperatorLimits(event.token, event.limits)
+        record = self.store.get(OPERATOR_LIMITS, self.name)
+        current = self.operator_limits_token, self.operator_limits
+        if (event.token, event.limits) != current or record is None:
+            self.store.write(OPERATOR_LIMITS, encode(limits), limits, now)
+            self._apply_operator_limits(limits)
 
-    def _obey(self, says: Orders) -> None:
-        """What the holder of the greatest token says; what it said stays in force when it is gone."""
-        if says.token >= self.orders_token:
-            self.orders_token, self.orders = says.token, dict(says.limits)
-            self.know(self._quotas)
+    def _apply_operator_limits(self, limits: OperatorLimits) -> None:
+        """Apply the limits of the greatest token; they stay in force when their writer is gone."""
+        if limits.token >= self.operator_limits_token:
+            self.operator_limits_token = limits.token
+            self.operator_limits = dict(limits.limits)
+            self.set_quotas(self._quotas)
 
     # Releases
 
-    def _steer(self, order: Order, now: float) -> list[Action]:
-        """Tell all an order of this process's, again and again: its age shows that the steward is there."""
-        if order != self.follower.order or now - self._steered_ms >= PULSE_MS:
-            self._steered_ms = now
+    def _handle_release_order(self, order: Order, now: float) -> list[Action]:
+        """Write this process's order again at intervals: its age shows that the controller is alive."""
+        if order != self.follower.order or now - self._order_written_ms >= HEARTBEAT_INTERVAL_MS:
+            self._order_written_ms = now
             self.store.write(RELEASE, encode(order), order, now)
-        return self._follow(order, 0.0, now)
+        return self._apply_order(order, 0.0, now)
 
-    def _follow(self, order: Order, age_ms: float, now: float) -> list[Action]:
+    def _apply_order(self, order: Order, age_ms: float, now: float) -> list[Action]:
         self.follower.apply_order(order, age_ms, now)
         if not self.follower.new_servers_changed:
             return []
         self.follower.new_servers_changed = False
-        self._tallied_ms = -1e18  # who obeys says so at once
-        return [Cap(self.follower.new_servers(), self.follower.order.share)]
-
-    def _release(self, now: float) -> list[Action]:
-        """Obey the greatest order that is to be had: from its steward, or from whoever obeys it."""
-        best, age = NO_ORDER, 0.0
-        for _, held in self.store.others(RELEASE):
-            if isinstance(held.content, Order) and held.content.version() >= best.version():
-                best, age = held.content, held.age_ms(now)
-        for _, held in self.store.others(TALLY):
-            if isinstance(held.content, Tally) and held.content.order.version() > best.version():
-                best, age = held.content.order, 1e18
-        actions = self._follow(best, age, now)
-        if self.follower.order.release_id and now - self._tallied_ms >= TALLY_MS:
+        self._tallied_ms = LONG_AGO_MS  # the tally that acknowledges the order goes out at once
+        return [LimitNewServers(self.follower.new_servers(), self.follower.order.share)]
+
+    def _update_release(self, now: float) -> list[Action]:
+        """Apply the newest order, from its controller or from a member that has applied it."""
+        newest = NO_ORDER
+        age_ms = 0.0
+        for _, record in self.store.others(RELEASE):
+            if isinstance(record.content, Order) and record.content.version() >= newest.version():
+                newest = record.content
+                age_ms = record.age_ms(now)
+        for _, record in self.store.others(TALLY):
+            if isinstance(record.content, Tally) and record.content.order.version() > newest.version():
+                newest = record.content.order
+                age_ms = 1e18
+        actions = self._apply_order(newest, age_ms, now)
+        if self.follower.order.release_id and now - self._tallied_ms >= TALLY_INTERVAL_MS:
             self._tallied_ms = now
-            says = self.follower.tally()
-            self.store.write(TALLY, encode(says), says, now)
+            tally = self.follower.tally()
+            self.store.write(TALLY, encode(tally), tally, now)
         return actions
 
-    # Looking
+    # The periodic update
 
-    def _look(self, now: float) -> list[Action]:
-        pulses = [
-            (writer, held.age_ms(now), held.content)
-            for writer, held in self.store.read(PULSE, max(limits.BOUND_MS, FRESH_MS), now)
-            if isinstance(held.content, Pulse)
+    def _update(self, now: float) -> list[Action]:
+        max_age_ms = max(quota_shares.MAX_DEMAND_AGE_MS, MAX_HEARTBEAT_AGE_MS)
+        heartbeats = [
+            _ReceivedHeartbeat(writer, record.age_ms(now), record.content)
+            for writer, record in self.store.read(HEARTBEAT, max_age_ms, now)
+            if isinstance(record.content, Heartbeat)
         ]
-        for _, held in self.store.others(ORDERS):
-            if isinstance(held.content, Orders):
-                self._obey(held.content)
+        for _, record in self.store.others(OPERATOR_LIMITS):
+            if isinstance(record.content, OperatorLimits):
+                self._apply_operator_limits(record.content)
         actions: list[Action] = []
-        if AFFINITY in self.parts:
-            self._bind(pulses, now)
-        self._pulse(now)
-        if LIMITS in self.parts:
-            actions += self._limit(pulses, now)
-        if VERDICTS in self.parts:
-            actions += self._warn(now)
-        if RELEASES in self.parts:
-            actions += self._release(now)
+        if AFFINITY in self.features:
+            self._update_affinity(heartbeats, now)
+        self._write_heartbeat(now)
+        if LIMITS in self.features:
+            actions += self._update_quota_shares(heartbeats, now)
+        if VERDICTS in self.features:
+            actions += self._update_verdicts(now)
+        if RELEASES in self.features:
+            actions += self._update_release(now)
         return actions
 
-    def _bind(self, pulses: list[tuple[str, float, Pulse]], now: float) -> None:
-        """Take in what others bind, then decide what may be bound here."""
-        own, counted = self.affinity, self.seen.counted
-        self._read = {writer: read for writer, read in self._read.items() if writer in self.seen.here}
-        for writer, held in self.store.others(BINDINGS):
-            if self._read.get(writer) == (held.life, held.version):
+    def _update_affinity(self, heartbeats: list[_ReceivedHeartbeat], now: float) -> None:
+        """Take in the others' bindings first, then decide which keys may be bound here."""
+        alive = self.membership.alive
+        self._read_bindings = {
+            writer: version for writer, version in self._read_bindings.items() if writer in alive
+        }
+        for writer, record in self.store.others(AFFINITY_BINDINGS):
+            if self._read_bindings.get(writer) == (record.incarnation, record.version):
                 continue
-            if isinstance(held.content, Bindings):
-                self._read[writer] = held.life, held.version
-                own.told(writer, held.life, held.content, now)
-        fresh, acks = [], []
-        for writer, age, pulse in pulses:
-            knows = False
-            for name, life, epoch, there in pulse.heard:
-                if (name, life) != (self.name, self.store.life):  # a former life of ours is another
-                    own.mentioned(name, life, epoch, now)
+            if isinstance(record.content, AffinityBindings):
+                self._read_bindings[writer] = record.incarnation, record.version
+                self.affinity.bindings_received(writer, record.incarnation, record.content, now)
+        quorum = self._quorum(heartbeats, now)
+        bindings = self.affinity.update(self._status.groups, quorum, alive, now)
+        if bindings is not None:
+            self.store.write(AFFINITY_BINDINGS, encode(bindings), bindings, now)
+
+    def _quorum(self, heartbeats: list[_ReceivedHeartbeat], now: float) -> Quorum:
+        """Until when heartbeats are fresh; and take in the epochs that they know of."""
+        quorum = Quorum([], [], self.membership.member_count)
+        for writer, age_ms, heartbeat in heartbeats:
+            acked = False
+            for name, incarnation, epoch, alive in heartbeat.known_epochs:
+                # A former incarnation of this process is another process.
+                if (name, incarnation) != (self.name, self.store.incarnation):
+                    self.affinity.epoch_received(name, incarnation, epoch, now)
                 else:
-                    knows = epoch == own.epoch and there
-            if writer in counted and age <= FRESH_MS:
-                ends = now + (FRESH_MS - age) / (1.0 + DRIFT)
-                fresh.append(ends)
-                if knows:
-                    acks.append(ends)
-        voices = Voices(fresh, acks, self.seen.base)
-        says = own.look(self._known.groups, voices, self.seen.here, now)
-        if says is not None:
-            self.store.write(BINDINGS, encode(says), says, now)
-
-    def _pulse(self, now: float) -> None:
-        if now - self._pulsed_ms < PULSE_MS or not self.parts & {LIMITS, AFFINITY}:
+                    acked = epoch == self.affinity.epoch and alive
+            if writer in self.membership.counted and age_ms <= MAX_HEARTBEAT_AGE_MS:
+                fresh_until = now + (MAX_HEARTBEAT_AGE_MS - age_ms) / (1.0 + MAX_CLOCK_DRIFT)
+                quorum.fresh_until.append(fresh_until)
+                if acked:
+                    quorum.acked_until.append(fresh_until)
+        return quorum
+
+    def _write_heartbeat(self, now: float) -> None:
+        if now - self._heartbeat_ms < HEARTBEAT_INTERVAL_MS or not self.features & {LIMITS, AFFINITY}:
             return
-        self._pulsed_ms = now
-        demand = self.limits.demand(now) if LIMITS in self.parts else {}
-        heard = self.affinity.heard(self.seen.here) if AFFINITY in self.parts else []
-        allowed, tuned = round(self._known.allowed, 1), round(self._known.tuned, 1)
-        pulse = Pulse(self.zone, self.tier, demand, allowed, tuned, heard)
-        self.store.write(PULSE, encode(pulse), pulse, now)
-
-    def _limit(self, pulses: list[tuple[str, float, Pulse]], now: float) -> list[Action]:
+        self._heartbeat_ms = now
+        demand = self.quota_allocator.report_demand(now) if LIMITS in self.features else {}
+        alive = self.membership.alive
+        known_epochs = self.affinity.known_epochs(alive) if AFFINITY in self.features else []
+        heartbeat = Heartbeat(
+            self.zone,
+            self.tier,
+            demand,
+            round(self._status.allowed_retries, 1),
+            round(self._status.measured_responses, 1),
+            known_epochs,
+        )
+        self.store.write(HEARTBEAT, encode(heartbeat), heartbeat, now)
+
+    def _update_quota_shares(self, heartbeats: list[_ReceivedHeartbeat], now: float) -> list[Action]:
         peers = [
-            (writer, pulse)
-            for writer, age, pulse in pulses
-            if age <= limits.BOUND_MS and pulse.tier == self.tier
+            (writer, heartbeat)
+            for writer, age_ms, heartbeat in heartbeats
+            if age_ms <= quota_shares.MAX_DEMAND_AGE_MS and heartbeat.tier == self.tier
         ]
-        fresh = self.limits.hear(peers, now)
-        quotas = self.limits.parts(self.seen.counted, self.seen.base, fresh, now)
-        share = retry_share(pulse for _, pulse in peers)
-        self.part = Part(quotas, round(share, 2), self.limits.fallback)
-        told = self._told_part
-        moved = any(abs(q - told.quotas.get(t, 0.0)) > CHANGED * q for t, q in quotas.items())
-        if not moved and abs(share - told.retry_share) <= CHANGED:
+        allocator = self.quota_allocator
+        fresh = allocator.update_demand(peers, now)
+        quotas = allocator.shares(self.membership.counted, self.membership.member_count, fresh, now)
+        retries = retry_share(heartbeat for _, heartbeat in peers)
+        self.quota_shares = ApplyQuotaShares(quotas, round(retries, 2), allocator.fallback)
+        applied = self._applied_shares
+        changed = any(
+            abs(share - applied.quotas.get(tenant, 0.0)) > MIN_SHARE_CHANGE * share
+            for tenant, share in quotas.items()
+        )
+        if not changed and abs(retries - applied.retry_share) <= MIN_SHARE_CHANGE:
             return []
-        self._told_part = self.part
-        return [self.part]
-
-    def _warn(self, now: float) -> list[Action]:
-        own = self.witness.findings(self.zone, self.tier, self.seen.health, now)
-        if now - self._found_ms >= FINDINGS_MS and (own is not None or self._speaks):
-            self._found_ms, self._speaks = now, own is not None
-            says = own or Findings(self.zone, self.tier, 0, 0, 0, [])
-            self.store.write(FINDINGS, encode(says), says, now)
-        told = [*self._findings(now)]
+        self._applied_shares = self.quota_shares
+        return [self.quota_shares]
+
+    def _update_verdicts(self, now: float) -> list[Action]:
+        own = self.observations.report(self.zone, self.tier, self.membership.health, now)
+        if now - self._reported_ms >= REPORT_INTERVAL_MS and (own is not None or self._has_reported):
+            self._reported_ms = now
+            self._has_reported = own is not None
+            report = own or ObservationReport(self.zone, self.tier, 0, 0, 0, [])
+            self.store.write(OBSERVATION_REPORT, encode(report), report, now)
+        received = [*self._received_reports(now)]
         if own is not None:
-            told.append((self.name, 0.0, own))
-        passed = min(1_000.0, now - self._looked_ms)
-        before, self.verdicts = self.verdicts, self.pool.look(told, self._known.starts, passed, now)
-        self.pool.forget(now)
-        self.witness.doubted = self.pool.doubted
+            received.append(ReceivedReport(self.name, 0.0, own))
+        elapsed_ms = min(1_000.0, now - self._updated_ms)
+        before = self.verdicts
+        self.verdicts = self.verdict_pool.update(received, self._status.start_ids, elapsed_ms, now)
+        self.verdict_pool.expire_users(now)
+        self.observations.doubted = self.verdict_pool.doubted
         trials = any(verdict.trial for verdict in self.verdicts)
-        return [Warn(self.verdicts)] if trials or before != self.verdicts else []
+        return [ApplyVerdicts(self.verdicts)] if trials or before != self.verdicts else []
 
-    def _findings(self, now: float) -> Iterator[tuple[str, float, Findings]]:
-        for writer, held in self.store.read(FINDINGS, verdicts.BOUND_MS, now):
-            if isinstance(held.content, Findings):
-                yield writer, held.age_ms(now), held.content
+    def _received_reports(self, now: float) -> Iterator[ReceivedReport]:
+        for writer, record in self.store.read(OBSERVATION_REPORT, verdicts.MAX_REPORT_AGE_MS, now):
+            if isinstance(record.content, ObservationReport):
+                yield ReceivedReport(writer, record.age_ms(now), record.content)
--- a/dunlinloft/fleet/shared_state/messages.py
+++ b/dunlinloft/fleet/shared_state/messages.py
@@ -1,144 +1,171 @@
-"""What processes tell each other of the state they share, and how a host speaks to its part.
+"""Records and messages of the shared state, and the events and actions of `core.SharedState`.
 
-A record is one writer's latest word of a kind. It travels with its age, which each hop makes greater by
-more than the time that truly passed, so no two clocks are compared.
+A record is a writer's latest value of a kind. It travels with an upper bound on its age, to which each hop
+adds more than the time that passed there, so no two clocks are compared. All records and messages are encoded
+as arrays: the order of fields is the wire format, their names are not.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import msgspec
 from msgspec import Struct
 
 from dunlinloft.fleet.cells.messages import Summary
-from dunlinloft.fleet.releases.follower import ObservedServer
+from dunlinloft.fleet.releases.follower import AttemptOutcome, ObservedServer
 from dunlinloft.fleet.releases.messages import Order, Tally
 from dunlinloft.fleet.timers import SetTimer as SetTimer
 from dunlinloft.fleet.timers import TimerFired as TimerFired
 
-FINDINGS, PULSE, BINDINGS, ORDERS, RELEASE, TALLY, SUMMARY = 1, 2, 3, 4, 5, 6, 7
-KINDS = {
-    FINDINGS: "findings", PULSE: "pulse", BINDINGS: "bindings", ORDERS: "orders", RELEASE: "release",
-    TALLY: "tally", SUMMARY: "summary",
+# Kinds of records, as encoded.
+OBSERVATION_REPORT = 1
+HEARTBEAT = 2
+AFFINITY_BINDINGS = 3
+OPERATOR_LIMITS = 4
+RELEASE = 5
+TALLY = 6
+SUMMARY = 7
+# By kind, as operators see them.
+RECORD_KIND_NAMES = {
+    OBSERVATION_REPORT: "findings", HEARTBEAT: "pulse", AFFINITY_BINDINGS: "bindings",
+    OPERATOR_LIMITS: "orders", RELEASE: "release", TALLY: "tally", SUMMARY: "summary",
 }  # fmt: skip
 
 
 class Entry(Struct, array_like=True, gc=False):
-    """A record on its way; `age_ms` is no less than its true age as it is sent."""
+    """A record in transit; `age_ms` is no less than its true age when it is sent."""
 
     kind: int
     writer: str
-    life: int
+    incarnation: int  # of the writer
     version: int
     age_ms: int
     content: bytes
 
 
-class Pull(Struct, array_like=True, tag=21, gc=False):
-    """What is new with you since `cursor`, a place in your log, in this life of yours?"""
+class PullRequest(Struct, array_like=True, tag=21, gc=False):
+    """Requests the records after `cursor`, an offset in the log of that incarnation of the responder."""
 
-    number: int
-    life: int
+    request_id: int
+    incarnation: int
     cursor: int
 
 
-class Pour(Struct, array_like=True, tag=22, gc=False):
-    """This is, from one place in the log to another."""
+class PullResponse(Struct, array_like=True, tag=22, gc=False):
+    """The records between two offsets of the responder's log."""
 
-    number: int
-    life: int
-    since: int
+    request_id: int
+    incarnation: int
+    from_cursor: int
     cursor: int
     entries: list[Entry]
 
 
-Message = Pull | Pour
+Message = PullRequest | PullResponse
 
 
-# What records say
+# Contents of records
 
 
-class Cell(Struct, array_like=True, gc=False):
-    """What a process has lately seen of one server, for one class of requests; figures in tenths.
+class ServerStatistics(Struct, array_like=True, gc=False):
+    """What a process has lately observed of one server, for one class of requests; figures in tenths.
 
-    `errors` and `lost` (time-outs, failed connects, silence) are log odds that it fails half its calls rather
-    than as its peers do, since the last time that was 0; `good` are answers since its last failure, which
-    fade; `ago_ms` is how long ago that failure was. With `cls` 0 it is about the delay in all classes:
-    `errors` are log odds that it is several times slower than its peers, `slow` how many times.
+    `error_odds` and `loss_odds` (time-outs, failed connects, silence) are log odds that the server fails half
+    of its attempts rather than as its peers do, since that sum was last 0. `successes` are responses since
+    its last failure, decayed; `failure_age_ms` is the time since that failure. With a `class_hash` of 0 the
+    row is about delays in all classes: `error_odds` are log odds that the server is several times slower than
+    its peers, and `slowdown` is how many times.
     """
 
     server: int
-    start: int  # a mark of the server's start: what is said of one says nothing of the next
-    cls: int  # a mark of the class
-    errors: int
-    lost: int
-    good: int
-    ago_ms: int
-    slow: int
+    start_id: int  # of the server's process: what is reported of one start is void for the next
+    class_hash: int
+    error_odds: int
+    loss_odds: int
+    successes: int
+    failure_age_ms: int
+    slowdown: int
 
 
-class Findings(Struct, array_like=True, gc=False):
-    """What a process has seen of servers that stand out."""
+class ObservationReport(Struct, array_like=True, gc=False):
+    """A process's statistics of the servers that stand out."""
 
     zone: str
     tier: int
-    used: int  # servers that it has had answers or failures from lately,
-    failing: int  # and those of them that fail
-    health: int  # how late it is itself: 0 is well
-    cells: list[Cell]
+    used: int  # servers with a recent outcome
+    failing: int  # those of them that fail
+    health: int  # the writer's own lateness; 0 is healthy
+    statistics: list[ServerStatistics]
 
 
-class Pulse(Struct, array_like=True, gc=False):
-    """What each process says all the time: its demand, its loop, and whose bindings it knows."""
+class KnownEpoch(NamedTuple):
+    """The epoch of another process's bindings that a process knows of."""
+
+    name: str
+    incarnation: int
+    epoch: int
+    alive: bool  # that incarnation, as far as the process knows
+
+
+class Heartbeat(Struct, array_like=True, gc=False):
+    """What each process reports at regular intervals, whether it changed or not."""
 
     zone: str
     tier: int
     demand: dict[str, float]  # by tenant, requests a second
-    allowed: float  # retries a second that its loop allows,
-    tuned: float  # of so many answers
-    # Who may bind keys away from home: name, life, epoch as known here, and whether it is there still.
-    heard: list[tuple[str, int, int, bool]]
+    allowed_retries: float  # a second, by its retry controller
+    measured_responses: float  # a second, on which the controller bases that
+    known_epochs: list[KnownEpoch]  # of processes that may bind keys away from home
 
 
-class Bindings(Struct, array_like=True, gc=False):
-    """Which groups a process takes for out, and the keys that it has sent elsewhere because of it."""
+class BoundKey(NamedTuple):
+    """A key that is bound to a group other than its home."""
+
+    key: int
+    group: str
+    remaining_ms: int
+
+
+class AffinityBindings(Struct, array_like=True, gc=False):
+    """The groups that a process finds unavailable, and the keys that it has bound elsewhere therefore."""
 
     epoch: int
-    out: list[str]
-    keys: list[tuple[int, str, int]]  # key, group, ms that it is bound for still
+    unavailable: list[str]
+    keys: list[BoundKey]
 
 
-class Orders(Struct, array_like=True, gc=False):
-    """What operators have set in the ledger, by whoever holds it: limits by tenant, requests a second."""
+class OperatorLimits(Struct, array_like=True, gc=False):
+    """Tenants' limits (requests a second) that operators have set in the state table, by its leader."""
 
-    token: int
+    token: int  # the leader's fencing token
     limits: dict[str, float]
 
 
 encode = msgspec.msgpack.Encoder().encode
-_findings = msgspec.msgpack.Decoder(Findings)
-_pulse = msgspec.msgpack.Decoder(Pulse)
-_bindings = msgspec.msgpack.Decoder(Bindings)
-_orders = msgspec.msgpack.Decoder(Orders)
+_observation_report = msgspec.msgpack.Decoder(ObservationReport)
+_heartbeat = msgspec.msgpack.Decoder(Heartbeat)
+_affinity_bindings = msgspec.msgpack.Decoder(AffinityBindings)
+_operator_limits = msgspec.msgpack.Decoder(OperatorLimits)
 _release = msgspec.msgpack.Decoder(Order)
 _tally = msgspec.msgpack.Decoder(Tally)
 _summary = msgspec.msgpack.Decoder(Summary)
-Content = Findings | Pulse | Bindings | Orders | Order | Tally | Summary
+Content = ObservationReport | Heartbeat | AffinityBindings | OperatorLimits | Order | Tally | Summary
 
 
 def decode(kind: int, content: bytes) -> Content | None:
-    """What a record says; None where that can't be read, or the kind is not known."""
+    """The content of a record; None if it is malformed or its kind is unknown (of a newer version)."""
     try:
         match kind:
             case 1:
-                return _findings.decode(content)
+                return _observation_report.decode(content)
             case 2:
-                return _pulse.decode(content)
+                return _heartbeat.decode(content)
             case 3:
-                return _bindings.decode(content)
+                return _affinity_bindings.decode(content)
             case 4:
-                return _orders.decode(content)
+                return _operator_limits.decode(content)
             case 5:
                 return _release.decode(content)
             case 6:
@@ -154,124 +181,123 @@
 
 
 @dataclass(slots=True)
-class Heard:
-    """A message has come from the process of this name."""
+class MessageReceived:
+    """A message from the process of this name."""
 
     message: Message
     sender: str
 
 
 @dataclass(slots=True)
-class Seen:
-    """This process's life; who else is there, with lives; who counts in parts of budgets, and how many.
+class MembershipUpdated:
+    """This process's incarnation and local health, and the other members."""
 
-    `health` is how late this process is itself.
-    """
-
-    life: int
-    here: dict[str, int]
-    counted: frozenset[str]
-    base: int
-    health: int = 0
+    incarnation: int
+    alive: dict[str, int]  # the other members that are alive, with their incarnations
+    counted: frozenset[str]  # members, by name, that count in quorums and quota shares
+    member_count: int  # all that count, also those that are known by number only
+    health: int = 0  # this process's lateness; 0 is healthy
 
 
 @dataclass(slots=True)
-class Asked:
-    """A request has come for a tenant."""
+class RequestReceived:
+    """A tenant's request has come in."""
 
     tenant: str
 
 
 @dataclass(slots=True)
-class Ended:
-    """An attempt is over: `good` (answered), `error`, `lost` (no answer, or no connection), `full`."""
+class AttemptCompleted:
+    """An attempt at a server is over."""
 
     server: int
-    cls: str
-    how: str
-    ms: float
+    class_name: str
+    outcome: AttemptOutcome
+    duration_ms: float
 
 
 @dataclass(slots=True)
-class Ordered:
-    """This process holds the ledger by this token, and these limits are in it."""
+class OperatorLimitsRead:
+    """This process leads the state table under this fencing token, and these limits are in it."""
 
     token: int
     limits: dict[str, float]
 
 
 @dataclass(slots=True)
-class Steer:
-    """This process is the steward of releases, and this is its order, in force now as before."""
+class ReleaseOrderIssued:
+    """This process is the controller of releases, and this order of its is in force."""
 
     order: Order
 
 
 @dataclass(slots=True)
-class Known:
-    """What this node knows now: the servers its list names, each with a mark of its start; those silent.
-
-    `groups` says of each group how many of its servers are fit, of how many that are in service.
-    """
-
-    starts: dict[int, int]
-    silent: frozenset[int]
-    groups: dict[str, tuple[int, int]]
-    allowed: float
-    tuned: float
-    servers: dict[int, ObservedServer] = field(default_factory=dict)  # for releases: what is known of each
-
-
-Event = Heard | TimerFired | Seen | Asked | Ended | Known | Ordered | Steer
+class NodeStatus:
+    """What this node knows of its servers and its retry controller."""
+
+    start_ids: dict[int, int]  # by listed server, of its process
+    unresponsive: frozenset[int]  # servers with attempts in flight that have gone silent
+    groups: dict[str, tuple[int, int]]  # by group: servers that are healthy, and those in service
+    allowed_retries: float  # a second
+    measured_responses: float  # a second
+    servers: dict[int, ObservedServer] = field(default_factory=dict)  # for releases
+
+
+Event = (
+    MessageReceived
+    | TimerFired
+    | MembershipUpdated
+    | RequestReceived
+    | AttemptCompleted
+    | NodeStatus
+    | OperatorLimitsRead
+    | ReleaseOrderIssued
+)
 
 # Actions
 
 
 @dataclass(slots=True)
-class Tell:
+class SendMessage:
     """Send a message to the process of this name."""
 
-    name: str
+    recipient: str
     message: Message
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What all together think of a server.
-
-    `avoid`: for these classes' marks, or for all where there are none named; `trial`: this process may
-    send one call there all the same; `slow`: its delay over its peers'.
-    """
+    """The pooled verdict on a server."""
 
     server: int
     avoid: bool = False
-    classes: frozenset[int] = frozenset()
-    slow: float = 1.0
-    trial: bool = False
+    class_hashes: frozenset[int] = frozenset()  # the classes it is avoided for; empty: all
+    slowdown: float = 1.0  # its delay over its peers'
+    trial: bool = False  # this process may send one attempt there although it is avoided
 
 
 @dataclass(slots=True)
-class Warn:
-    """These verdicts are in force; those before are not."""
+class ApplyVerdicts:
+    """These verdicts are in force, in place of all earlier ones."""
 
     verdicts: list[Verdict] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Part:
-    """This process's parts of the tenants' quotas (requests a second), and of retries a loop's share."""
+class ApplyQuotaShares:
+    """This process's shares of the tenants' quotas (requests a second), and its share of retries."""
 
     quotas: dict[str, float]
     retry_share: float
-    fallback: bool
+    fallback: bool  # the demand of some members is unknown: they are counted with even shares
 
 
 @dataclass(slots=True)
-class Cap:
-    """These servers are new, and get this share of first sends at most."""
+class LimitNewServers:
+    """These servers run the new release, and get this share of first attempts at most."""
 
     servers: frozenset[int]
     share: float
 
 
-Action = Tell | SetTimer | Warn | Part | Cap
+Action = SendMessage | SetTimer | ApplyVerdicts | ApplyQuotaShares | LimitNewServers
--- /dev/null
+++ b/dunlinloft/fleet/shared_state/observations.py
@@ -0,0 +1,203 @@
+"""What this process has observed of servers, as the statistics that it shares.
+
+Wald's sequential probability ratio test, as the node's outlier ejection runs it on its own: each failure
+weighs failing half of the attempts against failing as the peers do, each response the other way, and the sum
+never falls below 0.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterator
+from typing import NamedTuple
+
+from dunlinloft.fleet.releases.follower import AttemptOutcome
+from dunlinloft.fleet.shared_state.messages import ObservationReport, ServerStatistics
+
+FAULTY_FAILURE_SHARE = 0.5  # of attempts: the alternative that is tested for
+MIN_FAILURE_SHARE = 0.01  # that the peers are assumed to have
+MAX_ODDS = 6.0  # of one process's row: one process alone does not suffice for a verdict
+# Time constant with which responses of a server that nobody doubts decay: those from before a fault say
+# nothing.
+SUCCESS_TIME_CONSTANT_MS = 700.0
+# Time constant of failures, and of the responses of a server that is in doubt.
+ODDS_TIME_CONSTANT_MS = 4_000.0
+DOUBT_MS = 30_000.0  # after a failure
+ALL_CLASSES = 0  # the class hash under which delays are reported
+TESTED_SLOWDOWN = 3.0  # delay over the peers': the alternative that is tested for
+# Odds from which a server is reported unprompted; delays vary by chance.
+REPORT_ODDS = 1.0
+REPORT_SLOW_ODDS = 2.0
+BASELINE_ATTEMPTS = 100.0  # over which the share of failures, and usual delays, are averaged
+SLOWDOWN_SAMPLES = 4.0  # over which a server's slowdown is averaged
+MAX_SLOWDOWN_EVIDENCE = 5.0  # delay over the peers', beyond which it is no more evidence
+MAX_SLOWDOWN = 10.0  # that one response counts for
+REPORT_MS = 4_000.0  # for this long after a server stood out it is still reported
+RECENT_MS = 8_000.0  # servers used within this time count as used
+MAX_REPORTED_ROWS = 14  # of one report, the worst first
+EXPIRY_MS = 30_000.0  # without an attempt
+
+
+class ObservedOdds(NamedTuple):
+    """Log odds by errors and by losses, and responses, all decayed."""
+
+    errors: float
+    losses: float
+    successes: float
+
+
+class Observation:
+    """What was observed of one server, for one class."""
+
+    __slots__ = ("error_odds", "failed_ms", "loss_odds", "proven", "reported_ms", "successes", "updated_ms")
+
+    def __init__(self) -> None:
+        self.error_odds = 0.0
+        self.loss_odds = 0.0
+        self.successes = 0.0  # responses
+        self.proven = 0.0  # responses while it was in doubt, which decay more slowly
+        self.updated_ms = -math.inf
+        self.failed_ms = -math.inf
+        self.reported_ms = -math.inf
+
+    def decay(self, now: float) -> None:
+        """Decay all figures to the present."""
+        if self.updated_ms > -math.inf:
+            self.successes *= math.exp((self.updated_ms - now) / SUCCESS_TIME_CONSTANT_MS)
+            factor = math.exp((self.updated_ms - now) / ODDS_TIME_CONSTANT_MS)
+            self.error_odds *= factor
+            self.loss_odds *= factor
+            self.proven *= factor
+        self.updated_ms = now
+
+    def as_of(self, now: float) -> ObservedOdds:
+        """The figures as of now, without changing them."""
+        factor = math.exp((self.updated_ms - now) / ODDS_TIME_CONSTANT_MS)
+        successes = self.successes * math.exp((self.updated_ms - now) / SUCCESS_TIME_CONSTANT_MS)
+        return ObservedOdds(
+            self.error_odds * factor, self.loss_odds * factor, successes + self.proven * factor
+        )
+
+
+class ServerObservations:
+    """All that this process has lately observed, by server and class."""
+
+    def __init__(self) -> None:
+        self.rows: dict[tuple[int, int], Observation] = {}
+        self._slowdowns: dict[int, tuple[float, int]] = {}  # by server: mean, and of how many samples
+        self._start_ids: dict[int, int] = {}
+        self._usual_ms: dict[int, float] = {}  # by class: mean delay
+        self._failure_share = 0.0  # of all attempts
+        self._unresponsive: frozenset[int] = frozenset()
+        self.doubted: set[int] = set()  # servers that others report as faulty
+        self.unreported = 0  # rows that stood out and did not fit a report
+
+    def _evidence(self, failed: bool) -> float:
+        peers = max(MIN_FAILURE_SHARE, min(self._failure_share, FAULTY_FAILURE_SHARE))
+        if failed:
+            return math.log(FAULTY_FAILURE_SHARE / peers)
+        return math.log((1.0 - FAULTY_FAILURE_SHARE) / (1.0 - peers))
+
+    def attempt_completed(
+        self, server: int, class_hash: int, outcome: AttemptOutcome, duration_ms: float, now: float
+    ) -> None:
+        """Count the outcome of an attempt: good, error or lost."""
+        if server not in self._start_ids:
+            return
+        row = self.rows.setdefault((server, class_hash), Observation())
+        row.decay(now)
+        failed = outcome != AttemptOutcome.GOOD
+        self._failure_share += (failed - self._failure_share) / BASELINE_ATTEMPTS
+        evidence = self._evidence(failed)
+        if not failed:
+            row.error_odds = max(0.0, row.error_odds + evidence)
+            row.loss_odds = max(0.0, row.loss_odds + evidence)
+            self._add_success(row, server, now)
+            return self._add_delay(server, class_hash, duration_ms, now)
+        row.successes = 0.0
+        row.proven = 0.0
+        row.failed_ms = now
+        if outcome == AttemptOutcome.ERROR:
+            row.error_odds = min(MAX_ODDS, row.error_odds + evidence)
+        else:
+            row.loss_odds = min(MAX_ODDS, row.loss_odds + evidence)
+
+    def _add_success(self, row: Observation, server: int, now: float) -> None:
+        if server in self.doubted or now - row.failed_ms < DOUBT_MS:
+            row.proven += 1.0
+        else:
+            row.successes += 1.0
+
+    def _add_delay(self, server: int, class_hash: int, duration_ms: float, now: float) -> None:
+        """The same test for delays, taken as exponential: is it `TESTED_SLOWDOWN` times its peers'?"""
+        usual_ms = self._usual_ms.get(class_hash)
+        if usual_ms:
+            slowdown = min(MAX_SLOWDOWN, duration_ms / usual_ms)
+            mean, samples = self._slowdowns.get(server, (1.0, 0))
+            samples = min(samples + 1, 20)
+            self._slowdowns[server] = mean + (slowdown - mean) / min(SLOWDOWN_SAMPLES, samples), samples
+            row = self.rows.setdefault((server, ALL_CLASSES), Observation())
+            row.decay(now)
+            # Delays have long tails: no single response is much evidence.
+            evidence = min(slowdown, MAX_SLOWDOWN_EVIDENCE) * (1.0 - 1.0 / TESTED_SLOWDOWN)
+            evidence -= math.log(TESTED_SLOWDOWN)
+            row.error_odds = min(MAX_ODDS, max(0.0, row.error_odds + evidence))
+            if evidence > 0.0:
+                row.successes = 0.0
+                row.failed_ms = now
+            else:
+                self._add_success(row, server, now)
+        self._usual_ms[class_hash] = (
+            duration_ms if usual_ms is None else usual_ms + (duration_ms - usual_ms) / BASELINE_ATTEMPTS
+        )
+
+    def update_servers(self, start_ids: dict[int, int], unresponsive: frozenset[int], now: float) -> None:
+        """Take the listed servers, and those that have gone silent; rows of former starts are removed."""
+        for key in list(self.rows):
+            server = key[0]
+            restarted = start_ids.get(server) != self._start_ids.get(server)
+            if restarted or now - self.rows[key].updated_ms > EXPIRY_MS:
+                del self.rows[key]
+        for server in [s for s in self._slowdowns if start_ids.get(s) != self._start_ids.get(s)]:
+            del self._slowdowns[server]
+        self._start_ids = dict(start_ids)
+        for server in unresponsive - self._unresponsive:
+            for key in [key for key in self.rows if key[0] == server and key[1] != ALL_CLASSES]:
+                self.attempt_completed(server, key[1], AttemptOutcome.LOST, 0.0, now)
+        self._unresponsive = unresponsive
+
+    def _usage(self, now: float) -> tuple[int, int]:
+        """How many servers were used recently, and how many of them fail more than occasionally."""
+        used = set()
+        failing = set()
+        for (server, class_hash), row in self.rows.items():
+            if now - row.updated_ms < RECENT_MS or server in self._unresponsive:
+                used.add(server)
+                if class_hash != ALL_CLASSES and row.error_odds + row.loss_odds > REPORT_ODDS:
+                    failing.add(server)
+        return len(used), len(failing)
+
+    def report(self, zone: str, tier: int, health: int, now: float) -> ObservationReport | None:
+        """The servers that stand out here, and how those do that others doubt; None if there are none."""
+        rows = list(self._reported_rows(now))
+        if not rows:
+            return None
+        rows.sort(key=lambda row: (-row.error_odds - row.loss_odds, row.server, row.class_hash))
+        self.unreported += max(0, len(rows) - MAX_REPORTED_ROWS)
+        used, failing = self._usage(now)
+        return ObservationReport(zone, tier, used, failing, health, rows[:MAX_REPORTED_ROWS])
+
+    def _reported_rows(self, now: float) -> Iterator[ServerStatistics]:
+        for (server, class_hash), row in self.rows.items():
+            odds = row.as_of(now)
+            errors, losses, successes = odds
+            if errors + losses > (REPORT_ODDS if class_hash else REPORT_SLOW_ODDS):
+                row.reported_ms = now
+            elif server not in self.doubted and now - row.reported_ms > REPORT_MS:
+                continue
+            if errors + losses >= 0.5 or successes >= 0.5:
+                failure_age_ms = int(min(60_000.0, now - row.failed_ms))
+                tenths = round(10.0 * errors), round(10.0 * losses), round(10.0 * successes)
+                slowdown = round(10.0 * self._slowdowns[server][0]) if class_hash == ALL_CLASSES else 0
+                start_id = self._start_ids[server]
+                yield ServerStatistics(server, start_id, class_hash, *tenths, failure_age_ms, slowdown)
--- a/dunlinloft/fleet/shared_state/store.py
+++ b/dunlinloft/fleet/shared_state/store.py
@@ -1,20 +1,21 @@
-"""Records by kind and writer, as this process has them, each with an upper bound on its age.
+"""Replicated records by kind and writer, as one process holds them, each with an upper bound on its age.
 
-Of two records of a kind and writer the one with the greater (life, version) holds, so merging is
-commutative, associative and idempotent; of two copies of one record the smaller bound on its age holds.
+Of two records of a kind and writer the one with the greater (incarnation, version) is valid, so merging is
+commutative, associative and idempotent; of two copies of a record the smaller bound on its age is valid.
 """
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterator
+from typing import NamedTuple
 
 from dunlinloft.fleet.shared_state.messages import (
-    BINDINGS,
-    FINDINGS,
-    KINDS,
-    ORDERS,
-    PULSE,
+    AFFINITY_BINDINGS,
+    HEARTBEAT,
+    OBSERVATION_REPORT,
+    OPERATOR_LIMITS,
+    RECORD_KIND_NAMES,
     RELEASE,
     SUMMARY,
     TALLY,
@@ -23,136 +24,170 @@
     decode,
 )
 
-DRIFT = 0.02  # rates of two clocks differ by so much at most: time that passed here is taken for more
-# Bytes of a record's content.
-MOST = {FINDINGS: 600, PULSE: 500, BINDINGS: 1100, ORDERS: 1000, RELEASE: 300, TALLY: 1100, SUMMARY: 400}
-MOST_WRITERS = 2048  # of a kind; beyond that the oldest that nobody in view wrote goes, then the oldest
+# The rates of two clocks differ by this share at most: a time measured here is lengthened by it.
+MAX_CLOCK_DRIFT = 0.02
+# Of a record's content, by kind.
+MAX_CONTENT_BYTES = {
+    OBSERVATION_REPORT: 600, HEARTBEAT: 500, AFFINITY_BINDINGS: 1100, OPERATOR_LIMITS: 1000, RELEASE: 300,
+    TALLY: 1100, SUMMARY: 400,
+}  # fmt: skip
+# Of a kind; beyond it the oldest record of an unknown writer is evicted, or else the oldest of all.
+MAX_WRITERS = 2048
 
 Key = tuple[int, str]
 
 
-class Held:
-    """A record that is held."""
+class StoredRecord:
+    """A record in the store."""
 
-    __slots__ = ("born_ms", "content", "data", "life", "seq", "source", "version")
+    __slots__ = ("content", "data", "incarnation", "sequence", "source", "version", "written_ms")
 
-    def __init__(self, entry: Entry, content: Content, born_ms: float, seq: int, source: str) -> None:
-        self.life, self.version, self.data, self.content = entry.life, entry.version, entry.content, content
-        self.born_ms, self.seq, self.source = born_ms, seq, source
+    def __init__(self, entry: Entry, content: Content, written_ms: float, sequence: int, source: str) -> None:
+        self.incarnation = entry.incarnation
+        self.version = entry.version
+        self.data = entry.content
+        self.content = content
+        self.written_ms = written_ms  # on this clock, no later than it was written
+        self.sequence = sequence  # its offset in this process's log
+        self.source = source  # the process that it was pulled from; "" for an own record
 
     def age_ms(self, now: float) -> float:
-        """No less than its true age."""
-        return (now - self.born_ms) * (1.0 + DRIFT)
+        """An upper bound on the record's age."""
+        return (now - self.written_ms) * (1.0 + MAX_CLOCK_DRIFT)
 
 
-class Store:
-    """All records that one process holds, its own among them."""
+class StoreItem(NamedTuple):
+    """A record with its key."""
+
+    kind: int
+    writer: str
+    record: StoredRecord
 
-    def __init__(self, name: str, life: int, most_writers: int = MOST_WRITERS) -> None:
-        self.name, self.life, self._most_writers = name, life, most_writers
-        self._held: dict[Key, Held] = {}  # those changed last come last
-        self._lives: dict[str, int] = {}  # of those there
-        self._version = self.seq = 0
+
+class Store:
+    """All records that one process holds, its own among them.
+
+    `sequence` is the end of its log of changes, from which `anti_entropy` serves other processes.
+    """
+
+    def __init__(self, name: str, incarnation: int, max_writers: int = MAX_WRITERS) -> None:
+        self.name = name
+        self.incarnation = incarnation
+        self._max_writers = max_writers
+        self._records: dict[Key, StoredRecord] = {}  # in order of their last change
+        self._incarnations: dict[str, int] = {}  # of the members that are alive
+        self._version = 0
+        self.sequence = 0
         self.counts: Counter[str] = Counter()  # broken, long, foreign, overflow, stale
 
-    def reborn(self, life: int) -> None:
-        """This process has a new life under its name: what it wrote in the former is void."""
-        if life != self.life:
-            self.life = life
-            for key in [key for key in self._held if key[1] == self.name]:
-                del self._held[key]
+    def set_incarnation(self, incarnation: int) -> None:
+        """This process has a new incarnation under its name: records of the former one are void."""
+        if incarnation != self.incarnation:
+            self.incarnation = incarnation
+            for key in [key for key in self._records if key[1] == self.name]:
+                del self._records[key]
 
     def write(self, kind: int, data: bytes, content: Content, now: float) -> bool:
-        """A new word of this process's own; False where it is longer than its kind allows, and not taken."""
-        if len(data) > MOST[kind]:
+        """Write a record of this process; False, and nothing written, if it exceeds its kind's limit."""
+        if len(data) > MAX_CONTENT_BYTES[kind]:
             self.counts["long"] += 1
             return False
         self._version += 1
-        entry = Entry(kind, self.name, self.life, self._version, 0, data)
-        self._keep(entry, content, now, "")
+        entry = Entry(kind, self.name, self.incarnation, self._version, 0, data)
+        self._insert(entry, content, now, "")
         return True
 
-    def _keep(self, entry: Entry, content: Content, born_ms: float, source: str) -> None:
+    def _insert(self, entry: Entry, content: Content, written_ms: float, source: str) -> None:
         key = entry.kind, entry.writer
-        self._held.pop(key, None)
-        self.seq += 1
-        self._held[key] = Held(entry, content, born_ms, self.seq, source)
+        self._records.pop(key, None)
+        self.sequence += 1
+        self._records[key] = StoredRecord(entry, content, written_ms, self.sequence, source)
 
-    def take(self, entry: Entry, transit_ms: float, source: str, now: float) -> bool:
-        """Merge a record that was on its way for so long at most; whether it is news."""
-        if entry.writer == self.name or entry.kind not in KINDS:
+    def merge(self, entry: Entry, transit_ms: float, source: str, now: float) -> bool:
+        """Merge a record that was in transit for at most `transit_ms`; whether it was new."""
+        if entry.writer == self.name or entry.kind not in RECORD_KIND_NAMES:
             return False
-        lives = self._lives.get(entry.writer)
-        if lives is not None and entry.life < lives:
+        incarnation = self._incarnations.get(entry.writer)
+        if incarnation is not None and entry.incarnation < incarnation:
             self.counts["stale"] += 1
             return False
-        born = now - entry.age_ms - transit_ms * (1.0 + DRIFT)
-        held = self._held.get((entry.kind, entry.writer))
-        if held is not None and (held.life, held.version) >= (entry.life, entry.version):
-            if (held.life, held.version) == (entry.life, entry.version):
-                held.born_ms = max(held.born_ms, born)
-            return False
-        if len(entry.content) > MOST[entry.kind] or entry.age_ms < 0:
+        written_ms = now - entry.age_ms - transit_ms * (1.0 + MAX_CLOCK_DRIFT)
+        record = self._records.get((entry.kind, entry.writer))
+        if record is not None:
+            current, received = (record.incarnation, record.version), (entry.incarnation, entry.version)
+            if current == received:
+                record.written_ms = max(record.written_ms, written_ms)
+            if current >= received:
+                return False
+        if len(entry.content) > MAX_CONTENT_BYTES[entry.kind] or entry.age_ms < 0:
             self.counts["long"] += 1
             return False
         content = decode(entry.kind, entry.content)
         if content is None:
             self.counts["broken"] += 1
             return False
-        self._keep(entry, content, born, source)
-        self._bound(entry.kind)
+        self._insert(entry, content, written_ms, source)
+        self._evict(entry.kind)
         return True
 
-    def _bound(self, kind: int) -> None:
-        """Let one go where a kind has too many: of strangers the oldest, else the oldest of all."""
-        if len(self._held) <= self._most_writers:
+    def _evict(self, kind: int) -> None:
+        """Remove a record if there are too many of a kind: of unknown writers the oldest, or else of all."""
+        if len(self._records) <= self._max_writers:
             return
-        mine = [key for key in self._held if key[0] == kind and key[1] != self.name]
-        if len(mine) > self._most_writers:
-            strangers = [key for key in mine if key[1] not in self._lives]
-            del self._held[min(strangers or mine, key=lambda key: self._held[key].born_ms)]
+        keys = [key for key in self._records if key[0] == kind and key[1] != self.name]
+        if len(keys) > self._max_writers:
+            unknown = [key for key in keys if key[1] not in self._incarnations]
+            del self._records[min(unknown or keys, key=lambda key: self._records[key].written_ms)]
             self.counts["overflow"] += 1
 
-    def seen(self, here: dict[str, int]) -> None:
-        """These are there, with these lives: what others wrote goes, but for what is ahead of the news."""
-        gone = self._lives.keys() - here.keys()
-        self._lives = dict(here)
-        for key, held in list(self._held.items()):
+    def set_members(self, alive: dict[str, int]) -> None:
+        """These members are alive, with these incarnations.
+
+        Records of members that were alive before, and of earlier incarnations, are removed. Records of
+        writers that were never alive here stay: they may be ahead of membership's updates.
+        """
+        removed = self._incarnations.keys() - alive.keys()
+        self._incarnations = dict(alive)
+        for key, record in list(self._records.items()):
             writer = key[1]
-            if writer != self.name and (writer in gone or held.life < here.get(writer, held.life)):
-                del self._held[key]
-
-    def read(self, kind: int, bound_ms: float, now: float) -> Iterator[tuple[str, Held]]:
-        """Others' records of a kind that are surely no older than the bound, of those that are there."""
-        for writer, held in self.others(kind):
-            if self._lives.get(writer) == held.life and held.age_ms(now) <= bound_ms:
-                yield writer, held
-
-    def get(self, kind: int, writer: str) -> Held | None:
-        """A record, however old; None where its writer is not there, or has said nothing."""
-        held = self._held.get((kind, writer))
-        if held is None or (writer != self.name and self._lives.get(writer) != held.life):
+            superseded = record.incarnation < alive.get(writer, record.incarnation)
+            if writer != self.name and (writer in removed or superseded):
+                del self._records[key]
+
+    def read(self, kind: int, max_age_ms: float, now: float) -> Iterator[tuple[str, StoredRecord]]:
+        """Records of a kind that living members wrote, surely no older than `max_age_ms`."""
+        for writer, record in self.others(kind):
+            alive = self._incarnations.get(writer) == record.incarnation
+            if alive and record.age_ms(now) <= max_age_ms:
+                yield writer, record
+
+    def get(self, kind: int, writer: str) -> StoredRecord | None:
+        """A record of any age; None if its writer is not alive, or has written none of this kind."""
+        record = self._records.get((kind, writer))
+        if record is None:
+            return None
+        if writer != self.name and self._incarnations.get(writer) != record.incarnation:
             return None
-        return held
+        return record
 
-    def since(self, cursor: int, reader: str) -> list[tuple[int, str, int, Held]]:
-        """What changed after a place in the log, oldest first, but what the reader wrote or told."""
+    def changed_after(self, cursor: int, reader: str) -> list[StoreItem]:
+        """Records changed after an offset of the log, oldest first, without those that the reader has."""
         found = []
-        for (kind, writer), held in reversed(self._held.items()):
-            if held.seq <= cursor:
+        for (kind, writer), record in reversed(self._records.items()):
+            if record.sequence <= cursor:
                 break
-            # One that starts from nothing may have told us what it has forgotten since.
-            if reader != writer and (reader != held.source or not cursor):
-                found.append((kind, writer, held.seq, held))
+            # A reader that starts without records may have sent us what it has lost since.
+            if reader != writer and (reader != record.source or not cursor):
+                found.append(StoreItem(kind, writer, record))
         return found[::-1]
 
-    def others(self, kind: int) -> Iterator[tuple[str, Held]]:
-        """All of a kind that others wrote, however old, also of strangers."""
-        for (held_kind, writer), held in self._held.items():
-            if held_kind == kind and writer != self.name:
-                yield writer, held
+    def others(self, kind: int) -> Iterator[tuple[str, StoredRecord]]:
+        """All records of a kind by other writers, of any age, also of unknown writers."""
+        for (record_kind, writer), record in self._records.items():
+            if record_kind == kind and writer != self.name:
+                yield writer, record
 
-    def all(self) -> Iterator[tuple[int, str, Held]]:
-        """Everything, for whoever shows it."""
-        for (kind, writer), held in self._held.items():
-            yield kind, writer, held
+    def all(self) -> Iterator[StoreItem]:
+        """All records, for the admin endpoint and checks."""
+        for (kind, writer), record in self._records.items():
+            yield StoreItem(kind, writer, record)
--- a/dunlinloft/fleet/shared_state/verdicts.py
+++ b/dunlinloft/fleet/shared_state/verdicts.py
@@ -1,8 +1,9 @@
-"""What all together think of each server: figures of many processes, pooled by how independent they are.
+"""Pooled outlier verdicts: the statistics of many processes, weighted by how independent they are.
 
-Errors that a server answers with are its own word, so each process's count adds up. Time-outs and failed
-connects may be a link's: of each zone the strongest one counts, once. What a zone's own processes see of a
-server outweighs what other zones do. Whoever sees most servers fail is ill itself and counts for nothing.
+Errors that a server responds with are its own, so each process's count adds up. Time-outs and failed connects
+may be a link's: of each zone the strongest row counts, once. What a zone's own processes observe of a server
+outweighs what other zones do. The report of a process that sees most servers fail is ignored: the fault is
+its own.
 """
 
 from __future__ import annotations
@@ -11,203 +12,265 @@
 import random
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from dunlinloft.fleet.shared_state.messages import Cell, Findings, Verdict
-from dunlinloft.fleet.shared_state.witness import ANY, BAD, FLOOR, MOST_ODDS, ODDS_MS
+from dunlinloft.fleet.shared_state.messages import ObservationReport, ServerStatistics, Verdict
+from dunlinloft.fleet.shared_state.observations import (
+    ALL_CLASSES,
+    FAULTY_FAILURE_SHARE,
+    MAX_ODDS,
+    MIN_FAILURE_SHARE,
+    ODDS_TIME_CONSTANT_MS,
+)
 
-BOUND_MS = 2_500.0  # findings that may be older than this count for nothing
-AVOID, KEEP = 7.0, 2.0  # pooled log odds from which a server is avoided, and below which it no longer is
-SLOWER = 4.0  # odds from which a server is taken for slow: it only gets less
-DOUBT = 5.0  # odds against a server from which all say how they find it
-STALE_MS, HALVED_BY = 1_500.0, 1.0  # a failure so long ago counts half for each answer that others had since
-LEAST_ZONE = 2  # members of one's own zone that have to agree where nobody else does
-NEAR = 1.5  # what the own zone's loss counts for, of those who have its links
-MOST_SHARE = 0.5  # of the servers, by verdicts that were shared
-TRIAL_SHARE, TRIAL_MS = 0.5, (1_000.0, 10_000.0)  # of the time for which a server has been avoided, within
-# these bounds, somebody tries it: so rarer and rarer, by all together
-LIFT_MS, LIFT_SLOW_MS = 20_000.0, 10_000.0  # without any word of it a verdict ends
-USERS_MS = 30_000.0  # whoever spoke of a server within this time uses it
-GOOD_STEP = math.log((1.0 - FLOOR) / (1.0 - BAD))
+MAX_REPORT_AGE_MS = 2_500.0  # reports that may be older are ignored
+AVOID_ODDS = 7.0  # pooled log odds from which a server is avoided
+KEEP_ODDS = 2.0  # and below which it no longer is
+SLOW_ODDS = 4.0  # from which a server is taken for slow: it gets less, but is not avoided
+DOUBT_ODDS = 5.0  # from which all processes report on a server
+# A failure older than this counts half for each response that others had since.
+STALE_FAILURE_MS = 1_500.0
+STALE_HALVINGS = 1.0  # for each of these responses
+# Members of the own zone that have to agree where no other zone does.
+MIN_ZONE_MEMBERS = 2
+OWN_ZONE_WEIGHT = 1.5  # of the own zone's losses, as its links are the ones in use
+MAX_AVOIDED_SHARE = 0.5  # of the servers
+# An avoided server is tried by some member at intervals of this share of the time since it is avoided, within
+# the bounds: by all members together, and ever more rarely.
+TRIAL_INTERVAL_SHARE = 0.5
+MIN_TRIAL_INTERVAL_MS = 1_000.0
+MAX_TRIAL_INTERVAL_MS = 10_000.0
+# Without any report on the server a verdict expires.
+VERDICT_EXPIRY_MS = 20_000.0
+SLOW_EXPIRY_MS = 10_000.0
+USER_EXPIRY_MS = 30_000.0  # a member that reported on a server within this time uses it
+SUCCESS_EVIDENCE = math.log((1.0 - MIN_FAILURE_SHARE) / (1.0 - FAULTY_FAILURE_SHARE))
+
+
+class ReceivedReport(NamedTuple):
+    """A member's report, and an upper bound on its age."""
+
+    writer: str
+    age_ms: float
+    report: ObservationReport
+
+
+class _Row(NamedTuple):
+    """A row of a report, and the age of its failure with the report's."""
+
+    writer: str
+    report: ObservationReport
+    statistics: ServerStatistics
+    failure_age_ms: float
+
+
+class _Slow(NamedTuple):
+    """A slow server: its delay over its peers', and when that was last reported."""
+
+    slowdown: float
+    reported_ms: float
 
 
 @dataclass(slots=True)
-class _Sum:
-    """Of one server and class."""
+class _PooledOdds:
+    """The pooled statistics of one server and class."""
 
     errors: float = 0.0
-    near_errors: float = 0.0
-    lost: dict[str, float] = field(default_factory=dict)  # by zone: the strongest
-    near: int = 0  # members of the own zone that lost it
-    ratio: float = 0.0  # the delay over its peers', times `errors`
-    good: float = 0.0
-    near_good: float = 0.0
+    own_zone_errors: float = 0.0
+    losses: dict[str, float] = field(default_factory=dict)  # by zone: the strongest
+    own_zone_losers: int = 0  # members of the own zone that lost attempts there
+    weighted_slowdown: float = 0.0  # the delay over the peers', times `errors`
+    successes: float = 0.0
+    own_zone_successes: float = 0.0
 
     def odds(self, zone: str) -> float:
-        """That it fails half its calls, rather than as its peers do, for whoever is in this zone."""
-        far = self.errors + sum(self.lost.values()) - GOOD_STEP * self.good
-        lost = self.lost.get(zone, 0.0)
-        near = self.near_errors + lost * (NEAR if self.near >= LEAST_ZONE else 1.0)
-        near -= GOOD_STEP * self.near_good
-        # What the own zone sees decides where it sees anything: links differ from zone to zone.
-        if self.near_good > 1.0 and near < 0.0:
-            return near
-        if not (self.near_good or self.near_errors or lost):
-            return far
-        return max(near, far)
-
-
-class Pool:
-    """Verdicts of one process, from its own findings and those of others."""
+        """Log odds, for members of this zone, that it fails half of its attempts, not as its peers do."""
+        overall = self.errors + sum(self.losses.values()) - SUCCESS_EVIDENCE * self.successes
+        losses = self.losses.get(zone, 0.0)
+        own_zone = self.own_zone_errors
+        own_zone += losses * (OWN_ZONE_WEIGHT if self.own_zone_losers >= MIN_ZONE_MEMBERS else 1.0)
+        own_zone -= SUCCESS_EVIDENCE * self.own_zone_successes
+        # Where the own zone has observed anything it decides: links differ from zone to zone.
+        if self.own_zone_successes > 1.0 and own_zone < 0.0:
+            return own_zone
+        if not (self.own_zone_successes or self.own_zone_errors or losses):
+            return overall
+        return max(own_zone, overall)
+
+
+class VerdictPool:
+    """One process's verdicts, from its own report and those of others."""
 
     def __init__(self, zone: str, tier: int, rng: random.Random) -> None:
-        self._zone, self._tier, self._rng = zone, tier, rng
+        self._zone = zone
+        self._tier = tier
+        self._rng = rng
         self._avoided: dict[tuple[int, int], float] = {}  # server and class (0: all), and since when
-        self._slow: dict[
-            int, tuple[float, float]
-        ] = {}  # by server: its delay over its peers', last said when
-        self._heard: dict[int, float] = {}  # by server that is avoided: when anybody last spoke against it
-        self._users: dict[int, dict[str, float]] = {}  # by server: who spoke of it, and when last
-        self.doubted: set[int] = set()  # servers that all should speak of
-        self.capped = 0  # verdicts that would have taken more than half
-
-    def look(
-        self,
-        told: Iterable[tuple[str, float, Findings]],
-        starts: dict[int, int],
-        passed_ms: float,
-        now: float,
+        self._slow: dict[int, _Slow] = {}
+        self._accused_ms: dict[int, float] = {}  # by avoided server: the last report against it
+        self._users: dict[int, dict[str, float]] = {}  # by server: who reported on it, and when last
+        self.doubted: set[int] = set()  # servers that all should report on
+        self.capped = 0  # verdicts beyond `MAX_AVOIDED_SHARE`
+
+    def update(
+        self, received: Iterable[ReceivedReport], start_ids: dict[int, int], elapsed_ms: float, now: float
     ) -> list[Verdict]:
-        """Verdicts from findings, each with its writer and age in ms, on servers that are listed here."""
-        told = [(writer, age, says) for writer, age, says in told if says.tier == self._tier and _sound(says)]
-        sums = self._add_up(told, starts, now)
+        """The verdicts on listed servers.
+
+        Parameters
+        ----------
+        received
+            The members' reports, this process's own included.
+        start_ids
+            By listed server, of its process.
+        elapsed_ms
+            Since the last update, for the rate of trials.
+        """
+        reports = [r for r in received if r.report.tier == self._tier and _is_healthy(r.report)]
+        pooled = self._pool(reports, start_ids, now)
         self.doubted = {
             server
-            for (server, cls), s in sums.items()
-            if s.errors + sum(s.lost.values()) >= (SLOWER if cls == ANY else DOUBT)
+            for (server, class_hash), odds in pooled.items()
+            if odds.errors + sum(odds.losses.values())
+            >= (SLOW_ODDS if class_hash == ALL_CLASSES else DOUBT_ODDS)
         } | {server for server, _ in self._avoided}
-        self._judge(sums, starts, now)
-        return self._verdicts(passed_ms, now)
-
-    def _add_up(
-        self, told: list[tuple[str, float, Findings]], starts: dict[int, int], now: float
-    ) -> dict[tuple[int, int], _Sum]:
-        cells = [
-            (writer, says, cell, age + cell.ago_ms)
-            for writer, age, says in told
-            for cell in says.cells
-            if starts.get(cell.server, -1) == cell.start
+        self._judge(pooled, start_ids, now)
+        return self._verdicts(elapsed_ms, now)
+
+    def _pool(
+        self, received: list[ReceivedReport], start_ids: dict[int, int], now: float
+    ) -> dict[tuple[int, int], _PooledOdds]:
+        rows = [
+            _Row(writer, report, row, age_ms + row.failure_age_ms)
+            for writer, age_ms, report in received
+            for row in report.statistics
+            if start_ids.get(row.server, -1) == row.start_id
         ]
-        since: dict[tuple[int, int], float] = {}  # answers of late, by all
-        for _, _, cell, _ in cells:
-            key = cell.server, cell.cls
-            since[key] = since.get(key, 0.0) + cell.good / 10.0
-        sums: dict[tuple[int, int], _Sum] = {}
-        for writer, says, cell, ago in cells:
-            self._users.setdefault(cell.server, {})[writer] = now
-            weight = 1.0 / (1.0 + 0.5 * says.health)
-            if cell.errors or cell.lost:
-                weight *= _fresh(cell, ago, since[cell.server, cell.cls] - cell.good / 10.0)
-            self._one(sums.setdefault((cell.server, cell.cls), _Sum()), says.zone, cell, weight / 10.0)
-        return sums
-
-    def _one(self, found: _Sum, zone: str, cell: Cell, weight: float) -> None:
-        near, most = zone == self._zone, round(10.0 * MOST_ODDS)
-        errors, lost = min(cell.errors, most), min(cell.lost, most)  # whatever it claims
-        found.errors += weight * errors
-        found.ratio += weight * errors * cell.slow / 10.0
-        found.good += weight * cell.good
-        if near:
-            found.near_errors += weight * errors
-            found.near_good += weight * cell.good
-            found.near += cell.lost > 10
-        if lost:
-            found.lost[zone] = max(found.lost.get(zone, 0.0), weight * lost)
-
-    def _judge(self, sums: dict[tuple[int, int], _Sum], starts: dict[int, int], now: float) -> None:
-        """Which are avoided, for which classes; the worst first, and never more than half."""
-        wanted: dict[tuple[int, int], float] = {}  # with the odds
-        self._judge_delays(sums, starts, now)
-        for server, by_class in self._by_server(sums).items():
-            wanted |= self._of_one(server, by_class)
+        successes: dict[tuple[int, int], float] = {}  # recent ones, of all members
+        for _, _, row, _ in rows:
+            key = row.server, row.class_hash
+            successes[key] = successes.get(key, 0.0) + row.successes / 10.0
+        pooled: dict[tuple[int, int], _PooledOdds] = {}
+        for writer, report, row, failure_age_ms in rows:
+            key = row.server, row.class_hash
+            self._users.setdefault(row.server, {})[writer] = now
+            weight = 1.0 / (1.0 + 0.5 * report.health)
+            if row.error_odds or row.loss_odds:
+                weight *= _freshness(row, failure_age_ms, successes[key] - row.successes / 10.0)
+            self._add(pooled.setdefault(key, _PooledOdds()), report.zone, row, weight / 10.0)
+        return pooled
+
+    def _add(self, pooled: _PooledOdds, zone: str, row: ServerStatistics, weight: float) -> None:
+        # No row counts for more than one process may observe, whatever it claims.
+        max_tenths = round(10.0 * MAX_ODDS)
+        errors = min(row.error_odds, max_tenths)
+        losses = min(row.loss_odds, max_tenths)
+        pooled.errors += weight * errors
+        pooled.weighted_slowdown += weight * errors * row.slowdown / 10.0
+        pooled.successes += weight * row.successes
+        if zone == self._zone:
+            pooled.own_zone_errors += weight * errors
+            pooled.own_zone_successes += weight * row.successes
+            pooled.own_zone_losers += row.loss_odds > 10
+        if losses:
+            pooled.losses[zone] = max(pooled.losses.get(zone, 0.0), weight * losses)
+
+    def _judge(
+        self, pooled: dict[tuple[int, int], _PooledOdds], start_ids: dict[int, int], now: float
+    ) -> None:
+        """Update which servers are avoided, for which classes; the worst first, within the share allowed."""
+        candidates: dict[tuple[int, int], float] = {}  # with the odds
+        self._judge_delays(pooled, start_ids, now)
+        for server, by_class in self._odds_by_server(pooled).items():
+            candidates |= self._judge_server(server, by_class)
             if any(odds > 0.0 for odds in by_class.values()):
-                self._heard[server] = now
-        for server, cls in self._avoided:  # of whom nothing is heard: nobody has tried, which says nothing
-            silent = all(key[0] != server or key[1] == ANY for key in sums)
-            if silent and server in starts and now - self._heard.get(server, -math.inf) < LIFT_MS:
-                wanted[server, cls] = KEEP
+                self._accused_ms[server] = now
+        for server, class_hash in self._avoided:
+            # Without a report nobody has tried the server, which is evidence of nothing.
+            unreported = all(key[0] != server or key[1] == ALL_CLASSES for key in pooled)
+            recent = now - self._accused_ms.get(server, -math.inf) < VERDICT_EXPIRY_MS
+            if unreported and server in start_ids and recent:
+                candidates[server, class_hash] = KEEP_ODDS
         worst: dict[int, float] = {}
-        for (server, _), odds in wanted.items():
+        for (server, _), odds in candidates.items():
             worst[server] = max(odds, worst.get(server, 0.0))
-        most = int(MOST_SHARE * len(starts))
-        kept = set(sorted(worst, key=lambda server: (-worst[server], server))[:most])
-        self.capped += len(worst) - len(kept)
-        self._avoided = {key: self._avoided.get(key, now) for key in wanted if key[0] in kept}
-        self._heard = {server: at for server, at in self._heard.items() if server in kept}
-
-    def _judge_delays(self, sums: dict[tuple[int, int], _Sum], starts: dict[int, int], now: float) -> None:
-        """Which are slow, how much, and when anybody last said so."""
-        for server, (_, at) in list(self._slow.items()):
-            found = sums.get((server, ANY), _Sum())
-            well = found.good > 1.0 and found.odds(self._zone) < KEEP
-            if well or server not in starts or now - at > LIFT_SLOW_MS:
+        max_avoided = int(MAX_AVOIDED_SHARE * len(start_ids))
+        avoided = set(sorted(worst, key=lambda server: (-worst[server], server))[:max_avoided])
+        self.capped += len(worst) - len(avoided)
+        self._avoided = {key: self._avoided.get(key, now) for key in candidates if key[0] in avoided}
+        self._accused_ms = {server: at for server, at in self._accused_ms.items() if server in avoided}
+
+    def _judge_delays(
+        self, pooled: dict[tuple[int, int], _PooledOdds], start_ids: dict[int, int], now: float
+    ) -> None:
+        """Update which servers are slow."""
+        for server, slow in list(self._slow.items()):
+            odds = pooled.get((server, ALL_CLASSES), _PooledOdds())
+            recovered = odds.successes > 1.0 and odds.odds(self._zone) < KEEP_ODDS
+            if recovered or server not in start_ids or now - slow.reported_ms > SLOW_EXPIRY_MS:
                 del self._slow[server]
-        for (server, cls), found in sums.items():
-            least = KEEP if server in self._slow else SLOWER
-            if cls == ANY and found.errors and found.odds(self._zone) >= least:
-                self._slow[server] = max(1.0, found.ratio / found.errors), now
+        for (server, class_hash), odds in pooled.items():
+            threshold = KEEP_ODDS if server in self._slow else SLOW_ODDS
+            if class_hash == ALL_CLASSES and odds.errors and odds.odds(self._zone) >= threshold:
+                self._slow[server] = _Slow(max(1.0, odds.weighted_slowdown / odds.errors), now)
 
-    def _by_server(self, sums: dict[tuple[int, int], _Sum]) -> dict[int, dict[int, float]]:
+    def _odds_by_server(self, pooled: dict[tuple[int, int], _PooledOdds]) -> dict[int, dict[int, float]]:
         found: dict[int, dict[int, float]] = {}
-        for (server, cls), sum_ in sums.items():
-            if cls != ANY:
-                found.setdefault(server, {})[cls] = sum_.odds(self._zone)
+        for (server, class_hash), odds in pooled.items():
+            if class_hash != ALL_CLASSES:
+                found.setdefault(server, {})[class_hash] = odds.odds(self._zone)
         return found
 
-    def _of_one(self, server: int, by_class: dict[int, float]) -> dict[tuple[int, int], float]:
+    def _judge_server(self, server: int, by_class: dict[int, float]) -> dict[tuple[int, int], float]:
         """What is avoided of one server: all classes (0), some, or none."""
         total = sum(by_class.values())
-        well = any(odds < -GOOD_STEP for odds in by_class.values())  # somebody has had answers
-        was = (server, 0) in self._avoided
-        if not well and (was or total >= AVOID):
-            return {(server, 0): max(KEEP, total)}
-        if was and total >= KEEP:
+        responding = any(odds < -SUCCESS_EVIDENCE for odds in by_class.values())
+        avoided = (server, 0) in self._avoided
+        if not responding and (avoided or total >= AVOID_ODDS):
+            return {(server, 0): max(KEEP_ODDS, total)}
+        if avoided and total >= KEEP_ODDS:
             return {(server, 0): total}
         return {
-            (server, cls): odds
-            for cls, odds in by_class.items()
-            if odds >= (KEEP if (server, cls) in self._avoided else AVOID)
+            (server, class_hash): odds
+            for class_hash, odds in by_class.items()
+            if odds >= (KEEP_ODDS if (server, class_hash) in self._avoided else AVOID_ODDS)
         }
 
-    def _verdicts(self, passed_ms: float, now: float) -> list[Verdict]:
+    def _verdicts(self, elapsed_ms: float, now: float) -> list[Verdict]:
         classes: dict[int, set[int]] = {}
-        for server, cls in self._avoided:
-            classes.setdefault(server, set()).add(cls)
+        for server, class_hash in self._avoided:
+            classes.setdefault(server, set()).add(class_hash)
         found = []
         for server in sorted(classes.keys() | self._slow.keys()):
-            marks = classes.get(server, set())
-            users = max(1, len(self._users.get(server, ())))
+            hashes = classes.get(server, set())
+            user_count = max(1, len(self._users.get(server, ())))
             since = min((at for (s, _), at in self._avoided.items() if s == server), default=now)
-            every = min(TRIAL_MS[1], max(TRIAL_MS[0], TRIAL_SHARE * (now - since)))
-            trial = bool(marks) and self._rng.random() < passed_ms / (every * users)
-            named = frozenset(marks - {0}) if 0 not in marks else frozenset[int]()
-            found.append(Verdict(server, bool(marks), named, self._slow.get(server, (1.0, now))[0], trial))
+            interval_ms = min(
+                MAX_TRIAL_INTERVAL_MS, max(MIN_TRIAL_INTERVAL_MS, TRIAL_INTERVAL_SHARE * (now - since))
+            )
+            trial = bool(hashes) and self._rng.random() < elapsed_ms / (interval_ms * user_count)
+            named = frozenset(hashes - {0}) if 0 not in hashes else frozenset[int]()
+            slowdown = self._slow.get(server, _Slow(1.0, now)).slowdown
+            found.append(Verdict(server, bool(hashes), named, slowdown, trial))
         return found
 
-    def forget(self, now: float) -> None:
-        """Let go of who spoke of a server long ago."""
+    def expire_users(self, now: float) -> None:
+        """Forget members that have not reported on a server for `USER_EXPIRY_MS`."""
         for server, users in list(self._users.items()):
-            for writer in [writer for writer, at in users.items() if now - at > USERS_MS]:
+            for writer in [writer for writer, at in users.items() if now - at > USER_EXPIRY_MS]:
                 del users[writer]
             if not users:
                 del self._users[server]
 
 
-def _sound(says: Findings) -> bool:
-    """Whether a member is not ill itself: one that sees most of its servers fail."""
-    return 2 * says.failing <= says.used
+def _is_healthy(report: ObservationReport) -> bool:
+    """Whether the reporting member is not faulty itself: one that sees most of its servers fail."""
+    return 2 * report.failing <= report.used
 
 
-def _fresh(cell: Cell, ago_ms: float, since: float) -> float:
-    """What an accusation still counts for, after so long and so many answers that others had."""
-    weight = math.exp(-max(0.0, ago_ms - cell.ago_ms) / ODDS_MS)
-    return weight * 0.5 ** (HALVED_BY * since) if ago_ms > STALE_MS else weight
+def _freshness(row: ServerStatistics, failure_age_ms: float, successes_since: float) -> float:
+    """The weight of a failure by its age, and by the responses that others have had."""
+    weight = math.exp(-max(0.0, failure_age_ms - row.failure_age_ms) / ODDS_TIME_CONSTANT_MS)
+    if failure_age_ms > STALE_FAILURE_MS:
+        weight *= 0.5 ** (STALE_HALVINGS * successes_since)
+    return weight
--- a/dunlinloft/node/fleet/directory.py
+++ b/dunlinloft/node/fleet/directory.py
@@ -95,8 +95,8 @@
                 case api.SendDatagram():
                     if isinstance(action.message, CellMessage):
                         self.peers.send(self.wire.write(action.message), action.address)
-                case shared.Tell():
-                    self.peers.tell(action.name, action.message)
+                case shared.SendMessage():
+                    self.peers.tell(action.recipient, action.message)
                 case shared.SetTimer():
                     self._loop.call_later(
                         action.delay_ms / 1000.0, self._give, shared.TimerFired(action.token)
@@ -117,7 +117,7 @@
 
     def _heard(self, message: Message) -> None:
         if isinstance(message, ApplicationMessage) and isinstance(message.content, shared.Message):
-            self._give(shared.Heard(message.content, message.header.name))
+            self._give(shared.MessageReceived(message.content, message.header.name))
 
     # What operators see
 
--- a/dunlinloft/node/fleet/releases.py
+++ b/dunlinloft/node/fleet/releases.py
@@ -12,8 +12,8 @@
 from dunlinloft.fleet.releases.messages import RELEASE_KEY, TERMINAL_STATES, Order, Plan, Tally, decode_plan
 from dunlinloft.fleet.releases.request import InvalidReleaseRequest, parse_release_request
 from dunlinloft.fleet.releases.traffic import MemberTally
-from dunlinloft.fleet.shared_state.core import Shared
-from dunlinloft.fleet.shared_state.messages import TALLY, Steer
+from dunlinloft.fleet.shared_state.core import SharedState
+from dunlinloft.fleet.shared_state.messages import TALLY, ReleaseOrderIssued
 from dunlinloft.node.config import server_id
 from dunlinloft.node.fleet.duties import Entries
 
@@ -24,8 +24,8 @@
     """The steward, and what operators say to it and see of it."""
 
     def __init__(
-        self, shared: Shared, entries: Entries, give: Callable[[Steer], None], holder: Callable[[], str],
-        now: Callable[[], float],
+        self, shared: SharedState, entries: Entries, give: Callable[[ReleaseOrderIssued], None],
+        holder: Callable[[], str], now: Callable[[], float],
     ) -> None:  # fmt: skip
         self._shared, self._entries, self._give, self._now = shared, entries, give, now
         self._holder = holder
@@ -59,14 +59,14 @@
             return
         now, store = self._now(), self._shared.store
         told = [
-            MemberTally(writer, held.life, held.age_ms(now), held.content)
+            MemberTally(writer, held.incarnation, held.age_ms(now), held.content)
             for writer, held in store.read(TALLY, MAX_TALLY_AGE_MS, now)
             if isinstance(held.content, Tally) and held.content.tier == self._shared.tier
         ]
-        told.append(MemberTally(store.name, store.life, 0.0, self._shared.follower.tally()))
-        order: Order | None = self.steward.look(told, self._shared.seen.base, now)
+        told.append(MemberTally(store.name, store.incarnation, 0.0, self._shared.follower.tally()))
+        order: Order | None = self.steward.look(told, self._shared.membership.member_count, now)
         if order is not None:
-            self._give(Steer(order))
+            self._give(ReleaseOrderIssued(order))
 
     # At the admin endpoint
 
--- a/dunlinloft/node/fleet/shared.py
+++ b/dunlinloft/node/fleet/shared.py
@@ -18,9 +18,9 @@
 from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import ApplicationMessage, Message
-from dunlinloft.fleet.releases.follower import ObservedServer
+from dunlinloft.fleet.releases.follower import AttemptOutcome, ObservedServer
 from dunlinloft.fleet.shared_state import messages as shared
-from dunlinloft.fleet.shared_state.core import AFFINITY, LIMITS, PARTS, RELEASES, Shared, mark
+from dunlinloft.fleet.shared_state.core import AFFINITY, FEATURES, LIMITS, RELEASES, SharedState, class_hash
 from dunlinloft.node import logs
 from dunlinloft.node.config import FleetConfig, Listing, now_ms
 
@@ -29,8 +29,9 @@
 
 KNOWN_S = 0.25  # how often the fleet's part hears what the node knows
 HOW = {
-    Result.SERVED: "good", Result.ERROR: "error", Result.RESET: "lost", Result.TIMEOUT: "lost",
-    Result.UNREACHABLE: "lost", Result.REJECTED: "full",
+    Result.SERVED: AttemptOutcome.GOOD, Result.ERROR: AttemptOutcome.ERROR, Result.RESET: AttemptOutcome.LOST,
+    Result.TIMEOUT: AttemptOutcome.LOST, Result.UNREACHABLE: AttemptOutcome.LOST,
+    Result.REJECTED: AttemptOutcome.FULL,
 }  # fmt: skip
 
 
@@ -51,7 +52,7 @@
 
 def known(
     balancer: Balancer, starts: dict[int, int], since_ms: dict[int, float] | None, now: float
-) -> shared.Known:
+) -> shared.NodeStatus:
     """What a node knows of its servers and its loop now; with `since_ms` also what releases need."""
     listed = {server: starts.get(server, 0) for server in balancer.server_set.servers}
     loop = balancer.controller
@@ -61,8 +62,8 @@
         for id, server in balancer.server_set.servers.items():
             warmth = server.slow_start_share(now, balancer.settings)
             weight = server.subset_share * warmth if id in ready else 0.0
-            servers[id] = ObservedServer(mark(server.zone), since_ms.get(id, 0.0), weight, warmth < 1.0)
-    return shared.Known(
+            servers[id] = ObservedServer(class_hash(server.zone), since_ms.get(id, 0.0), weight, warmth < 1.0)
+    return shared.NodeStatus(
         listed, frozenset(balancer.unresponsive_servers(now)), dict(balancer.zone_capacity(now)),
         loop.allowed_rate, loop.tuned_rate, servers,
     )  # fmt: skip
@@ -73,32 +74,38 @@
     return api.PeerVerdicts(
         [
             api.PeerVerdict(
-                v.server, v.avoid, frozenset(marks[m] for m in v.classes if m in marks), v.slow, v.trial
+                v.server,
+                v.avoid,
+                frozenset(marks[m] for m in v.class_hashes if m in marks),
+                v.slowdown,
+                v.trial,
             )
             for v in verdicts
-            if not v.classes or any(m in marks for m in v.classes)
+            if not v.class_hashes or any(m in marks for m in v.class_hashes)
         ]
     )
 
 
-def seen(members: Membership, census: MemberCount | CellCensus) -> shared.Seen:
+def seen(members: Membership, census: MemberCount | CellCensus) -> shared.MembershipUpdated:
     """Who is there, and who counts."""
     here = (
         {}
         if members.muted
         else {m.name: m.incarnation for m in members.view.members.values() if m.is_alive()}
     )
-    return shared.Seen(
+    return shared.MembershipUpdated(
         members.incarnation, here, census.counted_names(), census.total(), members.health.score
     )
 
 
-def place(core: Shared, cls: api.RequestClass, key: int, again: bool, now: float) -> tuple[str | None, bool]:
+def place(
+    core: SharedState, cls: api.RequestClass, key: int, again: bool, now: float
+) -> tuple[str | None, bool]:
     """The zone that a request is bound to, if it is to any, and whether that can be known."""
-    if AFFINITY not in core.parts or not bound(cls):
+    if AFFINITY not in core.features or not bound(cls):
         return None, True
-    found = core.place(key, again, now)
-    return (found.group or None), not found.why
+    found = core.route(key, again, now)
+    return (found.group or None), not found.refusal
 
 
 class SharedHost:
@@ -109,7 +116,7 @@
         balancer: Balancer, told: Callable[[api.Event], None], rng: random.Random,
     ) -> None:  # fmt: skip
         self._loop, self._peers, self._balancer, self._told = loop, peers, balancer, told
-        self.core = Shared(
+        self.core = SharedState(
             peers.core.name, peers.core.incarnation, settings.zone, settings.tier, fleet.share,
             quotas(settings), list(fleet.groups), window_ms(settings), rng, now_ms(),
         )  # fmt: skip
@@ -122,8 +129,8 @@
 
     def know(self, settings: api.Settings) -> None:
         """These settings are in force now."""
-        self._marks |= {mark(cls.name): cls.name for cls in settings.classes}
-        self.core.know(quotas(settings))
+        self._marks |= {class_hash(cls.name): cls.name for cls in settings.classes}
+        self.core.set_quotas(quotas(settings))
 
     def begin(self) -> None:
         """The process can be reached."""
@@ -133,7 +140,7 @@
     def heard(self, message: Message) -> None:
         """A datagram has come that may be about shared state."""
         if isinstance(message, ApplicationMessage) and isinstance(message.content, shared.Message):
-            self._give(shared.Heard(message.content, message.header.name))
+            self._give(shared.MessageReceived(message.content, message.header.name))
 
     def _give(self, event: shared.Event) -> None:
         if self._over:
@@ -156,24 +163,24 @@
     def _do(self, actions: list[shared.Action]) -> None:
         for action in actions:
             match action:
-                case shared.Tell():
-                    self._peers.tell(action.name, action.message)
+                case shared.SendMessage():
+                    self._peers.tell(action.recipient, action.message)
                 case shared.SetTimer():
                     self._loop.call_later(
                         action.delay_ms / 1000.0, self._give, shared.TimerFired(action.token)
                     )
-                case shared.Warn():
+                case shared.ApplyVerdicts():
                     self._told(hearsay(action.verdicts, self._marks))
-                case shared.Part():
+                case shared.ApplyQuotaShares():
                     self._told(api.QuotaShares(action.quotas, action.retry_share))
-                case shared.Cap():
+                case shared.LimitNewServers():
                     self._told(api.CanaryLimit(action.servers, action.share))
 
     def _know(self) -> None:
         if self._over:
             return
         try:
-            since = self._since if RELEASES in self.core.parts else None
+            since = self._since if RELEASES in self.core.features else None
             self._do(self.core.handle(known(self._balancer, self._starts, since, now_ms()), now_ms()))
         except Exception:
             self._fail("what the node knows")
@@ -183,13 +190,13 @@
     def _seen(self) -> None:
         self._give(seen(self._peers.core, self._peers.census))
 
-    def steer(self, event: shared.Steer) -> None:
+    def steer(self, event: shared.ReleaseOrderIssued) -> None:
         """This process is the steward of releases: its order is for all."""
         self._give(event)
 
     def ordered(self, token: int, limits: dict[str, float]) -> None:
         """This process holds the ledger: what operators have set there is for all."""
-        self._give(shared.Ordered(token, limits))
+        self._give(shared.OperatorLimitsRead(token, limits))
 
     # What happens at the node
 
@@ -207,13 +214,13 @@
     def asked(self, tenant: str | None) -> None:
         """A request has come."""
         if tenant is not None:
-            self._give(shared.Asked(tenant))
+            self._give(shared.RequestReceived(tenant))
 
     def ended(self, server: int, cls: str, result: Result, ms: float) -> None:
         """An attempt is over."""
         how = HOW.get(result)
         if how is not None:
-            self._give(shared.Ended(server, cls, how, ms))
+            self._give(shared.AttemptCompleted(server, cls, how, ms))
 
     def place(self, cls: api.RequestClass, key: int, again: bool) -> tuple[str | None, bool]:
         """The zone that a request is bound to, if it is to any, and whether that can be known."""
@@ -230,7 +237,7 @@
         core = self.core
         return {
             "fleet_avoided": lambda: sum(verdict.avoid for verdict in core.verdicts),
-            "fleet_parts_fallback": lambda: int(core.part.fallback),
+            "fleet_parts_fallback": lambda: int(core.quota_shares.fallback),
             "fleet_keys_elsewhere": lambda: core.affinity.counts["elsewhere"],
             "fleet_keys_refused": lambda: sum(
                 count for why, count in core.affinity.counts.items() if why != "elsewhere"
@@ -251,38 +258,48 @@
         affinity = core.affinity
         records = [
             {
-                "kind": shared.KINDS[kind], "writer": writer, "version": held.version,
+                "kind": shared.RECORD_KIND_NAMES[kind], "writer": writer, "version": held.version,
                 "age_s": round(held.age_ms(now) / 1000.0, 2), "from": held.source, "bytes": len(held.data),
             }
             for kind, writer, held in sorted(core.store.all(), key=lambda item: (item[0], item[1]))
         ]  # fmt: skip
         return 200, {
             "self": core.name,
-            "share": [part for part in PARTS if part in core.parts],
+            "share": [part for part in FEATURES if part in core.features],
             "verdicts": [
                 {
-                    "name": self._names.get(v.server, f"{v.server:016x}"), "avoid": v.avoid, "slow": v.slow,
-                    "classes": [self._marks.get(m, str(m)) for m in sorted(v.classes)],
+                    "name": self._names.get(v.server, f"{v.server:016x}"), "avoid": v.avoid,
+                    "slow": v.slowdown,
+                    "classes": [self._marks.get(m, str(m)) for m in sorted(v.class_hashes)],
                 }
                 for v in core.verdicts
             ],
             "limits": {
-                "in_use": LIMITS in core.parts, "fallback": core.part.fallback, "known": core.limits.known,
-                "orders": core.orders, "orders_token": core.orders_token,
-                "counted": core.seen.base, "retry_share": core.part.retry_share,
+                "in_use": LIMITS in core.features, "fallback": core.quota_shares.fallback,
+                "known": core.quota_allocator.known_count,
+                "orders": core.operator_limits, "orders_token": core.operator_limits_token,
+                "counted": core.membership.member_count,
+                "retry_share": core.quota_shares.retry_share,
                 "parts": {
-                    tenant: {"part_per_s": round(part, 2), "quota_per_s": core.limits.quotas.get(tenant, 0.0)}
-                    for tenant, part in core.part.quotas.items()
+                    tenant: {
+                        "part_per_s": round(part, 2),
+                        "quota_per_s": core.quota_allocator.quotas.get(tenant, 0.0),
+                    }
+                    for tenant, part in core.quota_shares.quotas.items()
                 },
             },
             "affinity": {
-                "in_use": AFFINITY in core.parts, "homes": affinity.groups, "out": sorted(affinity.out),
-                "open": sorted(group for group, at in affinity.out.items() if at <= now < affinity.acked_ms),
-                "cut_off": now >= affinity.whole_ms, "elsewhere": len(affinity.keys),
+                "in_use": AFFINITY in core.features, "homes": affinity.groups,
+                "out": sorted(affinity.unavailable),
+                "open": sorted(
+                    group for group, at in affinity.unavailable.items() if at <= now < affinity.acked_until_ms
+                ),
+                "cut_off": now >= affinity.fresh_until_ms, "elsewhere": len(affinity.keys),
                 "counts": dict(affinity.counts),
-                "others": {name: sorted(other.out) for (name, _), other in affinity.elsewhere.items()},
+                "others": {name: sorted(other.unavailable) for (name, _), other in affinity.peers.items()},
             },
-            "counts": dict(core.store.counts) | {"untold": core.witness.untold, "capped": core.pool.capped},
+            "counts": dict(core.store.counts)
+            | {"untold": core.observations.unreported, "capped": core.verdict_pool.capped},
             "records": records,
         }  # fmt: skip
 
--- a/lab/capacity/shared.py
+++ b/lab/capacity/shared.py
@@ -1,4 +1,4 @@
-"""Shared state: what its records cost as members grow in number, and how many keep their bounds."""
+"""SharedState state: what its records cost as members grow in number, and how many keep their bounds."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from dunlinloft.fleet.releases.follower import ReleaseFollower
 from dunlinloft.fleet.releases.messages import Order, Tally
 from dunlinloft.fleet.shared_state import messages as shared
-from dunlinloft.fleet.shared_state.core import LIMITS, RELEASES, Shared
-from dunlinloft.fleet.shared_state.limits import BOUND_MS
+from dunlinloft.fleet.shared_state.core import LIMITS, RELEASES, SharedState
+from dunlinloft.fleet.shared_state.quota_shares import MAX_DEMAND_AGE_MS
 from dunlinloft.fleet.wire import Wire
 from lab.capacity import sizes
 from lab.capacity.control import full_tally
@@ -36,13 +36,13 @@
 }  # fmt: skip
 
 
-class Timed(Shared):
+class Timed(SharedState):
     """Adds up the time that all cores of a run take."""
 
     took_ns = 0
 
     def handle(self, event: shared.Event, now: float) -> list[shared.Action]:
-        """As `Shared.handle`."""
+        """As `SharedState.handle`."""
         start = time.perf_counter_ns()
         actions = super().handle(event, now)
         Timed.took_ns += time.perf_counter_ns() - start
@@ -77,7 +77,7 @@
 class Loud(World):
     """Counts bytes as they go out, and leaves the oracle's look at every record out: it grows with them."""
 
-    def __init__(self, seed: int, members: int, core: type[Shared] = Limited) -> None:
+    def __init__(self, seed: int, members: int, core: type[SharedState] = Limited) -> None:
         self.sent_bytes = 0
         self._wire = Wire("capacity")
         super().__init__(seed, members, core)
@@ -97,13 +97,13 @@
         """Requests of the tenant, everywhere."""
         for process in self.processes.values():
             for _ in range(int(ASKED_S / 4.0)):
-                self.give(process, shared.Asked("t"))
+                self.give(process, shared.RequestReceived("t"))
         self.after(250.0, self.ask_all)
 
     def steer(self) -> None:
         """The first member is the steward of a release, and says so again and again."""
         order = Order(7, 1, 1, 0.05, 1e12, (), True)
-        self.give(self.processes[self.names[0]], shared.Steer(order))
+        self.give(self.processes[self.names[0]], shared.ReleaseOrderIssued(order))
         self.after(LOOK_INTERVAL_MS, self.steer)
 
 
@@ -111,7 +111,7 @@
     """The cores with limits alone: a pulse of each member to all, and nothing of requests."""
     world = Loud(seed, members)
     world.ask_all()
-    return _measured(world) | _known(world, shared.PULSE, BOUND_MS)
+    return _measured(world) | _known(world, shared.HEARTBEAT, MAX_DEMAND_AGE_MS)
 
 
 def _tallies(members: int, seed: int) -> dict[str, float]:
@@ -187,42 +187,42 @@
     found = {"traced": held_bytes(partial(_full, members))[0]}
     core = _full(members)
     here = {sizes.name(n): sizes.LIFE + n for n in range(1, members)}
-    event = shared.Seen(sizes.LIFE, here, frozenset((*here, sizes.name(0))), members)
+    event = shared.MembershipUpdated(sizes.LIFE, here, frozenset((*here, sizes.name(0))), members)
     found["seen"] = best_ms(lambda: core.handle(event, 10.0))
     found["look"] = best_ms(_again(core, core.begin()[-1]))
-    found["held"] = float(sum(1 for _ in core.store.others(shared.PULSE)))
-    pull = shared.Heard(shared.Pull(1, sizes.LIFE, 0), sizes.name(1))
+    found["held"] = float(sum(1 for _ in core.store.others(shared.HEARTBEAT)))
+    pull = shared.MessageReceived(shared.PullRequest(1, sizes.LIFE, 0), sizes.name(1))
     pours = core.handle(pull, 10.0)
     found["answer"] = best_ms(lambda: core.handle(pull, 10.0))
     found["told"] = float(
         sum(
             len(p.message.entries)
             for p in pours
-            if isinstance(p, shared.Tell) and isinstance(p.message, shared.Pour)
+            if isinstance(p, shared.SendMessage) and isinstance(p.message, shared.PullResponse)
         )
     )
     return found
 
 
-def _full(members: int) -> Shared:
+def _full(members: int) -> SharedState:
     quotas = {"spedition": 160.0}
-    core = Shared(
+    core = SharedState(
         sizes.name(0), sizes.LIFE, "zone-00", 0, frozenset((LIMITS,)), quotas, [], 0.0, random.Random(1), 0.0
     )
     core.handle(
-        shared.Seen(
+        shared.MembershipUpdated(
             sizes.LIFE, {sizes.name(n): sizes.LIFE + n for n in range(1, members)}, frozenset(), members
         ),
         0.0,
     )
     for n in range(1, members):
-        pulse = shared.Pulse(f"zone-{n % sizes.ZONES:02}", 0, {"spedition": 1.0 + n / 7.0}, 4.5, 20.0, [])
-        entry = shared.Entry(shared.PULSE, sizes.name(n), sizes.LIFE + n, 1, 10, shared.encode(pulse))
-        core.store.take(entry, 1.0, sizes.name(1), 1.0)
+        pulse = shared.Heartbeat(f"zone-{n % sizes.ZONES:02}", 0, {"spedition": 1.0 + n / 7.0}, 4.5, 20.0, [])
+        entry = shared.Entry(shared.HEARTBEAT, sizes.name(n), sizes.LIFE + n, 1, 10, shared.encode(pulse))
+        core.store.merge(entry, 1.0, sizes.name(1), 1.0)
     return core
 
 
-def _again(core: Shared, timer: shared.Action) -> Callable[[], None]:
+def _again(core: SharedState, timer: shared.Action) -> Callable[[], None]:
     """Let the same timer come due again and again."""
     due = [timer]
 
--- a/lab/cells.py
+++ b/lab/cells.py
@@ -143,7 +143,7 @@
     messages = dict.fromkeys(of, 0)
     for kind, size_of in fleet.kinds.items():
         where = "streams" if kind == "State" else "directory" if kind in TALK else "datagrams"
-        if kind not in ("Pull", "Pour"):
+        if kind not in ("PullRequest", "PullResponse"):
             of[where] += size_of
             messages[where] += fleet.counts[kind]
     chosen = fleet.rng.sample(fleet.members(), min(WALKED, size))
@@ -192,7 +192,7 @@
         "out_bytes_s": [sum(askers.bytes[n] for n in names) * share],
         "in_bytes_s": [sum(askers.taken[n] for n in names) * share],
         "out_messages_s": [sum(askers.datagrams[n] for n in names) * share],
-        "replication_bytes_s": [(askers.kinds["Pull"] + askers.kinds["Pour"]) * share],
+        "replication_bytes_s": [(askers.kinds["PullRequest"] + askers.kinds["PullResponse"]) * share],
         "answers_bytes_s": [askers.kinds["Found"] * share],
         "cpu_ms_s": [1e3 * (askers.cpu["directory core"] + askers.cpu["directory wire"]) * share],
         "memory_kb": [sum(held) / len(held)],
--- a/lab/virtual/cell_meeting.py
+++ b/lab/virtual/cell_meeting.py
@@ -69,8 +69,8 @@
             match action:
                 case api.SendDatagram():
                     self.post(guide, action.address, action.message)
-                case shared.Tell():
-                    member = guide.core.view.get(action.name)
+                case shared.SendMessage():
+                    member = guide.core.view.get(action.recipient)
                     if member is not None and member.is_alive():
                         self.post(
                             guide, member.address, ApplicationMessage(guide.core.header(), action.message)
@@ -116,8 +116,8 @@
             self._told(target, message)
 
     def _told(self, guide: Guide, message: ApplicationMessage) -> None:
-        if isinstance(message.content, shared.Pull | shared.Pour):
-            self.turn(guide, self.guide, guide, shared.Heard(message.content, message.header.name))
+        if isinstance(message.content, shared.PullRequest | shared.PullResponse):
+            self.turn(guide, self.guide, guide, shared.MessageReceived(message.content, message.header.name))
 
     def _exchange(self, process: Process, address: str, state: State) -> None:
         assert isinstance(process, Member | Guide)
--- a/lab/virtual/member.py
+++ b/lab/virtual/member.py
@@ -16,7 +16,7 @@
 from dunlinloft.fleet.messages import ApplicationMessage, MetadataValue
 from dunlinloft.fleet.releases.controller import LOOK_INTERVAL_MS
 from dunlinloft.fleet.shared_state import messages as shared
-from dunlinloft.fleet.shared_state.core import AFFINITY, RELEASES, Shared, mark
+from dunlinloft.fleet.shared_state.core import AFFINITY, RELEASES, SharedState, class_hash
 from dunlinloft.node.config import key_id
 from dunlinloft.node.fleet.duties import DutyHost
 from dunlinloft.node.fleet.peers import COUNT_S, of_tier
@@ -31,7 +31,7 @@
 WALL_MS = 1_700_000_000_000  # what clocks say when a day begins
 VOTERS = 3  # the first nodes
 SEEDS = 3  # nodes whose addresses the others are given
-CORE: type[Shared] = Shared
+CORE: type[SharedState] = SharedState
 
 
 class NodeMeeting(Meeting):
@@ -126,7 +126,7 @@
             node.name, core.incarnation, settings.zone, settings.tier, meeting.share, quotas(settings),
             groups, window_ms(settings), rng, node.now(),
         )  # fmt: skip
-        self._marks = {mark(cls.name): cls.name for cls in settings.classes}
+        self._marks = {class_hash(cls.name): cls.name for cls in settings.classes}
         self._starts: dict[int, int] = {}
         self._since: dict[int, float] = {}
         self.work: DutyHost | None = None
@@ -147,7 +147,7 @@
     def spoken(self, message: ApplicationMessage) -> None:
         """A message has come that is about more than membership."""
         if isinstance(message.content, shared.Message):
-            self.give_shared(shared.Heard(message.content, message.header.name))
+            self.give_shared(shared.MessageReceived(message.content, message.header.name))
         elif self.work is not None:
             self.work.heard(message)
 
@@ -190,19 +190,19 @@
     def _do(self, actions: list[shared.Action]) -> None:
         for action in actions:
             match action:
-                case shared.Tell():
-                    member = self.core.view.get(action.name)
+                case shared.SendMessage():
+                    member = self.core.view.get(action.recipient)
                     if member is not None and member.is_alive():
                         self._meeting.post(
                             self, member.address, ApplicationMessage(self.core.header(), action.message, [])
                         )
                 case shared.SetTimer():
                     self.later(action.delay_ms, self.give_shared, shared.TimerFired(action.token))
-                case shared.Warn():
+                case shared.ApplyVerdicts():
                     self._node.handle(hearsay(action.verdicts, self._marks))
-                case shared.Part():
+                case shared.ApplyQuotaShares():
                     self._node.handle(node_api.QuotaShares(action.quotas, action.retry_share))
-                case shared.Cap():
+                case shared.LimitNewServers():
                     self._node.handle(node_api.CanaryLimit(action.servers, action.share))
 
     def _know(self) -> None:
@@ -220,13 +220,13 @@
 
     def asked(self, tenant: str) -> None:
         """A request has come."""
-        self.give_shared(shared.Asked(tenant))
+        self.give_shared(shared.RequestReceived(tenant))
 
     def ended(self, server: int, cls: str, result: Result, ms: float) -> None:
         """An attempt is over."""
         how = HOW.get(result)
         if how is not None:
-            self.give_shared(shared.Ended(server, cls, how, ms))
+            self.give_shared(shared.AttemptCompleted(server, cls, how, ms))
 
     def place(self, cls: node_api.RequestClass, key: str, again: bool) -> tuple[str | None, bool]:
         """The zone that a request is bound to, if it is to any, and whether that can be known."""
--- a/lab/virtual/shared.py
+++ b/lab/virtual/shared.py
@@ -1,4 +1,4 @@
-"""Shared state in virtual time: the cores that nodes host, among links and processes that fail.
+"""SharedState state in virtual time: the cores that nodes host, among links and processes that fail.
 
 What a process believes of who is there comes late, as membership's word does. The oracle knows true time and
 all that was written: no record may be taken for younger than it is, parts of a quota may not add up to more
@@ -12,16 +12,16 @@
 from typing import Any
 
 from dunlinloft.fleet.member_count import MemberCount
-from dunlinloft.fleet.shared_state.affinity import Place
-from dunlinloft.fleet.shared_state.core import PARTS, Shared
+from dunlinloft.fleet.shared_state.affinity import KeyRoute
+from dunlinloft.fleet.shared_state.core import FEATURES, SharedState
 from dunlinloft.fleet.shared_state.messages import (
-    Heard,
-    Known,
+    ApplyQuotaShares,
+    MembershipUpdated,
     Message,
-    Part,
-    Seen,
+    MessageReceived,
+    NodeStatus,
+    SendMessage,
     SetTimer,
-    Tell,
     TimerFired,
 )
 from lab.virtual import scene
@@ -39,11 +39,11 @@
 
     def __init__(self, world: World, name: str, rate: float) -> None:
         super().__init__(world, name, rate)
-        self.part = Part({}, 1.0, True)
+        self.part = ApplyQuotaShares({}, 1.0, True)
         names = list(world.names)
         self.census = MemberCount(name, names.index(name), len(names))
         self.core = world.core(
-            name, self.life, world.zones[name], 0, frozenset(PARTS), {"t": QUOTA}, list(ZONES), WINDOW_MS,
+            name, self.life, world.zones[name], 0, frozenset(FEATURES), {"t": QUOTA}, list(ZONES), WINDOW_MS,
             random.Random(world.rng.getrandbits(64)), self.clock(),
         )  # fmt: skip
 
@@ -51,7 +51,9 @@
 class World(scene.Scene[Process]):
     """Processes, links, groups of servers, and the oracle."""
 
-    def __init__(self, seed: int, members: int = 6, core: type[Shared] = Shared, loss: float = 0.0) -> None:
+    def __init__(
+        self, seed: int, members: int = 6, core: type[SharedState] = SharedState, loss: float = 0.0
+    ) -> None:
         super().__init__(seed, members, loss)
         self.core = core
         self.zones = {name: ZONES[n % len(ZONES)] for n, name in enumerate(self.names)}
@@ -107,8 +109,8 @@
         process.census.observe({*here, process.name}, clock)
         counted, base = process.census.counted_names(), process.census.total()
         groups = {zone: (0 if zone in self.out[process.name] else 4, 4) for zone in ZONES}
-        self.give(process, Known({}, frozenset(), groups, 5.0, 5.0))
-        self.give(process, Seen(process.life, here, counted, base))
+        self.give(process, NodeStatus({}, frozenset(), groups, 5.0, 5.0))
+        self.give(process, MembershipUpdated(process.life, here, counted, base))
 
     def give(self, process: Process, event: Any) -> None:
         """Give a core an event and do what it says."""
@@ -120,12 +122,12 @@
         """What a core says."""
         for action in actions:
             match action:
-                case Tell():
-                    self._send(process, action.name, action.message)
+                case SendMessage():
+                    self._send(process, action.recipient, action.message)
                 case SetTimer():
                     event = TimerFired(action.token)
                     self.after(action.delay_ms / process.rate, self.turn, process, self.give, process, event)
-                case Part():
+                case ApplyQuotaShares():
                     process.part = action
 
     def _send(self, process: Process, name: str, message: Message) -> None:
@@ -141,11 +143,11 @@
     def deliver(self, name: str, message: Message, sender: str) -> None:
         """A message comes to whoever has this name by now."""
         process = self.processes[name]
-        self.turn(process, self.give, process, Heard(message, sender))
+        self.turn(process, self.give, process, MessageReceived(message, sender))
 
     # What callers do
 
-    def ask(self, key: int, name: str, again: bool) -> Place | None:
+    def ask(self, key: int, name: str, again: bool) -> KeyRoute | None:
         """A keyed request comes to a process; where it goes, None where nobody takes it.
 
         No caller asks again once the window is over.
@@ -154,9 +156,9 @@
         process = self.processes[name]
         if not process.alive or process.stopped:
             return None
-        place = process.core.place(key, again, process.clock())
+        place = process.core.route(key, again, process.clock())
         if not place.group:
-            self.counts[place.why] += 1
+            self.counts[place.refusal] += 1
             return place
         if place.group in self.out[name]:
             return place  # none of its servers is to be had, so it is not sent
@@ -173,7 +175,7 @@
         """No record is taken for younger than it is."""
         store = process.core.store
         for kind, writer, held in store.all():
-            record = kind, writer, held.life, held.version
+            record = kind, writer, held.incarnation, held.version
             if writer == process.name:
                 self.written.setdefault(record, self.now)
                 continue
--- a/tests/test_cell_directory.py
+++ b/tests/test_cell_directory.py
@@ -9,8 +9,8 @@
 from dunlinloft.fleet.cells.cut import Cut
 from dunlinloft.fleet.cells.directory import Directory, Replica, Said, Seen
 from dunlinloft.fleet.cells.messages import Report, Summary
-from dunlinloft.fleet.shared_state.messages import Heard, Pour, Pull
-from dunlinloft.fleet.shared_state.spread import Spread
+from dunlinloft.fleet.shared_state.anti_entropy import AntiEntropy
+from dunlinloft.fleet.shared_state.messages import MessageReceived, PullRequest, PullResponse
 from lab.virtual.askers import Askers
 
 
@@ -25,16 +25,16 @@
     return directory
 
 
-def asked(directory: Directory, now: float) -> Pull:
+def asked(directory: Directory, now: float) -> PullRequest:
     [tell], _ = directory.spread.pull(now)
-    assert isinstance(tell.message, Pull)
+    assert isinstance(tell.message, PullRequest)
     return tell.message
 
 
-def answers(giver: Directory, pull: Pull) -> list[Pour]:
+def answers(giver: Directory, pull: PullRequest) -> list[PullResponse]:
     found = []
-    for tell in giver.spread.hear(pull, "d2", 1_500.0):
-        assert isinstance(tell.message, Pour)
+    for tell in giver.spread.receive(pull, "d2", 1_500.0):
+        assert isinstance(tell.message, PullResponse)
         found.append(tell.message)
     return found
 
@@ -46,11 +46,11 @@
     assert len(pours) > 4
     missing = pours.pop(2)
     for pour in reversed(pours):
-        taker.handle(Heard(pour, "d1"), 1_600.0)
+        taker.handle(MessageReceived(pour, "d1"), 1_600.0)
     again = asked(taker, 1_700.0)
-    assert again.cursor == missing.since
+    assert again.cursor == missing.from_cursor
     assert answers(giver, again)[0].entries == missing.entries
-    taker.handle(Heard(missing, "d1"), 1_800.0)
+    taker.handle(MessageReceived(missing, "d1"), 1_800.0)
     assert asked(taker, 1_900.0).cursor == pours[-1].cursor
     assert len(taker.index.services["web"].cells) == 60
 
@@ -59,7 +59,7 @@
     giver, taker = full(30), Directory("d2", 4, random.Random(2), 0.0)
     taker.handle(Seen(4, {"d1": 3}), 1_000.0)
     for pour in answers(giver, asked(taker, 1_400.0))[1:]:
-        taker.handle(Heard(pour, "d1"), 1_600.0)
+        taker.handle(MessageReceived(pour, "d1"), 1_600.0)
     taker.handle(Seen(4, {"d1": 5}), 1_700.0)
     assert asked(taker, 1_800.0).cursor == 0
 
@@ -74,7 +74,7 @@
     askers.run(20_000.0)
     assert [askers.known(guide) for guide in askers.directory()] == [80] * 8
     reports = 80 * 20_000.0 / 10_000.0
-    return askers.kinds["Pour"] / reports / 8, askers.sure_share()
+    return askers.kinds["PullResponse"] / reports / 8, askers.sure_share()
 
 
 def test_what_replication_costs_is_a_few_times_what_is_new() -> None:
@@ -84,6 +84,6 @@
 
 
 def test_where_pieces_out_of_order_are_lost_replication_costs_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Replica, "_advance", Spread._advance)
+    monkeypatch.setattr(Replica, "_advance", AntiEntropy._advance)
     with pytest.raises(AssertionError):
         test_pieces_of_an_answer_that_overtake_each_other_are_not_asked_for_again()
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -138,7 +138,16 @@
     fleet.run(30_000.0)
     fleet.kinds.clear()
     fleet.run(20_000.0)
-    assert set(fleet.kinds) == {"Ping", "Ack", "State", "Find", "Found", "Report", "Pull", "Pour"}
+    assert set(fleet.kinds) == {
+        "Ping",
+        "Ack",
+        "State",
+        "Find",
+        "Found",
+        "Report",
+        "PullRequest",
+        "PullResponse",
+    }
 
 
 # Small cells, and strays
