--- a/dunlinloft/fleet/shared_state/messages.py
+++ b/dunlinloft/fleet/shared_state/messages.py
@@ -236,7 +236,7 @@
     """What this node knows of its servers and its retry controller."""
 
     start_ids: dict[int, int]  # by listed server, of its process
-    unresponsive: frozenset[int]  # servers with attempts in flight that have gone silent
+    unresponsive: frozenset[int]  # servers that have timed out with attempts in flight
     groups: dict[str, tuple[int, int]]  # by group: servers that are healthy, and those in service
     allowed_retries: float  # a second
     measured_responses: float  # a second
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -56,7 +56,7 @@
 
 
 def faults(world: World, steps: int, every: Callable[[World], None]) -> None:
-    """Kills, restarts, stops, cuts, one-way cuts, groups that go out here, there or everywhere."""
+    """Kills, restarts, pauses, partitions, one-way ones too, groups unavailable to some processes or to all."""
     rng = world.rng
     for _ in range(steps):
         name, zone = rng.choice(world.names), rng.choice(ZONES)
@@ -87,7 +87,7 @@
 
 
 def callers(world: World) -> None:
-    """New keys, and repeats of keys by way of any process."""
+    """New keys, and retries of keys by way of any process."""
     rng = world.rng
     for _ in range(2):
         key = rng.getrandbits(64)
@@ -109,7 +109,7 @@
     # 3710: a restarted process did not know the bindings of its own former incarnation.
     worlds = [play(seed) for seed in (*range(20), 1309, 3710)]
     done = sum((world.counts for world in worlds), start=worlds[0].counts.__class__())
-    assert done["again"] > 1_000, done  # repeats are served,
+    assert done["again"] > 1_000, done  # retries are served,
     assert done["cut off"] and done["not told"], done  # and refused where that is not known
 
 
@@ -149,7 +149,7 @@
 
 
 def isolate(world: World) -> None:
-    """One is cut off while the others find a zone out: repeats come to that one."""
+    """A process is isolated while the others find a zone unavailable; retries come to that process."""
     world.run(6_000.0)
     world.sever(["m0"], world.names[1:])
     world.run(2_000.0)
@@ -178,7 +178,7 @@
     st.lists(st.tuples(st.floats(0.0, 300.0), st.floats(0.0, 50.0)), min_size=1, max_size=8),
     st.integers(0, 7),
 )
-@example(1.5, [(5e-324, 0.0)], 0)  # found by chance: the part was 2.0
+@example(1.5, [(5e-324, 0.0)], 0)  # found by chance: the share was 2.0
 @example(2.0, [(5e-324, 0.0), (2.0, 0.0)], 0)
 @settings(derandomize=True, database=None, max_examples=300, deadline=None)
 def test_quota_shares_add_up_and_fall_with_the_demand_of_others(
@@ -198,7 +198,7 @@
 
 
 def demand(world: World, rates: dict[str, float], for_ms: float) -> list[float]:
-    """Requests for the tenant come at these rates; the parts in force added up, ten times a second."""
+    """Requests for the tenant come at these rates; the shares in force added up, ten times a second."""
     sums = []
     for _ in range(int(for_ms / 100.0)):
         for name, rate in rates.items():
@@ -215,7 +215,7 @@
     rates = dict.fromkeys(world.names, 5.0) | {"m0": 60.0}
     sums = demand(world, rates, 15_000.0)
     assert max(sums) <= 1.05
-    assert world.processes["m0"].part.quotas["t"] > 55.0  # of 100: its demand, where an even part is 17
+    assert world.processes["m0"].part.quotas["t"] > 55.0  # of 100: its demand, where an even share is 17
     world.sever(world.names[:3], world.names[3:])
     world.run(quota_shares.MAX_DEMAND_AGE_MS + 500.0)
     rates = dict.fromkeys(world.names, 40.0)  # both sides are busy
@@ -362,7 +362,7 @@
     assert {p.core.quota_allocator.quotas["t"] for p in world.processes.values()} == {40.0}
     world.give(
         world.processes["m2"], OperatorLimitsRead(6, {"t": 90.0})
-    )  # it does not know that it was replaced
+    )  # it does not know that another leads now
     world.run(2_000.0)
     assert {p.core.quota_allocator.quotas["t"] for p in world.processes.values()} == {40.0}
     world.kill("m1")
