--- a/dunlinloft/fleet/shared_state/observations.py
+++ b/dunlinloft/fleet/shared_state/observations.py
@@ -152,7 +152,7 @@
         )
 
     def update_servers(self, start_ids: dict[int, int], unresponsive: frozenset[int], now: float) -> None:
-        """Take the listed servers, and those that have become unresponsive; rows of former starts are removed."""
+        """Take the listed and the unresponsive servers; rows of former starts are removed."""
         for key in list(self.rows):
             server = key[0]
             restarted = start_ids.get(server) != self._start_ids.get(server)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -56,7 +56,7 @@
 
 
 def faults(world: World, steps: int, every: Callable[[World], None]) -> None:
-    """Kills, restarts, pauses, partitions, one-way ones too, groups unavailable to some processes or to all."""
+    """Kills, restarts, pauses, partitions (also one-way), groups unavailable to some or all processes."""
     rng = world.rng
     for _ in range(steps):
         name, zone = rng.choice(world.names), rng.choice(ZONES)
