--- a/dunlinloft/fleet/cells/index.py
+++ b/dunlinloft/fleet/cells/index.py
@@ -1,8 +1,8 @@
-"""What a directory's process makes of the reports that it holds: cells by service, and sums of them.
+"""What a process of the directory makes of the reports that it holds: cells by service, and sums of them.
 
-Reports overlap while a cell is cut or merges, and two members may speak for one cell for a while. A sum may
-be too great then and never too small, as parts of budgets follow it: of several words for one cell the
-greatest counts, of a cell and its parts whichever is more, and what was replaced goes only once what
+Reports overlap while a cell is split or merged, and two members may report for one cell for a while. A sum
+may be too great then and never too small, as shares of budgets follow it: of several reports for one cell the
+greatest counts, of a cell and its subsets whichever is more, and what was replaced goes only once what
 replaces it has been known for a while.
 """
 
@@ -10,245 +10,293 @@
 
 from dataclasses import dataclass, field
 
-from dunlinloft.fleet.cells.cut import Cut, path
-from dunlinloft.fleet.cells.messages import MOST_ADDRESSES, Find, Summary
-from dunlinloft.fleet.cells.totals import BOUND_MS
+from dunlinloft.fleet.cells.messages import MAX_SUMMARY_ADDRESSES, CellSummary, LookupRequest
+from dunlinloft.fleet.cells.partition import PATH_BITS, CellPartition, name_path
+from dunlinloft.fleet.cells.service_totals import MAX_REPORT_AGE_MS
 
-SETTLE_MS = 15_000.0  # since cells last changed, before a service's sum counts as whole
-FORGET_MS = 2 * 3_600_000.0  # a cell that nobody reported for so long has ended; regions come back sooner
+STABILIZATION_MS = 15_000.0  # since cells last changed, before a service's sum counts as complete
+# A cell without reports for so long has ended; regions that are cut off return sooner.
+CELL_RETENTION_MS = 2 * 3_600_000.0
+NEVER_CHANGED_MS = -1e18  # long before any reading of the clock
 
-MOST_CELLS = 200_000  # that are known; beyond that no other is taken in, and no sum is sure
-MOST_VOICES = 16  # members that speak for one cell; beyond that the oldest word goes
-MOST_COUNTED = 100_000  # members of a cell: whoever says more is broken
-MOST_ADDRESS = 64  # characters of an address
+MAX_CELLS = 200_000  # that are known; beyond that no other is added, and no sum is reliable
+MAX_REPORTERS = 16  # of one cell; beyond that the oldest report is dropped
+MAX_COUNTED_MEMBERS = 100_000  # of a cell: a greater number is invalid
+MAX_ADDRESS_LENGTH = 64  # characters
+MAX_SIBLING_ADDRESSES = 3  # in one response
 
-Key = tuple[str, int, int]  # region, depth, bits
+CellKey = tuple[str, int, int]  # region, depth, bits
 
 
-def sound(summary: Summary) -> bool:
-    """Whether a summary can be one at all: one that can't would spoil sums, or answers that carry it on."""
+def is_valid_summary(summary: CellSummary) -> bool:
+    """Whether all fields are in range; others would spoil sums, or the responses that carry them on."""
     return (
-        Cut(summary.epoch, summary.depth, summary.bits).sound()
-        and 0 <= summary.members <= summary.counted <= MOST_COUNTED
-        and len(summary.addresses) <= MOST_ADDRESSES
-        and all(len(address) <= MOST_ADDRESS for address in summary.addresses)
+        CellPartition(summary.epoch, summary.depth, summary.bits).is_valid()
+        and 0 <= summary.members <= summary.counted_members <= MAX_COUNTED_MEMBERS
+        and len(summary.addresses) <= MAX_SUMMARY_ADDRESSES
+        and all(len(address) <= MAX_ADDRESS_LENGTH for address in summary.addresses)
     )
 
 
 @dataclass(slots=True)
-class Voice:
-    """A member's latest word for a cell."""
+class ReceivedSummary:
+    """A reporter's latest summary of its cell, and when it was made, by this process's clock."""
 
-    summary: Summary
-    born_ms: float
+    summary: CellSummary
+    created_ms: float
 
 
 @dataclass(slots=True)
-class Cell:
-    """One cell, by what was said of it."""
+class CellRecord:
+    """One cell, by the latest summary of each of its reporters."""
 
     region: str
-    cut: Cut
-    first_ms: float
-    voices: dict[str, Voice] = field(default_factory=dict)
+    partition: CellPartition
+    first_reported_ms: float
+    summaries: dict[str, ReceivedSummary] = field(default_factory=dict)  # by the reporter's name
 
-    def youngest(self) -> Voice:
-        return max(self.voices.values(), key=lambda voice: voice.born_ms)
+    def latest(self) -> ReceivedSummary:
+        """The youngest summary."""
+        return max(self.summaries.values(), key=lambda received: received.created_ms)
 
     def age_ms(self, now: float) -> float:
-        """Of the youngest word."""
-        return now - self.youngest().born_ms
+        """Age of the youngest summary."""
+        return now - self.latest().created_ms
 
-    def fresh(self, now: float) -> bool:
-        return self.age_ms(now) <= BOUND_MS
+    def is_fresh(self, now: float) -> bool:
+        """Whether the youngest summary is within the bound on ages."""
+        return self.age_ms(now) <= MAX_REPORT_AGE_MS
 
-    def counted(self, now: float) -> int:
-        """Of those that count, the most that a fresh word says, else the youngest."""
-        return max(summary.counted for summary in self._told(now))
+    def counted_members(self, now: float) -> int:
+        """Members that count: the greatest number of all fresh summaries, else the youngest's."""
+        return max(summary.counted_members for summary in self._current_summaries(now))
 
     def members(self, now: float) -> int:
-        """Of those there, in the same way: one that is cut off speaks for itself alone."""
-        return max(summary.members for summary in self._told(now))
+        """Members alive, in the same way: a reporter that is partitioned off reports itself alone."""
+        return max(summary.members for summary in self._current_summaries(now))
 
-    def _told(self, now: float) -> list[Summary]:
-        fresh = [v.summary for v in self.voices.values() if now - v.born_ms <= BOUND_MS]
-        return fresh or [self.youngest().summary]
+    def _current_summaries(self, now: float) -> list[CellSummary]:
+        fresh = [s.summary for s in self.summaries.values() if now - s.created_ms <= MAX_REPORT_AGE_MS]
+        return fresh or [self.latest().summary]
 
     def addresses(self) -> list[str]:
-        """Some members' addresses, of the youngest word first."""
-        voices = sorted(self.voices.values(), key=lambda voice: -voice.born_ms)
-        found = dict.fromkeys(a for voice in voices for a in voice.summary.addresses)
-        return list(found)[:MOST_ADDRESSES]
+        """Addresses of some members, those of the youngest summary first."""
+        by_age = sorted(self.summaries.values(), key=lambda received: -received.created_ms)
+        unique = dict.fromkeys(address for received in by_age for address in received.summary.addresses)
+        return list(unique)[:MAX_SUMMARY_ADDRESSES]
+
+    def discard_stale_summaries(self, now: float) -> None:
+        """Drop the summaries beyond the bound on ages."""
+        stale = [name for name, s in self.summaries.items() if now - s.created_ms > MAX_REPORT_AGE_MS]
+        for name in stale:
+            del self.summaries[name]
 
 
 @dataclass(slots=True)
-class Service:
+class ServiceRecord:
     """The cells of one service, and when their set last changed."""
 
-    cells: dict[Key, Cell] = field(default_factory=dict)
-    changed_ms: float = -1e18
+    cells: dict[CellKey, CellRecord] = field(default_factory=dict)
+    changed_ms: float = NEVER_CHANGED_MS
 
 
 @dataclass(slots=True)
-class Sums:
-    """What a member of one cell is told of its service."""
+class ServiceSums:
+    """What a member of one cell is told of its service; the fields are those of `LookupResponse`."""
 
-    cut: Cut = field(default_factory=Cut)
+    partition: CellPartition = field(default_factory=CellPartition)
     addresses: list[str] = field(default_factory=list)
-    total: int = 0
-    own: int = -1
-    before: int = 0
-    cells: int = 0
-    sure: bool = False
+    service_members: int = 0
+    own_cell_members: int = -1
+    preceding_members: int = 0
+    cell_count: int = 0
+    is_reliable: bool = False
     age_ms: float = 0.0
-    sibling: int = -1
+    sibling_members: int = -1
     sibling_epoch: int = 0
     sibling_addresses: list[str] = field(default_factory=list)
 
 
-def tally(cells: list[Cell], depth: int, bits: int, now: float) -> int:
-    """How many members count under a prefix, never too few."""
-    own = max((cell.counted(now) for cell in cells if cell.cut.depth == depth), default=0)
-    below = [cell for cell in cells if cell.cut.depth > depth]
+def count_members(cells: list[CellRecord], depth: int, bits: int, now: float) -> int:
+    """How many members count under the prefix `bits` of length `depth`, never too few.
+
+    `cells` are those under the prefix. Where a cell and subsets of it are known, whichever is more counts.
+    """
+    own = max((cell.counted_members(now) for cell in cells if cell.partition.depth == depth), default=0)
+    below = [cell for cell in cells if cell.partition.depth > depth]
     if not below:
         return own
-    halves: tuple[list[Cell], list[Cell]] = ([], [])
+    halves: tuple[list[CellRecord], list[CellRecord]] = ([], [])
     for cell in below:
-        halves[cell.cut.bits >> (cell.cut.depth - depth - 1) & 1].append(cell)
-    return max(own, sum(tally(half, depth + 1, 2 * bits + n, now) for n, half in enumerate(halves) if half))
+        halves[cell.partition.bits >> (cell.partition.depth - depth - 1) & 1].append(cell)
+    return max(
+        own, sum(count_members(half, depth + 1, 2 * bits + n, now) for n, half in enumerate(halves) if half)
+    )
 
 
-def covers(cells: list[Cell], whole: Cut) -> bool:
-    """Whether these parts of a cell make it up."""
-    if any(cell.cut.contains(whole) for cell in cells):
+def is_covered(cells: list[CellRecord], partition: CellPartition) -> bool:
+    """Whether these cells together contain all of a partition."""
+    if any(cell.partition.contains(partition) for cell in cells):
         return True
     if not cells:
         return False
-    halves = (Cut(0, whole.depth + 1, 2 * whole.bits + n) for n in (0, 1))
+    halves = (CellPartition(0, partition.depth + 1, 2 * partition.bits + n) for n in (0, 1))
     return all(
-        covers([c for c in cells if half.contains(c.cut) or c.cut.contains(half)], half) for half in halves
+        is_covered([cell for cell in cells if _overlap(half, cell.partition)], half) for half in halves
     )
 
 
-class Index:
-    """All services."""
+def _overlap(one: CellPartition, other: CellPartition) -> bool:
+    return one.contains(other) or other.contains(one)
+
+
+class CellIndex:
+    """The cells of all services that were reported to one process of the directory.
+
+    Owned by `Directory`; `ReportStore` adds reports as they come.
+    """
 
     def __init__(self) -> None:
-        self.services: dict[str, Service] = {}
-        self.count = 0  # of cells
+        self.services: dict[str, ServiceRecord] = {}
+        self.cell_count = 0
 
-    def take(
-        self, service: str, region: str, name: str, summary: Summary, born_ms: float, now: float
+    def add_report(
+        self, service: str, region: str, name: str, summary: CellSummary, created_ms: float, now: float
     ) -> None:
-        """A member's word for its cell."""
-        if not sound(summary):
+        """Add the summary that the member `name` has reported; one that is invalid is ignored."""
+        if not is_valid_summary(summary):
             return
-        cut = Cut(summary.epoch, summary.depth, summary.bits)
-        cell = self._cell(service, region, cut, now)
+        partition = CellPartition(summary.epoch, summary.depth, summary.bits)
+        cell = self._get_or_add_cell(service, region, partition, now)
         if cell is None:
             return
-        if cut.epoch > cell.cut.epoch:
-            cell.cut = cut
-        cell.voices[name] = Voice(summary, born_ms)
-        if len(cell.voices) > MOST_VOICES:
-            del cell.voices[min(cell.voices, key=lambda who: cell.voices[who].born_ms)]
-
-    def _cell(self, service: str, region: str, cut: Cut, now: float) -> Cell | None:
-        key = region, cut.depth, cut.bits
+        if partition.epoch > cell.partition.epoch:
+            cell.partition = partition
+        cell.summaries[name] = ReceivedSummary(summary, created_ms)
+        if len(cell.summaries) > MAX_REPORTERS:
+            del cell.summaries[min(cell.summaries, key=lambda reporter: cell.summaries[reporter].created_ms)]
+
+    def _get_or_add_cell(
+        self, service: str, region: str, partition: CellPartition, now: float
+    ) -> CellRecord | None:
+        """The record of a cell; None where the index is full."""
+        key = region, partition.depth, partition.bits
         known = self.services.get(service)
         if known is not None and key in known.cells:
             return known.cells[key]
-        if self.count >= MOST_CELLS:
+        if self.cell_count >= MAX_CELLS:
             return None
-        known = self.services.setdefault(service, Service())
-        cell = known.cells[key] = Cell(region, cut, now)
-        self.count += 1
+        known = self.services.setdefault(service, ServiceRecord())
+        cell = CellRecord(region, partition, now)
+        known.cells[key] = cell
+        self.cell_count += 1
         known.changed_ms = now
         return cell
 
     def prune(self, now: float) -> None:
-        """Let go of what is over: gone, replaced, or unheard of for too long."""
+        """Drop cells that have ended, were replaced, or have not been reported for too long."""
         for name, service in list(self.services.items()):
             for key, cell in list(service.cells.items()):
-                if cell.fresh(now):
-                    for who in [who for who, v in cell.voices.items() if now - v.born_ms > BOUND_MS]:
-                        del cell.voices[who]
-                if self._over(service, cell, now):
+                if cell.is_fresh(now):
+                    cell.discard_stale_summaries(now)
+                if self._is_obsolete(service, cell, now):
                     del service.cells[key]
-                    self.count -= 1
+                    self.cell_count -= 1
                     service.changed_ms = now
             if not service.cells:
                 del self.services[name]
 
-    def _over(self, service: Service, cell: Cell, now: float) -> bool:
-        if cell.members(now) == 0 or cell.age_ms(now) > FORGET_MS:
+    def _is_obsolete(self, service: ServiceRecord, cell: CellRecord, now: float) -> bool:
+        if cell.members(now) == 0 or cell.age_ms(now) > CELL_RETENTION_MS:
             return True
         newer = [
             other for other in service.cells.values()
-            if other.region == cell.region and other.cut.key() > cell.cut.key()
-            and now - other.first_ms >= SETTLE_MS
+            if other.region == cell.region and other.partition.key() > cell.partition.key()
+            and now - other.first_reported_ms >= STABILIZATION_MS
         ]  # fmt: skip
-        if any(other.cut.contains(cell.cut) and other is not cell for other in newer):
+        if any(other.partition.contains(cell.partition) and other is not cell for other in newer):
             return True
-        return covers(
-            [other for other in newer if cell.cut.contains(other.cut) and other is not cell], cell.cut
-        )
-
-    def sums(self, find: Find, now: float) -> Sums:
-        """What this asker is told."""
-        service = self.services.get(find.service)
-        mine = Cut(find.epoch, find.depth, find.bits)
-        sums = Sums(mine)
+        subsets = [other for other in newer if cell.partition.contains(other.partition) and other is not cell]
+        return is_covered(subsets, cell.partition)
+
+    def sums_for(self, request: LookupRequest, now: float) -> ServiceSums:
+        """The sums of a service as seen from the requester's cell."""
+        service = self.services.get(request.service)
+        own = CellPartition(request.epoch, request.depth, request.bits)
+        sums = ServiceSums(own)
         if service is None:
             return sums
-        here = [cell for cell in service.cells.values() if cell.region == find.region]
-        regions = sorted({cell.region for cell in service.cells.values()})
+        in_region = [cell for cell in service.cells.values() if cell.region == request.region]
+        self._add_counts(sums, service, request.region, in_region, now)
+        current = [cell for cell in service.cells.values() if not self._is_replaced(service, cell, now)]
+        sums.age_ms = max((cell.age_ms(now) for cell in current), default=0.0)
+        is_complete = self.cell_count < MAX_CELLS and sums.age_ms <= MAX_REPORT_AGE_MS
+        sums.is_reliable = is_complete and now - service.changed_ms >= STABILIZATION_MS
+        self._add_cell_of_requester(sums, in_region, own, name_path(request.name))
+        self._add_sibling(sums, in_region, own, now)
+        exact = service.cells.get((request.region, own.depth, own.bits))
+        if exact is not None and all(
+            cell is exact or not _overlap(cell.partition, own) for cell in in_region
+        ):
+            sums.own_cell_members = exact.counted_members(now)
+        return sums
+
+    def _add_counts(
+        self,
+        sums: ServiceSums,
+        service: ServiceRecord,
+        own_region: str,
+        in_region: list[CellRecord],
+        now: float,
+    ) -> None:
+        """Add the counts of the service, and of the cells before the requester's: by region, then path."""
+        own = sums.partition
         by_region = {
-            region: tally([c for c in service.cells.values() if c.region == region], 0, 0, now)
-            for region in regions
+            region: count_members([c for c in service.cells.values() if c.region == region], 0, 0, now)
+            for region in sorted({cell.region for cell in service.cells.values()})
         }
-        sums.total, sums.cells = sum(by_region.values()), len(service.cells)
-        sums.before = sum(count for region, count in by_region.items() if region < find.region)
-        start = mine.bits << (32 - mine.depth)
-        sums.before += sum(c.counted(now) for c in here if c.cut.bits << (32 - c.cut.depth) < start)
-        needed = [cell for cell in service.cells.values() if not self._replaced(service, cell, now)]
-        sums.age_ms = max((cell.age_ms(now) for cell in needed), default=0.0)
-        whole = self.count < MOST_CELLS and sums.age_ms <= BOUND_MS
-        sums.sure = whole and now - service.changed_ms >= SETTLE_MS
-        self._point(sums, here, mine, path(find.name))
-        self._siblings(sums, here, mine, now)
-        exact = service.cells.get((find.region, mine.depth, mine.bits))
-        alone = all(c is exact or not (c.cut.contains(mine) or mine.contains(c.cut)) for c in here)
-        if exact is not None and alone:
-            sums.own = exact.counted(now)
-        return sums
+        sums.service_members = sum(by_region.values())
+        sums.cell_count = len(service.cells)
+        sums.preceding_members = sum(count for region, count in by_region.items() if region < own_region)
+        start = own.bits << (PATH_BITS - own.depth)
+        sums.preceding_members += sum(
+            cell.counted_members(now)
+            for cell in in_region
+            if cell.partition.bits << (PATH_BITS - cell.partition.depth) < start
+        )
 
-    def _replaced(self, service: Service, cell: Cell, now: float) -> bool:
-        """Whether it is stale and a newer cell, heard of lately, overlaps it."""
-        return not cell.fresh(now) and any(
-            other.region == cell.region and other.cut.key() > cell.cut.key() and other.fresh(now)
-            and (other.cut.contains(cell.cut) or cell.cut.contains(other.cut))
+    def _is_replaced(self, service: ServiceRecord, cell: CellRecord, now: float) -> bool:
+        """Whether the cell is stale and a newer one, which is fresh, overlaps it."""
+        return not cell.is_fresh(now) and any(
+            other.region == cell.region and other.partition.key() > cell.partition.key()
+            and other.is_fresh(now) and _overlap(other.partition, cell.partition)
             for other in service.cells.values()
         )  # fmt: skip
 
-    def _point(self, sums: Sums, here: list[Cell], mine: Cut, askers_path: int) -> None:
-        """The asker's cell, or what shows that its own was cut."""
-        holding = [cell for cell in here if cell.cut.holds(askers_path)]
-        best = max(holding, key=lambda c: c.cut.key(), default=None)
+    def _add_cell_of_requester(
+        self, sums: ServiceSums, in_region: list[CellRecord], own: CellPartition, path: int
+    ) -> None:
+        """Add the cell that the requester belongs to, or one that shows that its own was split."""
+        holding = [cell for cell in in_region if cell.partition.includes_path(path)]
+        best = max(holding, key=lambda cell: cell.partition.key(), default=None)
         if best is not None:
             sums.addresses = best.addresses()
-        parts = [cell for cell in here if mine.contains(cell.cut)]
-        best = best or max(parts, key=lambda c: c.cut.key(), default=None)
-        if best is not None and (best.cut.key() > mine.key() or not mine.holds(askers_path)):
-            sums.cut = best.cut
+        subsets = [cell for cell in in_region if own.contains(cell.partition)]
+        best = best or max(subsets, key=lambda cell: cell.partition.key(), default=None)
+        if best is not None and (best.partition.key() > own.key() or not own.includes_path(path)):
+            sums.partition = best.partition
 
-    def _siblings(self, sums: Sums, here: list[Cell], mine: Cut, now: float) -> None:
-        if not mine.depth:
+    def _add_sibling(
+        self, sums: ServiceSums, in_region: list[CellRecord], own: CellPartition, now: float
+    ) -> None:
+        """Add the cell that the requester's could merge with, where it is one cell and fresh."""
+        if not own.depth:
             return
-        sibling = Cut(0, mine.depth, mine.bits ^ 1)
-        cells = [c for c in here if sibling.contains(c.cut) or c.cut.contains(sibling)]
+        sibling = CellPartition(0, own.depth, own.bits ^ 1)
+        cells = [cell for cell in in_region if _overlap(sibling, cell.partition)]
         if not cells:
-            sums.sibling = 0 if sums.sure else -1
-        elif len(cells) == 1 and cells[0].cut.cell() == sibling.cell() and cells[0].fresh(now):
-            sums.sibling = cells[0].members(now)
-            sums.sibling_epoch, sums.sibling_addresses = cells[0].cut.epoch, cells[0].addresses()[:3]
+            sums.sibling_members = 0 if sums.is_reliable else -1
+        elif len(cells) == 1 and cells[0].partition.cell() == sibling.cell() and cells[0].is_fresh(now):
+            sums.sibling_members = cells[0].members(now)
+            sums.sibling_epoch = cells[0].partition.epoch
+            sums.sibling_addresses = cells[0].addresses()[:MAX_SIBLING_ADDRESSES]
--- a/dunlinloft/fleet/cells/messages.py
+++ b/dunlinloft/fleet/cells/messages.py
@@ -1,33 +1,34 @@
-"""What members and the directory say to each other; `dunlinloft.fleet.cells.wire` puts it into bytes.
+"""Messages between members and the directory; `dunlinloft.fleet.cells.wire` encodes them.
 
-Written as arrays, so a later version may add fields at the end, which an older one skips.
+Encoded as arrays, so a later version may append fields, which an older one skips. The order of the fields and
+the tags are the wire format; the names of classes and fields are not.
 """
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-MOST_ADDRESSES = 4  # of a cell that a summary names
+MAX_SUMMARY_ADDRESSES = 4  # members' addresses in one summary
 
 
-class Summary(Struct, array_like=True, gc=False):
-    """A cell as others know it: never its members, only their sum and some addresses."""
+class CellSummary(Struct, array_like=True, gc=False):
+    """A cell as others know it: aggregates over its members, and some of their addresses."""
 
     epoch: int
     depth: int
     bits: int
-    members: int  # that are there; 0: the last one has gone
-    counted: int  # among whom budgets are parted: those that are missed may still count
+    members: int  # that are alive; 0: the last one has left
+    counted_members: int  # among whom budgets are shared: missing members may still count
     digest: int  # of the view
-    load: float  # requests in flight, about
-    program: str  # the least version that a member runs
+    load: float  # requests in flight, approximately
+    program: str  # the lowest version that a member runs
     addresses: list[str]
 
 
-class Find(Struct, array_like=True, tag=31, gc=False):
-    """Where do I belong, and how many are there of us elsewhere?"""
+class LookupRequest(Struct, array_like=True, tag=31, gc=False):
+    """A member asks which cell it belongs to, and how many members its service has in other cells."""
 
-    number: int
+    request_number: int
     name: str
     service: str
     region: str
@@ -36,41 +37,44 @@
     bits: int
 
 
-class Found(Struct, array_like=True, tag=32, gc=False):
-    """What the directory knows of the asker's service, and how old the oldest of it is.
+class LookupResponse(Struct, array_like=True, tag=32, gc=False):
+    """What the directory knows of the requester's service, and the age of the oldest report in it.
 
-    With number 0 it is a member's word to a stranger: only addresses to ask.
+    With request number 0 it comes unrequested from a member of another cell, and holds addresses only.
     """
 
-    number: int
-    life: int  # of the directory's process
-    stamp: int  # its clock in ms, to be given back with a report
+    request_number: int
+    incarnation: int  # of the directory's process
+    clock_ms: int  # of the directory's process, to be returned with a report
     epoch: int
     depth: int
     bits: int
-    addresses: list[str]  # of members of the asker's cell
-    total: int = 0  # members of the service that count, in all regions
-    own: int = -1  # of these in the asker's cell; -1: that is not told apart
-    before: int = 0  # of these in cells before the asker's
-    cells: int = 0
-    sure: bool = False  # whether all of it is whole and within the bound
+    addresses: list[str]  # of members of the requester's cell
+    service_members: int = 0  # that count, in all regions
+    own_cell_members: int = -1  # of these in the requester's cell; -1: not known separately
+    preceding_members: int = 0  # of these in cells ordered before the requester's
+    cell_count: int = 0
+    is_reliable: bool = False  # whether all of it is complete and within the bound on ages
     age_ms: int = 0
-    sibling: int = -1  # members of the other half; -1: it is not one cell, or not known well enough
+    sibling_members: int = -1  # of the other half; -1: it is not one cell, or not known well enough
     sibling_epoch: int = 0
     sibling_addresses: list[str] = []
 
 
-class Report(Struct, array_like=True, tag=33, gc=False):
-    """A cell's summary by one of its members, as an answer to `Found`: so its age has a bound."""
+class SummaryReport(Struct, array_like=True, tag=33, gc=False):
+    """A cell's summary by one of its members, sent in reply to a `LookupResponse`.
 
-    life: int
-    stamp: int
+    It returns that response's incarnation and clock, so the directory can bound its age by its own clock.
+    """
+
+    incarnation: int
+    clock_ms: int
     name: str
-    writer_life: int
+    reporter_incarnation: int
     version: int
     service: str
     region: str
-    summary: Summary
+    summary: CellSummary
 
 
-Message = Find | Found | Report
+Message = LookupRequest | LookupResponse | SummaryReport
--- a/dunlinloft/fleet/cells/wire.py
+++ b/dunlinloft/fleet/cells/wire.py
@@ -1,8 +1,8 @@
-"""Messages of a fleet with cells as bytes.
+"""Encoding of the messages of a fleet with cells.
 
-Between members: another version than a flat fleet's, so each refuses the other's, then the fleet, the
-service with its region, the sender's cut, and the same message as in a flat fleet. With the directory:
-a version of its own, the fleet, and the message.
+Between members: a version byte that differs from a flat fleet's, so each rejects the other's messages, then
+checksums of the fleet and of the service with its region, the sender's partition, and the same message as in
+a flat fleet. With the directory: a version byte of its own, the checksum of the fleet, and the message.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from dunlinloft.fleet.cells.cut import Cut
 from dunlinloft.fleet.cells.messages import Message as CellMessage
+from dunlinloft.fleet.cells.partition import CellPartition
 from dunlinloft.fleet.interface import AnyMessage
 from dunlinloft.fleet.messages import Message, State
 from dunlinloft.fleet.wire import (
@@ -27,12 +27,14 @@
     encode_state,
 )
 
-CELLED, DIRECTORY = 2, 3  # versions; a flat fleet's is `dunlinloft.fleet.messages.VERSION`
-_CUT = struct.Struct(">IBI")
+# Version bytes; a flat fleet's is `dunlinloft.fleet.messages.VERSION`.
+CELL_VERSION = 2
+DIRECTORY_VERSION = 3
+_PARTITION_FORMAT = struct.Struct(">IBI")  # epoch, depth, bits
 
-_message = msgspec.msgpack.Decoder(Message)
-_state = msgspec.msgpack.Decoder(State)
-_asked = msgspec.msgpack.Decoder(CellMessage)
+_message_decoder = msgspec.msgpack.Decoder(Message)
+_state_decoder = msgspec.msgpack.Decoder(State)
+_directory_decoder = msgspec.msgpack.Decoder(CellMessage)
 _encode = msgspec.msgpack.Encoder().encode
 
 
@@ -41,16 +43,22 @@
 
 
 class CellWire:
-    """Reads and writes for the members of one service in one region."""
+    """Encodes and decodes for the members of one service in one region.
 
-    def __init__(self, fleet: str, service: str, region: str, cut: Callable[[], Cut]) -> None:
-        self._members = bytes([CELLED]) + _crc(fleet) + _crc(f"{service}@{region}")
-        self._directory = bytes([DIRECTORY]) + _crc(fleet)
-        self._cut = cut
+    Parameters
+    ----------
+    fleet, service, region: messages of others are rejected.
+    partition: the sender's cell, read for each message that is encoded.
+    """
+
+    def __init__(self, fleet: str, service: str, region: str, partition: Callable[[], CellPartition]) -> None:
+        self._members = bytes([CELL_VERSION]) + _crc(fleet) + _crc(f"{service}@{region}")
+        self._directory = bytes([DIRECTORY_VERSION]) + _crc(fleet)
+        self._partition = partition
 
     def _prefix(self) -> bytes:
-        cut = self._cut()
-        return self._members + _CUT.pack(cut.epoch, cut.depth, cut.bits)
+        partition = self._partition()
+        return self._members + _PARTITION_FORMAT.pack(partition.epoch, partition.depth, partition.bits)
 
     def write(self, message: AnyMessage) -> bytes:
         """A datagram; records that would make it too long are left out, the last first."""
@@ -58,40 +66,43 @@
             return self._directory + _encode(message)
         return encode_datagram(self._prefix(), message)
 
-    def read(self, data: bytes) -> tuple[AnyMessage, Cut | None]:
-        """What a datagram says, and its sender's cut; `MessageRejected` where it says nothing here."""
+    def read(self, data: bytes) -> tuple[AnyMessage, CellPartition | None]:
+        """The message of a datagram, and its sender's cell (None for the directory's).
+
+        Raises `MessageRejected` for one that is broken, or not for this service and region.
+        """
         if data[:1] == self._directory[:1]:
             return read_directory(self._directory, data), None
-        body, cut = self._body(data, MAX_DATAGRAM_BYTES)
-        return decode(_message, body), cut
+        body, partition = self._body(data, MAX_DATAGRAM_BYTES)
+        return decode(_message_decoder, body), partition
 
     def write_state(self, state: State) -> bytes:
-        """A whole view; what would make it longer than the cap is left out."""
+        """A complete view; records that would make it longer than the limit are left out."""
         return encode_state(self._prefix(), state)
 
-    def read_state(self, data: bytes) -> tuple[State, Cut | None]:
-        """The view that these bytes are; `MessageRejected` as with `read`."""
-        body, cut = self._body(data, MAX_STATE_BYTES)
-        return decode(_state, body), cut
+    def read_state(self, data: bytes) -> tuple[State, CellPartition | None]:
+        """The view that was encoded, and its sender's cell; raises `MessageRejected` as `read` does."""
+        body, partition = self._body(data, MAX_STATE_BYTES)
+        return decode(_state_decoder, body), partition
 
-    def _body(self, data: bytes, most: int) -> tuple[memoryview, Cut]:
-        body = strip(self._members, data, most)
-        if len(body) <= _CUT.size:
+    def _body(self, data: bytes, max_bytes: int) -> tuple[memoryview, CellPartition]:
+        body = strip_prefix(self._members, data, max_bytes)
+        if len(body) <= _PARTITION_FORMAT.size:
             raise MessageRejected(RejectReason.SHORT)
-        cut = Cut(*_CUT.unpack(body[: _CUT.size]))
-        if not cut.sound():
+        partition = CellPartition(*_PARTITION_FORMAT.unpack(body[: _PARTITION_FORMAT.size]))
+        if not partition.is_valid():
             raise MessageRejected(RejectReason.BROKEN)
-        return body[_CUT.size :], cut
+        return body[_PARTITION_FORMAT.size :], partition
 
 
 class DirectoryWire:
-    """Reads and writes what members say to the directory's processes."""
+    """Encodes and decodes the messages between members and the directory's processes."""
 
     def __init__(self, fleet: str) -> None:
-        self._prefix = bytes([DIRECTORY]) + _crc(fleet)
+        self._prefix = bytes([DIRECTORY_VERSION]) + _crc(fleet)
 
-    def mine(self, data: bytes) -> bool:
-        """Whether a datagram is of this kind, and not the directory's processes' own."""
+    def accepts(self, data: bytes) -> bool:
+        """Whether a datagram is of this kind, and not one between the directory's own processes."""
         return data[:1] == self._prefix[:1]
 
     def write(self, message: CellMessage) -> bytes:
@@ -99,20 +110,20 @@
         return self._prefix + _encode(message)
 
     def read(self, data: bytes) -> CellMessage:
-        """What a datagram says; `MessageRejected` where it says nothing to this fleet."""
+        """The message of a datagram; raises `MessageRejected` for one that is broken or of another fleet."""
         return read_directory(self._prefix, data)
 
 
 def read_directory(prefix: bytes, data: bytes) -> CellMessage:
-    """A message to or from the directory."""
-    return decode(_asked, strip(prefix, data, MAX_DATAGRAM_BYTES))
+    """Decode a message to or from the directory; raises `MessageRejected`."""
+    return decode(_directory_decoder, strip_prefix(prefix, data, MAX_DATAGRAM_BYTES))
 
 
-def strip(prefix: bytes, data: bytes, most: int) -> memoryview:
-    """The body behind a prefix, or why there is none."""
+def strip_prefix(prefix: bytes, data: bytes, max_bytes: int) -> memoryview:
+    """The body after a prefix; raises `MessageRejected` where length, version or checksums don't fit."""
     if len(data) <= len(prefix):
         raise MessageRejected(RejectReason.SHORT)
-    if len(data) > most:
+    if len(data) > max_bytes:
         raise MessageRejected(RejectReason.LONG)
     if data[0] != prefix[0]:
         raise MessageRejected(RejectReason.VERSION)
--- a/dunlinloft/fleet/interface.py
+++ b/dunlinloft/fleet/interface.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 
 from dunlinloft.fleet.cells import messages as cells
-from dunlinloft.fleet.cells.cut import Cut
+from dunlinloft.fleet.cells.partition import CellPartition
 from dunlinloft.fleet.messages import Message, MetadataValue, State
 from dunlinloft.fleet.timers import SetTimer as SetTimer
 from dunlinloft.fleet.timers import TimerFired as TimerFired
@@ -55,7 +55,7 @@
 
     message: AnyMessage
     source: str
-    sender_cell: Cut | None = None
+    sender_cell: CellPartition | None = None
 
 
 @dataclass(slots=True)
@@ -69,7 +69,7 @@
     state: State
     source: str
     requested: bool
-    sender_cell: Cut | None = None
+    sender_cell: CellPartition | None = None
 
 
 @dataclass(slots=True)
--- a/dunlinloft/fleet/shared_state/messages.py
+++ b/dunlinloft/fleet/shared_state/messages.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Struct
 
-from dunlinloft.fleet.cells.messages import Summary
+from dunlinloft.fleet.cells.messages import CellSummary
 from dunlinloft.fleet.releases.follower import AttemptOutcome, ObservedServer
 from dunlinloft.fleet.releases.messages import Order, Tally
 from dunlinloft.fleet.timers import SetTimer as SetTimer
@@ -150,8 +150,8 @@
 _operator_limits = msgspec.msgpack.Decoder(OperatorLimits)
 _release = msgspec.msgpack.Decoder(Order)
 _tally = msgspec.msgpack.Decoder(Tally)
-_summary = msgspec.msgpack.Decoder(Summary)
-Content = ObservationReport | Heartbeat | AffinityBindings | OperatorLimits | Order | Tally | Summary
+_summary = msgspec.msgpack.Decoder(CellSummary)
+Content = ObservationReport | Heartbeat | AffinityBindings | OperatorLimits | Order | Tally | CellSummary
 
 
 def decode(kind: int, content: bytes) -> Content | None:
--- a/dunlinloft/node/fleet/directory.py
+++ b/dunlinloft/node/fleet/directory.py
@@ -18,10 +18,10 @@
 
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.cells import directory as cells
-from dunlinloft.fleet.cells.index import Cell, Service
-from dunlinloft.fleet.cells.messages import Found
+from dunlinloft.fleet.cells.index import CellRecord, ServiceRecord
+from dunlinloft.fleet.cells.messages import LookupResponse
 from dunlinloft.fleet.cells.messages import Message as CellMessage
-from dunlinloft.fleet.cells.totals import BOUND_MS
+from dunlinloft.fleet.cells.service_totals import MAX_REPORT_AGE_MS
 from dunlinloft.fleet.cells.wire import DirectoryWire
 from dunlinloft.fleet.messages import ApplicationMessage, Message
 from dunlinloft.fleet.shared_state import messages as shared
@@ -63,7 +63,7 @@
         if self.config.management is not None:
             await self.admin.listen(self.config.management)
         self.peers.start()
-        self._do(self.core.begin())
+        self._do(self.core.start())
         self._see()
 
     async def stop(self) -> None:
@@ -77,7 +77,7 @@
             return
         core = self.peers.core
         here = {m.name: m.incarnation for m in core.view.members.values() if m.is_alive()}
-        self._give(cells.Seen(core.incarnation, here))
+        self._give(cells.PeersObserved(core.incarnation, here))
         self._loop.call_later(SEEN_S, self._see)
 
     def _give(self, event: cells.Event) -> None:
@@ -104,15 +104,15 @@
 
     def _datagram(self, data: bytes, source: str) -> bool:
         """Take a member's datagram; False where it is one of the directory's own processes'."""
-        if not self.wire.mine(data):
+        if not self.wire.accepts(data):
             return False
         try:
             message = self.wire.read(data)
         except MessageRejected as reason:
             self.peers.refuse(str(reason))
             return True
-        if not isinstance(message, Found):
-            self._give(cells.Said(message, source))
+        if not isinstance(message, LookupResponse):
+            self._give(cells.MemberMessageReceived(message, source))
         return True
 
     def _heard(self, message: Message) -> None:
@@ -122,7 +122,7 @@
     # What operators see
 
     def _health(self) -> tuple[int, dict[str, Any]]:
-        return 200, {"ready": self.core.ready(now_ms())}
+        return 200, {"ready": self.core.is_ready(now_ms())}
 
     def show(self) -> tuple[int, dict[str, Any]]:
         """Services with their cells, and how old what is known of each is."""
@@ -130,29 +130,29 @@
         return 200, {
             "name": self.config.name,
             "fleet": self.config.fleet.name,
-            "learning": not core.ready(now),
+            "learning": not core.is_ready(now),
             "processes": self.peers.core.alive_count(),
-            "counts": dict(core.counts) | {"records": sum(1 for _ in core.table.all())},
+            "counts": dict(core.counts) | {"records": sum(1 for _ in core.reports.all())},
             "refused_for": self.peers.reasons,
-            "bound_s": BOUND_MS / 1000.0,
+            "bound_s": MAX_REPORT_AGE_MS / 1000.0,
             "services": {
                 name: _service(service, now) for name, service in sorted(core.index.services.items())
             },
         }  # fmt: skip
 
 
-def _service(service: Service, now: float) -> list[dict[str, Any]]:
+def _service(service: ServiceRecord, now: float) -> list[dict[str, Any]]:
     return [_cell(cell, now) for _, cell in sorted(service.cells.items())]
 
 
-def _cell(cell: Cell, now: float) -> dict[str, Any]:
-    youngest = cell.youngest().summary
+def _cell(cell: CellRecord, now: float) -> dict[str, Any]:
+    youngest = cell.latest().summary
     return {
-        "region": cell.region, "cell": cell.cut.text(), "epoch": cell.cut.epoch,
-        "members": youngest.members, "counted": cell.counted(now), "load": youngest.load,
+        "region": cell.region, "cell": cell.partition.text(), "epoch": cell.partition.epoch,
+        "members": youngest.members, "counted": cell.counted_members(now), "load": youngest.load,
         "program": youngest.program, "digest": f"{youngest.digest:016x}", "addresses": cell.addresses(),
-        "reporters": sorted(cell.voices), "age_s": round(cell.age_ms(now) / 1000.0, 1),
-        "stale": not cell.fresh(now),
+        "reporters": sorted(cell.summaries), "age_s": round(cell.age_ms(now) / 1000.0, 1),
+        "stale": not cell.is_fresh(now),
     }  # fmt: skip
 
 
--- a/dunlinloft/node/fleet/peers.py
+++ b/dunlinloft/node/fleet/peers.py
@@ -16,8 +16,8 @@
 from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.balancer.interface import Event, Settings
 from dunlinloft.fleet import interface as api
-from dunlinloft.fleet.cells.cut import Cut
 from dunlinloft.fleet.cells.messages import Message as CellMessage
+from dunlinloft.fleet.cells.partition import CellPartition
 from dunlinloft.fleet.leases import messages as duties
 from dunlinloft.fleet.leases.table_rows import STATE_TABLE_ROLE
 from dunlinloft.fleet.member_count import MemberCount
@@ -42,7 +42,7 @@
 from dunlinloft.node.fleet.shared import SharedHost
 
 if TYPE_CHECKING:
-    from dunlinloft.fleet.cells.totals import CellCensus
+    from dunlinloft.fleet.cells.member_count import CellMemberCount
     from dunlinloft.node.fleet.cells import CellHost
 
 SOCKETS = 28  # of the node's limit: two of its own, and what follows
@@ -120,7 +120,7 @@
         uid = wall_ms << 16 | rng.getrandbits(16)
         self.cells: CellHost | None = None
         self.core: Membership
-        self.census: MemberCount | CellCensus
+        self.census: MemberCount | CellMemberCount
         if fleet.cells is not None:
             from dunlinloft.node.fleet.cells import CellHost
 
@@ -296,13 +296,13 @@
             return self.cells.wire.write(message)
         return self._flat.write(cast(Message, message))  # a flat core says nothing else
 
-    def _read(self, data: bytes) -> tuple[api.AnyMessage, Cut | None]:
+    def _read(self, data: bytes) -> tuple[api.AnyMessage, CellPartition | None]:
         return self.cells.wire.read(data) if self.cells is not None else (self._flat.read(data), None)
 
     def _write_state(self, state: State) -> bytes:
         return (self.cells.wire if self.cells is not None else self._flat).write_state(state)
 
-    def _read_state(self, data: bytes) -> tuple[State, Cut | None]:
+    def _read_state(self, data: bytes) -> tuple[State, CellPartition | None]:
         if self.cells is not None:
             return self.cells.wire.read_state(data)
         return self._flat.read_state(data), None
--- a/dunlinloft/node/fleet/shared.py
+++ b/dunlinloft/node/fleet/shared.py
@@ -14,7 +14,7 @@
 from dunlinloft.balancer import interface as api
 from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.balancer.interface import Result
-from dunlinloft.fleet.cells.totals import CellCensus
+from dunlinloft.fleet.cells.member_count import CellMemberCount
 from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import ApplicationMessage, Message
@@ -86,7 +86,7 @@
     )
 
 
-def seen(members: Membership, census: MemberCount | CellCensus) -> shared.MembershipUpdated:
+def seen(members: Membership, census: MemberCount | CellMemberCount) -> shared.MembershipUpdated:
     """Who is there, and who counts."""
     here = (
         {}
--- a/lab/cells.py
+++ b/lab/cells.py
@@ -21,7 +21,7 @@
 import numpy as np
 from msgspec import Struct
 
-from dunlinloft.fleet.cells.totals import BOUND_MS
+from dunlinloft.fleet.cells.service_totals import MAX_REPORT_AGE_MS
 from dunlinloft.fleet.membership.core import Membership
 from lab.fit import line
 from lab.virtual.askers import Askers
@@ -36,7 +36,8 @@
 KILLED, WALKED = 4, 8  # members a play: that crash; whose memory is measured
 GUIDES = 54
 TARGET_CELLS, TARGET_MEMBERS = 4_100, 26_000
-TALK = {"Find", "Found", "Report"}  # what members say with the directory, and it with them
+# What members say with the directory, and it with them.
+TALK = {"LookupRequest", "LookupResponse", "SummaryReport"}
 
 
 class Sample(Struct):
@@ -175,7 +176,7 @@
 def _directory(cells: int, seed: int) -> dict[str, list[float]]:
     """What a process of the directory costs, a second of its time, with so many cells of the usual size."""
     askers = Askers(cells, TARGET_MEMBERS / TARGET_CELLS, seed, GUIDES)
-    askers.run(2.0 * BOUND_MS)
+    askers.run(2.0 * MAX_REPORT_AGE_MS)
     for counter in (askers.kinds, askers.counts, askers.bytes, askers.datagrams, askers.taken):
         counter.clear()
     askers.stream_bytes.clear()
@@ -193,7 +194,7 @@
         "in_bytes_s": [sum(askers.taken[n] for n in names) * share],
         "out_messages_s": [sum(askers.datagrams[n] for n in names) * share],
         "replication_bytes_s": [(askers.kinds["PullRequest"] + askers.kinds["PullResponse"]) * share],
-        "answers_bytes_s": [askers.kinds["Found"] * share],
+        "answers_bytes_s": [askers.kinds["LookupResponse"] * share],
         "cpu_ms_s": [1e3 * (askers.cpu["directory core"] + askers.cpu["directory wire"]) * share],
         "memory_kb": [sum(held) / len(held)],
         "known_cells": [float(min(askers.known(guide) for guide in guides))],
--- a/lab/virtual/askers.py
+++ b/lab/virtual/askers.py
@@ -9,8 +9,8 @@
 import random
 
 from dunlinloft.fleet import interface as api
-from dunlinloft.fleet.cells.cut import Cut
-from dunlinloft.fleet.cells.messages import Find, Found, Report, Summary
+from dunlinloft.fleet.cells.messages import CellSummary, LookupRequest, LookupResponse, SummaryReport
+from dunlinloft.fleet.cells.partition import CellPartition
 from dunlinloft.fleet.cells.wire import DirectoryWire
 from dunlinloft.fleet.membership.core import Membership
 from lab.virtual.cell_processes import FLEET, Guide
@@ -57,11 +57,11 @@
         """A member asks; numbers tell them apart, and the reporter is the first."""
         mouth.asked += 1
         name = f"{mouth.service}-{member:04}"
-        find = Find(mouth.asked * 64 + member, name, mouth.service, mouth.region, 0, 0, 0)
+        find = LookupRequest(mouth.asked * 64 + member, name, mouth.service, mouth.region, 0, 0, 0)
         self._send(mouth, self.rng.choice(self.guides), find)
         self.after(FIND_MS * (0.9 + 0.2 * self.rng.random()), self._ask, mouth, member)
 
-    def _send(self, mouth: Mouth, guide: str, message: Find | Report) -> None:
+    def _send(self, mouth: Mouth, guide: str, message: LookupRequest | SummaryReport) -> None:
         data = self._link.write(message)
         for took in self.lines.between(mouth.name, guide).datagram(len(data)):
             self.after(took, self.arrive, f"addr:{guide}", mouth.core.address, data)
@@ -72,16 +72,16 @@
         if not isinstance(mouth, Mouth):
             return super().arrive(address, source, data)
         found = self._link.read(data)
-        assert isinstance(found, Found)
+        assert isinstance(found, LookupResponse)
         mouth.answers += 1
-        mouth.sure += found.sure
-        if found.number % 64:
+        mouth.sure += found.is_reliable
+        if found.request_number % 64:
             return
         mouth.version += 1
         some = [f"127.16.{n}.{len(mouth.name)}:7400" for n in range(10, 10 + min(4, mouth.size))]
-        summary = Summary(0, 0, 0, mouth.size, mouth.size, 1 << 62, 8.0 * mouth.size, "0.1.0", some)
-        report = Report(
-            found.life, found.stamp, f"{mouth.service}-0000", WALL_MS, mouth.version, mouth.service,
+        summary = CellSummary(0, 0, 0, mouth.size, mouth.size, 1 << 62, 8.0 * mouth.size, "0.1.0", some)
+        report = SummaryReport(
+            found.incarnation, found.clock_ms, f"{mouth.service}-0000", WALL_MS, mouth.version, mouth.service,
             mouth.region, summary,
         )  # fmt: skip
         self._send(mouth, source.removeprefix("addr:"), report)
@@ -90,7 +90,7 @@
         """How many cells a process of the directory knows with their right sums."""
         right = {(m.service, m.region): m.size for m in self.mouths}
         return sum(
-            right.get((name, cell.region)) == cell.members(self.now()) and cell.cut == Cut()
+            right.get((name, cell.region)) == cell.members(self.now()) and cell.partition == CellPartition()
             for name, service in guide.directory.index.services.items()
             for cell in service.cells.values()
         )
--- a/lab/virtual/cell_meeting.py
+++ b/lab/virtual/cell_meeting.py
@@ -11,8 +11,8 @@
 from typing import Any, TypeVar
 
 from dunlinloft.fleet import interface as api
-from dunlinloft.fleet.cells.directory import Said
-from dunlinloft.fleet.cells.messages import Find, Report
+from dunlinloft.fleet.cells.directory import MemberMessageReceived
+from dunlinloft.fleet.cells.messages import LookupRequest, SummaryReport
 from dunlinloft.fleet.messages import ApplicationMessage, State
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.wire import MAX_DATAGRAM_BYTES, MessageRejected
@@ -108,8 +108,8 @@
         except MessageRejected as reason:
             self.refused[str(reason)] += 1
             return
-        if isinstance(target, Guide) and isinstance(message, Find | Report):
-            self.turn(target, self.guide, target, Said(message, source))
+        if isinstance(target, Guide) and isinstance(message, LookupRequest | SummaryReport):
+            self.turn(target, self.guide, target, MemberMessageReceived(message, source))
             return
         self.reach_in(target, api.MessageReceived(message, source, cut))
         if isinstance(target, Guide) and isinstance(message, ApplicationMessage):
--- a/lab/virtual/cell_oracle.py
+++ b/lab/virtual/cell_oracle.py
@@ -5,9 +5,9 @@
 from collections import defaultdict
 
 from dunlinloft.fleet.cells.core import CellMembership
-from dunlinloft.fleet.cells.cut import Cut, path
-from dunlinloft.fleet.cells.index import Sums
-from dunlinloft.fleet.cells.messages import Find
+from dunlinloft.fleet.cells.index import ServiceSums
+from dunlinloft.fleet.cells.messages import LookupRequest
+from dunlinloft.fleet.cells.partition import CellPartition, name_path
 from lab.virtual.cell_processes import Guide, Member
 from lab.virtual.cells import CellFleet
 
@@ -44,13 +44,13 @@
     return found
 
 
-def cells(fleet: CellFleet) -> dict[tuple[str, str, Cut], list[Member]]:
+def cells(fleet: CellFleet) -> dict[tuple[str, str, CellPartition], list[Member]]:
     """Members that run by service, region and cut, with its epoch."""
-    found: dict[tuple[str, str, Cut], list[Member]] = defaultdict(list)
+    found: dict[tuple[str, str, CellPartition], list[Member]] = defaultdict(list)
     for member in fleet.members():
         core = member.core
         assert isinstance(core, CellMembership)
-        found[member.service, member.region, core.cut].append(member)
+        found[member.service, member.region, core.partition].append(member)
     return found
 
 
@@ -64,7 +64,7 @@
     for (service, region, cut), members in found.items():
         where = f"{service}@{region} {cut.text()}/{cut.epoch}"
         for member in members:
-            if not cut.holds(path(member.name)):
+            if not cut.includes_path(name_path(member.name)):
                 return f"{member.name} is in {where}, where it does not belong"
         for other_service, other_region, other in found:
             if (other_service, other_region) != (service, region) or other == cut:
@@ -90,13 +90,13 @@
     return took
 
 
-def sums(fleet: CellFleet, guide: Guide, name: str) -> Sums:
+def sums(fleet: CellFleet, guide: Guide, name: str) -> ServiceSums:
     """What a process of the directory would tell a member."""
     member = fleet.at(name)
     cut = fleet.cut_of(name)
-    find = Find(1, name, member.service, member.region, cut.epoch, cut.depth, cut.bits)
-    told = guide.directory.index.sums(find, fleet.now())
-    told.sure = told.sure and guide.directory.ready(fleet.now())
+    find = LookupRequest(1, name, member.service, member.region, cut.epoch, cut.depth, cut.bits)
+    told = guide.directory.index.sums_for(find, fleet.now())
+    told.is_reliable = told.is_reliable and guide.directory.is_ready(fleet.now())
     return told
 
 
@@ -105,7 +105,7 @@
     for members in by_service(fleet).values():
         for guide in fleet.directory():
             told = sums(fleet, guide, members[0].name)
-            if not told.sure or told.total != len(members):
+            if not told.is_reliable or told.service_members != len(members):
                 return False
     return True
 
--- a/lab/virtual/cell_processes.py
+++ b/lab/virtual/cell_processes.py
@@ -6,9 +6,9 @@
 
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.cells.core import CellMembership
-from dunlinloft.fleet.cells.cut import Cut
 from dunlinloft.fleet.cells.directory import Directory
-from dunlinloft.fleet.cells.totals import CellCensus
+from dunlinloft.fleet.cells.member_count import CellMemberCount
+from dunlinloft.fleet.cells.partition import CellPartition
 from dunlinloft.fleet.cells.wire import CellWire, DirectoryWire
 from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
@@ -25,9 +25,9 @@
 class Hosted(CellMembership):
     """A core whose budgets are parted by its host's census."""
 
-    census: CellCensus
+    census: CellMemberCount
 
-    def counted(self) -> int:
+    def counted_members(self) -> int:
         """As the census has it."""
         return self.census.cell()
 
@@ -51,23 +51,23 @@
         super().__init__(meeting, name, core)
         self.service, self.region = service, region
         self.wire: CellWire | Wire = Wire(FLEET)
-        self.census: CellCensus | MemberCount
+        self.census: CellMemberCount | MemberCount
 
     def recount(self) -> None:
         """What a host does now and then, and when it is told of totals."""
         here = {member.name for member in self.core.view.members.values() if member.is_alive()} | {self.name}
-        if isinstance(self.census, CellCensus) and isinstance(self.core, CellMembership):
-            self.census.observe(here, self.now(), self.core.totals, self.core.cut)
+        if isinstance(self.census, CellMemberCount) and isinstance(self.core, CellMembership):
+            self.census.observe(here, self.now(), self.core.service_totals, self.core.partition)
         elif isinstance(self.census, MemberCount):
             self.census.observe(here, self.now())
 
     def fallback(self) -> bool:
         """Whether it holds what the directory says for too old, or has been told nothing."""
-        return isinstance(self.census, CellCensus) and self.census.fallback
+        return isinstance(self.census, CellMemberCount) and self.census.uses_fallback
 
     def told_ms(self) -> float:
         """How old what the directory told it last is at most."""
-        totals = self.core.totals if isinstance(self.core, CellMembership) else None
+        totals = self.core.service_totals if isinstance(self.core, CellMembership) else None
         return totals.age_ms(self.now()) if totals is not None else math.inf
 
     def part(self) -> float:
@@ -99,9 +99,9 @@
     return process.wire.write(message)
 
 
-def read(process: Process, data: bytes) -> tuple[api.AnyMessage, Cut | None]:
+def read(process: Process, data: bytes) -> tuple[api.AnyMessage, CellPartition | None]:
     """What a datagram says to this process, and its sender's cut; `MessageRejected` where it says nothing."""
-    if isinstance(process, Guide) and process.link.mine(data):
+    if isinstance(process, Guide) and process.link.accepts(data):
         return process.link.read(data), None
     assert isinstance(process, Member | Guide)
     if isinstance(process.wire, CellWire):
@@ -109,7 +109,7 @@
     return process.wire.read(data), None
 
 
-def read_state(process: Process, data: bytes) -> tuple[State, Cut | None]:
+def read_state(process: Process, data: bytes) -> tuple[State, CellPartition | None]:
     """A view as its bytes say it, and its sender's cut."""
     assert isinstance(process, Member | Guide)
     if isinstance(process.wire, CellWire):
--- a/lab/virtual/cells.py
+++ b/lab/virtual/cells.py
@@ -11,10 +11,11 @@
 import random
 
 from dunlinloft.fleet import interface as api
-from dunlinloft.fleet.cells.core import CellMembership, Place
-from dunlinloft.fleet.cells.cut import Cut, path
-from dunlinloft.fleet.cells.directory import Directory, Seen
-from dunlinloft.fleet.cells.totals import CellCensus
+from dunlinloft.fleet.cells.core import CellMembership
+from dunlinloft.fleet.cells.directory import Directory, PeersObserved
+from dunlinloft.fleet.cells.member_count import CellMemberCount
+from dunlinloft.fleet.cells.partition import CellPartition, name_path
+from dunlinloft.fleet.cells.settings import CellSettings
 from dunlinloft.fleet.cells.wire import CellWire
 from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
@@ -35,7 +36,7 @@
     def __init__(
         self, sizes: dict[str, int], seed: int, regions: tuple[str, ...] = ("east",), most: int = 8,
         directory: int = 3, core: type[Membership] = Hosted, file: int | None = None,
-        make_directory: type[Directory] = Directory, census: type[CellCensus] = CellCensus,
+        make_directory: type[Directory] = Directory, census: type[CellMemberCount] = CellMemberCount,
         apart_ms: float = 0.0,
     ) -> None:  # fmt: skip
         super().__init__(seed)
@@ -87,7 +88,7 @@
         self.by_address[at] = process
         self.processes[address or name] = process
         if isinstance(process, Guide):
-            self.guided(process, process.directory.begin())
+            self.guided(process, process.directory.start())
         self.give(process, api.Started())
         self.after(RECOUNT_MS * rng.random(), self._recount, process)
         return process
@@ -109,13 +110,13 @@
             member = Member(self, name, core(name, at, seeds, uid, life, rng, facts), service, region)
             member.census = MemberCount(name, number, nodes)
             return member
-        place = Place(service, region, self.most, [f"addr:{guide}" for guide in self.guides])
+        place = CellSettings(service, region, self.most, [f"addr:{guide}" for guide in self.guides])
         made = core(name, at, seeds, uid, life, rng, facts, place)
         member = Member(self, name, made, service, region)
         member.census = census = self._make_census(name, number, nodes)
         if isinstance(made, Hosted):
             made.census = census
-        member.wire = CellWire(FLEET, service, region, lambda: made.cut)
+        member.wire = CellWire(FLEET, service, region, lambda: made.partition)
         return member
 
     def _recount(self, process: Process) -> None:
@@ -128,7 +129,7 @@
         self.after(RECOUNT_MS, self._recount, process)
 
     def _see(self, guide: Guide) -> None:
-        self.guide(guide, Seen(guide.core.incarnation, guide.here()))
+        self.guide(guide, PeersObserved(guide.core.incarnation, guide.here()))
 
     def changed(self, process: Process, change: api.MemberChanged) -> None:
         """What a host does with it, then the oracle."""
@@ -137,10 +138,10 @@
             if (
                 change.change is api.MemberChange.CELL
                 and isinstance(core, CellMembership)
-                and isinstance(census, CellCensus)
+                and isinstance(census, CellMemberCount)
             ):
-                cut = core.cut
-                census.retain(lambda name: cut.holds(path(name)))
+                cut = core.partition
+                census.retain(lambda name: cut.includes_path(name_path(name)))
             process.recount()
             self.watch(process, change)
         elif change.change is api.MemberChange.RELEASED:
@@ -172,8 +173,8 @@
         assert isinstance(process, Member)
         return process
 
-    def cut_of(self, name: str) -> Cut:
+    def cut_of(self, name: str) -> CellPartition:
         """A member's cut."""
         core = self.processes[name].core
         assert isinstance(core, CellMembership)
-        return core.cut
+        return core.partition
--- a/tests/test_cell_directory.py
+++ b/tests/test_cell_directory.py
@@ -6,9 +6,10 @@
 
 import pytest
 
-from dunlinloft.fleet.cells.cut import Cut
-from dunlinloft.fleet.cells.directory import Directory, Replica, Said, Seen
-from dunlinloft.fleet.cells.messages import Report, Summary
+from dunlinloft.fleet.cells.directory import Directory, MemberMessageReceived, PeersObserved
+from dunlinloft.fleet.cells.messages import CellSummary, SummaryReport
+from dunlinloft.fleet.cells.partition import CellPartition
+from dunlinloft.fleet.cells.report_replication import ReportReplication
 from dunlinloft.fleet.shared_state.anti_entropy import AntiEntropy
 from dunlinloft.fleet.shared_state.messages import MessageReceived, PullRequest, PullResponse
 from lab.virtual.askers import Askers
@@ -18,22 +19,25 @@
     """One that has heard of so many cells."""
     directory = Directory("d1", 3, random.Random(1), 0.0)
     for n in range(cells):
-        cut = Cut(1, 8, n)
-        summary = Summary(cut.epoch, cut.depth, cut.bits, 5, 5, n, 1.0, "1", ["127.0.0.1:7400"] * 4)
-        directory.handle(Said(Report(3, 1000, f"n{n}", 17, 1, "web", "east", summary), "addr"), 1_000.0)
-    directory.handle(Seen(3, {"d2": 4}), 1_000.0)
+        cut = CellPartition(1, 8, n)
+        summary = CellSummary(cut.epoch, cut.depth, cut.bits, 5, 5, n, 1.0, "1", ["127.0.0.1:7400"] * 4)
+        directory.handle(
+            MemberMessageReceived(SummaryReport(3, 1000, f"n{n}", 17, 1, "web", "east", summary), "addr"),
+            1_000.0,
+        )
+    directory.handle(PeersObserved(3, {"d2": 4}), 1_000.0)
     return directory
 
 
 def asked(directory: Directory, now: float) -> PullRequest:
-    [tell], _ = directory.spread.pull(now)
+    [tell], _ = directory.replication.pull(now)
     assert isinstance(tell.message, PullRequest)
     return tell.message
 
 
 def answers(giver: Directory, pull: PullRequest) -> list[PullResponse]:
     found = []
-    for tell in giver.spread.receive(pull, "d2", 1_500.0):
+    for tell in giver.replication.receive(pull, "d2", 1_500.0):
         assert isinstance(tell.message, PullResponse)
         found.append(tell.message)
     return found
@@ -41,7 +45,7 @@
 
 def test_pieces_of_an_answer_that_overtake_each_other_are_not_asked_for_again() -> None:
     giver, taker = full(60), Directory("d2", 4, random.Random(2), 0.0)
-    taker.handle(Seen(4, {"d1": 3}), 1_000.0)
+    taker.handle(PeersObserved(4, {"d1": 3}), 1_000.0)
     pours = answers(giver, asked(taker, 1_400.0))
     assert len(pours) > 4
     missing = pours.pop(2)
@@ -57,10 +61,10 @@
 
 def test_another_life_of_a_partner_is_asked_from_the_start() -> None:
     giver, taker = full(30), Directory("d2", 4, random.Random(2), 0.0)
-    taker.handle(Seen(4, {"d1": 3}), 1_000.0)
+    taker.handle(PeersObserved(4, {"d1": 3}), 1_000.0)
     for pour in answers(giver, asked(taker, 1_400.0))[1:]:
         taker.handle(MessageReceived(pour, "d1"), 1_600.0)
-    taker.handle(Seen(4, {"d1": 5}), 1_700.0)
+    taker.handle(PeersObserved(4, {"d1": 5}), 1_700.0)
     assert asked(taker, 1_800.0).cursor == 0
 
 
@@ -84,6 +88,6 @@
 
 
 def test_where_pieces_out_of_order_are_lost_replication_costs_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Replica, "_advance", AntiEntropy._advance)
+    monkeypatch.setattr(ReportReplication, "_advance", AntiEntropy._advance)
     with pytest.raises(AssertionError):
         test_pieces_of_an_answer_that_overtake_each_other_are_not_asked_for_again()
--- a/tests/test_cell_faults.py
+++ b/tests/test_cell_faults.py
@@ -8,16 +8,17 @@
 import pytest
 
 from dunlinloft.fleet.cells import core as core_module
-from dunlinloft.fleet.cells import cut as cut_module
 from dunlinloft.fleet.cells import index as index_module
-from dunlinloft.fleet.cells import totals as totals_module
+from dunlinloft.fleet.cells import partition as partition_module
+from dunlinloft.fleet.cells import service_totals as service_totals_module
+from dunlinloft.fleet.cells.bootstrap_addresses import BootstrapAddresses
 from dunlinloft.fleet.cells.core import CellMembership
-from dunlinloft.fleet.cells.cut import Cut, path
 from dunlinloft.fleet.cells.directory import Directory
-from dunlinloft.fleet.cells.index import Cell, Index, Sums, tally
-from dunlinloft.fleet.cells.messages import Find, Found, Report
-from dunlinloft.fleet.cells.pointers import Pointers
-from dunlinloft.fleet.cells.totals import WHOLE, CellCensus, Totals
+from dunlinloft.fleet.cells.index import CellIndex, CellRecord, ServiceSums, count_members
+from dunlinloft.fleet.cells.member_count import CellMemberCount
+from dunlinloft.fleet.cells.messages import LookupRequest, LookupResponse, SummaryReport
+from dunlinloft.fleet.cells.partition import UNDIVIDED, CellPartition, name_path
+from dunlinloft.fleet.cells.service_totals import ServiceTotals
 from dunlinloft.fleet.cells.wire import CellWire
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import DEAD, Record
@@ -25,7 +26,7 @@
 from tests import test_cells as hard
 
 Plant = pytest.MonkeyPatch
-cut_to, report, sums = CellMembership._cut_to, Directory._report, Index.sums
+cut_to, report, sums = CellMembership._adopt_partition, Directory._handle_report, CellIndex.sums_for
 
 
 def cuts_and_merges() -> None:
@@ -53,8 +54,8 @@
 
 
 def declares_strangers_dead(plant: Plant) -> None:
-    def planted(self: CellMembership, cut: Cut, now: float) -> None:
-        for member in [m for m in self.view.members.values() if not cut.holds(path(m.name))]:
+    def planted(self: CellMembership, cut: CellPartition, now: float) -> None:
+        for member in [m for m in self.view.members.values() if not cut.includes_path(name_path(m.name))]:
             if member.is_alive():
                 dead = Record(
                     member.name, member.incarnation, member.revision, DEAD, member.uid, member.address
@@ -63,37 +64,43 @@
                 self._merge_record(dead, now)
         cut_to(self, cut, now)
 
-    plant.setattr(CellMembership, "_cut_to", planted)
+    plant.setattr(CellMembership, "_adopt_partition", planted)
 
 
 def follows_the_lesser_epoch(plant: Plant) -> None:
-    def planted(own: Cut, other: Cut, own_path: int) -> Cut | None:
-        return other if other.key() < own.key() and other.holds(own_path) else None
+    def planted(own: CellPartition, other: CellPartition, own_path: int) -> CellPartition | None:
+        return other if other.key() < own.key() and other.includes_path(own_path) else None
 
-    plant.setattr(core_module, "newer", planted)
+    plant.setattr(core_module, "partition_to_follow", planted)
 
 
 def follows_only_its_own_cell(plant: Plant) -> None:
-    def planted(own: Cut, other: Cut, own_path: int) -> Cut | None:
-        return other if other.key() > own.key() and other.holds(own_path) else None
+    def planted(own: CellPartition, other: CellPartition, own_path: int) -> CellPartition | None:
+        return other if other.key() > own.key() and other.includes_path(own_path) else None
 
-    plant.setattr(laws, "newer", planted)
+    plant.setattr(laws, "partition_to_follow", planted)
 
 
 def stays_in_a_wrong_cell(plant: Plant) -> None:
-    newer = cut_module.newer
+    newer = partition_module.partition_to_follow
     plant.setattr(
-        core_module, "newer",
+        core_module, "partition_to_follow",
         lambda own, other, own_path: newer(own, other, own_path) if other.key() > own.key() else None,
     )  # fmt: skip
 
 
 def merges_without_a_greater_epoch(plant: Plant) -> None:
-    plant.setattr(Cut, "whole", lambda self, epoch: Cut(self.epoch, self.depth - 1, self.bits >> 1))
+    plant.setattr(
+        CellPartition, "merged", lambda self, epoch: CellPartition(self.epoch, self.depth - 1, self.bits >> 1)
+    )
 
 
 def merges_by_its_own_epoch_alone(plant: Plant) -> None:
-    plant.setattr(Cut, "whole", lambda self, epoch: Cut(self.epoch + 1, self.depth - 1, self.bits >> 1))
+    plant.setattr(
+        CellPartition,
+        "merged",
+        lambda self, epoch: CellPartition(self.epoch + 1, self.depth - 1, self.bits >> 1),
+    )
 
 
 def tells_no_cut(plant: Plant) -> None:
@@ -105,17 +112,17 @@
 
 
 def tells_strangers_of_nobody(plant: Plant) -> None:
-    plant.setattr(Pointers, "toward", lambda self, path: [])
+    plant.setattr(BootstrapAddresses, "addresses_toward", lambda self, path: [])
 
 
 def follows_a_seeds_word_only_while_alone(plant: Plant) -> None:
-    found = CellMembership._found
+    found = CellMembership._handle_lookup_response
 
-    def planted(self: CellMembership, message: Found, now: float) -> None:
-        if message.number or not len(self.view.alive):
+    def planted(self: CellMembership, message: LookupResponse, now: float) -> None:
+        if message.request_number or not len(self.view.alive):
             found(self, message, now)
 
-    plant.setattr(CellMembership, "_found", planted)
+    plant.setattr(CellMembership, "_handle_lookup_response", planted)
 
 
 # Reporters
@@ -126,14 +133,14 @@
         others = self.view.members.values()
         return all((self._digest_bits, self.name) < (m.digest_bits, m.name) for m in others if m.digest_bits)
 
-    plant.setattr(CellMembership, "reporter", planted)
+    plant.setattr(CellMembership, "is_reporter", planted)
 
 
 def nobody_reports_again(plant: Plant) -> None:
-    told = CellMembership._report
+    told = CellMembership._send_report
     plant.setattr(
-        CellMembership, "_report",
-        lambda self, summary: None if self._version_told > 2 else told(self, summary),
+        CellMembership, "_send_report",
+        lambda self, summary: None if self._report_version > 2 else told(self, summary),
     )  # fmt: skip
 
 
@@ -141,25 +148,25 @@
 
 
 def is_sure_at_once(plant: Plant) -> None:
-    plant.setattr(Directory, "ready", lambda self, now: True)
-    plant.setattr(index_module, "SETTLE_MS", 0.0)
+    plant.setattr(Directory, "is_ready", lambda self, now: True)
+    plant.setattr(index_module, "STABILIZATION_MS", 0.0)
 
 
 def is_ready_at_once(plant: Plant) -> None:
-    plant.setattr(Directory, "ready", lambda self, now: True)
+    plant.setattr(Directory, "is_ready", lambda self, now: True)
 
 
 def settles_at_once(plant: Plant) -> None:
-    plant.setattr(laws, "SETTLE_MS", 15_000.0)
-    plant.setattr(index_module, "SETTLE_MS", 0.0)
+    plant.setattr(laws, "STABILIZATION_MS", 15_000.0)
+    plant.setattr(index_module, "STABILIZATION_MS", 0.0)
 
 
 def ignores_the_bound_in_the_directory(plant: Plant) -> None:
-    plant.setattr(index_module, "BOUND_MS", math.inf)
+    plant.setattr(index_module, "MAX_REPORT_AGE_MS", math.inf)
 
 
 def ignores_the_bound_at_members(plant: Plant) -> None:
-    plant.setattr(totals_module, "BOUND_MS", math.inf)
+    plant.setattr(service_totals_module, "MAX_REPORT_AGE_MS", math.inf)
 
 
 def ignores_the_bound(plant: Plant) -> None:
@@ -168,44 +175,48 @@
 
 
 def takes_a_report_for_new(plant: Plant) -> None:
-    def planted(self: Directory, message: Report, now: float) -> None:
-        message.stamp, message.life = int(now), self.life
+    def planted(self: Directory, message: SummaryReport, now: float) -> None:
+        message.clock_ms, message.incarnation = int(now), self.incarnation
         report(self, message, now)
 
-    plant.setattr(Directory, "_report", planted)
+    plant.setattr(Directory, "_handle_report", planted)
 
 
 def forgets_a_silent_cell_soon(plant: Plant) -> None:
-    plant.setattr(index_module, "FORGET_MS", 60_000.0)
+    plant.setattr(index_module, "CELL_RETENTION_MS", 60_000.0)
 
 
 def believes_the_youngest_word_alone(plant: Plant) -> None:
-    plant.setattr(Cell, "_told", lambda self, now: [self.youngest().summary])
+    plant.setattr(CellRecord, "_current_summaries", lambda self, now: [self.latest().summary])
 
 
 def adds_up_only_the_smallest_parts(plant: Plant) -> None:
-    def planted(cells: list[Cell], depth: int, bits: int, now: float) -> int:
-        deepest = [c for c in cells if not any(c.cut.contains(o.cut) and o is not c for o in cells)]
-        return sum(cell.counted(now) for cell in deepest)
+    def planted(cells: list[CellRecord], depth: int, bits: int, now: float) -> int:
+        deepest = [
+            c for c in cells if not any(c.partition.contains(o.partition) and o is not c for o in cells)
+        ]
+        return sum(cell.counted_members(now) for cell in deepest)
 
-    plant.setattr(index_module, "tally", planted)
-    plant.setattr(laws, "tally", planted)
+    plant.setattr(index_module, "count_members", planted)
+    plant.setattr(laws, "count_members", planted)
 
 
 def drops_a_cut_cell_once_one_half_is_known(plant: Plant) -> None:
-    plant.setattr(index_module, "covers", lambda cells, whole: bool(cells))
-    plant.setattr(laws, "covers", lambda cells, whole: bool(cells))
+    plant.setattr(index_module, "is_covered", lambda cells, whole: bool(cells))
+    plant.setattr(laws, "is_covered", lambda cells, whole: bool(cells))
 
 
 def forgets_other_regions(plant: Plant) -> None:
-    def planted(self: Index, find: Find, now: float) -> Sums:
+    def planted(self: CellIndex, find: LookupRequest, now: float) -> ServiceSums:
         told = sums(self, find, now)
         service = self.services.get(find.service)
         cells = service.cells.values() if service is not None else []
-        told.total = tally([cell for cell in cells if cell.region == find.region], 0, 0, now)
+        told.service_members = count_members(
+            [cell for cell in cells if cell.region == find.region], 0, 0, now
+        )
         return told
 
-    plant.setattr(Index, "sums", planted)
+    plant.setattr(CellIndex, "sums_for", planted)
 
 
 # Parts
@@ -213,36 +224,44 @@
 
 def takes_its_cell_for_the_whole(plant: Plant) -> None:
     def planted(
-        self: CellCensus, here: set[str], now: float, totals: Totals | None = None, cut: Cut = WHOLE
+        self: CellMemberCount,
+        here: set[str],
+        now: float,
+        totals: ServiceTotals | None = None,
+        cut: CellPartition = UNDIVIDED,
     ) -> None:
-        self._inner.observe(here, now)
-        self._base, self.fallback = self._inner.total(), False
+        self._own_cell.observe(here, now)
+        self._total, self.uses_fallback = self._own_cell.total(), False
 
-    plant.setattr(CellCensus, "observe", planted)
+    plant.setattr(CellMemberCount, "observe", planted)
 
 
 def tells_newcomers_nothing(plant: Plant) -> None:
-    plant.setattr(CellMembership, "_tell_service", lambda self, now: None)
+    plant.setattr(CellMembership, "_claim_service_members", lambda self, now: None)
 
 
 def shrinks_at_once(plant: Plant) -> None:
-    plant.setattr(CellCensus, "__init__", at_once)
+    plant.setattr(CellMemberCount, "__init__", at_once)
 
 
-init = CellCensus.__init__
+init = CellMemberCount.__init__
 
 
-def at_once(self: CellCensus, own: str, number: int, nodes: int, hold_ms: float = 0.0) -> None:
+def at_once(self: CellMemberCount, own: str, number: int, nodes: int, hold_ms: float = 0.0) -> None:
     init(self, own, number, nodes, 0.0)
 
 
 def uses_totals_of_another_cell(plant: Plant) -> None:
-    plant.setattr(Totals, "good", lambda self, cut, now: self.found.sure and self.age_ms(now) <= 30_000.0)
+    plant.setattr(
+        ServiceTotals,
+        "is_usable",
+        lambda self, cut, now: self.response.is_reliable and self.age_ms(now) <= 30_000.0,
+    )
 
 
 def believes_an_unsure_answer(plant: Plant) -> None:
     plant.setattr(
-        Totals, "good",
+        ServiceTotals, "is_usable",
         lambda self, cut, now: self.cell == cut.cell() and self.age_ms(now) <= 30_000.0,
     )  # fmt: skip
 
--- a/tests/test_cell_random.py
+++ b/tests/test_cell_random.py
@@ -148,7 +148,7 @@
     quiet(fleet, 1_000.0)
     for guide in fleet.directory():
         for members in by_service(fleet).values():
-            assert sums(fleet, guide, members[0].name).total >= len(members)
+            assert sums(fleet, guide, members[0].name).service_members >= len(members)
 
 
 @pytest.mark.parametrize("seed", range(1, 8))
--- a/tests/test_cell_wire.py
+++ b/tests/test_cell_wire.py
@@ -12,25 +12,28 @@
 
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet import wire
-from dunlinloft.fleet.cells.core import CellMembership, Place
-from dunlinloft.fleet.cells.cut import MOST_DEPTH, MOST_EPOCH, Cut
-from dunlinloft.fleet.cells.directory import Directory, Said
-from dunlinloft.fleet.cells.index import sound
-from dunlinloft.fleet.cells.messages import Find, Found, Report, Summary
+from dunlinloft.fleet.cells.core import CellMembership
+from dunlinloft.fleet.cells.directory import Directory, MemberMessageReceived
+from dunlinloft.fleet.cells.index import is_valid_summary
+from dunlinloft.fleet.cells.messages import CellSummary, LookupRequest, LookupResponse, SummaryReport
+from dunlinloft.fleet.cells.metadata import SERVICE_MEMBERS_KEY
+from dunlinloft.fleet.cells.partition import MAX_DEPTH_BITS, MAX_EPOCH, CellPartition
+from dunlinloft.fleet.cells.settings import CellSettings
 from dunlinloft.fleet.cells.wire import CellWire, DirectoryWire
-from dunlinloft.fleet.cells.words import SERVICE
 from dunlinloft.fleet.messages import ALIVE, Ack, Gossip, Header, Ping, Record, State
 from dunlinloft.fleet.wire import MAX_DATAGRAM_BYTES, MessageRejected, Wire
 
 LONG = "x" * 64
-CUT = Cut(3, 2, 1)
-SUMMARY = Summary(3, 2, 1, 9, 10, 2**63, 4.5, "1", ["127.0.2.1:7400"])
-FIND = Find(7, "n1", "web", "east", 3, 2, 1)
-FOUND = Found(7, 1_700_000_000_000, 5000, 3, 2, 1, ["127.0.2.1:7400"], 40, 9, 10, 4, True, 900, 8, 3, ["a"])
-REPORT = Report(1_700_000_000_000, 5000, "n1", 17, 4, "web", "east", SUMMARY)
+CUT = CellPartition(3, 2, 1)
+SUMMARY = CellSummary(3, 2, 1, 9, 10, 2**63, 4.5, "1", ["127.0.2.1:7400"])
+FIND = LookupRequest(7, "n1", "web", "east", 3, 2, 1)
+FOUND = LookupResponse(
+    7, 1_700_000_000_000, 5000, 3, 2, 1, ["127.0.2.1:7400"], 40, 9, 10, 4, True, 900, 8, 3, ["a"]
+)
+REPORT = SummaryReport(1_700_000_000_000, 5000, "n1", 17, 4, "web", "east", SUMMARY)
 
 
-def members(cut: Cut = CUT, fleet: str = "loft", service: str = "web") -> CellWire:
+def members(cut: CellPartition = CUT, fleet: str = "loft", service: str = "web") -> CellWire:
     return CellWire(fleet, service, "east", lambda: cut)
 
 
@@ -41,9 +44,12 @@
 
 def test_members_messages_are_read_as_written_with_their_senders_cut() -> None:
     data = members().write(ping())
-    assert members(Cut()).read(data) == (ping(), Cut(3, 2, 1))
+    assert members(CellPartition()).read(data) == (ping(), CellPartition(3, 2, 1))
     state = State(ping().header, ping(30).records)
-    assert members(Cut()).read_state(members().write_state(state)) == (state, Cut(3, 2, 1))
+    assert members(CellPartition()).read_state(members().write_state(state)) == (
+        state,
+        CellPartition(3, 2, 1),
+    )
     assert len(members().write(ping(200))) <= MAX_DATAGRAM_BYTES
 
 
@@ -52,19 +58,19 @@
     directory = DirectoryWire("loft")
     assert directory.read(members().write(message)) == message
     assert members().read(directory.write(message)) == (message, None)
-    assert directory.mine(directory.write(message))
-    assert not directory.mine(Wire("loft").write(ping()))
+    assert directory.accepts(directory.write(message))
+    assert not directory.accepts(Wire("loft").write(ping()))
 
 
 def test_the_longest_answer_and_report_that_can_be_are_datagrams() -> None:
-    cut = MOST_EPOCH - 1, MOST_DEPTH, (1 << MOST_DEPTH) - 1
-    summary = Summary(*cut, 100_000, 100_000, 2**64 - 1, 1e300, LONG, [LONG] * 4)
-    report = Report(2**63, 2**63, LONG, 2**63, 2**63, LONG, LONG, summary)
+    cut = MAX_EPOCH - 1, MAX_DEPTH_BITS, (1 << MAX_DEPTH_BITS) - 1
+    summary = CellSummary(*cut, 100_000, 100_000, 2**64 - 1, 1e300, LONG, [LONG] * 4)
+    report = SummaryReport(2**63, 2**63, LONG, 2**63, 2**63, LONG, LONG, summary)
     big = 2**32
-    found = Found(
+    found = LookupResponse(
         2**63, 2**63, 2**63, *cut, [LONG] * 4, big, big, big, big, True, big, big, big, [LONG] * 3
     )  # fmt: skip
-    for message in (report, found, Find(2**63, LONG, LONG, LONG, *cut)):
+    for message in (report, found, LookupRequest(2**63, LONG, LONG, LONG, *cut)):
         assert len(DirectoryWire("loft").write(message)) <= MAX_DATAGRAM_BYTES
 
 
@@ -75,8 +81,9 @@
         bytes([9]) + data[1:]: "version", Wire("loft").write(ping()): "version",
         members(fleet="graz").write(ping()): "foreign", members(service="db").write(ping()): "foreign",
         DirectoryWire("graz").write(FIND): "foreign", DirectoryWire("loft").write(FIND)[:-2]: "broken",
-        data[:-2]: "broken", members(Cut(0, 21, 0)).write(ping()): "broken",
-        members(Cut(0, 2, 4)).write(ping()): "broken", members(Cut(MOST_EPOCH, 2, 1)).write(ping()): "broken",
+        data[:-2]: "broken", members(CellPartition(0, 21, 0)).write(ping()): "broken",
+        members(CellPartition(0, 2, 4)).write(ping()): "broken",
+        members(CellPartition(MAX_EPOCH, 2, 1)).write(ping()): "broken",
     }  # fmt: skip
     for received, reason in bad.items():
         with pytest.raises(MessageRejected, match=reason):
@@ -126,7 +133,7 @@
 
 
 def member() -> CellMembership:
-    place = Place("web", "east", 8, ["addr:dir"])
+    place = CellSettings("web", "east", 8, ["addr:dir"])
     made = CellMembership("n2", "addr:n2", [], 5, 5, random.Random(1), {"load": 1.0}, place)
     made.handle(api.Started(), 0.0)
     return made
@@ -141,7 +148,7 @@
 
 def test_bent_bytes_never_do_more_to_a_member_than_be_refused() -> None:
     rng, core, read = random.Random(4), member(), 0
-    link = CellWire("loft", "web", "east", lambda: core.cut)
+    link = CellWire("loft", "web", "east", lambda: core.partition)
     good = [members().write(ping()), members().write(FOUND)]
     for n in range(4000):
         now = 40.0 * n
@@ -152,8 +159,8 @@
             message, cut = link.read(bent(rng.choice(good), rng, 5))
         except MessageRejected:
             continue
-        if isinstance(message, Found) and core._asked is not None:
-            message.number = core._asked[0]
+        if isinstance(message, LookupResponse) and core.lookup.pending is not None:
+            message.request_number = core.lookup.pending.request_number
         read += 1
         for action in core.handle(api.MessageReceived(message, "addr:x", cut), now):
             if isinstance(action, api.SendDatagram):
@@ -172,10 +179,10 @@
             message = link.read(bent(rng.choice(good), rng, 5))
         except MessageRejected:
             continue
-        if isinstance(message, Find | Report):
+        if isinstance(message, LookupRequest | SummaryReport):
             read += 1
-            for action in directory.handle(Said(message, "addr:x"), 5_500.0):
-                assert isinstance(action, api.SendDatagram) and isinstance(action.message, Found)
+            for action in directory.handle(MemberMessageReceived(message, "addr:x"), 5_500.0):
+                assert isinstance(action, api.SendDatagram) and isinstance(action.message, LookupResponse)
                 assert len(link.write(action.message)) <= MAX_DATAGRAM_BYTES
     assert read > 300
     assert directory.counts["foreign"]
@@ -184,32 +191,34 @@
 def test_what_a_broken_member_says_of_itself_spoils_neither_its_cells_summary_nor_its_parts() -> None:
     core, wrong = member(), ["y" * 900, "z" * 900]
     for n, word in enumerate((math.inf, math.nan, -5.0, 1e18, "9", True)):
-        facts: dict[str, Any] = {"program": wrong[0], "load": math.nan, SERVICE: word}
+        facts: dict[str, Any] = {"program": wrong[0], "load": math.nan, SERVICE_MEMBERS_KEY: word}
         told = Record(f"n{n + 5}", 17, 0, ALIVE, n + 1, wrong[1], 1, facts)
-        core.handle(api.MessageReceived(Gossip(ping().header, [told]), "addr:n1", Cut()), 10.0)
+        core.handle(api.MessageReceived(Gossip(ping().header, [told]), "addr:n1", CellPartition()), 10.0)
     core._metadata["program"] = wrong[0]
-    core._tell_service(20.0)
-    assert core.totals is None
-    assert sound(core.summary())
-    report = Report(3, 5000, "n2", 17, 4, "web", "east", core.summary())
+    core._claim_service_members(20.0)
+    assert core.service_totals is None
+    assert is_valid_summary(core.summary())
+    report = SummaryReport(3, 5000, "n2", 17, 4, "web", "east", core.summary())
     assert len(members().write(report)) <= MAX_DATAGRAM_BYTES
     directory = Directory("d1", 3, random.Random(1), 0.0)
-    directory.handle(Said(report, "addr:n2"), 5_500.0)
+    directory.handle(MemberMessageReceived(report, "addr:n2"), 5_500.0)
     assert "web" in directory.index.services
 
 
 @pytest.mark.parametrize(
     "summary",
     [
-        Summary(1, 1, 1, 5, 4, 0, 0.0, "1", []),
-        Summary(1, 1, 1, -1, 4, 0, 0.0, "1", []),
-        Summary(1, 1, 1, 5, 10**9, 0, 0.0, "1", []),
-        Summary(1, 1, 2, 5, 5, 0, 0.0, "1", []),
-        Summary(1, 1, 1, 5, 5, 0, 0.0, "1", ["a" * 65]),
+        CellSummary(1, 1, 1, 5, 4, 0, 0.0, "1", []),
+        CellSummary(1, 1, 1, -1, 4, 0, 0.0, "1", []),
+        CellSummary(1, 1, 1, 5, 10**9, 0, 0.0, "1", []),
+        CellSummary(1, 1, 2, 5, 5, 0, 0.0, "1", []),
+        CellSummary(1, 1, 1, 5, 5, 0, 0.0, "1", ["a" * 65]),
     ],
 )
-def test_a_summary_that_can_not_be_one_spoils_no_sums(summary: Summary) -> None:
+def test_a_summary_that_can_not_be_one_spoils_no_sums(summary: CellSummary) -> None:
     directory = Directory("d1", 3, random.Random(1), 0.0)
-    directory.handle(Said(Report(3, 5000, "n1", 17, 4, "web", "east", summary), "addr:n1"), 5_500.0)
+    directory.handle(
+        MemberMessageReceived(SummaryReport(3, 5000, "n1", 17, 4, "web", "east", summary), "addr:n1"), 5_500.0
+    )
     assert directory.index.services == {}
     assert directory.counts["foreign"] == 1
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -8,9 +8,9 @@
 import pytest
 
 from dunlinloft.fleet.cells.core import CellMembership
-from dunlinloft.fleet.cells.cut import Cut, path
-from dunlinloft.fleet.cells.directory import LEARNING_MS
-from dunlinloft.fleet.cells.totals import BOUND_MS
+from dunlinloft.fleet.cells.directory import WARM_UP_MS
+from dunlinloft.fleet.cells.partition import CellPartition, name_path
+from dunlinloft.fleet.cells.service_totals import MAX_REPORT_AGE_MS
 from dunlinloft.fleet.member_count import MISSING_MEMBER_GRACE_MS
 from dunlinloft.fleet.membership.core import Membership
 from lab.virtual.cell_oracle import Watch, amiss, cells, parted, quiet, sums, told_right
@@ -50,7 +50,7 @@
     """Who speaks for one's cell."""
     spoken = [
         other for other in cell_of(fleet, name)
-        if isinstance(core := fleet.at(other).core, CellMembership) and core.reporter()
+        if isinstance(core := fleet.at(other).core, CellMembership) and core.is_reporter()
     ]  # fmt: skip
     assert len(spoken) == 1
     return spoken[0]
@@ -112,13 +112,20 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_members_that_were_told_different_cuts_follow_one_in_the_end(seed: int) -> None:
     fleet = settled({"web": 7}, seed)
-    cuts = [Cut(4, 0, 0), Cut(4, 1, 0), Cut(4, 1, 1), Cut(5, 2, 1), Cut(5, 1, 1), Cut(6, 0, 0)]
+    cuts = [
+        CellPartition(4, 0, 0),
+        CellPartition(4, 1, 0),
+        CellPartition(4, 1, 1),
+        CellPartition(5, 2, 1),
+        CellPartition(5, 1, 1),
+        CellPartition(6, 0, 0),
+    ]
     for name in fleet.names:
         core = fleet.at(name).core
-        cut = fleet.rng.choice([cut for cut in cuts if cut.holds(path(name))])
+        cut = fleet.rng.choice([cut for cut in cuts if cut.includes_path(name_path(name))])
         assert isinstance(core, CellMembership)
         core.actions = []
-        core._cut_to(cut, fleet.now())
+        core._adopt_partition(cut, fleet.now())
     fleet.run(1_000.0)
     quiet(fleet, 90_000.0)
     assert fleet.false_deaths == []
@@ -142,9 +149,9 @@
         "Ping",
         "Ack",
         "State",
-        "Find",
-        "Found",
-        "Report",
+        "LookupRequest",
+        "LookupResponse",
+        "SummaryReport",
         "PullRequest",
         "PullResponse",
     }
@@ -167,7 +174,7 @@
     fleet.leave("duo-east-0")
     fleet.run(1_000.0)
     fleet.leave("duo-east-1")
-    fleet.run(BOUND_MS + 5_000.0)
+    fleet.run(MAX_REPORT_AGE_MS + 5_000.0)
     assert all("duo" not in guide.directory.index.services for guide in fleet.directory())
     fleet.start("duo-east-0")
     fleet.start("duo-east-1")
@@ -184,12 +191,14 @@
         for n, epoch in ((3, 0), (8, 1), (13, 9)):
             name, core = fleet.names[n], fleet.at(fleet.names[n]).core
             assert isinstance(core, CellMembership)
-            right_cut = core.cut
-            wrong = Cut(right_cut.epoch if epoch == 1 else epoch, right_cut.depth, right_cut.bits ^ 1)
+            right_cut = core.partition
+            wrong = CellPartition(
+                right_cut.epoch if epoch == 1 else epoch, right_cut.depth, right_cut.bits ^ 1
+            )
             core.actions = []
-            core._cut_to(wrong, fleet.now())
+            core._adopt_partition(wrong, fleet.now())
             fleet.run(2_000.0)
-            assert not fleet.cut_of(name).holds(path(name)) or fleet.cut_of(name) == right_cut
+            assert not fleet.cut_of(name).includes_path(name_path(name)) or fleet.cut_of(name) == right_cut
         quiet(fleet, 150_000.0)
         assert fleet.false_deaths == []
 
@@ -219,7 +228,7 @@
     found: list[str] = []
     while len(found) < count:
         name = fleet.add("web", "east")
-        if path(name) >> 31 == bit:
+        if name_path(name) >> 31 == bit:
             found.append(name)
     return found
 
@@ -264,7 +273,7 @@
     news: list[str] = []
     while len(news) < 2:
         name = fleet.add("web", "east")
-        if far.holds(path(name)):
+        if far.includes_path(name_path(name)):
             news.append(name)
     ill = fleet.split(news, others)
     for name in news:
@@ -302,7 +311,7 @@
         for _ in range(60):
             fleet.run(1_000.0)
             oldest = max(sums(fleet, guide, rest).age_ms for guide in fleet.directory())
-            assert oldest <= BOUND_MS, f"{oldest:.0f} ms, at {fleet.now():.0f} ms"
+            assert oldest <= MAX_REPORT_AGE_MS, f"{oldest:.0f} ms, at {fleet.now():.0f} ms"
         assert reporter(fleet, rest) != name
         if how == "stop":
             fleet.cont(name)
@@ -321,7 +330,7 @@
     watch = Watch(fleet)
     for guide in fleet.guides:
         fleet.kill(guide)
-    fleet.run(BOUND_MS + 15_000.0)
+    fleet.run(MAX_REPORT_AGE_MS + 15_000.0)
     assert all(member.fallback() for member in fleet.members())
     for _ in range(3):
         fleet.start(fleet.add("web", "east"))
@@ -349,12 +358,12 @@
     for _ in range(60):
         fleet.run(1_000.0)
         assert not [m.name for m in fleet.members() if m.fallback()]
-        assert max(m.told_ms() for m in fleet.members()) <= BOUND_MS
+        assert max(m.told_ms() for m in fleet.members()) <= MAX_REPORT_AGE_MS
     right(fleet)
     for guide in fleet.guides[::3]:
         fleet.start(guide)
     fleet.run(1_000.0)
-    assert not any(sums(fleet, guide, "web-east-0").sure for guide in fleet.directory()[::3])
+    assert not any(sums(fleet, guide, "web-east-0").is_reliable for guide in fleet.directory()[::3])
     right(fleet)
     assert fleet.false_deaths == []
 
@@ -367,7 +376,7 @@
     for guide in fleet.guides:
         fleet.kill(guide)
         fleet.start(guide)
-    fleet.run(LEARNING_MS - 11_000.0)
+    fleet.run(WARM_UP_MS - 11_000.0)
     fleet.lines.recover(ill)
     right(fleet)
     assert watch.most["web"] <= 1.0 + 1e-9
@@ -428,7 +437,7 @@
     west = [name for name in fleet.names if "west" in name]
     rest = [name for name in fleet.groups if name not in west]
     ill = fleet.split(rest, west)
-    fleet.run(BOUND_MS - 12_000.0)
+    fleet.run(MAX_REPORT_AGE_MS - 12_000.0)
     assert not any(fleet.at(name).fallback() for name in rest if name in fleet.names)
     fleet.run(30_000.0)
     assert all(member.fallback() for member in fleet.members())
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -19,7 +19,7 @@
 from dunlinloft.cli.admin_documents import CellDocument, DirectoryDocument
 from dunlinloft.cli.handlers.cells import cell_lines, render_directory
 from dunlinloft.cli.handlers.config_check import check_file
-from dunlinloft.fleet.cells.cut import path
+from dunlinloft.fleet.cells.partition import name_path
 from dunlinloft.node.config import BadConfig, CellsConfig, DirectoryConfig, FleetConfig, read_directory
 from dunlinloft.node.fleet.directory import DirectoryHost
 from dunlinloft.node.fleet.peers import Own, Peers
@@ -71,8 +71,8 @@
         for peers in self.members.values():
             core = peers.core
             assert peers.cells is not None
-            cut = peers.cells.core.cut
-            truth = {name for name in self.members if cut.holds(path(name))}
+            cut = peers.cells.core.partition
+            truth = {name for name in self.members if cut.includes_path(name_path(name))}
             seen = {m.name for m in core.view.members.values() if m.is_alive()} | {core.name}
             if seen != truth or len(truth) > MOST or core.status:
                 return False
@@ -102,7 +102,9 @@
             def listed() -> bool:
                 """Each cell at each process, beside what was replaced a moment ago."""
                 truth = {
-                    p.cells.core.cut.text(): p.core.alive_count() for p in service.members.values() if p.cells
+                    p.cells.core.partition.text(): p.core.alive_count()
+                    for p in service.members.values()
+                    if p.cells
                 }
                 shown = [host.show()[1]["services"].get("booking", []) for host in service.directory]
                 return all(
@@ -129,7 +131,7 @@
         await service.start()
         try:
             await until(service.settled)
-            cuts = {peers.cells.core.cut.cell() for peers in service.members.values() if peers.cells}
+            cuts = {peers.cells.core.partition.cell() for peers in service.members.values() if peers.cells}
             assert len(cuts) > 1
             for n in (30, 31, 32):
                 service.add(n)
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -31,8 +31,8 @@
 from dunlinloft.coordination import history, stream
 from dunlinloft.fleet import messages as member_messages
 from dunlinloft.fleet import wire
-from dunlinloft.fleet.cells import cut
 from dunlinloft.fleet.cells import messages as cell_messages
+from dunlinloft.fleet.cells import partition
 from dunlinloft.fleet.cells import wire as cell_wire
 from dunlinloft.fleet.leases import voters
 from dunlinloft.fleet.releases import messages as release_messages
@@ -81,7 +81,7 @@
 
 
 _flat = wire.Wire("loft")
-_celled = cell_wire.CellWire("loft", "web", "east", lambda: cut.Cut(3, 2, 1))
+_celled = cell_wire.CellWire("loft", "web", "east", lambda: partition.CellPartition(3, 2, 1))
 _directory = cell_wire.DirectoryWire("loft")
 
 FORMS = {
@@ -115,7 +115,7 @@
     "shared-4.hex": _shared(4, shared_messages.OperatorLimits),
     "shared-5.hex": _shared(5, release_messages.Order),
     "shared-6.hex": _shared(6, release_messages.Tally),
-    "shared-7.hex": _shared(7, cell_messages.Summary),
+    "shared-7.hex": _shared(7, cell_messages.CellSummary),
     "ledger-releases.jsonl": Form(
         release_messages.Plan, release_messages.decode_plan, lambda value: bytes(value.encode()) + b"\n"
     ),
