--- a/tests/test_cell_directory.py
+++ b/tests/test_cell_directory.py
@@ -43,7 +43,7 @@
     return found
 
 
-def test_pieces_of_an_answer_that_overtake_each_other_are_not_asked_for_again() -> None:
+def test_reordered_datagrams_of_a_pull_are_not_requested_again() -> None:
     giver, taker = full(60), Directory("d2", 4, random.Random(2), 0.0)
     taker.handle(PeersObserved(4, {"d1": 3}), 1_000.0)
     pours = answers(giver, asked(taker, 1_400.0))
@@ -59,7 +59,7 @@
     assert len(taker.index.services["web"].cells) == 60
 
 
-def test_another_life_of_a_partner_is_asked_from_the_start() -> None:
+def test_a_new_incarnation_of_a_peer_is_pulled_from_the_start() -> None:
     giver, taker = full(30), Directory("d2", 4, random.Random(2), 0.0)
     taker.handle(PeersObserved(4, {"d1": 3}), 1_000.0)
     for pour in answers(giver, asked(taker, 1_400.0))[1:]:
@@ -81,13 +81,15 @@
     return askers.kinds["PullResponse"] / reports / 8, askers.sure_share()
 
 
-def test_what_replication_costs_is_a_few_times_what_is_new() -> None:
+def test_replication_costs_a_few_times_the_new_data() -> None:
     bytes_told, sure = told_bytes()
     assert bytes_told < 700.0  # a report is 170 bytes, and comes from three partners
     assert sure == 1.0
 
 
-def test_where_pieces_out_of_order_are_lost_replication_costs_more(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_replication_costs_more_where_reordered_datagrams_are_dropped(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(ReportReplication, "_advance", AntiEntropy._advance)
     with pytest.raises(AssertionError):
-        test_pieces_of_an_answer_that_overtake_each_other_are_not_asked_for_again()
+        test_reordered_datagrams_of_a_pull_are_not_requested_again()
--- a/tests/test_cell_faults.py
+++ b/tests/test_cell_faults.py
@@ -30,16 +30,16 @@
 
 
 def cuts_and_merges() -> None:
-    hard.test_a_cell_is_cut_and_merges_while_members_join_and_die(0)
+    hard.test_a_cell_splits_and_merges_while_members_join_and_die(0)
 
 
 def other_speaks() -> None:
-    hard.test_another_speaks_for_the_cell_when_its_reporter_dies_or_is_stopped("kill")
+    hard.test_another_member_reports_for_the_cell_when_its_reporter_dies_or_is_stopped("kill")
 
 
 def different_cuts() -> None:
     for seed in range(4):
-        hard.test_members_that_were_told_different_cuts_follow_one_in_the_end(seed)
+        hard.test_members_with_different_partitions_follow_one_in_the_end(seed)
 
 
 def settles() -> None:
@@ -269,13 +269,16 @@
 CAUGHT: list[tuple[Callable[[Plant], None], Callable[[], None]]] = [
     (declares_strangers_dead, cuts_and_merges),
     (follows_the_lesser_epoch, cuts_and_merges),
-    (follows_only_its_own_cell, laws.test_members_with_any_cuts_that_hear_of_each_other_end_in_cells_apart),
+    (
+        follows_only_its_own_cell,
+        laws.test_members_with_any_partitions_that_exchange_them_end_in_disjoint_cells,
+    ),
     (
         stays_in_a_wrong_cell,
         wrong_cell,
     ),
     (merges_without_a_greater_epoch, cuts_and_merges),
-    (merges_by_its_own_epoch_alone, laws.test_whoever_hears_of_cuts_in_whatever_order_ends_in_the_same_cell),
+    (merges_by_its_own_epoch_alone, laws.test_partitions_received_in_any_order_lead_to_the_same_cell),
     (tells_no_cut, cuts_and_merges),
     (takes_strangers_in, cuts_and_merges),
     (tells_strangers_of_nobody, hard.test_newcomers_find_cells_in_which_no_seed_is_without_a_directory),
@@ -285,41 +288,47 @@
     ),
     (counts_the_dead_when_it_asks_who_is_first, other_speaks),
     (nobody_reports_again, other_speaks),
-    (is_sure_at_once, hard.test_a_directory_that_starts_anew_is_believed_only_once_it_must_know_all),
+    (is_sure_at_once, hard.test_a_restarted_directory_is_reliable_only_once_it_must_know_all_cells),
     (
         is_ready_at_once,
-        hard.test_a_directory_that_starts_anew_is_believed_only_once_it_must_know_all,
+        hard.test_a_restarted_directory_is_reliable_only_once_it_must_know_all_cells,
     ),
-    (settles_at_once, laws.test_while_a_cell_is_cut_the_sum_is_never_less_than_before_nor_sure_too_early),
+    (settles_at_once, laws.test_during_a_split_the_sum_is_never_less_than_before_nor_reliable_too_early),
     (ignores_the_bound, hard.test_summaries_beyond_their_bound_use_the_fallback_and_say_so),
     (
         ignores_the_bound_in_the_directory,
-        laws.test_a_cell_that_nobody_speaks_for_counts_on_until_it_is_forgotten_and_no_sum_is_sure,
+        laws.test_a_cell_without_reports_counts_until_it_is_dropped_and_no_sum_is_reliable,
     ),
-    (ignores_the_bound_at_members, laws.test_members_of_the_own_cell_are_counted_as_seen_and_not_as_told),
+    (ignores_the_bound_at_members, laws.test_members_of_the_own_cell_are_counted_as_seen_and_not_as_reported),
     (
         takes_a_report_for_new,
-        laws.test_a_reports_age_counts_from_the_answer_that_it_goes_with_and_an_older_ones_is_refused,
+        laws.test_a_reports_age_counts_from_the_response_it_answers_and_a_late_one_is_rejected,
     ),
-    (forgets_a_silent_cell_soon, hard.test_regions_cut_for_an_hour_and_back_keep_their_parts),
+    (forgets_a_silent_cell_soon, hard.test_regions_partitioned_for_an_hour_and_back_keep_their_shares),
     (
         believes_the_youngest_word_alone,
-        laws.test_of_two_words_for_a_cell_the_greater_counts_and_the_last_ones_farewell_ends_it,
+        laws.test_the_greater_of_two_reports_counts_and_the_last_members_leave_ends_the_cell,
     ),
-    (adds_up_only_the_smallest_parts, laws.test_a_sum_is_never_less_than_all_that_are_in_the_cells),
+    (adds_up_only_the_smallest_parts, laws.test_a_sum_is_never_less_than_the_members_of_the_cells),
     (
         drops_a_cut_cell_once_one_half_is_known,
-        laws.test_parts_cover_a_cell_where_all_that_is_in_it_is_in_one_of_them,
+        laws.test_a_cell_is_covered_where_each_path_in_it_is_in_a_subset,
     ),
     (forgets_other_regions, settles),
     (takes_its_cell_for_the_whole, cuts_and_merges),
     (
         tells_newcomers_nothing,
-        hard.test_a_newcomer_takes_no_greater_part_than_the_others_where_the_directory_is_gone,
+        hard.test_a_newcomer_takes_no_greater_share_than_the_others_without_a_directory,
+    ),
+    (shrinks_at_once, laws.test_a_smaller_total_counts_only_once_it_is_reliable_lasting_and_a_majority),
+    (
+        uses_totals_of_another_cell,
+        laws.test_a_share_never_grows_by_a_split_nor_while_the_directory_is_unavailable,
+    ),
+    (
+        believes_an_unsure_answer,
+        laws.test_a_share_never_grows_by_a_split_nor_while_the_directory_is_unavailable,
     ),
-    (shrinks_at_once, laws.test_fewer_count_only_once_that_is_sure_held_and_more_than_half),
-    (uses_totals_of_another_cell, laws.test_a_part_never_grows_by_a_cut_nor_while_the_directory_is_silent),
-    (believes_an_unsure_answer, laws.test_a_part_never_grows_by_a_cut_nor_while_the_directory_is_silent),
 ]
 
 
--- a/tests/test_cell_laws.py
+++ b/tests/test_cell_laws.py
@@ -89,7 +89,7 @@
 
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(RANDOMS, st.integers(0, 14), PATHS)
-def test_whoever_hears_of_cuts_in_whatever_order_ends_in_the_same_cell(
+def test_partitions_received_in_any_order_lead_to_the_same_cell(
     rng: random.Random, steps: int, own_path: int
 ) -> None:
     ever, now = history(rng, steps)
@@ -105,7 +105,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(st.tuples(PATHS, st.integers(0, 4), st.integers(0, 5)), min_size=2, max_size=8), RANDOMS)
-def test_members_with_any_cuts_that_hear_of_each_other_end_in_cells_apart(
+def test_members_with_any_partitions_that_exchange_them_end_in_disjoint_cells(
     starts: list[tuple[int, int, int]], rng: random.Random
 ) -> None:
     paths = [own_path for own_path, _, _ in starts]
@@ -127,7 +127,7 @@
 
 
 @given(PATHS, CELLS, CELLS)
-def test_a_cut_is_never_followed_to_an_older_one_nor_out_of_the_own_cell(
+def test_no_older_partition_and_none_of_another_cell_is_followed(
     own_path: int, own: CellPartition, other: CellPartition
 ) -> None:
     cut = partition_to_follow(own, other, own_path)
@@ -145,7 +145,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(CELLS, max_size=8), CELLS)
-def test_parts_cover_a_cell_where_all_that_is_in_it_is_in_one_of_them(
+def test_a_cell_is_covered_where_each_path_in_it_is_in_a_subset(
     cells: list[CellPartition], whole: CellPartition
 ) -> None:
     held = set().union(*(leaves(cut) for cut in cells)) if cells else set()
@@ -157,7 +157,7 @@
     st.dictionaries(CELLS.map(lambda cut: CellPartition(0, *cut.cell())), st.integers(0, 3), max_size=10),
     st.lists(st.integers(0, (1 << LEAVES) - 1), max_size=40),
 )
-def test_a_sum_is_never_less_than_all_that_are_in_the_cells(
+def test_a_sum_is_never_less_than_the_members_of_the_cells(
     more: dict[CellPartition, int], members: list[int]
 ) -> None:
     """Each cell tells of all that are in it, or of more: those that it misses."""
@@ -186,7 +186,7 @@
 HALVES = CellPartition(1, 1, 0), CellPartition(1, 1, 1)
 
 
-def test_while_a_cell_is_cut_the_sum_is_never_less_than_before_nor_sure_too_early() -> None:
+def test_during_a_split_the_sum_is_never_less_than_before_nor_reliable_too_early() -> None:
     index = CellIndex()
     index.add_report("web", "east", "a", summary(CellPartition(), 9), 0.0, 0.0)
     assert asked(index, CellPartition(), 1_000.0) == (9, 9, False)
@@ -209,7 +209,7 @@
     assert asked(index, whole, 60_000.0 + STABILIZATION_MS) == (5, 5, False)
 
 
-def test_of_two_words_for_a_cell_the_greater_counts_and_the_last_ones_farewell_ends_it() -> None:
+def test_the_greater_of_two_reports_counts_and_the_last_members_leave_ends_the_cell() -> None:
     index = CellIndex()
     index.add_report("web", "east", "a", summary(HALVES[0], 7), 0.0, 0.0)
     index.add_report("web", "east", "cut off", summary(HALVES[0], 1, 7), 5_000.0, 5_000.0)
@@ -223,7 +223,7 @@
     assert "web" not in index.services
 
 
-def test_a_cell_that_nobody_speaks_for_counts_on_until_it_is_forgotten_and_no_sum_is_sure() -> None:
+def test_a_cell_without_reports_counts_until_it_is_dropped_and_no_sum_is_reliable() -> None:
     index = CellIndex()
     index.add_report("web", "west", "a", summary(CellPartition(), 4), 0.0, 0.0)
     for now in (0.0, MAX_REPORT_AGE_MS + 1.0, CELL_RETENTION_MS, CELL_RETENTION_MS + 60_000.0):
@@ -240,7 +240,9 @@
     assert asked(index, CellPartition(), CELL_RETENTION_MS) == (7, 3, False)
 
 
-def test_cells_and_voices_are_bounded_and_no_sum_is_sure_of_too_many(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cells_and_reporters_are_bounded_and_no_sum_beyond_is_reliable(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(index_module, "MAX_CELLS", 4)
     index = CellIndex()
     for n in range(5):
@@ -258,7 +260,7 @@
     assert index.sums_for(LookupRequest(1, "n1", "web1", "east", 0, 0, 0), STABILIZATION_MS).is_reliable
 
 
-def test_a_reports_age_counts_from_the_answer_that_it_goes_with_and_an_older_ones_is_refused() -> None:
+def test_a_reports_age_counts_from_the_response_it_answers_and_a_late_one_is_rejected() -> None:
     directory = Directory("d1", 3, random.Random(1), 0.0)
     find = LookupRequest(1, "n1", "web", "east", 0, 0, 0)
 
@@ -286,7 +288,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(RANDOMS)
-def test_a_part_never_grows_by_a_cut_nor_while_the_directory_is_silent(rng: random.Random) -> None:
+def test_a_share_never_grows_by_a_split_nor_while_the_directory_is_unavailable(rng: random.Random) -> None:
     names = [f"n{n}" for n in range(12)]
     census, cut, now = CellMemberCount("n0", 0, 4), CellPartition(), 0.0
     census.observe(set(names), now, ServiceTotals(CellId(0, 0), now, found(20, 12)), cut)
@@ -314,7 +316,7 @@
         assert census.position()[1] >= 4
 
 
-def test_fewer_count_only_once_that_is_sure_held_and_more_than_half() -> None:
+def test_a_smaller_total_counts_only_once_it_is_reliable_lasting_and_a_majority() -> None:
     census, cut = CellMemberCount("a", 0, 10), CellPartition(1, 1, 0)
     own = {"a", "b", "c"}
     for now, total, base in (
@@ -325,7 +327,7 @@
         assert (census.total(), census.uses_fallback) == (base, False), now
 
 
-def test_members_of_the_own_cell_are_counted_as_seen_and_not_as_told() -> None:
+def test_members_of_the_own_cell_are_counted_as_seen_and_not_as_reported() -> None:
     cut = CellPartition(1, 1, 0)
     told = ServiceTotals(cut.cell(), 0.0, found(10, 3))
     assert told.members(5, cut) == 12
@@ -336,7 +338,7 @@
     assert not told.is_usable(CellPartition(2, 2, 0), 0.0)
 
 
-def test_a_view_gives_back_the_room_of_those_that_were_released() -> None:
+def test_a_view_frees_the_memory_of_released_members() -> None:
     view, few = View(random.Random(1)), View(random.Random(1))
     for n in range(1000):
         view.merge(Record(f"n{n}", 1, 0, n % 2, 1), 0.0)
@@ -350,7 +352,7 @@
     assert sorted(view.alive.names()) == sorted(few.alive.names())
 
 
-def test_pointers_lead_closer_and_are_few() -> None:
+def test_bootstrap_addresses_lead_closer_and_are_few() -> None:
     own = name_path("n0")
     pointers, others = BootstrapAddresses(own), [f"n{n}" for n in range(1, 60)]
     for name in others:
@@ -373,7 +375,7 @@
     )
 
 
-def test_a_cut_stays_sound_down_to_the_last_bit() -> None:
+def test_a_partition_stays_valid_down_to_the_last_bit() -> None:
     cut = CellPartition()
     while cut.depth < MAX_DEPTH_BITS:
         cut = cut.split_half(name_path("n0"))
--- a/tests/test_cell_random.py
+++ b/tests/test_cell_random.py
@@ -152,5 +152,5 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 8))
-def test_after_random_faults_all_are_in_their_cells_and_nobody_was_buried_alive(seed: int) -> None:
+def test_after_random_faults_all_are_in_their_cells_and_no_live_member_was_declared_dead(seed: int) -> None:
     play(seed)
--- a/tests/test_cell_wire.py
+++ b/tests/test_cell_wire.py
@@ -42,7 +42,7 @@
     return Ping(Header("n1", 17, 0, 2**63, 3), 4, "n2", told)
 
 
-def test_members_messages_are_read_as_written_with_their_senders_cut() -> None:
+def test_members_messages_are_decoded_as_encoded_with_their_senders_partition() -> None:
     data = members().write(ping())
     assert members(CellPartition()).read(data) == (ping(), CellPartition(3, 2, 1))
     state = State(ping().header, ping(30).records)
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("message", [FIND, FOUND, REPORT])
-def test_what_is_said_with_the_directory_is_read_as_written_by_both_sides(message: Any) -> None:
+def test_messages_with_the_directory_are_decoded_as_encoded_by_both_sides(message: Any) -> None:
     directory = DirectoryWire("loft")
     assert directory.read(members().write(message)) == message
     assert members().read(directory.write(message)) == (message, None)
@@ -62,7 +62,7 @@
     assert not directory.accepts(Wire("loft").write(ping()))
 
 
-def test_the_longest_answer_and_report_that_can_be_are_datagrams() -> None:
+def test_the_longest_response_and_report_fit_a_datagram() -> None:
     cut = MAX_EPOCH - 1, MAX_DEPTH_BITS, (1 << MAX_DEPTH_BITS) - 1
     summary = CellSummary(*cut, 100_000, 100_000, 2**64 - 1, 1e300, LONG, [LONG] * 4)
     report = SummaryReport(2**63, 2**63, LONG, 2**63, 2**63, LONG, LONG, summary)
@@ -74,7 +74,7 @@
         assert len(DirectoryWire("loft").write(message)) <= MAX_DATAGRAM_BYTES
 
 
-def test_what_is_not_for_a_member_of_this_cell_and_service_is_refused_by_its_reason() -> None:
+def test_messages_of_another_cell_or_service_are_rejected_with_their_reason() -> None:
     data = members().write(ping())
     bad = {
         b"": "short", data[:5]: "short", data[:18]: "short", data + bytes(2000): "long",
@@ -146,7 +146,7 @@
     return bytes(received[: len(data) if rng.random() < 0.8 else rng.randrange(len(data))])
 
 
-def test_bent_bytes_never_do_more_to_a_member_than_be_refused() -> None:
+def test_corrupt_bytes_at_a_member_are_at_most_rejected() -> None:
     rng, core, read = random.Random(4), member(), 0
     link = CellWire("loft", "web", "east", lambda: core.partition)
     good = [members().write(ping()), members().write(FOUND)]
@@ -170,7 +170,7 @@
     assert read > 300
 
 
-def test_bent_bytes_never_do_more_to_the_directory_than_be_refused() -> None:
+def test_corrupt_bytes_at_the_directory_are_at_most_rejected() -> None:
     rng, link = random.Random(5), DirectoryWire("loft")
     directory = Directory("d1", 1_700_000_000_000, random.Random(1), 0.0)
     good, read = [link.write(FIND), link.write(REPORT)], 0
@@ -188,7 +188,7 @@
     assert directory.counts["foreign"]
 
 
-def test_what_a_broken_member_says_of_itself_spoils_neither_its_cells_summary_nor_its_parts() -> None:
+def test_a_faulty_members_metadata_spoil_neither_its_cells_summary_nor_its_shares() -> None:
     core, wrong = member(), ["y" * 900, "z" * 900]
     for n, word in enumerate((math.inf, math.nan, -5.0, 1e18, "9", True)):
         facts: dict[str, Any] = {"program": wrong[0], "load": math.nan, SERVICE_MEMBERS_KEY: word}
@@ -215,7 +215,7 @@
         CellSummary(1, 1, 1, 5, 5, 0, 0.0, "1", ["a" * 65]),
     ],
 )
-def test_a_summary_that_can_not_be_one_spoils_no_sums(summary: CellSummary) -> None:
+def test_an_invalid_summary_spoils_no_sums(summary: CellSummary) -> None:
     directory = Directory("d1", 3, random.Random(1), 0.0)
     directory.handle(
         MemberMessageReceived(SummaryReport(3, 5000, "n1", 17, 4, "web", "east", summary), "addr:n1"), 5_500.0
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_cell_is_cut_and_merges_while_members_join_and_die(seed: int) -> None:
+def test_a_cell_splits_and_merges_while_members_join_and_die(seed: int) -> None:
     fleet = settled({"web": 7}, seed, file=40)
     watch = Watch(fleet)
     assert len(cells(fleet)) == 1
@@ -83,14 +83,14 @@
     assert fleet.false_deaths == []
 
 
-def test_a_service_that_starts_all_at_once_is_cut_without_waiting() -> None:
+def test_a_service_that_starts_all_at_once_splits_without_delay() -> None:
     fleet = CellFleet({"web": 64}, 23)
     assert fleet.run(6_000.0, lambda: len(cells(fleet)) >= 8, every_ms=250.0) < 6_000.0
     quiet(fleet, 20_000.0)
     assert fleet.false_deaths == []
 
 
-def test_two_sides_of_a_split_cell_disagree_on_the_cut_and_agree_again() -> None:
+def test_two_sides_of_a_network_partition_disagree_on_the_split_and_agree_again() -> None:
     fleet = CellFleet({"web": 8}, 5, directory=0)
     quiet(fleet)
     sides = fleet.names[:6], fleet.names[6:]
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_members_that_were_told_different_cuts_follow_one_in_the_end(seed: int) -> None:
+def test_members_with_different_partitions_follow_one_in_the_end(seed: int) -> None:
     fleet = settled({"web": 7}, seed)
     cuts = [
         CellPartition(4, 0, 0),
@@ -140,7 +140,7 @@
     assert sorted(m.census.position()[0] for m in fleet.members()) == list(range(27))
 
 
-def test_in_quiet_a_cell_costs_pings_views_and_questions_and_no_news() -> None:
+def test_an_idle_cell_costs_pings_views_and_lookups_and_no_updates() -> None:
     fleet = settled({"web": 24}, 25)
     fleet.run(30_000.0)
     fleet.kinds.clear()
@@ -160,7 +160,7 @@
 # Small cells, and strays
 
 
-def test_cells_of_one_and_two_are_known_and_shrink_no_part_for_good() -> None:
+def test_cells_of_one_and_two_are_known_and_shrink_no_share_for_good() -> None:
     fleet = settled({"solo": 1, "duo": 2, "web": 4}, 6)
     watch = Watch(fleet)
     fleet.kill("duo-east-1")
@@ -203,7 +203,7 @@
         assert fleet.false_deaths == []
 
 
-def test_one_that_was_stopped_while_its_cell_was_cut_twice_and_merged_comes_home() -> None:
+def test_a_member_stopped_while_its_cell_split_twice_and_merged_finds_its_cell() -> None:
     fleet = settled({"web": 6}, 8, file=40)
     fleet.stop("web-east-2")
     for _ in range(24):
@@ -233,7 +233,7 @@
     return found
 
 
-def test_one_that_comes_back_when_all_others_are_in_the_other_half_harms_nobody() -> None:
+def test_a_member_that_returns_when_all_others_are_in_the_other_half_does_no_harm() -> None:
     fleet = CellFleet({"web": 0}, 19, directory=0)
     one, few = half(fleet, 0, 1), half(fleet, 1, 6)
     for name in (*one, *few):
@@ -302,7 +302,7 @@
 
 
 @pytest.mark.parametrize("how", ["kill", "stop"])
-def test_another_speaks_for_the_cell_when_its_reporter_dies_or_is_stopped(how: str) -> None:
+def test_another_member_reports_for_the_cell_when_its_reporter_dies_or_is_stopped(how: str) -> None:
     fleet = settled({"web": 14}, 10, most=8)
     for _ in range(3):
         name = reporter(fleet, fleet.names[0])
@@ -368,7 +368,7 @@
     assert fleet.false_deaths == []
 
 
-def test_a_directory_that_starts_anew_is_believed_only_once_it_must_know_all() -> None:
+def test_a_restarted_directory_is_reliable_only_once_it_must_know_all_cells() -> None:
     fleet = settled({"web": 8}, 18, regions=("east", "west", "south"), directory=1)
     watch = Watch(fleet)
     west = [name for name in fleet.names if "west" in name]
@@ -382,7 +382,7 @@
     assert watch.most["web"] <= 1.0 + 1e-9
 
 
-def test_a_newcomer_takes_no_greater_part_than_the_others_where_the_directory_is_gone() -> None:
+def test_a_newcomer_takes_no_greater_share_than_the_others_without_a_directory() -> None:
     fleet = settled({"web": 24}, 24, file=8)
     for guide in fleet.guides:
         fleet.kill(guide)
@@ -402,7 +402,7 @@
 # Cuts between regions and zones
 
 
-def test_regions_cut_for_an_hour_and_back_keep_their_parts() -> None:
+def test_regions_partitioned_for_an_hour_and_back_keep_their_shares() -> None:
     fleet = settled({"web": 5}, 13, regions=("east", "west"), directory=2)
     watch = Watch(fleet)
     sides = [[name for name in fleet.groups if region in fleet.groups[name]] for region in ("east", "west")]
@@ -452,7 +452,7 @@
 # Versions
 
 
-def test_flat_and_celled_members_side_by_side_refuse_each_other_and_harm_nobody() -> None:
+def test_members_with_and_without_cells_reject_each_other_and_do_no_harm() -> None:
     fleet = CellFleet({"web": 12}, 16, most=8, file=12)
     fleet.run(1_000.0)
     flat = fleet.names[:6]
@@ -481,7 +481,7 @@
 # Loss
 
 
-def test_a_fifth_lost_and_a_fifth_starved_bury_nobody_and_cut_as_ever() -> None:
+def test_with_a_fifth_lost_and_a_fifth_starved_nobody_is_declared_dead_and_cells_split() -> None:
     fleet = settled({"web": 20}, 17)
     ill = fleet.lose(0.2)
     for name in fleet.names[::5]:
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -86,7 +86,7 @@
         self.block.release()
 
 
-def test_members_are_cut_and_a_newcomer_finds_its_cell_by_the_directory_alone() -> None:
+def test_a_cell_splits_and_a_newcomer_finds_its_cell_by_the_directory_alone() -> None:
     async def play() -> None:
         service = Service(14, 2)
         await service.start()
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize(("cells", "more", "line"), BAD_CELLS)
-def test_bad_settings_of_cells_are_refused_in_one_line_with_their_path(
+def test_invalid_settings_of_cells_are_rejected_in_one_line_with_their_path(
     tmp_path: Path, cells: dict[str, Any], more: dict[str, Any], line: str
 ) -> None:
     good = {"service": "booking", "region": "east", "directory": ["127.0.0.1:7400"]}
@@ -177,7 +177,7 @@
     return file
 
 
-def test_a_directorys_settings_are_refused_in_one_line_with_their_path(tmp_path: Path) -> None:
+def test_a_directorys_invalid_settings_are_rejected_in_one_line_with_their_path(tmp_path: Path) -> None:
     assert read_directory(str(directory_file(tmp_path))).fleet.name == "linz"
     assert check_file(directory_file(tmp_path), of_directory=True) == []
     cases: list[tuple[dict[str, Any], str]] = [
@@ -195,7 +195,7 @@
         assert len(check_file(directory_file(tmp_path, **more), of_directory=True)) >= 1
 
 
-def test_the_directorys_process_answers_operators_survives_rubbish_and_ends_at_sigterm(
+def test_the_directorys_process_answers_operators_survives_garbage_and_ends_at_sigterm(
     tmp_path: Path,
 ) -> None:
     block = Block()
@@ -247,6 +247,9 @@
         "import sys, dunlinloft.node.fleet.peers; "
         "print(sorted(set(sys.modules) & {'dunlinloft.node.fleet.cells', 'dunlinloft.fleet.cells.core', "
         "'dunlinloft.fleet.cells.wire', "
+        "'dunlinloft.fleet.cells.settings', 'dunlinloft.fleet.cells.directory_lookup', "
+        "'dunlinloft.fleet.cells.bootstrap_addresses', 'dunlinloft.fleet.cells.metadata', "
+        "'dunlinloft.fleet.cells.report_store', 'dunlinloft.fleet.cells.report_replication', "
         "'dunlinloft.fleet.cells.index', 'dunlinloft.fleet.cells.directory'}))"
     )
     found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
