--- a/dunlinloft/balancer/balancer.py
+++ b/dunlinloft/balancer/balancer.py
@@ -49,7 +49,7 @@
     """One replica's decisions: feed it events in the order of time, carry out the actions it returns.
 
     Not thread-safe. Called by the node (`node.node`), the simulator's adapter (`wirehost`) and `lab`.
-    The same settings, salt and events always give the same actions.
+    The same settings, seed and events always give the same actions.
 
     Attributes
     ----------
@@ -59,10 +59,10 @@
         The parts that hosts and tests may look at.
     """
 
-    def __init__(self, settings: api.Settings, salt: int) -> None:
+    def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
         self.classes = {cls.name: cls for cls in settings.classes}
-        self._rng = random.Random(salt)
+        self._rng = random.Random(seed)
         self.controller = DelayController()
         self.statistics = ClassStatistics(settings.classes, PEER_SAMPLES)
         self.server_set = ServerSet(settings, self._rng)
--- a/dunlinloft/balancer/interface.py
+++ b/dunlinloft/balancer/interface.py
@@ -182,7 +182,7 @@
     ----------
     avoid
         Treat it as ejected, for these classes, or for all where none are named.
-    slow
+    latency_ratio
         Its delay over its peers'.
     trial
         One attempt may go there all the same (half-open).
@@ -191,7 +191,7 @@
     server: int
     avoid: bool = False
     classes: frozenset[str] = frozenset()
-    slow: float = 1.0
+    latency_ratio: float = 1.0
     trial: bool = False
 
 
--- a/dunlinloft/balancer/outlier_ejection.py
+++ b/dunlinloft/balancer/outlier_ejection.py
@@ -97,7 +97,7 @@
         is_avoided = verdict is not None and verdict.avoid
         if is_avoided and not was_avoided:
             server.successes_since_verdict = 0.0
-        if verdict is not None and (server.verdict is None or server.verdict.slow == 1.0):
+        if verdict is not None and (server.verdict is None or server.verdict.latency_ratio == 1.0):
             server.fast_since_verdict = 0.0
         if was_avoided and not is_avoided and server.successes_since_verdict < TRUSTED_OWN_SUCCESSES:
             return_ms = now_ms + READMISSION_SPREAD_MS * self._rng.random()
--- a/dunlinloft/balancer/server.py
+++ b/dunlinloft/balancer/server.py
@@ -149,7 +149,7 @@
         if self.slowness > SLOWNESS_THRESHOLD:  # else it is less now too
             slowness = max(slowness, self._slowness_at(now_ms))
         if self.verdict is not None:
-            reported = 1.0 + (self.verdict.slow - 1.0) * 0.5**self.fast_since_verdict
+            reported = 1.0 + (self.verdict.latency_ratio - 1.0) * 0.5**self.fast_since_verdict
             slowness = max(slowness, reported)
         if not self.reported_queue and slowness == SLOWNESS_THRESHOLD:
             return 1.0
--- a/dunlinloft/balancer/settings.py
+++ b/dunlinloft/balancer/settings.py
@@ -43,7 +43,7 @@
     example: Any
 
 
-class Malformed(Exception):
+class MalformedInput(Exception):
     """Input that does not follow the wire; `location` says where, if that is known."""
 
     def __init__(self, text: str, location: Location | None = None) -> None:
@@ -66,19 +66,19 @@
 
     Raises
     ------
-    Malformed
+    MalformedInput
         Where it is missing, of another kind (a boolean is no number), or a float that is not finite.
     """
     try:
         value: object = obj[key]
     except KeyError:
-        raise Malformed(f"{key!r} is missing", Location(obj, key, EXAMPLES[kind])) from None
+        raise MalformedInput(f"{key!r} is missing", Location(obj, key, EXAMPLES[kind])) from None
     if not isinstance(value, kind) or (kind is not bool and isinstance(value, bool)):
         text = f"{key!r} must be {KINDS[kind]}, not {value!r:.60}"
-        raise Malformed(text, Location(obj, key, EXAMPLES[kind]))
+        raise MalformedInput(text, Location(obj, key, EXAMPLES[kind]))
     if isinstance(value, float) and not math.isfinite(value):
         text = f"{key!r} must be a finite number, not {value!r}"
-        raise Malformed(text, Location(obj, key, EXAMPLES[kind]))
+        raise MalformedInput(text, Location(obj, key, EXAMPLES[kind]))
     return value
 
 
@@ -98,11 +98,11 @@
 
 
 def choice(obj: Json, key: str, choices: dict[Any, T], kind: type = str) -> T:
-    """What the value of a key stands for among these choices; `Malformed` where it is none of them."""
+    """What the value of a key stands for among these choices; `MalformedInput` where it is none of them."""
     value: object = required(obj, key, kind)
     if value not in choices:
         text = f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, choices))}"
-        raise Malformed(text, Location(obj, key, next(iter(choices))))
+        raise MalformedInput(text, Location(obj, key, next(iter(choices))))
     return choices[value]
 
 
@@ -112,7 +112,7 @@
     for index, value in enumerate(values):
         if not isinstance(value, dict):
             text = f"{key}[{index}] must be an object, not {value!r:.60}"
-            raise Malformed(text, Location(values, index, {}))
+            raise MalformedInput(text, Location(values, index, {}))
     return values
 
 
@@ -121,7 +121,7 @@
 
     Raises
     ------
-    Malformed
+    MalformedInput
         For keys that are missing or of the wrong kind.
     ValueError
         For values that cannot be meant (`Settings`).
--- a/dunlinloft/balancer/wirehost.py
+++ b/dunlinloft/balancer/wirehost.py
@@ -18,7 +18,7 @@
 from dunlinloft.balancer.settings import (
     NUMBER,
     Json,
-    Malformed,
+    MalformedInput,
     choice,
     object_list,
     optional,
@@ -146,15 +146,15 @@
         self._pages: dict[int, list[api.ServerEntry]] = {}  # by bank
 
     def handle_batch(self, batch: Json) -> Json:
-        """The reply to one batch; `Malformed` names the item that breaks the wire."""
+        """The reply to one batch; `MalformedInput` names the item that breaks the wire."""
         now_ms: float = required(batch, "ts_ms", NUMBER)
         number = required(batch, "round", int)
         actions: list[Json] = []
         for index, item in enumerate(object_list(batch, "items")):
             try:
                 self._handle_item(item, now_ms, actions)
-            except Malformed as error:
-                raise Malformed(f"items[{index}] ({item.get('kind')!r:.40}): {error}") from None
+            except MalformedInput as error:
+                raise MalformedInput(f"items[{index}] ({item.get('kind')!r:.40}): {error}") from None
         return {"round": number, "actions": actions}
 
     def _handle_item(self, item: Json, now_ms: float, actions: list[Json]) -> None:
@@ -168,7 +168,7 @@
             self._launch(node, item)
             event: api.Event = api.Started()
         elif node not in self._balancers:
-            raise Malformed(f"node {node!r:.40} is not running")
+            raise MalformedInput(f"node {node!r:.40} is not running")
         elif kind == "PowerOff":
             del self._balancers[node]
             return
@@ -177,11 +177,11 @@
         elif kind in READERS:
             event = READERS[kind](item)
             if isinstance(event, api.Request) and event.cls not in self._balancers[node].classes:
-                raise Malformed(f"'type' is {event.cls!r:.40}, which is no class of the settings")
+                raise MalformedInput(f"'type' is {event.cls!r:.40}, which is no class of the settings")
         elif kind in IGNORED:
             return
         else:
-            raise Malformed("unknown kind of event")
+            raise MalformedInput("unknown kind of event")
         for action in self._balancers[node].handle(event, now_ms):
             actions.append(_write_action(node, action))
 
@@ -190,7 +190,7 @@
         try:
             settings = read_settings(required(item, "env", dict))
         except ValueError as error:
-            raise Malformed(f"'env' has impossible settings: {error}") from None
+            raise MalformedInput(f"'env' has impossible settings: {error}") from None
         self._balancers[node] = Balancer(settings, required(item, "salt", int))
 
     def _read_list_update(self, item: Json) -> api.Event:
@@ -199,7 +199,7 @@
             return api.ServerListUpdate(form)
         bank = required(item, "bank", int)
         if bank not in self._pages:
-            raise Malformed(f"'bank' {bank} has had no Page")
+            raise MalformedInput(f"'bank' {bank} has had no Page")
         return api.ServerListUpdate(form, required(item, "stamp", int), self._pages[bank])
 
 
@@ -209,11 +209,11 @@
         text = source.readline()
         batch = json.loads(text) if text else None
     except (ValueError, RecursionError) as error:
-        raise Malformed(f"not JSON: {error!s:.200}") from None
+        raise MalformedInput(f"not JSON: {error!s:.200}") from None
     if not text:
         return None
     if not isinstance(batch, dict):
-        raise Malformed(f"a batch must be an object, not {batch!r:.60}")
+        raise MalformedInput(f"a batch must be an object, not {batch!r:.60}")
     return batch
 
 
@@ -227,7 +227,7 @@
             if batch is None:
                 return 0
             reply = host.handle_batch(batch)
-        except Malformed as error:
+        except MalformedInput as error:
             print(f"nickelbridge: input line {number}: {error}", file=errors)
             return EXIT_MALFORMED
         number += 1
--- a/dunlinloft/cli/handlers/config_check.py
+++ b/dunlinloft/cli/handlers/config_check.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any, TypeAlias
 
-from dunlinloft.balancer.settings import Malformed
+from dunlinloft.balancer.settings import MalformedInput
 from dunlinloft.node.config import parse_config, parse_directory, path_in
 
 MAX_PROBLEMS = 200  # that are reported; a file with more is no configuration
@@ -98,7 +98,7 @@
     for _ in range(MAX_PROBLEMS):
         try:
             parse(root)
-        except Malformed as error:
+        except MalformedInput as error:
             if error.location is None:
                 return [*findings.problems, Problem(str(error))]
             _replace_rejected(root, error, findings)
@@ -110,7 +110,7 @@
     return findings.problems
 
 
-def _replace_rejected(root: _TrackedObject, error: Malformed, findings: _Findings) -> None:
+def _replace_rejected(root: _TrackedObject, error: MalformedInput, findings: _Findings) -> None:
     """Report a value once, and replace it by the reader's valid example."""
     assert error.location is not None
     location = error.location
--- a/dunlinloft/node/addresses.py
+++ b/dunlinloft/node/addresses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dunlinloft.balancer.settings import Json, Location, Malformed, required
+from dunlinloft.balancer.settings import Json, Location, MalformedInput, required
 
 Address = tuple[str, int]
 
@@ -12,17 +12,17 @@
 
 
 def parse_address(text: str) -> Address:
-    """Split host:port. Raises `Malformed`."""
+    """Split host:port. Raises `MalformedInput`."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
-        raise Malformed(f"{text!r:.60} is no address of the form host:port")
+        raise MalformedInput(f"{text!r:.60} is no address of the form host:port")
     return host.strip("[]"), int(port)
 
 
 def address_at(obj: Json, key: str) -> Address:
-    """Return the address that an object has under a key. Raises `Malformed`."""
+    """Return the address that an object has under a key. Raises `MalformedInput`."""
     text = required(obj, key, str)
     try:
         return parse_address(text)
-    except Malformed as problem:
-        raise Malformed(f"{key!r}: {problem}", Location(obj, key, EXAMPLE_ADDRESS)) from None
+    except MalformedInput as problem:
+        raise MalformedInput(f"{key!r}: {problem}", Location(obj, key, EXAMPLE_ADDRESS)) from None
--- a/dunlinloft/node/config.py
+++ b/dunlinloft/node/config.py
@@ -14,7 +14,7 @@
     NUMBER,
     Json,
     Location,
-    Malformed,
+    MalformedInput,
     choice,
     object_list,
     optional,
@@ -114,13 +114,13 @@
         raise BadConfig(f"{path}: must be an object")
     try:
         return parse(obj)
-    except Malformed as problem:
+    except MalformedInput as problem:
         raise BadConfig(f"{path}: {_located(obj, problem)}") from None
     except ValueError as problem:
         raise BadConfig(f"{path}: {problem}") from None
 
 
-def _located(root: Json, problem: Malformed) -> str:
+def _located(root: Json, problem: MalformedInput) -> str:
     """Return what is wrong, behind the full path of where it is."""
     if problem.location is None:
         return str(problem)
@@ -157,7 +157,7 @@
 
 
 def parse_config(obj: Json) -> Config:
-    """Parse the file's object. Raises `Malformed` or `ValueError`."""
+    """Parse the file's object. Raises `MalformedInput` or `ValueError`."""
     limits = optional(obj, "limits", dict, {})
     return Config(
         name=required(obj, "name", str),
@@ -176,15 +176,15 @@
 
 
 def parse_directory(obj: Json) -> DirectoryConfig:
-    """Parse the object of a directory's file. Raises `Malformed` or `ValueError`."""
+    """Parse the object of a directory's file. Raises `MalformedInput` or `ValueError`."""
     fleet = read_fleet(obj)
     if fleet is None:
-        raise Malformed(
+        raise MalformedInput(
             "'fleet' is missing: it names the fleet whose directory this is", Location(obj, "fleet", {})
         )
     for key in ("voters", "share", "cells"):
         if obj["fleet"].get(key):
-            raise Malformed(
+            raise MalformedInput(
                 f"{key!r} must be absent: a directory's process only knows cells",
                 Location(obj["fleet"], key, None),
             )
@@ -202,7 +202,7 @@
     """Return a number written in hex digits and nothing else."""
     text = required(obj, key, str)
     if not re.fullmatch("[0-9a-fA-F]+", text):
-        raise Malformed(f"{key!r} must be hex digits, not {text!r:.60}", Location(obj, key, "0"))
+        raise MalformedInput(f"{key!r} must be hex digits, not {text!r:.60}", Location(obj, key, "0"))
     return int(text, 16)
 
 
--- a/dunlinloft/node/discovery.py
+++ b/dunlinloft/node/discovery.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from dunlinloft.balancer.settings import Malformed
+from dunlinloft.balancer.settings import MalformedInput
 from dunlinloft.node.addresses import Address
 from dunlinloft.node.server_list import ServerList, read_server_list
 
@@ -227,9 +227,9 @@
         try:
             obj = json.loads(body)
             if not isinstance(obj, dict):
-                raise Malformed("not an object")
+                raise MalformedInput("not an object")
             return read_server_list(obj)
-        except (ValueError, RecursionError, Malformed) as problem:
+        except (ValueError, RecursionError, MalformedInput) as problem:
             return f"a list that can't be read: {problem!s:.100}"
 
     def _take(self, listing: ServerList) -> None:
--- a/dunlinloft/node/fleet_config.py
+++ b/dunlinloft/node/fleet_config.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass
 
-from dunlinloft.balancer.settings import Json, Location, Malformed, optional, required
+from dunlinloft.balancer.settings import Json, Location, MalformedInput, optional, required
 from dunlinloft.node.addresses import EXAMPLE_PEER_ADDRESS, address_at, parse_address
 
 SHAREABLE_STATE = ("verdicts", "limits", "affinity", "releases")
@@ -62,7 +62,7 @@
 
 
 def read_fleet(obj: Json) -> FleetConfig | None:
-    """Read the `fleet` object of a file, where there is one. Raises `Malformed`.
+    """Read the `fleet` object of a file, where there is one. Raises `MalformedInput`.
 
     It is refused where the settings allow no peers.
     """
@@ -72,13 +72,13 @@
     settings = optional(obj, "settings", dict, {})
     permissions = optional(settings, "permissions", dict, {})
     if optional(permissions, "peers", bool, True) is False:
-        raise Malformed(
+        raise MalformedInput(
             "'fleet' must be absent: settings.permissions.peers is false", Location(obj, "fleet", None)
         )
     seeds = required(fleet, "seeds", list)
     for number, seed in enumerate(seeds):
         if not isinstance(seed, str):
-            raise Malformed(
+            raise MalformedInput(
                 f"seeds[{number}] must be a string, not {seed!r:.60}",
                 Location(seeds, number, EXAMPLE_PEER_ADDRESS),
             )
@@ -92,7 +92,7 @@
     if "affinity" in share:
         _check_affinity(fleet, settings, groups)
     if "releases" in share and not voters:
-        raise Malformed("'voters' must be named to share releases", Location(fleet, "voters", []))
+        raise MalformedInput("'voters' must be named to share releases", Location(fleet, "voters", []))
     cells = _read_cells(fleet, share, voters)
     return FleetConfig(
         required(fleet, "name", str), fleet["bind"], advertise, seeds, voters, share, groups, cells
@@ -102,11 +102,11 @@
 def _read_voters(fleet: Json) -> list[str]:
     voters: list[str] = optional(fleet, "voters", list, [])
     if len(voters) not in VOTER_COUNTS or not all(isinstance(name, str) for name in voters):
-        raise Malformed(
+        raise MalformedInput(
             f"'voters' must be 3, 5 or 7 names, not {voters!r:.60}", Location(fleet, "voters", [])
         )
     if len(set(voters)) < len(voters):
-        raise Malformed("'voters' names one twice", Location(fleet, "voters", []))
+        raise MalformedInput("'voters' names one twice", Location(fleet, "voters", []))
     return voters
 
 
@@ -115,14 +115,14 @@
     for number, name in enumerate(share):
         if name not in SHAREABLE_STATE:
             text = f"share[{number}] is {name!r:.60}, which is none of {', '.join(SHAREABLE_STATE)}"
-            raise Malformed(text, Location(share, number, SHAREABLE_STATE[0]))
+            raise MalformedInput(text, Location(share, number, SHAREABLE_STATE[0]))
     return frozenset(share)
 
 
 def _read_groups(fleet: Json) -> tuple[str, ...]:
     groups = optional(fleet, "groups", list, [])
     if not all(isinstance(group, str) for group in groups) or len(set(groups)) < len(groups):
-        raise Malformed(
+        raise MalformedInput(
             f"'groups' must be names of zones, each once, not {groups!r:.60}", Location(fleet, "groups", [])
         )
     return tuple(groups)
@@ -130,12 +130,12 @@
 
 def _check_affinity(fleet: Json, settings: Json, groups: tuple[str, ...]) -> None:
     if len(groups) < MIN_AFFINITY_ZONES:
-        raise Malformed(
+        raise MalformedInput(
             "'groups' must name the zones, two or more, to share affinity", Location(fleet, "groups", [])
         )
     if optional(settings, "siblings", int, 1) < MIN_AFFINITY_NODES:
         text = f"share: affinity needs {MIN_AFFINITY_NODES} nodes or more in settings.siblings"
-        raise Malformed(text, Location(fleet, "share", []))
+        raise MalformedInput(text, Location(fleet, "share", []))
 
 
 def _read_cells(fleet: Json, share: frozenset[str], voters: list[str]) -> CellsConfig | None:
@@ -146,19 +146,19 @@
     for key in ("service", "region"):
         if not re.fullmatch(CELL_NAME_PATTERN, required(cells, key, str)):
             text = f"{key!r} must be 1 to 64 of letters, digits, '.', '-' and '_', not {cells[key]!r:.60}"
-            raise Malformed(text, Location(cells, key, "a"))
+            raise MalformedInput(text, Location(cells, key, "a"))
     max_members = optional(cells, "most", int, DEFAULT_CELL_SIZE)
     if not MIN_CELL_SIZE <= max_members <= MAX_CELL_SIZE:
         text = f"'most' must be {MIN_CELL_SIZE} to {MAX_CELL_SIZE} members of a cell, not {max_members!r:.60}"
-        raise Malformed(text, Location(cells, "most", DEFAULT_CELL_SIZE))
+        raise MalformedInput(text, Location(cells, "most", DEFAULT_CELL_SIZE))
     directory = _read_directory_addresses(cells)
     if voters:
-        raise Malformed(
+        raise MalformedInput(
             "'voters' must be absent: duties are not there beside 'cells'", Location(fleet, "voters", [])
         )
     if share - CELL_SHAREABLE_STATE:
         text = f"'share' may name verdicts alone beside 'cells', not {sorted(share)!r:.60}"
-        raise Malformed(text, Location(fleet, "share", []))
+        raise MalformedInput(text, Location(fleet, "share", []))
     return CellsConfig(cells["service"], cells["region"], max_members, directory)
 
 
@@ -167,9 +167,9 @@
     for number, text in enumerate(directory):
         where = Location(directory, number, EXAMPLE_PEER_ADDRESS)
         if not isinstance(text, str):
-            raise Malformed(f"directory[{number}] must be a string, not {text!r:.60}", where)
+            raise MalformedInput(f"directory[{number}] must be a string, not {text!r:.60}", where)
         try:
             parse_address(text)
-        except Malformed as problem:
-            raise Malformed(f"directory[{number}]: {problem}", where) from None
+        except MalformedInput as problem:
+            raise MalformedInput(f"directory[{number}]: {problem}", where) from None
     return directory
--- a/dunlinloft/node/server_list.py
+++ b/dunlinloft/node/server_list.py
@@ -66,7 +66,7 @@
 
 
 def read_server_list(obj: Json) -> ServerList:
-    """Read a list. `since_ms` in it is Unix time, the module's clock is monotonic. Raises `Malformed`."""
+    """Read a list. Its `since_ms` is Unix time, the module's clock is monotonic. Raises `MalformedInput`."""
     monotonic_offset_ms = now_ms() - time.time() * 1000.0
     entries: list[api.ServerEntry] = []
     addresses: dict[int, Address] = {}
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -40,33 +40,33 @@
 class Node:
     """A balancer with a clock of its own; records its actions, and to which servers each request was sent."""
 
-    def __init__(self, servers: int = 4, salt: int = 1, **changes: Any) -> None:
-        self.balancer = Balancer(settings(**changes), salt)
+    def __init__(self, servers: int = 4, seed: int = 1, **changes: Any) -> None:
+        self.balancer = Balancer(settings(**changes), seed)
         self.now = 1000.0
-        self.log: list[tuple[float, api.Action]] = []
+        self.action_log: list[tuple[float, api.Action]] = []
         self.sent: dict[str, list[int]] = {}
-        self.do(api.Started())
-        self.list_all(entries(range(servers)))
+        self.handle(api.Started())
+        self.set_server_list(entries(range(servers)))
 
-    def do(self, event: api.Event, after_ms: float = 0.0) -> list[api.Action]:
+    def handle(self, event: api.Event, after_ms: float = 0.0) -> list[api.Action]:
         self.now += after_ms
         actions = self.balancer.handle(event, self.now)
         for action in actions:
-            self.log.append((self.now, action))
+            self.action_log.append((self.now, action))
             if isinstance(action, api.Send):
                 self.sent.setdefault(action.id, []).append(action.server)
         return actions
 
-    def list_all(self, servers: list[api.ServerEntry], version: int = 1) -> list[api.Action]:
-        return self.do(api.ServerListUpdate(api.ListUpdateKind.SNAPSHOT, version, servers))
+    def set_server_list(self, servers: list[api.ServerEntry], version: int = 1) -> list[api.Action]:
+        return self.handle(api.ServerListUpdate(api.ListUpdateKind.SNAPSHOT, version, servers))
 
-    def change(self, *servers: api.ServerEntry) -> list[api.Action]:
-        return self.do(api.ServerListUpdate(api.ListUpdateKind.DELTA, 2, list(servers)))
+    def update_servers(self, *servers: api.ServerEntry) -> list[api.Action]:
+        return self.handle(api.ServerListUpdate(api.ListUpdateKind.DELTA, 2, list(servers)))
 
     def request(
         self, id: str, cls: str = "safe", ttl_ms: float = 3000.0, tenant: str | None = None
     ) -> list[api.Action]:
-        return self.do(api.Request(id, cls, ttl_ms, tenant))
+        return self.handle(api.Request(id, cls, ttl_ms, tenant))
 
     def complete(
         self, id: str, result: api.Result, after_ms: float = 50.0, final: bool | None = None
@@ -76,7 +76,7 @@
         number = len(self.sent[id]) - 1
         final = result is api.Result.SERVED if final is None else final
         event = api.AttemptCompleted(id, number, self.sent[id][number], result, after_ms, final)
-        return self.do(event)
+        return self.handle(event)
 
     def serve(self, count: int, cls: str = "safe", gap_ms: float = 10.0, delay_ms: float = 50.0) -> list[int]:
         """Send and serve so many requests one after another; the servers picked."""
@@ -98,11 +98,11 @@
     return [a for a in actions if isinstance(a, api.Send)]
 
 
-def ends(actions: list[api.Action]) -> list[api.Action]:
+def final_answers(actions: list[api.Action]) -> list[api.Action]:
     return [a for a in actions if isinstance(a, api.Fail | api.Reject)]
 
 
-def passes_gate(node: Node, id: str, server: int) -> bool:
+def try_send(node: Node, id: str, server: int) -> bool:
     """Ask the gate itself, as a new feature that forgot a rule would."""
     balancer = node.balancer
     return balancer._send(balancer._calls[id], balancer.server_set.servers[server], node.now)
--- a/tests/test_balancer_admission.py
+++ b/tests/test_balancer_admission.py
@@ -11,7 +11,7 @@
 from dunlinloft.balancer.delay_controller import INITIAL_CALLS_PER_SERVER, TARGET_SHARE
 from dunlinloft.balancer.interface import Result
 from dunlinloft.balancer.latency_baseline import TARGET_SHARE_MAX
-from tests.helpers import Node, ends, entries, sends, timers
+from tests.helpers import Node, entries, final_answers, sends, timers
 
 
 def test_a_burst_is_queued_at_the_clients_tier_and_rejected_in_time() -> None:
@@ -22,11 +22,11 @@
         node.request(f"b{n}")
     out = sum(s.in_flight for s in node.balancer.server_set.ready)
     assert out < 100
-    waiting = [a for _, a in node.log if isinstance(a, api.SetTimer)]
+    waiting = [a for _, a in node.action_log if isinstance(a, api.SetTimer)]
     assert len(waiting) >= 200
     refused = 0
     for timer in waiting:
-        refused += len(ends(node.do(api.TimerFired(timer.token))))
+        refused += len(final_answers(node.handle(api.TimerFired(timer.token))))
     assert refused >= 200
 
 
@@ -102,7 +102,7 @@
     for n in range(full):
         node.complete(f"fill{n}", Result.SERVED, 0.0)
     restarted = entries(range(10, 16), started_ms=node.now)
-    node.list_all([*entries(range(4)), *restarted], 2)
+    node.set_server_list([*entries(range(4)), *restarted], 2)
     left = 0
     while not timers(node.request(f"left{left}")):
         left += 1
@@ -170,7 +170,7 @@
         for n in range(20):
             node.request(f"f{n}")
             node.complete(f"f{n}", Result.ERROR, 1.0, final=False)
-            node.do(api.TimerFired(node.balancer._last_token), 3000.0)
+            node.handle(api.TimerFired(node.balancer._last_token), 3000.0)
         n = fill(node)
         node.request("dear", "keyed_all")
         for k in range(n):
--- a/tests/test_balancer_ejection.py
+++ b/tests/test_balancer_ejection.py
@@ -32,7 +32,7 @@
 
 
 def share_verdicts(node: Node, *verdicts: api.PeerVerdict) -> None:
-    node.do(api.PeerVerdicts(list(verdicts)))
+    node.handle(api.PeerVerdicts(list(verdicts)))
 
 
 def test_a_server_that_peers_warn_of_gets_nothing_until_own_answers_say_otherwise() -> None:
@@ -59,8 +59,8 @@
 
 def test_a_server_no_longer_warned_of_comes_back_to_each_replica_at_its_own_time() -> None:
     back = []
-    for salt in range(40):
-        node = Node(servers=4, salt=salt)
+    for seed in range(40):
+        node = Node(servers=4, seed=seed)
         share_verdicts(node, api.PeerVerdict(2, avoid=True))
         share_verdicts(node)
         back.append(node.balancer.server_set.servers[2].ejected_until_ms - node.now)
@@ -73,7 +73,7 @@
 def test_a_verdict_is_void_once_its_server_has_restarted() -> None:
     node = Node(servers=4)
     share_verdicts(node, api.PeerVerdict(2, avoid=True))
-    node.list_all([api.ServerEntry(n, started_ms=-1e6 if n == 2 else None) for n in range(4)])
+    node.set_server_list([api.ServerEntry(n, started_ms=-1e6 if n == 2 else None) for n in range(4)])
     assert 2 in node.serve(8)
 
 
--- a/tests/test_balancer_properties.py
+++ b/tests/test_balancer_properties.py
@@ -29,7 +29,7 @@
     cls: api.RequestClass
     deadline: float
     attempts: list[tuple[float, int, Result | None]] = field(default_factory=list)  # sent, server, result
-    ends: int = 0
+    final_answers: int = 0
 
 
 class World:
@@ -80,15 +80,15 @@
             self.requests[action.id].attempts.append((self.now, action.server, None))
             self.sends.append((self.now, action.server))
         elif isinstance(action, api.Fail | api.Reject):
-            self.requests[action.id].ends += 1
+            self.requests[action.id].final_answers += 1
 
     def finish(self, id: str, result: Result) -> None:
         owed = self.requests[id]
         sent, server, _ = owed.attempts[-1]
         owed.attempts[-1] = (sent, server, result)
-        final = bool(owed.ends) or result is Result.SERVED
-        if result is Result.SERVED and not owed.ends:
-            owed.ends += 1
+        final = bool(owed.final_answers) or result is Result.SERVED
+        if result is Result.SERVED and not owed.final_answers:
+            owed.final_answers += 1
         number = len(owed.attempts) - 1
         self.give(api.AttemptCompleted(id, number, server, result, self.now - sent, final))
 
@@ -102,12 +102,12 @@
             self.now = max(self.now, at)
             if isinstance(what, api.TimerFired):
                 self.give(what)
-            elif not self.requests[what].ends:
+            elif not self.requests[what].final_answers:
                 owed = self.requests[what]
                 if not owed.attempts or owed.attempts[-1][2] is not None:
                     raise Broken("rule 1: a request was lost")
                 self.finish(what, Result.TIMEOUT)
-                assert owed.ends == 1
+                assert owed.final_answers == 1
         self.now = target
 
     def step(self, number: int) -> None:
@@ -199,8 +199,8 @@
     class CreditsRejections(Balancer):
         """Takes a rejection for a proof that an attempt never ran, whatever the settings say."""
 
-        def __init__(self, settings: api.Settings, salt: int) -> None:
-            super().__init__(settings, salt)
+        def __init__(self, settings: api.Settings, seed: int) -> None:
+            super().__init__(settings, seed)
             self.retry_policy.proofs_not_run = PROOFS_NOT_RUN
 
     with monkeypatch.context() as patch:
--- a/tests/test_balancer_reconfiguration.py
+++ b/tests/test_balancer_reconfiguration.py
@@ -11,18 +11,18 @@
 from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.balancer.interface import Result
 from dunlinloft.balancer.tenant_quotas import QuotaCounts
-from tests.helpers import KEYED, SAFE, UNSAFE, Node, ends, entries, sends, settings, timers
+from tests.helpers import KEYED, SAFE, UNSAFE, Node, entries, final_answers, sends, settings, timers
 
 
 def test_new_settings_bind_new_calls_while_those_in_flight_keep_their_class() -> None:
     node = Node(classes=[SAFE, UNSAFE], max_attempts=3)
     node.request("old", "safe")
     stricter = replace(SAFE, idempotency=api.Idempotency.NON_IDEMPOTENT)
-    node.do(api.Reconfigured(settings(classes=[stricter, KEYED], max_attempts=3)))
+    node.handle(api.Reconfigured(settings(classes=[stricter, KEYED], max_attempts=3)))
     retry = node.complete("old", api.Result.ERROR)
     assert timers(retry), "it came as safe to repeat"
     node.request("new", "safe")
-    assert isinstance(ends(node.complete("new", api.Result.ERROR))[0], api.Fail)
+    assert isinstance(final_answers(node.complete("new", api.Result.ERROR))[0], api.Fail)
     node.request("keyed", "keyed")
     assert sends(node.complete("keyed", api.Result.SERVED)) == []
     assert set(node.balancer.classes) == {"safe", "keyed"}
@@ -32,17 +32,17 @@
     node = Node(max_attempts=3)
     node.request("a", "safe")
     assert timers(node.complete("a", api.Result.ERROR))
-    node.do(api.Reconfigured(settings(max_attempts=1)))
-    [timer] = [a for _, a in node.log if isinstance(a, api.SetTimer)][-1:]
-    actions = node.do(api.TimerFired(timer.token), timer.delay_ms)
-    assert not sends(actions) and ends(actions)
+    node.handle(api.Reconfigured(settings(max_attempts=1)))
+    [timer] = [a for _, a in node.action_log if isinstance(a, api.SetTimer)][-1:]
+    actions = node.handle(api.TimerFired(timer.token), timer.delay_ms)
+    assert not sends(actions) and final_answers(actions)
 
 
 def test_a_class_that_vanished_while_its_calls_wait_does_no_harm() -> None:
     node = Node(servers=0, classes=[SAFE, UNSAFE])
     node.request("a", "unsafe")
-    node.do(api.Reconfigured(settings(classes=[KEYED])))
-    node.list_all(entries(range(2)), 2)
+    node.handle(api.Reconfigured(settings(classes=[KEYED])))
+    node.set_server_list(entries(range(2)), 2)
     node.serve(30, "keyed")
     assert node.balancer.statistics.lowest_on_time_share() == 1.0
 
@@ -69,8 +69,8 @@
 
 def test_unknown_ids_and_timers_change_nothing() -> None:
     node = Node()
-    assert node.do(api.TimerFired(999)) == []
-    assert node.do(api.ClientDisconnected("nobody")) == []
-    node.do(api.AttemptCompleted("nobody", 0, 0, Result.SERVED, 5.0, True))
-    node.do(api.AttemptCompleted("nobody", 0, 77, Result.ERROR, 5.0, True))
+    assert node.handle(api.TimerFired(999)) == []
+    assert node.handle(api.ClientDisconnected("nobody")) == []
+    node.handle(api.AttemptCompleted("nobody", 0, 0, Result.SERVED, 5.0, True))
+    node.handle(api.AttemptCompleted("nobody", 0, 77, Result.ERROR, 5.0, True))
     assert math.isfinite(node.balancer.controller.allowed_rate)
--- a/tests/test_balancer_retries.py
+++ b/tests/test_balancer_retries.py
@@ -7,7 +7,7 @@
 from dunlinloft.balancer import interface as api
 from dunlinloft.balancer.averages import SlidingWindowCounter
 from dunlinloft.balancer.interface import Result
-from tests.helpers import Node, ends, passes_gate, sends, timers
+from tests.helpers import Node, final_answers, sends, timers, try_send
 
 
 def test_a_retry_backs_off_and_goes_to_another_server() -> None:
@@ -15,18 +15,18 @@
     node.request("a")
     [timer] = timers(node.complete("a", Result.ERROR))
     assert timer.delay_ms > 0
-    [send] = sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
+    [send] = sends(node.handle(api.TimerFired(timer.token), timer.delay_ms))
     assert send.server != node.sent["a"][0]
 
 
 def test_back_off_doubles_with_jitter() -> None:
     # Without jitter, doubling waits line retries up after a common stall.
     firsts, seconds = [], []
-    for salt in range(200):
-        node = Node(salt=salt)
+    for seed in range(200):
+        node = Node(seed=seed)
         node.request("a", ttl_ms=30_000.0)
         [first] = timers(node.complete("a", Result.ERROR))
-        node.do(api.TimerFired(first.token), first.delay_ms)
+        node.handle(api.TimerFired(first.token), first.delay_ms)
         [second] = timers(node.complete("a", Result.ERROR))
         firsts.append(first.delay_ms)
         seconds.append(second.delay_ms)
@@ -37,18 +37,18 @@
 def test_rule_1_a_time_out_at_the_deadline_is_answered_once() -> None:
     node = Node()
     node.request("a", "unsafe", 800.0)
-    assert len(ends(node.complete("a", Result.TIMEOUT, 800.0))) == 1
-    assert node.do(api.ClientDisconnected("a")) == []
+    assert len(final_answers(node.complete("a", Result.TIMEOUT, 800.0))) == 1
+    assert node.handle(api.ClientDisconnected("a")) == []
 
 
 def test_rule_1_without_servers_a_request_still_ends_in_time() -> None:
     node = Node(servers=0)
     actions = node.request("a", ttl_ms=900.0)
     start = node.now
-    while not ends(actions):
+    while not final_answers(actions):
         [timer] = timers(actions)
-        actions = node.do(api.TimerFired(timer.token), timer.delay_ms)
-    assert isinstance(ends(actions)[0], api.Reject)
+        actions = node.handle(api.TimerFired(timer.token), timer.delay_ms)
+    assert isinstance(final_answers(actions)[0], api.Reject)
     assert node.now - start < 900.0
 
 
@@ -56,30 +56,30 @@
     node = Node()
     node.request("a")
     [timer] = timers(node.complete("a", Result.ERROR))
-    node.do(api.ClientDisconnected("a"))
-    assert node.do(api.TimerFired(timer.token), timer.delay_ms) == []
+    node.handle(api.ClientDisconnected("a"))
+    assert node.handle(api.TimerFired(timer.token), timer.delay_ms) == []
 
 
 def test_rule_2_non_idempotent_is_not_retried_once_it_may_have_run() -> None:
     for result in (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED):
         node = Node()
         node.request("a", "unsafe")
-        assert ends(node.complete("a", result)) == [api.Fail("a")]
+        assert final_answers(node.complete("a", result)) == [api.Fail("a")]
 
 
 def test_rule_2_non_idempotent_is_retried_when_it_never_ran() -> None:
     node = Node()
     node.request("a", "unsafe")
     [timer] = timers(node.complete("a", Result.REJECTED))
-    assert sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
+    assert sends(node.handle(api.TimerFired(timer.token), timer.delay_ms))
 
 
 def test_rule_2_keyed_stays_in_its_group() -> None:
-    for salt in range(20):
-        node = Node(servers=8, salt=salt)
+    for seed in range(20):
+        node = Node(servers=8, seed=seed)
         node.request("a", "keyed")
         [timer] = timers(node.complete("a", Result.ERROR))
-        [send] = sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
+        [send] = sends(node.handle(api.TimerFired(timer.token), timer.delay_ms))
         assert send.server % 2 == node.sent["a"][0] % 2
 
 
@@ -87,26 +87,26 @@
     node = Node()
     node.request("a", "keyed", ttl_ms=3000.0)
     actions = node.complete("a", Result.TIMEOUT, 1990.0)
-    assert ends(actions) == [api.Fail("a")] and not timers(actions)
+    assert final_answers(actions) == [api.Fail("a")] and not timers(actions)
 
 
 def test_the_gate_itself_keeps_rules_1_and_2() -> None:
     node = Node(servers=4)
     node.request("out", "safe")
-    assert not passes_gate(node, "out", 1)  # one is out already
+    assert not try_send(node, "out", 1)  # one is out already
     node.request("late", "safe", 400.0)
     node.complete("late", Result.ERROR, 100.0)
     node.now += 298.0
-    assert not passes_gate(node, "late", 1)  # no time left
+    assert not try_send(node, "late", 1)  # no time left
     node.request("keyed", "keyed")
     node.complete("keyed", Result.ERROR, 10.0)
     other = 1 - node.sent["keyed"][0] % 2
-    assert not passes_gate(node, "keyed", other)  # another group
+    assert not try_send(node, "keyed", other)  # another group
     node.now += 1995.0
-    assert not passes_gate(node, "keyed", 1 - other)  # the window is over
+    assert not try_send(node, "keyed", 1 - other)  # the window is over
     node.request("again", "safe")
     node.complete("again", Result.ERROR, 10.0)
-    assert passes_gate(node, "again", 1)  # the gate does open
+    assert try_send(node, "again", 1)  # the gate does open
 
 
 def test_rule_5_retries_stay_within_the_stated_budget() -> None:
@@ -120,7 +120,7 @@
             id = f"{node.now}-{n}"
             node.request(id)
             node.complete(id, Result.UNREACHABLE, 0.0)
-            retries += passes_gate(node, id, n % 8)
+            retries += try_send(node, id, n % 8)
         return retries
 
     assert retries_sent(9) == 2
@@ -145,16 +145,16 @@
     for n in range(20):
         node.request(f"{n}")
         node.complete(f"{n}", Result.UNREACHABLE, 0.0)
-        assert passes_gate(node, f"{n}", 1)
+        assert try_send(node, f"{n}", 1)
 
 
 def test_rule_6_a_rejection_is_no_proof_where_so_stated() -> None:
     node = Node(rejected_may_have_run=True)
     node.request("a", "unsafe")
-    assert ends(node.complete("a", Result.REJECTED)) == [api.Fail("a")]
+    assert final_answers(node.complete("a", Result.REJECTED)) == [api.Fail("a")]
     node.request("b", "keyed")
     node.complete("b", Result.REJECTED, 10.0)
-    assert not passes_gate(node, "b", 1 - node.sent["b"][0] % 2)  # it stays inside its group
+    assert not try_send(node, "b", 1 - node.sent["b"][0] % 2)  # it stays inside its group
     node.request("c", "unsafe")
     assert timers(node.complete("c", Result.UNREACHABLE))  # that is still a proof
 
@@ -170,14 +170,14 @@
     ):
         node = Node(max_attempts=1)
         node.request("a", cls)
-        [answer] = ends(node.complete("a", result))
+        [answer] = final_answers(node.complete("a", result))
         assert isinstance(answer, end)
 
 
 def test_a_stream_binds_its_request_to_one_attempt() -> None:
     node = Node()
     node.request("a")
-    node.do(api.StreamStarted("a", 0, node.sent["a"][0], 20.0))
+    node.handle(api.StreamStarted("a", 0, node.sent["a"][0], 20.0))
     assert not sends(node.complete("a", Result.RESET, 50.0, final=True))
 
 
--- a/tests/test_balancer_selection.py
+++ b/tests/test_balancer_selection.py
@@ -20,7 +20,7 @@
 
 def test_first_attempts_follow_weights() -> None:
     node = Node(servers=0)
-    node.list_all([api.ServerEntry(1, share=3.0), api.ServerEntry(2, share=1.0)])
+    node.set_server_list([api.ServerEntry(1, share=3.0), api.ServerEntry(2, share=1.0)])
     picked = node.serve(40)
     assert picked.count(1) == pytest.approx(30, abs=1)
 
@@ -99,7 +99,7 @@
     node.request("a")
     [crowded] = node.sent["a"]
     event = api.AttemptCompleted("a", 0, crowded, Result.SERVED, 50.0, True, {"queue": 6.0})
-    node.do(event, 50.0)
+    node.handle(event, 50.0)
     assert crowded not in node.serve(20)
     node.now += 60_000.0
     assert crowded in node.serve(20)
@@ -107,15 +107,15 @@
 
 def test_a_request_pinned_to_a_zone_goes_nowhere_else() -> None:
     node = Node(servers=0, classes=[replace(KEYED, dedup_scope=api.DedupScope.ZONE)])
-    node.list_all([api.ServerEntry(n, zone="wien" if n % 3 else "linz") for n in range(9)])
+    node.set_server_list([api.ServerEntry(n, zone="wien" if n % 3 else "linz") for n in range(9)])
     for n in range(12):
-        [send] = sends(node.do(api.Request(f"p{n}", "keyed", 5_000.0, pinned_group="linz")))
+        [send] = sends(node.handle(api.Request(f"p{n}", "keyed", 5_000.0, pinned_group="linz")))
         assert send.server % 3 == 0
         node.complete(f"p{n}", Result.SERVED)
-    node.do(api.Request("q", "keyed", 5_000.0, pinned_group="linz"))
+    node.handle(api.Request("q", "keyed", 5_000.0, pinned_group="linz"))
     first = node.sent["q"][0]
     [timer] = timers(node.complete("q", Result.UNREACHABLE))
-    [send] = sends(node.do(api.TimerFired(timer.token), timer.delay_ms))
+    [send] = sends(node.handle(api.TimerFired(timer.token), timer.delay_ms))
     assert send.server in {0, 3, 6} - {first}
 
 
--- a/tests/test_balancer_server_set.py
+++ b/tests/test_balancer_server_set.py
@@ -12,30 +12,30 @@
 
 def test_rule_3_a_draining_server_gets_nothing() -> None:
     node = Node(servers=2)
-    node.change(api.ServerEntry(0, health=api.Health.DRAINING))
+    node.update_servers(api.ServerEntry(0, health=api.Health.DRAINING))
     assert set(node.serve(10)) == {1}
 
 
 def test_rule_3_a_server_missing_from_a_snapshot_gets_nothing() -> None:
     node = Node(servers=2)
-    node.list_all(entries([1]), 2)
+    node.set_server_list(entries([1]), 2)
     assert set(node.serve(10)) == {1}
 
 
 def test_rule_3_a_delta_leaves_the_rest_of_the_list() -> None:
     node = Node(servers=2)
-    node.change(api.ServerEntry(7))
+    node.update_servers(api.ServerEntry(7))
     assert set(node.serve(30)) == {0, 1, 7}
 
 
 def test_a_failed_subscription_is_renewed_with_jitter() -> None:
     delays = set()
-    for salt in range(5):
-        node = Node(salt=salt, subscribes=True)
-        assert api.Subscribe() in [a for _, a in node.log]
-        [timer] = timers(node.do(api.ServerListUpdate(api.ListUpdateKind.FAILED)))
+    for seed in range(5):
+        node = Node(seed=seed, subscribes=True)
+        assert api.Subscribe() in [a for _, a in node.action_log]
+        [timer] = timers(node.handle(api.ServerListUpdate(api.ListUpdateKind.FAILED)))
         delays.add(timer.delay_ms)
-        assert node.do(api.TimerFired(timer.token), timer.delay_ms) == [api.Subscribe()]
+        assert node.handle(api.TimerFired(timer.token), timer.delay_ms) == [api.Subscribe()]
         assert timer.delay_ms < node.balancer.settings.poll_interval_ms / 4
     assert len(delays) == 5
 
@@ -64,7 +64,7 @@
         node.request(f"{n}")
     assert len(node.balancer.server_set.ready) > few
     assert len({server for sent in node.sent.values() for server in sent}) > few
-    node.list_all(entries(range(60)))
+    node.set_server_list(entries(range(60)))
     assert len(node.balancer.server_set.ready) == few
 
 
@@ -73,10 +73,10 @@
     own = {server.id for server in node.balancer.server_set.ready}
     node.request("k", "keyed")
     (first,) = node.sent["k"]
-    node.list_all(entries(n for n in range(40) if n == first or n % 2 != first % 2 or n not in own))
-    node.change(*entries([first], health=api.Health.TERMINATED))
+    node.set_server_list(entries(n for n in range(40) if n == first or n % 2 != first % 2 or n not in own))
+    node.update_servers(*entries([first], health=api.Health.TERMINATED))
     (timer,) = timers(node.complete("k", Result.ERROR))
-    node.do(api.TimerFired(timer.token), timer.delay_ms)
+    node.handle(api.TimerFired(timer.token), timer.delay_ms)
     retried_at = node.sent["k"][1]
     assert retried_at not in own
     assert retried_at % 2 == first % 2
@@ -100,7 +100,7 @@
 def test_excluded_servers_are_those_ejected_unresponsive_or_draining() -> None:
     node = Node(servers=4)
     assert node.balancer.excluded_count(node.now) == 0
-    node.change(api.ServerEntry(0, "z", "k", 0, api.Health.DRAINING))
+    node.update_servers(api.ServerEntry(0, "z", "k", 0, api.Health.DRAINING))
     assert node.balancer.excluded_count(node.now) == 1
     node.request("a", "safe")
     node.complete("a", api.Result.UNREACHABLE)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -15,7 +15,7 @@
 from dunlinloft.node.http import frontend
 from dunlinloft.node.http.bodies import CHUNK_BYTES, MAX_BUFFERED_BYTES, Body, Memory
 from dunlinloft.node.http.upstream import Attempt, Upstream
-from tests.helpers import Node, ends, sends, timers
+from tests.helpers import Node, final_answers, sends, timers
 from tests.peers import LIMIT_S, Caller, Server, World, answer, request, run, until, world
 
 BIG = bytes(range(256)) * 4096  # a megabyte
@@ -439,10 +439,10 @@
 
 def test_a_request_still_coming_loads_no_server_and_its_time_runs_from_its_end() -> None:
     node = Node(servers=1)
-    [send] = sends(node.do(api.Request("a", "safe", 1000.0, complete=False)))
+    [send] = sends(node.handle(api.Request("a", "safe", 1000.0, complete=False)))
     assert node.balancer.in_flight == 0 and send.timeout_ms <= 1000.0
     node.now += 60_000.0  # however long it takes to come
-    node.do(api.RequestComplete("a"))
+    node.handle(api.RequestComplete("a"))
     assert node.balancer.in_flight == 1
     retry = node.complete("a", api.Result.ERROR, 300.0)
     assert timers(retry), "most of its time is left"
@@ -451,10 +451,10 @@
 
 def test_what_can_not_be_sent_again_is_given_up_at_once() -> None:
     node = Node(servers=3)
-    node.do(api.Request("a", "safe", 3000.0, complete=False))
+    node.handle(api.Request("a", "safe", 3000.0, complete=False))
     sent = node.sent["a"][0]
     event = api.AttemptCompleted("a", 0, sent, api.Result.UNREACHABLE, 0.0, False, None, False)
-    [end] = ends(node.do(event))
+    [end] = final_answers(node.handle(event))
     assert isinstance(end, api.Reject)
     assert node.balancer.in_flight == 0
 
@@ -465,7 +465,7 @@
     usual = node.balancer._baseline.usual_share
     node.request("a")
     assert node.balancer.in_flight == 1
-    node.do(api.StreamStarted("a", 0, node.sent["a"][0], 50.0), 50.0)
+    node.handle(api.StreamStarted("a", 0, node.sent["a"][0], 50.0), 50.0)
     assert node.balancer.in_flight == 0
     node.complete("a", api.Result.SERVED, 30_000.0)
     assert node.balancer.in_flight == 0
@@ -499,9 +499,9 @@
 
 def test_a_call_bound_before_it_is_whole_loads_no_server_later() -> None:
     node = Node(servers=1)
-    node.do(api.Request("a", "safe", 1000.0, complete=False))
-    node.do(api.StreamStarted("a", 0, node.sent["a"][0], 0.0))
-    node.do(api.RequestComplete("a"))
+    node.handle(api.Request("a", "safe", 1000.0, complete=False))
+    node.handle(api.StreamStarted("a", 0, node.sent["a"][0], 0.0))
+    node.handle(api.RequestComplete("a"))
     assert node.balancer.in_flight == 0
     node.complete("a", api.Result.SERVED)
     assert node.balancer.in_flight == 0
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -101,20 +101,20 @@
 
 def test_processes_of_one_node_split_the_budgets_of_cold_servers_and_repeats() -> None:
     node = Node(retry_budget_ratio=0.0, retry_budget_floor=4.0, retry_budget_window_ms=10_000.0)
-    node.do(api.ProcessCount(4))
+    node.handle(api.ProcessCount(4))
     for n in range(3):
         node.request(f"{n}")
         node.complete(f"{n}", api.Result.ERROR)
-    for _, action in list(node.log):
+    for _, action in list(node.action_log):
         if isinstance(action, api.SetTimer):
-            node.do(api.TimerFired(action.token), 1_000.0)
+            node.handle(api.TimerFired(action.token), 1_000.0)
     assert sum(len(sent) - 1 for sent in node.sent.values()) == 1, "of four repeats one is this process's"
 
     def cold_sends(processes: int) -> int:
         node = Node(servers=2)
         node.serve(200, gap_ms=0.0, delay_ms=5.0)
-        node.do(api.ProcessCount(processes))
-        node.change(api.ServerEntry(9, "z", "k", 1, started_ms=node.now))
+        node.handle(api.ProcessCount(processes))
+        node.update_servers(api.ServerEntry(9, "z", "k", 1, started_ms=node.now))
         return node.serve(200, gap_ms=0.0, delay_ms=5.0).count(9)
 
     assert 0 < cold_sends(4) < cold_sends(1)
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -12,7 +12,7 @@
 from dunlinloft.balancer.interface import Result
 from dunlinloft.node.config import BadConfig, read_change, read_config
 from tests import peers
-from tests.helpers import SAFE, Node, ends, entries, settings
+from tests.helpers import SAFE, Node, entries, final_answers, settings
 
 
 @pytest.mark.parametrize(
@@ -40,13 +40,13 @@
     assert not [a for a in empty.request("a") if isinstance(a, api.Send)]
     for servers in ([api.ServerEntry(1)], entries(range(3), share=0.0)):
         node = Node(servers=0)
-        node.list_all(servers)
+        node.set_server_list(servers)
         for n in range(30):
             node.request(f"{n}")
             if f"{n}" in node.sent:
                 node.complete(f"{n}", [Result.SERVED, Result.ERROR, Result.TIMEOUT][n % 3], 0.0)
         assert node.sent or not any(s.share for s in servers)
-        assert not ends(node.do(api.TimerFired(0)))
+        assert not final_answers(node.handle(api.TimerFired(0)))
 
 
 INVALID_VALUES: list[tuple[tuple[str | int, ...], Any, str, str]] = [
