--- a/dunlinloft/balancer/__init__.py
+++ b/dunlinloft/balancer/__init__.py
@@ -1,7 +1,7 @@
-"""The balancer's decisions for services that call services: retries, admission, selection, outlier ejection.
+"""Client-side load balancing between services: retries, admission, server selection, outlier ejection.
 
-`balancer.Balancer` takes events and returns actions (`interface`). Pure: no I/O, no clock, no task. Imported
-by the node in service (`dunlinloft.node`), by the router (`dunlinloft.dataplane`, `dunlinloft.coordination`,
-for `rotation` and `delay_controller`) and by `lab`; imports nothing outside itself. `wirehost` is the
-simulator's adapter.
+`balancer.Balancer` takes events and returns actions, both defined in `interface`. It is pure: it does no I/O,
+reads no clock and starts no task. The package imports nothing outside itself. It is used by the node
+(`dunlinloft.node`), by the router (`dunlinloft.dataplane` and `dunlinloft.coordination`, for `rotation`,
+`delay_controller` and `averages`) and by `lab`. `wirehost` is the simulator's adapter.
 """
--- a/dunlinloft/balancer/attempt_timeout.py
+++ b/dunlinloft/balancer/attempt_timeout.py
@@ -1,21 +1,30 @@
-"""How long an attempt may take before it is timed out."""
+"""The timeout of an attempt."""
 
 from __future__ import annotations
 
 from dunlinloft.balancer import interface as api
 from dunlinloft.balancer.latency_baseline import LatencyBaseline
 
-REMAINING_SHARE = 0.95  # of the time left, for an attempt that another may follow
-USUAL_DELAY_FACTOR = 8.0  # times the usual delay: the longest that an attempt may take
-LATENCY_TARGET_SHARE_MIN = 0.1  # that it is given at least: the node itself may be late by some milliseconds
+REMAINING_SHARE = 0.95  # maximum share of the remaining time for an attempt that a retry may follow
+USUAL_DELAY_FACTOR = 8.0  # maximum timeout, as a multiple of the usual delay
+# Minimum of that limit, as a share of the latency target: the node itself may be a few milliseconds late.
+LATENCY_TARGET_SHARE_MIN = 0.1
 
 
 def attempt_timeout_ms(
     cls: api.RequestClass, baseline: LatencyBaseline, remaining_ms: float, last: bool
 ) -> float:
-    """How long an attempt may take, with `remaining_ms` left to the deadline; `last`: no other can follow.
+    """Return the timeout of an attempt.
 
-    Calls to a lost zone that wait out a whole deadline would fill the slots of the tier above (i2750ee).
+    It is limited to a multiple of the usual delay: calls to a failed zone that wait until their deadline
+    would fill the concurrency slots of the tier above.
+
+    Parameters
+    ----------
+    remaining_ms
+        Time left until the deadline.
+    last
+        Whether no retry can follow.
     """
     if baseline.established:
         share = max(USUAL_DELAY_FACTOR * baseline.usual_share, LATENCY_TARGET_SHARE_MIN)
--- a/dunlinloft/balancer/balancer.py
+++ b/dunlinloft/balancer/balancer.py
@@ -1,11 +1,11 @@
-"""Routes each event (dunlinloft/balancer/interface.py) to its handler and returns the actions that follow.
-
-The decisions are in the modules it is built from: `delay_controller` (retries and window by delay),
-`admission` (window, shedding, priority), `selection` with `rotation`, `affinity` and `canary` (where an
-attempt goes), `outlier_ejection` and `server` (health and weight), `retry_policy` (what may be sent again),
-`attempt_timeout`, `tenant_quotas`, `idle_connections`, `server_set` with `subsetting`; `measurements` passes
-results on to them. `docs/design.md` says what is kept from their sources, what is changed and why. None of
-them does I/O, reads a clock or owns a socket.
+"""Dispatches each event (dunlinloft/balancer/interface.py) to its handler and returns the resulting actions.
+
+The decisions are made in the modules that the balancer is built from: `delay_controller` (retries and window
+by measured delay), `admission` (window, load shedding, priority), `selection` with `rotation`, `affinity` and
+`canary` (choice of a server), `outlier_ejection` and `server` (health and weight), `retry_policy` (which
+requests may be sent again), `attempt_timeout`, `tenant_quotas`, `idle_connections`, and `server_set` with
+`subsetting`. `measurements` passes results on to them. `docs/design.md` names the published algorithms, the
+changes made to them and the reasons. None of these modules does I/O, reads a clock or owns a socket.
 """
 
 from __future__ import annotations
@@ -33,30 +33,34 @@
 from dunlinloft.balancer.server_set import ServerSet, ZoneCapacity
 from dunlinloft.balancer.tenant_quotas import QuotaCounts, TenantQuotas
 
-RESUBSCRIBE_SHARE = 0.1  # of the poll interval: mean wait before subscribing again after a failure,
-RESUBSCRIBE_MAX_MS = 500.0  # as, whatever the interval, the node must know what discovery has known for 6 s
-RESUBSCRIBE_TOKEN = 0  # of that timer; those of calls count from 1
+RESUBSCRIBE_SHARE = (
+    0.1  # mean delay before subscribing again after a failure, as a share of the poll interval
+)
+# Maximum of that mean delay: whatever the interval, a node must know of a change within 6 s of discovery.
+RESUBSCRIBE_MAX_MS = 500.0
+RESUBSCRIBE_TOKEN = 0  # token of the timer for subscribing again; tokens of calls start at 1
 
 
 class _QueueKey(NamedTuple):
-    """Which calls share a queue for the window."""
+    """The properties that calls in the same admission queue share."""
 
     cls: str
     over_quota: bool
 
 
 class Balancer:
-    """One replica's decisions: feed it events in the order of time, carry out the actions it returns.
+    """The load-balancing decisions of one replica.
 
-    Not thread-safe. Called by the node (`node.node`), the simulator's adapter (`wirehost`) and `lab`.
-    The same settings, seed and events always give the same actions.
+    The caller passes events in chronological order and carries out the returned actions. Not thread-safe.
+    Deterministic: the same settings, seed and events give the same actions. Used by the node (`node.node`),
+    the simulator's adapter (`wirehost`) and `lab`.
 
     Attributes
     ----------
     settings, classes
-        In force now; the classes by name.
+        The current settings, and their request classes by name.
     controller, server_set, statistics, retry_policy, outlier_ejection
-        The parts that hosts and tests may look at.
+        Components that hosts and tests may inspect.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -101,23 +105,23 @@
             self._idle_connections,
         )
         self._calls: dict[str, Call] = {}
-        self._queues: dict[_QueueKey, deque[Call]] = {}  # first attempts that wait for the window
+        self._queues: dict[_QueueKey, deque[Call]] = {}  # first attempts waiting for the window
         self._timers: dict[int, Call] = {}  # by token
         self._last_token = RESUBSCRIBE_TOKEN
         self._actions: list[api.Action] = []
 
     @property
     def in_flight(self) -> int:
-        """How many calls servers work on for this replica."""
+        """Number of calls that servers are processing for this replica."""
         return self._in_flight.count
 
     @property
     def quota_counts(self) -> dict[str | None, QuotaCounts]:
-        """Requests within each tenant's quota, and over it."""
+        """Number of requests within and over quota, by tenant."""
         return self._quotas.counts
 
     def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
-        """Take one event; the actions that follow, in their order."""
+        """Process one event and return the resulting actions in order."""
         self._actions = []
         match event:
             case api.Request():
@@ -153,24 +157,24 @@
                 self._release_queued(now_ms)
         return self._actions
 
-    # What hosts report
+    # Status for hosts
 
     def excluded_count(self, now_ms: float) -> int:
-        """How many listed servers get nothing new now: ejected, unresponsive, or not in service."""
+        """Return how many listed servers are ejected, unresponsive or not in service."""
         return self.server_set.excluded_count(now_ms, self._baseline.usual_share)
 
     def unresponsive_servers(self, now_ms: float) -> list[int]:
-        """The ids of servers that hold calls and have been silent for so long that peers should know."""
+        """Return the ids of servers that have been unresponsive for long enough to be reported to peers."""
         return self.server_set.reported_unresponsive(now_ms, self._baseline.usual_share)
 
     def zone_capacity(self, now_ms: float) -> dict[str, ZoneCapacity]:
-        """For each zone, how many of its servers in service are fit to take calls here."""
+        """Return the number of healthy and of all servers in service, by zone."""
         return self.server_set.zone_capacity(now_ms, self._baseline.usual_share)
 
-    # Handlers of events
+    # Event handlers
 
     def _handle_settings(self, settings: api.Settings, now_ms: float) -> None:
-        """Take new settings; what was measured stays, and calls in flight keep their class."""
+        """Apply new settings; measurements are kept, and calls in flight keep their class."""
         self.settings = settings
         self.classes = {cls.name: cls for cls in settings.classes}
         self.statistics.set_classes(settings.classes)
@@ -182,7 +186,7 @@
         self._release_queued(now_ms)
 
     def _handle_server_list(self, event: api.ServerListUpdate, now_ms: float) -> None:
-        if event.kind is ListUpdateKind.FAILED:  # subscribe again, not in step with other replicas
+        if event.kind is ListUpdateKind.FAILED:  # jitter keeps replicas from subscribing in step
             mean_ms = min(RESUBSCRIBE_SHARE * self.settings.poll_interval_ms, RESUBSCRIBE_MAX_MS)
             wait_ms = mean_ms * (0.5 + self._rng.random())
             self._actions.append(api.SetTimer(RESUBSCRIBE_TOKEN, wait_ms))
@@ -196,30 +200,30 @@
         self.statistics.count_request(event.cls)
         self.retry_policy.count_request(now_ms)
         call.over_quota = self._quotas.take(event.tenant, now_ms)
-        if self._admission.sheds(call, now_ms):
+        if self._admission.should_shed(call, now_ms):
             self._end_unserved(call)
         else:
-            self._attempt(call, now_ms)
+            self._start_attempt(call, now_ms)
 
     def _handle_request_complete(self, event: api.RequestComplete, now_ms: float) -> None:
-        """A request that was still arriving is complete: its time, and its server's work, begin."""
+        """Start the deadline of a request whose body is now complete, and count it as load on its server."""
         call = self._calls.get(event.id)
         if call is None or call.complete:
             return
         call.complete = True
         call.arrived_ms = now_ms
         call.deadline_ms = now_ms + call.ttl_ms
-        without_load = self._in_flight.without_load
-        if call.in_flight and not call.streaming and call.last_server and call.id in without_load:
-            without_load.discard(call.id)
+        uncounted = self._in_flight.uncounted
+        if call.in_flight and not call.streaming and call.last_server and call.id in uncounted:
+            uncounted.discard(call.id)
             self._in_flight.add(call, call.last_server, now_ms)
 
     def _handle_stream_started(self, event: api.StreamStarted, now_ms: float) -> None:
-        """A response flows: as a sample it counts now, and its server is free for others."""
+        """Measure a response as soon as it starts to stream, and stop counting it as load on its server."""
         call = self._calls.get(event.id)
         server = self.server_set.servers.get(event.server)
         self._in_flight.remove(event.id, server)
-        self._in_flight.without_load.add(event.id)
+        self._in_flight.uncounted.add(event.id)
         if server is not None:
             server.last_response_ms = now_ms
             server.record_report(event.report, now_ms)
@@ -238,13 +242,13 @@
         stuck = event.id in self._in_flight.stuck
         self._in_flight.stuck.discard(event.id)
         self._in_flight.remove(event.id, server)
-        self._in_flight.without_load.discard(event.id)
-        # A response that flowed was measured when it began.
-        measured = call is not None and call.streaming and event.result is Result.SERVED
+        self._in_flight.uncounted.discard(event.id)
+        # A streamed response was measured when it started.
+        already_measured = call is not None and call.streaming and event.result is Result.SERVED
         if server is not None:
-            self._measurements.record_result(event, call, server, measured, now_ms)
+            self._measurements.record_result(event, call, server, already_measured, now_ms)
         if call is not None:
-            self._measurements.record_outcome(event, call, server, measured, stuck, now_ms)
+            self._measurements.record_outcome(event, call, server, already_measured, stuck, now_ms)
             if event.final:
                 del self._calls[event.id]
                 if not call.streaming:
@@ -261,21 +265,21 @@
             if call.queued:
                 self._end_unserved(call)
             else:
-                self._attempt(call, now_ms)
+                self._start_attempt(call, now_ms)
 
-    # The way of a call: queued, sent, retried, ended
+    # Call lifecycle: queue, send, retry, end
 
-    def _attempt(self, call: Call, now_ms: float) -> None:
-        """Send the call's next attempt, or queue it, or wait for a better time."""
-        full = self._admission.window_full(call, now_ms)
-        server = None if full else self._selection.pick(call, now_ms)
-        if full or (server is None and call.first_run_ms is None and self.server_set.ready):
+    def _start_attempt(self, call: Call, now_ms: float) -> None:
+        """Send the call's next attempt, queue the call, or retry after a back-off."""
+        must_wait = self._admission.must_wait(call, now_ms)
+        server = None if must_wait else self._selection.pick(call, now_ms)
+        if must_wait or (server is None and call.first_execution_ms is None and self.server_set.ready):
             self._enqueue(call, now_ms)
         elif server is None or not self._send(call, server, now_ms):
             self._back_off_or_end(call, now_ms)
 
     def _enqueue(self, call: Call, now_ms: float) -> None:
-        """Hold a call back while an answer within its latency target is still possible."""
+        """Queue a call for as long as an answer within its latency target is still possible."""
         wait_ms = self._admission.queue_until_ms(call) - now_ms
         if wait_ms <= 2.0 * self.settings.tick_ms:
             self._end_unserved(call)
@@ -286,15 +290,15 @@
         self._set_timer(call, wait_ms - 2.0 * self.settings.tick_ms)
 
     def _release_queued(self, now_ms: float) -> None:
-        """Send queued calls as the window opens, those of most value first."""
+        """Send queued calls while the window has room, in descending order of value."""
         values = {key: self._admission.value(*key) for key, queue in self._queues.items() if queue}
         for key in sorted(values, key=values.__getitem__, reverse=True):
             queue = self._queues[key]
             while queue:
                 call = queue[0]
                 if call.queued and call.id in self._calls:
-                    full = self._admission.window_full(call, now_ms)
-                    server = None if full else self._selection.pick(call, now_ms)
+                    must_wait = self._admission.must_wait(call, now_ms)
+                    server = None if must_wait else self._selection.pick(call, now_ms)
                     if server is None:
                         break
                     call.queued = False
@@ -304,12 +308,15 @@
                 queue.popleft()
 
     def _send(self, call: Call, server: Server, now_ms: float) -> bool:
-        """The one gate that every attempt passes, rules 1 to 6; whether it went out."""
+        """Send an attempt if every rule allows it, and return whether it was sent.
+
+        All attempts are sent from here.
+        """
         remaining_ms = call.deadline_ms - now_ms if call.complete else call.ttl_ms
         if not self._may_send(call, server, remaining_ms, now_ms):
             return False
         slow_start_share = server.slow_start_share(now_ms, self.settings)
-        if slow_start_share < 1.0:  # rule 4
+        if slow_start_share < 1.0:  # the budget of a server in slow start
             if self._selection.slow_start_budget(server, slow_start_share, now_ms) < 1.0:
                 return False
             server.slow_start_budget.tokens -= 1.0
@@ -327,7 +334,7 @@
         if call.complete:
             self._in_flight.add(call, server, now_ms)
         else:
-            self._in_flight.without_load.add(call.id)
+            self._in_flight.uncounted.add(call.id)
         last = self.retry_policy.is_last_attempt(call)
         timeout_ms = attempt_timeout_ms(call.cls, self._baseline, remaining_ms, last)
         window_ms = self.retry_policy.send_window_ms(call, now_ms)
@@ -335,30 +342,31 @@
         return True
 
     def _may_send(self, call: Call, server: Server, remaining_ms: float, now_ms: float) -> bool:
-        """Rules 1, 2, 3, 5 and 6; rule 4 takes from a budget and comes last."""
-        if call.id not in self._calls or call.in_flight or remaining_ms <= self.settings.tick_ms:  # rule 1
+        """Check all rules but the slow start budget, which consumes a token and comes last."""
+        # Neither answered, in flight nor past its deadline.
+        if call.id not in self._calls or call.in_flight or remaining_ms <= self.settings.tick_ms:
             return False
         if call.attempts >= self.settings.max_attempts or not self.retry_policy.may_send(call, now_ms):
             return False
-        if call.group is not None and server.group(call.cls.dedup_scope) != call.group:  # rule 2
+        if call.group is not None and server.group(call.cls.dedup_scope) != call.group:
             return False
-        if not server.in_service or self.server_set.servers.get(server.id) is not server:  # rule 3
+        if not server.in_service or self.server_set.servers.get(server.id) is not server:
             return False
-        return not call.attempts or self.retry_policy.within_budget(now_ms)  # rule 5
+        return not call.attempts or self.retry_policy.within_budget(now_ms)
 
     def _check_idle(self, call: Call, server: Server, now_ms: float) -> None:
-        """Close the connections to a server where the one to be used has been idle for too long."""
+        """Close the idle connections to a server if they have been idle for too long to be trusted."""
         call.idle_ms = 0.0 if server.outstanding else now_ms - server.last_used_ms
         if self._idle_connections.stale(call.idle_ms):
             self._actions.append(api.CloseIdle(server.id))
             call.idle_ms = 0.0
 
     def _retry_or_end(self, event: api.AttemptCompleted, call: Call, now_ms: float) -> None:
-        """An attempt has failed: let the delay controller decide about the next."""
+        """Retry a failed attempt with the delay controller's probability, or end the call."""
         call.in_flight = False
-        ran = event.result not in self.retry_policy.proofs_not_run
-        if call.first_run_ms is None and call.last_server and ran:
-            call.first_run_ms = call.sent_ms
+        may_have_executed = event.result not in self.retry_policy.not_executed_results
+        if call.first_execution_ms is None and call.last_server and may_have_executed:
+            call.first_execution_ms = call.sent_ms
             call.group = call.last_server.group(call.cls.dedup_scope)
         if event.replayable and self._rng.random() < self.controller.retry_probability(now_ms):
             self._back_off_or_end(call, now_ms)
@@ -366,21 +374,24 @@
             self._end_unserved(call)
 
     def _back_off_or_end(self, call: Call, now_ms: float) -> None:
-        """Wait for the next attempt with exponential back-off and jitter, where it can still be in time."""
+        """Retry after exponential back-off with jitter, or end the call if no retry is possible."""
         wait_ms = self.retry_policy.backoff_ms(call) * (0.5 + self._rng.random())
         starts_ms = now_ms + wait_ms + 2.0 * self.settings.tick_ms
         attempts_left = call.attempts < self.settings.max_attempts
-        more = attempts_left and self.retry_policy.may_send(call, starts_ms)
-        if starts_ms < call.deadline_ms and more:
+        may_retry = attempts_left and self.retry_policy.may_send(call, starts_ms)
+        if starts_ms < call.deadline_ms and may_retry:
             self._set_timer(call, wait_ms)
         else:
             self._end_unserved(call)
 
     def _end_unserved(self, call: Call) -> None:
-        """The one way to end a request unserved: rejected where a retry is harmless, else failed."""
+        """End a request without an answer: reject it if the client may safely retry, else fail it.
+
+        All unserved requests end here.
+        """
         if self._calls.pop(call.id, None):
             self.statistics.count_answer(call.cls.name, False)
-            if self.retry_policy.retry_is_harmless(call):
+            if self.retry_policy.retry_is_safe(call):
                 self._actions.append(api.Reject(call.id, self.retry_policy.backoff_ms(call)))
             else:
                 self._actions.append(api.Fail(call.id))
--- a/dunlinloft/balancer/call.py
+++ b/dunlinloft/balancer/call.py
@@ -1,4 +1,4 @@
-"""A request that is owed an answer."""
+"""The state of a request that has not been answered yet."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
     Attributes
     ----------
     complete, ttl_ms
-        Whether it has arrived completely, and how long it lives from then on.
+        Whether the request has arrived completely, and the time from then to its deadline.
     arrived_ms, deadline_ms
-        When it arrived, and when its answer is due.
+        When the request arrived, and when its answer is due.
     attempts, in_flight, sent_ms
-        How many were made, whether one is in flight, and when the last was sent.
+        Number of attempts sent, whether one is in flight, and when the last was sent.
     idle_ms
-        How long the connection of the last attempt had been idle; 0 where that doesn't matter.
+        How long the connection of the last attempt had been idle; 0 if it was in use or has been closed.
     queued, timer_token
-        Whether it waits for the window to open; the timer that it waits for, 0 for none.
+        Whether the call is in an admission queue, and the token of its current timer; 0 for none.
     streaming
-        Its response flows: it is bound to that.
-    first_run_ms
-        When the first attempt that may have run was sent.
+        Whether the response has started, after which no other attempt may be made.
+    first_execution_ms
+        When the first attempt that may have been executed was sent; None if there is none.
     group
-        The deduplication group that it went to, or has to go to from the first attempt.
+        The deduplication group that all attempts have to go to; None if not restricted.
     """
 
     __slots__ = (
@@ -38,7 +38,7 @@
         "cls",
         "complete",
         "deadline_ms",
-        "first_run_ms",
+        "first_execution_ms",
         "group",
         "id",
         "idle_ms",
@@ -68,6 +68,6 @@
         self.timer_token = 0
         self.streaming = False
         self.last_server: Server | None = None
-        self.first_run_ms: float | None = None
+        self.first_execution_ms: float | None = None
         self.group = event.pinned_group
         self.affinity_key = event.affinity_key if cls.affinity else None
--- a/dunlinloft/balancer/calls_in_flight.py
+++ b/dunlinloft/balancer/calls_in_flight.py
@@ -1,4 +1,4 @@
-"""Which calls load a server now."""
+"""The calls that servers are processing now."""
 
 from __future__ import annotations
 
@@ -6,30 +6,31 @@
 from dunlinloft.balancer.server import SentCall, Server
 from dunlinloft.balancer.server_set import ServerSet
 
-HOT_CALLS_PER_SERVER = 1.0  # calls in flight a server, beyond which a replica doubles its slices
+HOT_CALLS_PER_SERVER = 1.0  # calls in flight per server above which a replica doubles its slices of the fleet
 
 
 class CallsInFlight:
-    """The calls that servers work on for this replica. Owned by `Balancer`.
+    """The calls that servers are processing for this replica. Owned by `Balancer`.
 
     Attributes
     ----------
     count
-        How many there are.
-    without_load
-        Ids of those sent that load no server: the request still arrives, or the response already flows.
+        Number of these calls.
+    uncounted
+        Ids of sent calls that are not counted as load: the request is still arriving, or the response is
+        streaming.
     stuck
-        Ids of those at servers that stopped responding: they take no room in the window from others.
+        Ids of the calls at unresponsive servers, which don't count against the window.
     """
 
     def __init__(self, server_set: ServerSet) -> None:
         self._server_set = server_set
         self.count = 0
-        self.without_load: set[str] = set()
+        self.uncounted: set[str] = set()
         self.stuck: set[str] = set()
 
     def add(self, call: Call, server: Server, now_ms: float) -> None:
-        """A server has a call to work on from now; a hot caller takes more of the fleet."""
+        """Count a call at a server, and enlarge the server subset if the replica has many calls in flight."""
         server.in_flight += 1
         self.count += 1
         server_set = self._server_set
@@ -39,8 +40,8 @@
         server.outstanding[call.id] = SentCall(now_ms, call.cls.latency_target_ms)
 
     def remove(self, call_id: str, server: Server | None) -> None:
-        """A call is over, or its response flows; its server may be listed no more."""
-        if call_id in self.without_load:
+        """Stop counting a call whose attempt has ended or streams; `server` is None if no longer listed."""
+        if call_id in self.uncounted:
             return
         self.count -= 1
         if server is not None:
@@ -48,6 +49,6 @@
             server.outstanding.pop(call_id, None)
 
     def record_stuck(self, servers: list[Server]) -> None:
-        """Note the calls at servers that have stopped responding."""
+        """Record the calls at unresponsive servers as stuck."""
         for server in servers:
             self.stuck.update(server.outstanding)
--- a/dunlinloft/balancer/retry_policy.py
+++ b/dunlinloft/balancer/retry_policy.py
@@ -15,7 +15,7 @@
 # T1, the wait before the first retry, doubled with each further one and jittered: the lesser of the two.
 BACKOFF_BASE_MS = 500.0
 BACKOFF_BASE_SHARE = 0.2  # of the latency target
-PROOFS_NOT_RUN = frozenset((Result.REJECTED, Result.UNREACHABLE, Result.NOT_SENT))
+NOT_EXECUTED_RESULTS = frozenset((Result.REJECTED, Result.UNREACHABLE, Result.NOT_SENT))
 
 
 class RetryPolicy:
@@ -32,7 +32,7 @@
     def __init__(self, settings: api.Settings) -> None:
         self._settings = settings
         self.processes = 1
-        self.proofs_not_run = _proofs_not_run(settings)
+        self.not_executed_results = _not_executed_results(settings)
         # A tick to spare at both edges of the window that the budget is counted over.
         self._requests = SlidingWindowCounter(settings.retry_budget_window_ms - settings.tick_ms)
         self._retries = SlidingWindowCounter(settings.retry_budget_window_ms + settings.tick_ms)
@@ -40,7 +40,7 @@
     def reconfigure(self, settings: api.Settings) -> None:
         """Take new settings; what was counted stays."""
         self._settings = settings
-        self.proofs_not_run = _proofs_not_run(settings)
+        self.not_executed_results = _not_executed_results(settings)
         self._requests.set_window(settings.retry_budget_window_ms - settings.tick_ms)
         self._retries.set_window(settings.retry_budget_window_ms + settings.tick_ms)
 
@@ -65,11 +65,11 @@
 
     def send_window_ms(self, call: Call, now_ms: float) -> float:
         """For how long the class lets the call go out: until servers may have forgotten its key."""
-        if call.first_run_ms is None or call.cls.idempotency is Idempotency.IDEMPOTENT:
+        if call.first_execution_ms is None or call.cls.idempotency is Idempotency.IDEMPOTENT:
             return math.inf
         if call.cls.idempotency is Idempotency.NON_IDEMPOTENT:
             return 0.0
-        return call.first_run_ms + call.cls.dedup_window_ms - self._settings.tick_ms - now_ms
+        return call.first_execution_ms + call.cls.dedup_window_ms - self._settings.tick_ms - now_ms
 
     def is_last_attempt(self, call: Call) -> bool:
         """Whether the attempt that was just counted is the call's last for sure."""
@@ -81,13 +81,13 @@
         base_ms = min(BACKOFF_BASE_MS, BACKOFF_BASE_SHARE * call.cls.latency_target_ms)
         return base_ms * 2.0 ** max(0, call.attempts - 1)
 
-    def retry_is_harmless(self, call: Call) -> bool:
+    def retry_is_safe(self, call: Call) -> bool:
         """Whether the client may be told that sending the request again does no harm, to whichever server."""
         if call.in_flight:
             return False
         everywhere = call.cls.idempotency is Idempotency.KEYED and call.cls.dedup_scope is DedupScope.ALL
-        return call.first_run_ms is None or everywhere or call.cls.idempotency is Idempotency.IDEMPOTENT
+        return call.first_execution_ms is None or everywhere or call.cls.idempotency is Idempotency.IDEMPOTENT
 
 
-def _proofs_not_run(settings: api.Settings) -> frozenset[Result]:
-    return PROOFS_NOT_RUN - ({Result.REJECTED} if settings.rejected_may_have_run else set())
+def _not_executed_results(settings: api.Settings) -> frozenset[Result]:
+    return NOT_EXECUTED_RESULTS - ({Result.REJECTED} if settings.rejected_may_have_run else set())
--- a/dunlinloft/balancer/selection.py
+++ b/dunlinloft/balancer/selection.py
@@ -9,7 +9,7 @@
 from dunlinloft.balancer.affinity import Member, choose_member
 from dunlinloft.balancer.call import Call
 from dunlinloft.balancer.calls_in_flight import CallsInFlight
-from dunlinloft.balancer.canary import CanaryCap, Weighted
+from dunlinloft.balancer.canary import CanaryCap, WeightedServers
 from dunlinloft.balancer.delay_controller import DelayController
 from dunlinloft.balancer.latency_baseline import LatencyBaseline
 from dunlinloft.balancer.outlier_ejection import avoided_by_verdict
@@ -70,13 +70,13 @@
         members = [Member(server.id, weight, server.in_flight) for server, weight in candidates]
         return candidates[choose_member(call.affinity_key, members, AFFINITY_LOAD_BOUND)][0]
 
-    def _candidates(self, call: Call, now_ms: float) -> Weighted:
+    def _candidates(self, call: Call, now_ms: float) -> WeightedServers:
         """The servers that may get the call's next attempt, with their weights."""
-        unbound = call.first_run_ms is None and call.group is None
+        unbound = call.first_execution_ms is None and call.group is None
         ready = self._server_set.ready
         servers = ready if unbound else self._server_set.in_group(call.cls.dedup_scope, call.group)
         factor = self._canary.weight_factor(ready, self._settings, now_ms)
-        capped = self._canary.binds(ready)
+        capped = self._canary.is_active(ready)
         available, crowded = self._split(call, self._weigh(servers, factor, now_ms), unbound, now_ms)
         if capped:
             available, crowded = self._canary.filter(call, factor, available, crowded)
@@ -104,7 +104,7 @@
 
     def _split(
         self, call: Call, candidates: list[_Candidate], unbound: bool, now_ms: float
-    ) -> tuple[Weighted, Weighted]:
+    ) -> tuple[WeightedServers, WeightedServers]:
         """The candidates that can take one more call, and those that are crowded, ejected or warned of."""
         full = 0.0
         total = 0.0
@@ -115,8 +115,8 @@
         # choke next.
         even = max(0.0, LATENCY_WEIGHT_SHARE_MIN * full - total) / (full - total) if full > total else 0.0
         total += even * (full - total)
-        available: Weighted = []
-        crowded: Weighted = []
+        available: WeightedServers = []
+        crowded: WeightedServers = []
         in_flight = self._in_flight.count
         fair = CROWDED_FACTOR * in_flight / self._ready_weight if self._ready_weight else math.inf
         for server, weight, latency_weight in candidates:
--- a/tests/test_balancer_properties.py
+++ b/tests/test_balancer_properties.py
@@ -16,7 +16,7 @@
 from dunlinloft.balancer import server as server_module
 from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.balancer.interface import Result
-from dunlinloft.balancer.retry_policy import PROOFS_NOT_RUN, RetryPolicy
+from dunlinloft.balancer.retry_policy import NOT_EXECUTED_RESULTS, RetryPolicy
 from tests.checker import Broken, Checker
 from tests.helpers import settings
 
@@ -201,7 +201,7 @@
 
         def __init__(self, settings: api.Settings, seed: int) -> None:
             super().__init__(settings, seed)
-            self.retry_policy.proofs_not_run = PROOFS_NOT_RUN
+            self.retry_policy.not_executed_results = NOT_EXECUTED_RESULTS
 
     with monkeypatch.context() as patch:
         patch.setattr("tests.test_balancer_properties.Balancer", CreditsRejections)
