--- a/dunlinloft/balancer/delay_controller.py
+++ b/dunlinloft/balancer/delay_controller.py
@@ -1,7 +1,7 @@
-"""Round Trip Delay Control: retries and first attempts bounded by the measured delay.
+"""Round Trip Delay Control: limits retries and first attempts by the measured delay.
 
-Hong, Huang and Yan, "Applying Control Theoretic Approach To Mitigate SIP Overload", section V.B; equation
-numbers refer to it. `docs/design.md` says what is kept, changed and why.
+Implements section V.B of Hong, Huang and Yan, "Applying Control Theoretic Approach To Mitigate SIP Overload";
+equation numbers refer to that paper. `docs/design.md` names the differences and the reasons for them.
 """
 
 from __future__ import annotations
@@ -10,46 +10,48 @@
 
 from dunlinloft.balancer.averages import DecayingRate
 
-# tau0, the target round trip delay, as a share of the latency target of what was answered. By Little's law
-# it sets the window of first attempts too: a smaller one rejects what meets the target.
+# tau0, the target round trip delay, as a share of the latency target of the answered requests. By Little's
+# law it also sets the window of first attempts: a lower target rejects calls that would meet their latency
+# target.
 TARGET_SHARE = 0.4
 PHASE_MARGIN = math.radians(45.0)  # phi_m
-RETUNE_BAND = (0.5, 1.5)  # gains are retuned when the answer rate leaves this band around its tuned value
+RETUNE_BAND = (0.5, 1.5)  # gains are retuned when the answer rate leaves this band around the tuned rate
 AVERAGING_MS = 5_000.0  # time constant of the measured rates and delay
-SAMPLES = 20.0  # answers that the delay is averaged over
-MIN_SAMPLES = 4.0  # fewer show their error in part, as one may be chance
-SHED_SHARE_MAX = 0.8  # of first attempts may be shed for delay: the rest keeps the measurement going
-INITIAL_CALLS_PER_SERVER = 4.0  # the window of a replica that has measured for less than a second
-ADDED_CALLS_PER_SERVER = 2.0  # to the window by server of this replica, so that replicas' windows grow alike
-# While the loop allows retries the window opens to this many calls at least, as few calls bunch, and by so
-# many standard deviations of what is in flight by chance (its square root).
+SAMPLES = 20.0  # number of answers that the delay is averaged over
+MIN_SAMPLES = 4.0  # the error is scaled down while there are fewer samples, as single ones may be outliers
+SHED_SHARE_MAX = 0.8  # maximum share of first attempts to shed; the rest are needed to measure the delay
+INITIAL_CALLS_PER_SERVER = 4.0  # window per server until there are measurements over one second
+ADDED_CALLS_PER_SERVER = 2.0  # added to the window per server, so that the windows of all replicas grow alike
+# While the controller allows retries, the window leaves room for bursts: it is at least this many calls, and
+# larger by this many standard deviations of the number in flight (the square root of its mean).
 OPEN_WINDOW_MIN_CALLS = 3.0
 OPEN_WINDOW_DEVIATIONS = 1.0
 
 
 class DelayController:
-    """The PI loop that holds the delay under its target.
+    """A PI controller that keeps the delay below its target.
 
-    It bounds the rate of retries (`retry_probability`), the number of first attempts in flight (`window`),
-    and says which share of them to shed (`shed_share`). Owned by `Balancer` for a tier and by the router for
-    each service.
+    It limits the rate of retries (`retry_probability`) and the number of first attempts in flight (`window`),
+    and sets the share of first attempts to shed (`shed_share`). Owned by `Balancer` for a tier and by the
+    router for each service.
 
     Attributes
     ----------
     answer_rate, failure_rate
-        nu1 and the failures, both a second.
+        Answers (nu1) and failures per second.
     busy_answer_rate
-        The answer rate without the times in which nothing was in flight.
+        Answers per second, without the times when nothing was in flight.
     tuned_rate
         nu10, the answer rate that the gains are tuned to.
     integral
         KI times the integral of the error, as a rate.
     allowed_rate
-        r, the rate of retries allowed.
+        r, the allowed rate of retries.
     target_share
-        tau0 over the latency target: more than `TARGET_SHARE` where the tier's own delay is close to that.
+        tau0 as a share of the latency target; above `TARGET_SHARE` if the tier's usual delay is close to
+        that.
     retry_share
-        Of the retries that this loop would allow, the share that all replicas together allow.
+        The share of this controller's retries that all replicas together allow.
     """
 
     def __init__(self) -> None:
@@ -58,52 +60,52 @@
         self.answer_rate = DecayingRate(AVERAGING_MS)
         self.failure_rate = DecayingRate(AVERAGING_MS)
         self.busy_answer_rate = DecayingRate(AVERAGING_MS)
-        # Sums over the last samples: of the error, its square, the latency target, and their number.
+        # Decayed sums over the samples: error, squared error, latency target and number of samples.
         self._error_sum_s = 0.0
         self._error_square_sum = 0.0
         self._latency_target_sum_s = 0.0
         self._samples = 0.0
-        self._sampled_ms = math.inf  # when the last sample was taken
+        self._sampled_ms = math.inf  # time of the last sample
         self.tuned_rate = 0.0
         self.integral = 0.0
         self.allowed_rate = 0.0
         self.target_share = TARGET_SHARE
         self.retry_share = 1.0
-        self._shed_integral = 0.0  # the integral for first attempts, over nu1
+        self._shed_integral = 0.0  # the integral for first attempts, as a share of nu1
         self._shed_share = 0.0
 
     def record_answer(self, delay_ms: float, latency_target_ms: float, now_ms: float, served: bool) -> None:
-        """Take a delay sample and set r = KP e + KI * integral of e, clamped together with its integral.
+        """Add a delay sample and set r = KP * e + KI * integral of e; r and the integral are clamped.
 
         Parameters
         ----------
         delay_ms
-            Of the answer; for a time-out its length, for a rejection the latency target.
+            The delay of the answer; for a timeout its duration, for a rejection the latency target.
         latency_target_ms
-            Of the class of the request.
+            Latency target of the request's class.
         served
             Whether the answer counts in the answer rate.
         """
-        # The loop keeps its own clock: the window reads the rates too, and an integral over the rates' clock
-        # ran on the time that the window had left.
+        # The integral has its own timestamp: `window` also updates the rates, so that the time since their
+        # last update would be too short.
         decay = math.exp(min(0.0, self._sampled_ms - now_ms) / AVERAGING_MS)
-        passed_s = max(0.0, min(now_ms - self._sampled_ms, AVERAGING_MS)) / 1000.0
+        elapsed_s = max(0.0, min(now_ms - self._sampled_ms, AVERAGING_MS)) / 1000.0
         self._sampled_ms = now_ms
         self.answer_rate.count(served, now_ms)
         self.busy_answer_rate.count(served, now_ms)
-        self.failure_rate.count(0.0, now_ms)  # lets its clock run
+        self.failure_rate.count(0.0, now_ms)  # only decays the rate
         self._add_sample(delay_ms, latency_target_ms, decay)
         self._retune()
         error_s = self._error_sum_s / max(self._samples, MIN_SAMPLES)  # tau0 - tau2
         kp = self.tuned_rate * self._kp
         ki = self.tuned_rate * self._ki
-        self.integral = min(max(self.integral + ki * error_s * passed_s, 0.0), self.tuned_rate)
+        self.integral = min(max(self.integral + ki * error_s * elapsed_s, 0.0), self.tuned_rate)
         self.allowed_rate = min(max(kp * error_s + self.integral, 0.0), self.tuned_rate)
-        self._set_shed_share(error_s, passed_s, decay)
+        self._set_shed_share(error_s, elapsed_s, decay)
 
     def _add_sample(self, delay_ms: float, latency_target_ms: float, decay: float) -> None:
-        # Old samples fade with time too: a replica that sheds gets few new ones, and would go on shedding
-        # for the old.
+        # Samples decay with time as well: a replica that sheds gets few new ones and would keep shedding
+        # because of outdated ones.
         retained = min(1.0 - 1.0 / SAMPLES, decay)
         self._samples = self._samples * retained + 1.0
         self._latency_target_sum_s = self._latency_target_sum_s * retained + latency_target_ms / 1000.0
@@ -112,48 +114,56 @@
         self._error_square_sum = self._error_square_sum * retained + error_s**2
 
     def _retune(self) -> None:
-        """Tune the gains to the answer rate where it has left the band around the rate they are tuned to."""
+        """Tune the gains to the answer rate if it has left the band around the rate they are tuned to."""
         rate = self.answer_rate.per_s()
         if not RETUNE_BAND[0] * self.tuned_rate <= rate <= RETUNE_BAND[1] * self.tuned_rate:
-            # A replica starts with its retries open; later a retune keeps the share of retries allowed.
+            # A new replica allows all retries; a later retune keeps the share of retries that is allowed.
             self.integral = self.integral * rate / self.tuned_rate if self.tuned_rate else rate
             self.tuned_rate = rate
 
-    def _set_shed_share(self, error_s: float, passed_s: float, decay: float) -> None:
-        """Equation 49: while the delay stays over the target, the same loop takes from first attempts too.
+    def _set_shed_share(self, error_s: float, elapsed_s: float, decay: float) -> None:
+        """Set the share of first attempts to shed while the delay is above the target (equation 49).
 
-        An error of the mean delay that a few answers may show by chance is not shed for: as the integral is
-        never negative, chance would add up in it.
+        An error within the standard error of the mean delay is ignored: as the integral is never negative,
+        random errors would accumulate in it.
         """
         variance = max(0.0, self._error_square_sum / self._samples - (self._error_sum_s / self._samples) ** 2)
         error_s += math.sqrt(variance / max(1.0, self.answer_rate.events))
-        integral = self._shed_integral * decay - self._ki * error_s * passed_s
+        integral = self._shed_integral * decay - self._ki * error_s * elapsed_s
         self._shed_integral = min(max(integral, 0.0), SHED_SHARE_MAX)
         self._shed_share = min(max(self._shed_integral - self._kp * error_s, 0.0), SHED_SHARE_MAX)
 
     def shed_share(self, now_ms: float) -> float:
-        """The share of first attempts to shed; it decays, as a replica that sheds all sees no answers."""
+        """Return the share of first attempts to shed.
+
+        It decays over time, as a replica that sheds most calls gets few answers to measure.
+        """
         return self._shed_share * math.exp(min(0.0, self._sampled_ms - now_ms) / AVERAGING_MS)
 
     def window(self, servers: float, now_ms: float) -> float:
-        """How many calls may be in flight from a replica whose share of the fleet is this many servers.
+        """Return how many calls a replica may have in flight, given its share of the fleet in servers.
 
-        Little's law over the answer rate at the target delay, with calls added by server: without these it
-        would spiral down where the normal delay is over the target (i35d8eb).
+        The window follows from the answer rate at the target delay by Little's law, plus a number of calls
+        per server. Without these, a window would lower the answer rate, and that the next window, if the
+        usual delay is above the target.
         """
-        if self.answer_rate.span_s < 1.0:  # sulcast-later overload: unbounded at first, a tier choked at 2 s
+        if self.answer_rate.span_s < 1.0:  # an unlimited first window has overloaded a tier within 2 s
             return INITIAL_CALLS_PER_SERVER * servers + self.answer_rate.events
         self.answer_rate.count(0.0, now_ms)
         self.busy_answer_rate.count(0.0, now_ms)
         at_target = (
             self.busy_answer_rate.per_s() * self.target_share * self._latency_target_sum_s / self._samples
         )
-        usual = ADDED_CALLS_PER_SERVER * servers + at_target
-        bunched = max(OPEN_WINDOW_MIN_CALLS, usual + OPEN_WINDOW_DEVIATIONS * math.sqrt(usual))
-        return usual + max(0.0, bunched - usual) * self.allowed_rate / (self.tuned_rate or 1.0)
+        base_window = ADDED_CALLS_PER_SERVER * servers + at_target
+        burst_window = max(
+            OPEN_WINDOW_MIN_CALLS, base_window + OPEN_WINDOW_DEVIATIONS * math.sqrt(base_window)
+        )
+        return base_window + max(0.0, burst_window - base_window) * self.allowed_rate / (
+            self.tuned_rate or 1.0
+        )
 
     def retry_probability(self, now_ms: float) -> float:
-        """Count a failure; its retry's probability is the allowed rate over the measured failure rate."""
+        """Count a failure and return the probability of retrying it: allowed rate over failure rate."""
         self.failure_rate.count(1.0, now_ms)
         if not self.tuned_rate:
             return self.retry_share
--- a/dunlinloft/balancer/idle_connections.py
+++ b/dunlinloft/balancer/idle_connections.py
@@ -1,4 +1,7 @@
-"""From which idle time on connections are closed before use: what is sent on a dropped one is lost."""
+"""Learns the idle time after which connections are closed instead of reused.
+
+A request that is sent on a connection which was silently dropped is lost.
+"""
 
 from __future__ import annotations
 
@@ -6,25 +9,28 @@
 
 from dunlinloft.balancer.interface import Result
 
-IDLE_LOSS_FACTOR = 0.5  # on the idle time that is trusted, after a loss on such a connection
-IDLE_SUCCESS_FACTOR = 1.03  # on it, after each answer on a connection that had been idle
+IDLE_LOSS_FACTOR = 0.5  # lowers the trusted idle time after losses on idle connections
+IDLE_SUCCESS_FACTOR = 1.03  # raises the trusted idle time after each answer on an idle connection
 
 
 class IdleConnections:
-    """Learns how long connections may be idle, over all servers (Rosario fresh-big). Owned by `Balancer`."""
+    """Learns one trusted idle time for the connections to all servers. Owned by `Balancer`.
+
+    It is shared, as connections that are dropped while idle have been seen at all servers alike.
+    """
 
     __slots__ = ("_lost_ms", "_trusted_ms")
 
     def __init__(self) -> None:
         self._trusted_ms = math.inf
-        self._lost_ms = math.inf  # idle time of the last loss, until one that was idle as long is served
+        self._lost_ms = math.inf  # idle time of a recent loss, until a connection idle for as long has served
 
     def stale(self, idle_ms: float) -> bool:
-        """Whether a connection that was idle for so long is better closed than used."""
+        """Return whether a connection that was idle for this long should be closed rather than used."""
         return idle_ms > self._trusted_ms
 
     def record_result(self, idle_ms: float, result: Result) -> None:
-        """Two losses after an idle time, with nothing served after as long a one, lower what is trusted."""
+        """Lower the trusted idle time after two losses, unless an answer after as long came between them."""
         if result in (Result.TIMEOUT, Result.RESET):
             self._trusted_ms = min(self._trusted_ms, IDLE_LOSS_FACTOR * max(idle_ms, self._lost_ms))
             self._lost_ms = min(self._lost_ms, idle_ms)
--- a/dunlinloft/balancer/interface.py
+++ b/dunlinloft/balancer/interface.py
@@ -1,9 +1,9 @@
-"""Events, actions and settings: the contract between a node and the balancer's decisions.
+"""Events, actions and settings: the interface between a node and the balancer.
 
-The node (`dunlinloft.node`, the simulator's adapter `wirehost`, or `lab`) turns its sockets' happenings into
-events, passes them to `dunlinloft.balancer.balancer.Balancer.handle` and carries out the actions that come
-back. Times are milliseconds on one monotonic clock of the node's choosing. Ids are the node's own and come
-back unchanged. Nothing here decides anything.
+The node (`dunlinloft.node`, the simulator's adapter `wirehost`, or `lab`) translates what happens on its
+sockets to events, passes them to `dunlinloft.balancer.balancer.Balancer.handle` and carries out the returned
+actions. Times are milliseconds on a monotonic clock of the node. Ids are chosen by the node and returned
+unchanged. This module only defines data.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
 
 
 class ListUpdateKind(Enum):
-    """What an update from discovery contains."""
+    """The content of an update from discovery."""
 
-    DELTA = "changes"  # only the entries that changed
-    SNAPSHOT = "full"  # replaces the list
-    CACHED = "saved"  # the list as the node last had it, possibly stale
-    FAILED = "failed"  # a subscription or call failed or broke; no entries
+    DELTA = "changes"  # changed entries only
+    SNAPSHOT = "full"  # the complete list
+    CACHED = "saved"  # the complete list as last stored by the node, possibly stale
+    FAILED = "failed"  # the subscription or call failed or was interrupted; no entries
 
 
 class Result(IntEnum):
-    """How an attempt ended.
+    """The result of an attempt.
 
-    `REJECTED`, `UNREACHABLE` and `NOT_SENT` prove that the attempt never ran, except for `REJECTED` where the
-    settings say so (`Settings.rejected_may_have_run`).
+    `REJECTED`, `UNREACHABLE` and `NOT_SENT` prove that the attempt was not executed. With the setting
+    `Settings.rejected_may_have_run`, `REJECTED` doesn't.
     """
 
     SERVED = 0
@@ -63,27 +63,27 @@
     cell: int = 0
     health: Health = Health.IN_SERVICE
     share: float = 1.0
-    started_ms: float | None = None  # None: long ago
+    started_ms: float | None = None  # None: too long ago for slow start
 
 
-# Events: what happens to a node.
+# Events, from the node to the balancer.
 
 
 @dataclass(slots=True)
 class Started:
-    """The node is up."""
+    """The node has started."""
 
 
 @dataclass(slots=True)
 class Reconfigured:
-    """The operators have changed the settings; requests in flight keep their class."""
+    """The settings have changed; requests in flight keep their class."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class ProcessCount:
-    """How many processes serve as this one node now; its budgets are for all of them together."""
+    """The number of processes that serve as this node, which divide the node's budgets among them."""
 
     processes: int
 
@@ -99,18 +99,18 @@
 
 @dataclass(slots=True)
 class Request:
-    """The node has accepted a request and owes it exactly one final answer.
+    """The node has accepted a request, which must get exactly one final answer.
 
     Attributes
     ----------
     ttl_ms
-        Time left to its deadline.
+        Time left until its deadline.
     complete
-        Whether its body has arrived; else its time runs from `RequestComplete`.
+        Whether its body has arrived; otherwise `ttl_ms` starts with `RequestComplete`.
     pinned_group
-        Deduplication group that it is bound to before its first attempt.
+        Deduplication group that it is restricted to from its first attempt on.
     affinity_key
-        Hash of what it is about, for classes with `RequestClass.affinity`.
+        Hash of the affinity key, for classes with `RequestClass.affinity`.
     """
 
     id: str
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True)
 class RequestComplete:
-    """The last byte of a request has arrived that was accepted before."""
+    """The body of an accepted request has arrived completely."""
 
     id: str
 
@@ -134,9 +134,9 @@
 class AttemptCompleted:
     """An attempt has ended.
 
-    `final`: the request has had its answer, no further attempt is wanted. `replayable`: its body can be sent
-    again; else bytes of it are gone and no further attempt can be made. `report` is the server's load
-    report.
+    `final`: the request has been answered, so that no further attempt is needed. `replayable`: the body can
+    be sent again; otherwise part of it was discarded, and no further attempt is possible. `report`: the
+    server's load report.
     """
 
     id: str
@@ -151,7 +151,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The response to an attempt has begun to flow; the request is bound to it."""
+    """The response to an attempt has started to stream, so that the request can't be retried."""
 
     id: str
     attempt: int
@@ -162,30 +162,30 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """Nobody waits for this request any more."""
+    """The client of a request has disconnected, so that it needs no answer."""
 
     id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer has come due."""
+    """A timer has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class PeerVerdict:
-    """What all replicas together conclude about a server.
+    """The verdict of all replicas on a server, from their combined observations.
 
     Attributes
     ----------
     avoid
-        Treat it as ejected, for these classes, or for all where none are named.
+        Whether to treat the server as ejected, for the classes in `classes`, or for all if that is empty.
     latency_ratio
-        Its delay over its peers'.
+        The server's delay as a multiple of its peers'.
     trial
-        One attempt may go there all the same (half-open).
+        Whether one attempt may be sent in spite of `avoid`, as with a half-open circuit breaker.
     """
 
     server: int
@@ -197,17 +197,17 @@
 
 @dataclass(slots=True)
 class PeerVerdicts:
-    """The verdicts that replicas share; they replace all earlier ones. The worst come first."""
+    """The verdicts shared by replicas, worst first. They replace all earlier ones."""
 
     verdicts: list[PeerVerdict]
 
 
 @dataclass(slots=True)
 class QuotaShares:
-    """This replica's shares of tenants' quotas, in requests a second.
+    """This replica's shares of the tenants' quotas, in requests per second.
 
-    A tenant that is not named has an even share. `retry_share` is the share of the retries one delay
-    controller allows that all replicas together allow.
+    Tenants that are not listed are divided equally among replicas. `retry_share` is the share of the retries
+    allowed by one delay controller that all replicas together allow.
     """
 
     quotas: dict[str, float]
@@ -216,9 +216,9 @@
 
 @dataclass(slots=True)
 class CanaryLimit:
-    """These servers run a new build: of the first attempts of each class they get this share at most.
+    """The maximum share of each class's first attempts that canary servers, which run a new build, may get.
 
-    It is a bound on top of all others and never a reason to send; 1 is none.
+    It is an upper bound in addition to all others and never sends them more. A share of 1 means no limit.
     """
 
     servers: frozenset[int]
@@ -241,15 +241,15 @@
     | CanaryLimit
 )
 
-# Actions: what the node is asked to do.
+# Actions, from the balancer to the node.
 
 
 @dataclass(slots=True)
 class Send:
-    """Start the request's next attempt on a server; time it out after `timeout_ms`.
+    """Send the request's next attempt to a server, with a timeout.
 
-    What has not been written completely within `send_window_ms` must not be written any more: the attempt
-    ends as `NOT_SENT`.
+    If the request isn't written completely within `send_window_ms`, the node must stop writing it, and the
+    attempt ends as `NOT_SENT`.
     """
 
     id: str
@@ -260,14 +260,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """End the request with an error that leaves open whether it ran."""
+    """Answer the request with an error; it may have been executed."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Reject:
-    """End the request unserved; the client learns that a retry is harmless."""
+    """Answer the request with a rejection, which tells the client that a retry is safe."""
 
     id: str
     retry_after_ms: float = 0.0
@@ -283,7 +283,7 @@
 
 @dataclass(slots=True)
 class CloseIdle:
-    """Close the connections to a server that carry nothing now."""
+    """Close the idle connections to a server."""
 
     server: int
 
@@ -298,12 +298,12 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for a standing subscription."""
+    """Subscribe to server list updates from discovery."""
 
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a message to the node's log."""
 
     text: str
 
--- a/dunlinloft/balancer/latency_baseline.py
+++ b/dunlinloft/balancer/latency_baseline.py
@@ -1,4 +1,4 @@
-"""The tier's usual delay, and the delay target that follows from the least of it."""
+"""The tier's usual delay, and the delay target that is derived from its minimum."""
 
 from __future__ import annotations
 
@@ -6,42 +6,42 @@
 
 from dunlinloft.balancer.delay_controller import SAMPLES, TARGET_SHARE
 
-PEER_SAMPLES = 100.0  # answers over which what all servers have in common is averaged
-TARGET_OVER_MINIMUM = 1.25  # times the least mean delay is the target, where that is over `TARGET_SHARE`
-TARGET_SHARE_MAX = 0.6
+PEER_SAMPLES = 100.0  # number of answers that averages over all servers are taken over
+TARGET_OVER_MINIMUM = 1.25  # delay target as a multiple of the minimum mean delay, if above `TARGET_SHARE`
+TARGET_SHARE_MAX = 0.6  # maximum delay target as a share of the latency target
 
 
 class LatencyBaseline:
-    """Mean delay over its latency target, over all servers.
+    """Mean delay of all servers, as a share of the latency target.
 
     Attributes
     ----------
     usual_share
-        The mean; 0: not measured yet.
+        The mean; 0 before the first measurement.
     samples
-        Of how many answers it is, at most `PEER_SAMPLES`.
+        Number of answers that it is averaged over, at most `PEER_SAMPLES`.
     """
 
     def __init__(self) -> None:
         self.usual_share = 0.0
         self.samples = 0.0
-        self._minimum_share = math.inf  # the least that the mean has been: of a tier where little queues
+        self._minimum_share = math.inf  # minimum of the mean, when requests hardly queued
 
     @property
     def established(self) -> bool:
-        """Whether enough answers were measured to compare others with their mean."""
+        """Whether enough answers have been measured for the mean to be used."""
         return self.samples >= SAMPLES
 
     def record(self, share: float) -> None:
-        """Take an answer's delay over its latency target."""
+        """Add an answer's delay as a share of its latency target."""
         self.samples = min(self.samples + 1.0, PEER_SAMPLES)
         self.usual_share += (share - self.usual_share) / self.samples
         if self.established:
             self._minimum_share = min(self._minimum_share, self.usual_share)
 
     def target_share(self) -> float:
-        """The delay target over the latency target.
+        """Return the delay target as a share of the latency target.
 
-        A target under the tier's own delay would call every load too much.
+        A target below the delay of an unloaded tier would treat every load as overload.
         """
         return min(max(TARGET_SHARE, TARGET_OVER_MINIMUM * self._minimum_share), TARGET_SHARE_MAX)
--- a/dunlinloft/balancer/measurements.py
+++ b/dunlinloft/balancer/measurements.py
@@ -1,4 +1,4 @@
-"""What the results of attempts say of the tier's delay and of each server."""
+"""Passes the results of attempts on to the components that measure the tier and its servers."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from dunlinloft.balancer.outlier_ejection import OutlierEjection
 from dunlinloft.balancer.server import Server
 
-# Results that are no sign of life of their server.
+# Results that don't prove that the server responded.
 NO_RESPONSE = (Result.TIMEOUT, Result.UNREACHABLE, Result.CANCELLED, Result.NOT_SENT)
 
 
 class Measurements:
-    """Passes each result on to the parts of the balancer that learn from it. Owned by `Balancer`."""
+    """Passes each result on to the components of the balancer that use it. Owned by `Balancer`."""
 
     def __init__(
         self,
@@ -37,11 +37,16 @@
         self._idle_connections = idle_connections
 
     def record_result(
-        self, event: api.AttemptCompleted, call: Call | None, server: Server, measured: bool, now_ms: float
+        self,
+        event: api.AttemptCompleted,
+        call: Call | None,
+        server: Server,
+        already_measured: bool,
+        now_ms: float,
     ) -> None:
-        """Take what a result says of its server and of idle connections.
+        """Record a result for its server and for idle connections.
 
-        `measured`: its response flowed, and was taken for a success when it began.
+        `already_measured`: the response was streamed and counted as a success when it started.
         """
         if event.result not in NO_RESPONSE:
             server.last_response_ms = now_ms
@@ -49,7 +54,7 @@
         server.last_used_ms = now_ms
         if call is not None and call.idle_ms:
             self._idle_connections.record_result(call.idle_ms, event.result)
-        if not measured:
+        if not already_measured:
             self._outlier_ejection.record_result(server, event.result, now_ms)
 
     def record_outcome(
@@ -57,29 +62,29 @@
         event: api.AttemptCompleted,
         call: Call,
         server: Server | None,
-        measured: bool,
+        already_measured: bool,
         stuck: bool,
         now_ms: float,
     ) -> None:
-        """Take what a result says of the tier's delay.
+        """Record a result for the tier's delay.
 
-        A time-out counts as a sample as long as itself; that of a call stuck at an unresponsive server says
-        that the server is lost, and nothing of the tier.
+        A timeout is a sample of its own duration. If the call was stuck at an unresponsive server, it counts
+        for that server only, as it says nothing about the tier.
         """
-        if event.result in (Result.SERVED, Result.TIMEOUT) and not measured:
+        if event.result in (Result.SERVED, Result.TIMEOUT) and not already_measured:
             if stuck:
                 self._compare_delay(call, server, event.duration_ms, now_ms)
             else:
                 served = event.result is Result.SERVED
                 self.record_delay(call, server, event.duration_ms, served, now_ms)
-        elif event.result is Result.REJECTED:  # full is as slow as a server gets
+        elif event.result is Result.REJECTED:  # counts as a delay of the whole latency target
             target_ms = call.cls.latency_target_ms
             self._controller.record_answer(target_ms, target_ms, now_ms, False)
 
     def record_delay(
         self, call: Call, server: Server | None, delay_ms: float, served: bool, now_ms: float
     ) -> None:
-        """Take a call's delay as a sample of the tier's, and of its server's against the others'."""
+        """Add a call's delay as a sample of the tier's delay and of its server's."""
         self._baseline.record(delay_ms / call.cls.latency_target_ms)
         if self._baseline.established:
             self._controller.target_share = self._baseline.target_share()
@@ -87,13 +92,13 @@
         self._compare_delay(call, server, delay_ms, now_ms)
 
     def _compare_delay(self, call: Call, server: Server | None, delay_ms: float, now_ms: float) -> None:
-        """Judge a server by a call's delay against the usual one."""
+        """Record a call's delay, relative to the usual one, for its server."""
         usual_share = self._baseline.usual_share
         if server is not None and usual_share:
             server.record_latency(delay_ms / call.cls.latency_target_ms / usual_share, now_ms)
 
     def record_answer(self, call: Call, delay_ms: float, now_ms: float) -> None:
-        """A request has its answer, or the response has begun to flow."""
+        """Record that a request was answered, or that its response has started to stream."""
         self._admission.record_answer(now_ms)
         on_time = now_ms - call.arrived_ms <= call.cls.latency_target_ms
         self._statistics.count_answer(call.cls.name, on_time)
--- a/dunlinloft/balancer/parameters.py
+++ b/dunlinloft/balancer/parameters.py
@@ -1,6 +1,7 @@
-"""What operators set for a balancer: classes of requests, tenants and limits, checked when they are built.
+"""The balancer's settings: request classes, tenants and limits, validated on construction.
 
-`dunlinloft.balancer.settings` reads them from JSON; `dunlinloft.balancer.interface` offers them to callers.
+`dunlinloft.balancer.settings` reads them from JSON; `dunlinloft.balancer.interface` re-exports them to
+callers.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 
 
 class Idempotency(Enum):
-    """Whether a request of a class may run more than once."""
+    """Whether requests of a class may be executed more than once."""
 
-    IDEMPOTENT = "safe"  # any number of times
-    KEYED = "keyed"  # servers of one group drop the duplicates that arrive within a window
-    NON_IDEMPOTENT = "unsafe"  # never
+    IDEMPOTENT = "safe"  # may be executed any number of times
+    KEYED = "keyed"  # the servers of one group drop duplicates by key within a time window
+    NON_IDEMPOTENT = "unsafe"  # must not be executed twice
 
 
 class DedupScope(Enum):
-    """Which servers drop the duplicates of a keyed request among themselves."""
+    """The group of servers that deduplicate keyed requests among themselves."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,22 +30,22 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of requests.
+    """A class of requests.
 
     Attributes
     ----------
     latency_target_ms
-        An answer within this time earns the full value (the class's latency SLO).
+        The class's latency objective; an answer within this time has the full value.
     deadline_ms
-        How long a client waits in all, over all of its attempts.
+        How long a client waits in total, over all of its attempts.
     value
-        What an answer is worth to the operators, relative to other classes.
+        Value of an answer to the operators, relative to other classes.
     late_value
-        Share of the value that an answer between latency target and deadline earns.
+        Share of the value that an answer between latency target and deadline has.
     dedup_window_ms
         For keyed classes: how long servers remember a request's key.
     affinity
-        Requests with a key prefer the server that holds what the key needs.
+        Whether requests with an affinity key prefer the server that the key maps to.
     """
 
     name: str
@@ -60,10 +61,10 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """One of those who share the service.
+    """A tenant of the service.
 
-    `share` is the share of the service that the tenant is entitled to; `quota_per_s` its quota over all
-    nodes, in requests a second: what exceeds it is of little value.
+    `share` is the share of the service that the tenant is entitled to. `quota_per_s` is its quota over all
+    nodes in requests per second; requests beyond it are of lower value.
     """
 
     name: str
@@ -71,7 +72,7 @@
     quota_per_s: float = 0.0
 
 
-# Names in which problems are reported, where the field is called otherwise here: operators know the former.
+# Names of fields in error messages, if they differ from the names in the settings that operators write.
 REPORTED_NAMES = {
     "latency_target_ms": "aim_ms",
     "dedup_window_ms": "window_ms",
@@ -83,55 +84,55 @@
     "retry_budget_floor": "extra_floor",
     "retry_budget_window_ms": "resend_span_ms",
 }
-_NON_NEGATIVE = ("retry_budget_floor", "worst_class_weight")  # beside all times and prices
+_NON_NEGATIVE = ("retry_budget_floor", "worst_class_weight")  # in addition to all times and prices
 _LOWER_BOUNDS = (("replicas", 1), ("tiers", 1), ("max_attempts", 1), ("replica_index", 0), ("tier", 0))
 
 
 @dataclass(slots=True)
 class Settings:
-    """What a node knows when it starts; `Reconfigured` replaces it as a whole.
+    """The settings of a node; `Reconfigured` replaces them as a whole.
 
     Raises
     ------
     ValueError
-        For values that cannot be meant. The message lists all problems, separated by `"; "`, each beginning
-        with the name that operators know the field by.
+        For invalid values. The message lists all problems, separated by `"; "`, each starting with the name
+        of the field in the operators' settings.
     """
 
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
     over_quota_value: float = 1.0  # factor on the value of requests beyond their tenant's quota
-    worst_class_weight: float = 0.0  # weight of the worst-served class's on-time share over that of all value
+    worst_class_weight: float = 0.0  # weight of the worst-served class's on-time share over total value
     zone: str = ""
-    replicas: int = 1  # balancers that send to the same tier
-    replica_index: int = 0  # this one's among them, from 0
-    tier: int = 0  # the tier this replica sends to, 0 being the clients' first
+    replicas: int = 1  # number of balancers that send to the same tier
+    replica_index: int = 0  # index of this one among them, from 0
+    tier: int = 0  # the tier that this replica sends to; 0 is the one that clients call
     tiers: int = 1
-    propagates_deadline: bool = True  # a caller's remaining time comes along with its call
-    subscribes: bool = False  # updates of the server list have to be subscribed to
-    poll_interval_ms: float = 10_000.0  # between calls to discovery
+    propagates_deadline: bool = True  # callers send the remaining time with each call
+    subscribes: bool = False  # the node has to subscribe to updates of the server list
+    poll_interval_ms: float = 10_000.0  # time between calls to discovery
     max_attempts: int = 1
     parallel_attempts: bool = False
     can_cancel: bool = False
-    max_retry_after_ms: float = 0.0  # 0: clients take no such advice
+    max_retry_after_ms: float = 0.0  # 0: clients ignore Retry-After
     connect_timeout_ms: float = 250.0
-    keepalive_ms: float = 30_000.0  # servers close a connection that has been idle for this long
-    tick_ms: float = 0.0  # events are delivered at most this often
+    keepalive_ms: float = 30_000.0  # servers close connections that have been idle for this long
+    tick_ms: float = 0.0  # minimum interval between deliveries of events
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
     slow_start_initial_share: float = 1.0  # capacity share of a server that has just started
-    slow_start_ms: float = 0.0  # until it has its full capacity
-    overload_factor: float = 1.0  # multiple of its capacity that a server in slow start bears
-    overload_for_ms: float = 1_000.0  # for this long
-    retry_budget_ratio: float | None = None  # retries by request accepted; None: no such budget
-    retry_budget_floor: float = 0.0  # retries that are free in any window
+    slow_start_ms: float = 0.0  # time from its start to full capacity
+    overload_factor: float = 1.0  # multiple of its capacity that a server in slow start can take
+    overload_for_ms: float = 1_000.0  # how long it can take that
+    retry_budget_ratio: float | None = None  # retries allowed per accepted request; None: no retry budget
+    retry_budget_floor: float = 0.0  # retries allowed in any window regardless of the ratio
     retry_budget_window_ms: float = 0.0
-    rejected_may_have_run: bool = False  # `REJECTED` is no proof that the attempt never ran
+    rejected_may_have_run: bool = False  # `REJECTED` doesn't prove that the attempt was not executed
     cross_zone_price: float = 0.0
-    handshake_price: float = 0.0  # of new connections, by first attempt; as the share of the service's value
+    handshake_price: float = 0.0  # of new connections per first attempt, as a share of the service's value
 
     def __post_init__(self) -> None:
-        """Reject settings that cannot be meant, with all that is wrong with them."""
+        """Validate the settings and report all problems at once."""
         if problems := "; ".join(self._problems()):
             raise ValueError(problems)
 
@@ -149,12 +150,12 @@
         for name, value in dict(self._shares()).items():
             if not 0.0 <= value <= 1.0:
                 yield f"{name}: {value} is not within 0 to 1"
-        for name, least in _LOWER_BOUNDS:
-            if getattr(self, name) < least:
-                yield f"{_reported(name)}: {getattr(self, name)} is less than {least}"
+        for name, minimum in _LOWER_BOUNDS:
+            if getattr(self, name) < minimum:
+                yield f"{_reported(name)}: {getattr(self, name)} is less than {minimum}"
 
     def _non_negative(self) -> Iterator[tuple[str, float]]:
-        """Times, prices, values and quotas, by reported name."""
+        """Yield the times, prices, values and quotas, by reported name."""
         for name, value in _numbers(self):
             if name.endswith(("_ms", "_price")) or name in _NON_NEGATIVE:
                 yield _reported(name), value
@@ -167,7 +168,7 @@
             yield f"tenants[{tenant.name}].quota_per_s", tenant.quota_per_s
 
     def _shares(self) -> Iterator[tuple[str, float]]:
-        """What has to lie within 0 and 1, by reported name."""
+        """Yield the values that must be within 0 and 1, by reported name."""
         yield "start_capacity", self.slow_start_initial_share
         yield "over_share_worth", self.over_quota_value
         for cls in self.classes:
@@ -183,5 +184,5 @@
 
 
 def _numbers(settings: Settings | RequestClass) -> Iterator[tuple[str, float]]:
-    """The fields of a settings object by name, in their order; only those that are numbers are compared."""
+    """Return the names and values of a settings object's fields; callers use only the numeric ones."""
     return ((f.name, getattr(settings, f.name)) for f in fields(settings))
--- a/dunlinloft/balancer/rotation.py
+++ b/dunlinloft/balancer/rotation.py
@@ -1,4 +1,4 @@
-"""Smooth weighted round robin, as in nginx: the order of first attempts."""
+"""Smooth weighted round robin, as in nginx."""
 
 from __future__ import annotations
 
@@ -7,21 +7,22 @@
 from typing import Protocol, TypeVar
 
 
-class Rotating(Protocol):
-    """What takes part in a rotation."""
+class RotationMember(Protocol):
+    """A member of a rotation."""
 
     rotation_weight: float | None
-    """Its current weight, which a round adds to and being picked takes from; None: new to the rotation."""
+    """Current weight: rises with each round and falls when picked. None before the member's first round."""
 
 
-Member = TypeVar("Member", bound=Rotating)
+Member = TypeVar("Member", bound=RotationMember)
 
 
 class Rotation:
     """Smooth weighted round robin.
 
-    All members gain their weight; the one with the most is picked and pays the total of the round. The state
-    is in the members, so that one may take part in rounds of different subsets.
+    In each round every member's current weight rises by its weight. The member with the highest is picked,
+    and its current weight falls by the total of the round. The state is kept in the members, so that rounds
+    may be over different subsets.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -29,19 +30,19 @@
         self._total_weight = 0.0  # of the last round
 
     def pick(self, members: Iterable[tuple[Member, float]]) -> Member | None:
-        """The next among the eligible members, each with its weight; None where there are none."""
+        """Pick the next of the eligible members, given with their weights; None if there are none."""
         best: Member | None = None
         total = 0.0
-        most = 0.0
+        highest = 0.0
         for member, weight in members:
             total += weight
-            if member.rotation_weight is None:  # a random position in the round: replicas must not go in step
+            if member.rotation_weight is None:  # a random position, so that replicas don't rotate in step
                 member.rotation_weight = -self._rng.random() * max(weight, self._total_weight)
             member.rotation_weight += weight
-            if best is None or member.rotation_weight > most:
+            if best is None or member.rotation_weight > highest:
                 best = member
-                most = member.rotation_weight
+                highest = member.rotation_weight
         if best is not None:
-            best.rotation_weight = most - total
+            best.rotation_weight = highest - total
             self._total_weight = total
         return best
--- a/dunlinloft/balancer/server_set.py
+++ b/dunlinloft/balancer/server_set.py
@@ -1,4 +1,4 @@
-"""The servers that discovery lists, and the subset of them that this replica uses."""
+"""The listed servers, and the subset of them that this replica uses."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from dunlinloft.balancer.server import Server
 from dunlinloft.balancer.subsetting import subset_shares
 
-# Slices of the fleet that a replica begins with, each 1/replicas of it: few servers, so that each is used
-# often.
+# Number of slices of the fleet, each 1/replicas of it, that a replica uses at first. It is small, so that
+# each server in use gets many calls.
 INITIAL_SLICES = 4
-UNRESPONSIVE_SHARE_MAX = 0.5  # of the servers may be taken for lost: where more are silent, the tier is slow
-# Peers are told of a server once it has been silent this many times as long as to be taken for lost here: by
-# chance one call in many takes that long.
+UNRESPONSIVE_SHARE_MAX = 0.5  # if a larger share of the servers doesn't respond, the tier is slow as a whole
+# Multiple of the time after which a server counts as unresponsive here, after which peers are told: single
+# slow calls exceed the shorter time by chance.
 REPORTED_UNRESPONSIVE_FACTOR = 3.0
 
 
 class ZoneCapacity(NamedTuple):
-    """Of a zone's servers in service, how many are fit to take calls here, and how many there are."""
+    """Number of healthy and of all servers in service of a zone."""
 
-    fit: int
-    listed: int
+    healthy: int
+    in_service: int
 
 
 class ServerSet:
-    """All servers as last listed, and this replica's subset.
+    """All listed servers and this replica's subset.
 
     Attributes
     ----------
     servers
-        All that are listed, by id.
+        All listed servers, by id.
     ready
-        Those in service that are in this replica's subset.
+        The servers in service that are in this replica's subset.
     slices, slice_size
-        How many slices of the fleet the replica uses, and how many servers one is worth.
+        Number of slices of the fleet that the replica uses, and the size of a slice in servers.
     """
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
@@ -49,7 +49,7 @@
         self.slice_size = 0.0
 
     def apply(self, update: api.ServerListUpdate, now_ms: float) -> None:
-        """Take a delta, or a complete list that replaces the old one; the subset starts small again."""
+        """Apply a delta or a complete list, and reset the subset to its initial size."""
         if update.kind is not ListUpdateKind.DELTA:
             listed = {entry.server for entry in update.entries}
             self.servers = {id: server for id, server in self.servers.items() if id in listed}
@@ -63,7 +63,7 @@
         self.use_slices(INITIAL_SLICES)
 
     def reconfigure(self, settings: api.Settings) -> None:
-        """Take another number of replicas, or another index among them."""
+        """Apply a changed number of replicas or index among them."""
         if (settings.replica_index, settings.replicas) != (self.replica_index, self.replicas):
             self.replica_index = settings.replica_index
             self.replicas = settings.replicas
@@ -72,7 +72,7 @@
     def use_slices(self, slices: int) -> None:
         """Use this many slices of the fleet.
 
-        Many replicas that all use all servers need more connections than these accept.
+        If many replicas each used all servers, they would need more connections than the servers accept.
         """
         shares = {server.id: server.share for server in self.servers.values() if server.in_service}
         self.slices = slices
@@ -83,36 +83,36 @@
             server.subset_share = subset[server.id]
 
     def in_group(self, scope: DedupScope, group: str | int | None) -> list[Server]:
-        """All that a keyed call which may have run can still go to, beyond the subset too."""
+        """Return the servers of a deduplication group in service, including those outside the subset."""
         return [s for s in self.servers.values() if s.in_service and s.group(scope) == group]
 
     def unresponsive(self, now_ms: float, usual_share: float) -> list[Server]:
-        """The servers that stopped responding, of those that hold calls, while most of the others answer."""
-        found: list[Server] = []
+        """Return the unresponsive servers; none if that would be most of the servers."""
+        unresponsive: list[Server] = []
         for server in self.servers.values():
             if server.outstanding and server.unresponsive(now_ms, usual_share):
-                found.append(server)
-        return found if len(found) <= UNRESPONSIVE_SHARE_MAX * len(self.ready) else []
+                unresponsive.append(server)
+        return unresponsive if len(unresponsive) <= UNRESPONSIVE_SHARE_MAX * len(self.ready) else []
 
     def reported_unresponsive(self, now_ms: float, usual_share: float) -> list[int]:
-        """The ids of those that hold calls and have been silent for so long that peers should know."""
+        """Return the ids of servers that have been unresponsive for long enough to be reported to peers."""
         usual_share *= REPORTED_UNRESPONSIVE_FACTOR
-        holding = [server for server in self.servers.values() if server.outstanding]
-        return [server.id for server in holding if server.unresponsive(now_ms, usual_share)]
+        busy = [server for server in self.servers.values() if server.outstanding]
+        return [server.id for server in busy if server.unresponsive(now_ms, usual_share)]
 
     def excluded_count(self, now_ms: float, usual_share: float) -> int:
-        """How many listed servers get nothing new now: ejected, unresponsive, or not in service."""
-        lost = self.unresponsive(now_ms, usual_share)
+        """Return how many listed servers are ejected, unresponsive or not in service."""
+        unresponsive = self.unresponsive(now_ms, usual_share)
         servers = self.servers.values()
-        return sum(now_ms < s.ejected_until_ms or s in lost or not s.in_service for s in servers)
+        return sum(now_ms < s.ejected_until_ms or s in unresponsive or not s.in_service for s in servers)
 
     def zone_capacity(self, now_ms: float, usual_share: float) -> dict[str, ZoneCapacity]:
-        """For each zone, how many of its servers in service are fit to take calls here."""
-        lost = self.unresponsive(now_ms, usual_share)
+        """Return the number of healthy and of all servers in service, by zone."""
+        unresponsive = self.unresponsive(now_ms, usual_share)
         zones: dict[str, ZoneCapacity] = {}
         for server in self.servers.values():
             if server.in_service:
-                fit, listed = zones.get(server.zone, (0, 0))
-                healthy = now_ms >= server.ejected_until_ms and server not in lost
-                zones[server.zone] = ZoneCapacity(fit + healthy, listed + 1)
+                healthy_count, in_service_count = zones.get(server.zone, (0, 0))
+                healthy = now_ms >= server.ejected_until_ms and server not in unresponsive
+                zones[server.zone] = ZoneCapacity(healthy_count + healthy, in_service_count + 1)
         return zones
--- a/dunlinloft/balancer/settings.py
+++ b/dunlinloft/balancer/settings.py
@@ -1,6 +1,6 @@
-"""Reads settings: JSON objects checked field by field, and the balancer's settings in full.
+"""Reads and validates JSON objects field by field, and builds the balancer's settings from them.
 
-Shared by the simulator's adapter and the node in service, which find the same object in different places.
+Used by the simulator's adapter and by the node, which get the same settings object from different places.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Location:
-    """Where malformed input is: the object or array, its key, and a value that would be valid there."""
+    """The location of malformed input: the object or array, the key in it, and a valid example value."""
 
     container: Any
     key: str | int
@@ -44,7 +44,7 @@
 
 
 class MalformedInput(Exception):
-    """Input that does not follow the wire; `location` says where, if that is known."""
+    """Input does not have the expected structure; `location` is the place, if known."""
 
     def __init__(self, text: str, location: Location | None = None) -> None:
         super().__init__(text)
@@ -62,12 +62,12 @@
 
 
 def required(obj: Json, key: str, kind: type | NumberType) -> object:
-    """The value of a key that has to be there, of this kind (`NUMBER` for int or float).
+    """Return the value of a required key, which must be of this kind (`NUMBER` for int or float).
 
     Raises
     ------
     MalformedInput
-        Where it is missing, of another kind (a boolean is no number), or a float that is not finite.
+        If the value is missing, of another kind (a boolean is not a number), or a float that is not finite.
     """
     try:
         value: object = obj[key]
@@ -93,12 +93,12 @@
 
 
 def optional(obj: Json, key: str, kind: type | NumberType, default: object) -> object:
-    """As `required`, or the default where the key is missing or null."""
+    """Return the value as `required` does, or the default if the key is missing or null."""
     return default if obj.get(key) is None else required(obj, key, kind)
 
 
 def choice(obj: Json, key: str, choices: dict[Any, T], kind: type = str) -> T:
-    """What the value of a key stands for among these choices; `MalformedInput` where it is none of them."""
+    """Return the choice that a key's value stands for; raises `MalformedInput` if it is none of them."""
     value: object = required(obj, key, kind)
     if value not in choices:
         text = f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, choices))}"
@@ -107,7 +107,7 @@
 
 
 def object_list(obj: Json, key: str) -> list[Json]:
-    """The value of a key that has to be an array of objects."""
+    """Return the value of a key, which must be an array of objects."""
     values: list[Json] = required(obj, key, list)
     for index, value in enumerate(values):
         if not isinstance(value, dict):
@@ -117,14 +117,14 @@
 
 
 def read_settings(env: Json) -> api.Settings:
-    """Turn the settings' JSON into `Settings`; unknown keys are ignored.
+    """Build `Settings` from JSON; unknown keys are ignored.
 
     Raises
     ------
     MalformedInput
         For keys that are missing or of the wrong kind.
     ValueError
-        For values that cannot be meant (`Settings`).
+        For invalid values; see `Settings`.
     """
     classes = [_read_class(cls) for cls in object_list(env, "classes")]
     tenants = [_read_tenant(tenant) for tenant in (object_list(env, "tenants") if env.get("tenants") else [])]
--- a/dunlinloft/balancer/tenant_quotas.py
+++ b/dunlinloft/balancer/tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Which requests exceed their tenant's quota: a token bucket for this replica's share of each."""
+"""Tenant quotas: a token bucket for this replica's share of each tenant's quota."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from dunlinloft.balancer import interface as api
 from dunlinloft.balancer.token_bucket import TokenBucket
 
-QUOTA_BURST_MS = 1_000.0  # of its quota is what a tenant may send at once
+QUOTA_BURST_MS = 1_000.0  # the burst size is the quota of this time
 
 
 @dataclass(slots=True)
 class QuotaCounts:
-    """A tenant's requests within its quota, and over it."""
+    """Number of a tenant's requests within and over its quota."""
 
     within: int = 0
     over: int = 0
@@ -31,41 +31,41 @@
     Attributes
     ----------
     counts
-        Requests of each tenant that has a quota and has sent any.
+        Request counts of the tenants that have a quota and have sent requests.
     """
 
     def __init__(self, settings: api.Settings) -> None:
-        self._shares: dict[str, float] = {}  # requests a second, where replicas share quotas by demand
+        self._shares: dict[str, float] = {}  # requests per second; empty unless shared by demand
         self._quotas: dict[str | None, _Quota] = {}
         self.counts: dict[str | None, QuotaCounts] = {}
         self.reconfigure(settings)
 
     def reconfigure(self, settings: api.Settings) -> None:
-        """Take new quotas; what is left in the buckets stays. A tenant without a share has an even one."""
+        """Apply new quotas and keep the buckets' tokens; tenants without a share are divided equally."""
         self._settings = settings
         quotas: dict[str | None, _Quota] = {}
         for tenant in settings.tenants:
             if tenant.quota_per_s:
-                even = tenant.quota_per_s / settings.replicas
-                old = self._quotas.get(tenant.name)
-                bucket = TokenBucket(math.inf, 0.0) if old is None else old.bucket
-                quotas[tenant.name] = _Quota(self._shares.get(tenant.name, even) / 1000.0, bucket)
+                equal_share = tenant.quota_per_s / settings.replicas
+                previous = self._quotas.get(tenant.name)
+                bucket = TokenBucket(math.inf, 0.0) if previous is None else previous.bucket
+                quotas[tenant.name] = _Quota(self._shares.get(tenant.name, equal_share) / 1000.0, bucket)
         self._quotas = quotas
 
     def set_shares(self, shares: dict[str, float]) -> None:
-        """Take this replica's shares, in requests a second."""
+        """Set this replica's shares, in requests per second."""
         self._shares = dict(shares)
         self.reconfigure(self._settings)
 
     def take(self, tenant: str | None, now_ms: float) -> bool:
-        """Count a request of a tenant; whether it exceeds the tenant's quota."""
+        """Count a request of a tenant and return whether it exceeds the tenant's quota."""
         quota = self._quotas.get(tenant)
         if quota is None:
             return False
-        over = not quota.bucket.take(quota.per_ms, max(1.0, QUOTA_BURST_MS * quota.per_ms), now_ms)
+        over_quota = not quota.bucket.take(quota.per_ms, max(1.0, QUOTA_BURST_MS * quota.per_ms), now_ms)
         counts = self.counts.setdefault(tenant, QuotaCounts())
-        if over:
+        if over_quota:
             counts.over += 1
         else:
             counts.within += 1
-        return over
+        return over_quota
--- a/dunlinloft/balancer/wirehost.py
+++ b/dunlinloft/balancer/wirehost.py
@@ -1,9 +1,9 @@
-"""The simulator's adapter: hosts one `Balancer` for each simulated node and speaks the bench's wire.
+"""The simulator's adapter: runs one `Balancer` for each simulated node over the simulator's line protocol.
 
-One JSON batch a line on standard input, one JSON reply a line on standard output. No decisions are made here.
-Malformed input ends the process with one line on standard error and exit status 2. Run as
-`python -m dunlinloft.balancer.wirehost` (`deploy/balancer.toml`, `sim`). The kinds, keys and codes are the
-wire's.
+It reads one JSON batch per line from standard input and writes one JSON reply per line to standard output. It
+makes no decisions. Malformed input ends the process with one line on standard error and exit status 2. Run as
+`python -m dunlinloft.balancer.wirehost` (`sim` in `deploy/balancer.toml`). The kinds, keys and codes are
+those of the protocol.
 """
 
 from __future__ import annotations
@@ -70,13 +70,13 @@
         id=required(item, "request_id", str),
         cls=required(item, "type", str),
         ttl_ms=required(item, "ttl_ms", NUMBER),
-        tenant=None if item.get("owner") == 0 else optional(item, "owner", str, None),  # 0: no tenants here
+        tenant=None if item.get("owner") == 0 else optional(item, "owner", str, None),  # 0: no tenant
         client_retry=optional(item, "again_by_client", bool, False),
     )
 
 
 def _read_report(item: Json) -> dict[str, float] | None:
-    """A load report; values that are absent are left out, negative ones (they are noisy) count as 0."""
+    """Read a load report; null values are omitted, and negative ones, which noise can cause, become 0."""
     report = optional(item, "report", dict, None)
     if report is None:
         return None
@@ -113,7 +113,7 @@
     "ClientGone": lambda item: api.ClientDisconnected(required(item, "request_id", str)),
     "Streaming": _read_stream_started,
 }
-IGNORED = {"NeighbourSays", "StatusBack"}  # the balancer neither probes nor talks to peers
+IGNORED = {"NeighbourSays", "StatusBack"}  # the balancer neither sends probes nor messages to peers
 
 
 def _write_action(node: str, action: api.Action) -> Json:
@@ -138,15 +138,15 @@
             return {"kind": "Print", "node": node, "body_text": action.text}
 
 
-class Host:
-    """All simulated nodes of one process; they share the pages of server lists and nothing else."""
+class SimulationHost:
+    """The simulated nodes of one process, which share nothing but the stored server lists."""
 
     def __init__(self) -> None:
         self._balancers: dict[str, Balancer] = {}  # by node
-        self._pages: dict[int, list[api.ServerEntry]] = {}  # by bank
+        self._server_lists: dict[int, list[api.ServerEntry]] = {}  # by bank
 
     def handle_batch(self, batch: Json) -> Json:
-        """The reply to one batch; `MalformedInput` names the item that breaks the wire."""
+        """Process one batch and return the reply; raises `MalformedInput`, which names the invalid item."""
         now_ms: float = required(batch, "ts_ms", NUMBER)
         number = required(batch, "round", int)
         actions: list[Json] = []
@@ -158,10 +158,10 @@
         return {"round": number, "actions": actions}
 
     def _handle_item(self, item: Json, now_ms: float, actions: list[Json]) -> None:
-        """Carry out one item of a batch; the actions that follow are appended."""
+        """Process one item of a batch and append the resulting actions."""
         kind = required(item, "kind", str)
         if kind == "Page":
-            self._pages[required(item, "bank", int)] = _read_entries(item)
+            self._server_lists[required(item, "bank", int)] = _read_entries(item)
             return
         node = required(item, "node", str)
         if kind == "Launch":
@@ -177,7 +177,7 @@
         elif kind in READERS:
             event = READERS[kind](item)
             if isinstance(event, api.Request) and event.cls not in self._balancers[node].classes:
-                raise MalformedInput(f"'type' is {event.cls!r:.40}, which is no class of the settings")
+                raise MalformedInput(f"'type' is {event.cls!r:.40}, which is not a class in the settings")
         elif kind in IGNORED:
             return
         else:
@@ -186,11 +186,11 @@
             actions.append(_write_action(node, action))
 
     def _launch(self, node: str, item: Json) -> None:
-        """Start a node, anew where it ran."""
+        """Start a node, or restart it if it is running."""
         try:
             settings = read_settings(required(item, "env", dict))
         except ValueError as error:
-            raise MalformedInput(f"'env' has impossible settings: {error}") from None
+            raise MalformedInput(f"'env' has invalid settings: {error}") from None
         self._balancers[node] = Balancer(settings, required(item, "salt", int))
 
     def _read_list_update(self, item: Json) -> api.Event:
@@ -198,13 +198,13 @@
         if form is api.ListUpdateKind.FAILED:
             return api.ServerListUpdate(form)
         bank = required(item, "bank", int)
-        if bank not in self._pages:
-            raise MalformedInput(f"'bank' {bank} has had no Page")
-        return api.ServerListUpdate(form, required(item, "stamp", int), self._pages[bank])
+        if bank not in self._server_lists:
+            raise MalformedInput(f"'bank' {bank} was not defined by a Page")
+        return api.ServerListUpdate(form, required(item, "stamp", int), self._server_lists[bank])
 
 
 def _read_batch(source: TextIO) -> Json | None:
-    """The next batch; None at the end of input."""
+    """Read the next batch; returns None at the end of input."""
     try:
         text = source.readline()
         batch = json.loads(text) if text else None
@@ -218,9 +218,9 @@
 
 
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Reply to batches until input ends; returns the exit status."""
-    host = Host()
-    number = 1
+    """Reply to batches until the end of input and return the exit status."""
+    host = SimulationHost()
+    line_number = 1
     while True:
         try:
             batch = _read_batch(source)
@@ -228,9 +228,9 @@
                 return 0
             reply = host.handle_batch(batch)
         except MalformedInput as error:
-            print(f"nickelbridge: input line {number}: {error}", file=errors)
+            print(f"wirehost: input line {line_number}: {error}", file=errors)
             return EXIT_MALFORMED
-        number += 1
+        line_number += 1
         sink.write(json.dumps(reply, separators=(",", ":")) + "\n")
         sink.flush()
 
