--- a/tests/checker.py
+++ b/tests/checker.py
@@ -1,7 +1,14 @@
-"""The six operating rules, checked from outside on what was told to a node and what it did.
+"""Checks the operating rules of a balancer on its events and actions.
 
-Written from the wire page's wording of the rules, and of nothing in the decision module: it keeps its
-own records. Rule 4 is checked for one node alone: what it sends to a server in slow start in any window.
+It is independent of the balancer's code and keeps its own records. The rules:
+
+1. Each request gets exactly one final answer by its deadline, and no attempt after that.
+2. A request that may have been executed is sent again only if its class allows that, within its deduplication
+   group and window. It is rejected only if a retry by the client is safe.
+3. Nothing is sent to a server that has been out of service for longer than the grace period.
+4. A server in slow start gets no more attempts than its budget. This is tested in `test_balancer_properties`.
+5. Retries stay within the configured budget.
+6. Whether a rejection proves that an attempt was not executed depends on the settings.
 """
 
 from __future__ import annotations
@@ -12,117 +19,128 @@
 from dunlinloft.balancer.interface import DedupScope, Health, Idempotency, ListUpdateKind, Result
 
 
-class Broken(AssertionError):
-    """A rule is broken."""
+class RuleViolation(AssertionError):
+    """A rule was violated."""
 
 
 @dataclass
 class Attempt:
-    at: float
+    sent_ms: float
     server: int
     group: str | int | None
     result: Result | None = None
 
 
 @dataclass
-class Taken:
+class AcceptedRequest:
     cls: api.RequestClass
-    deadline: float
+    deadline_ms: float
     attempts: list[Attempt] = field(default_factory=list)
-    over: bool = False
+    answered: bool = False
 
 
 class Checker:
-    """Told every event before the node, and every action after; raises `Broken`."""
+    """Takes each event before the balancer does, and each action after it; raises `RuleViolation`."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
         self.classes = {cls.name: cls for cls in settings.classes}
-        self.taken: dict[str, Taken] = {}
-        self.taken_at: list[float] = []
-        self.retries_at: list[float] = []
-        self.known: dict[int, api.ServerEntry] = {}
-        self.out_of_service: dict[int, float] = {}  # since when the node knows
+        self.accepted: dict[str, AcceptedRequest] = {}
+        self.accepted_ms: list[float] = []
+        self.retries_ms: list[float] = []
+        self.listed: dict[int, api.ServerEntry] = {}
+        self.out_of_service: dict[int, float] = {}  # time since which the node knows that it is
 
-    def event(self, event: api.Event, now: float) -> None:
+    def record_event(self, event: api.Event, now: float) -> None:
         if isinstance(event, api.Request):
-            self.taken[event.id] = Taken(self.classes[event.cls], now + event.ttl_ms)
-            self.taken_at.append(now)
-        elif isinstance(event, api.AttemptCompleted) and event.id in self.taken:
-            request = self.taken[event.id]
+            self.accepted[event.id] = AcceptedRequest(self.classes[event.cls], now + event.ttl_ms)
+            self.accepted_ms.append(now)
+        elif isinstance(event, api.AttemptCompleted) and event.id in self.accepted:
+            request = self.accepted[event.id]
             request.attempts[event.attempt].result = event.result
-            request.over = request.over or event.final
-        elif isinstance(event, api.ClientDisconnected) and event.id in self.taken:
-            self.taken[event.id].over = True
+            request.answered = request.answered or event.final
+        elif isinstance(event, api.ClientDisconnected) and event.id in self.accepted:
+            self.accepted[event.id].answered = True
         elif isinstance(event, api.ServerListUpdate) and event.kind is not ListUpdateKind.FAILED:
-            listed = {entry.server: entry for entry in event.entries}
-            for number in self.known:
-                if event.kind is not ListUpdateKind.DELTA and number not in listed:
-                    self.out_of_service.setdefault(number, now)
-            for number, entry in listed.items():
-                self.known[number] = entry
+            updated = {entry.server: entry for entry in event.entries}
+            for server in self.listed:
+                if event.kind is not ListUpdateKind.DELTA and server not in updated:
+                    self.out_of_service.setdefault(server, now)
+            for server, entry in updated.items():
+                self.listed[server] = entry
                 if entry.health is Health.IN_SERVICE:
-                    self.out_of_service.pop(number, None)
+                    self.out_of_service.pop(server, None)
                 else:
-                    self.out_of_service.setdefault(number, now)
+                    self.out_of_service.setdefault(server, now)
 
-    def action(self, action: api.Action, now: float) -> None:
+    def check_action(self, action: api.Action, now: float) -> None:
         if isinstance(action, api.Send):
-            self._send(action, now)
+            self._check_send(action, now)
         elif isinstance(action, api.Fail | api.Reject):
-            request = self.taken[action.id]
-            self._need(not request.over, "rule 1: a second final answer")
-            late = now > request.deadline + self.settings.answer_slack_ms
-            self._need(not late, "rule 1: an answer after the deadline")
-            request.over = True
+            request = self.accepted[action.id]
+            self._require(not request.answered, "rule 1: a second final answer")
+            late = now > request.deadline_ms + self.settings.answer_slack_ms
+            self._require(not late, "rule 1: an answer after the deadline")
+            request.answered = True
             if isinstance(action, api.Reject):
                 cls = request.cls
-                everywhere = cls.idempotency is Idempotency.KEYED and cls.dedup_scope is DedupScope.ALL
-                harmless = (
-                    cls.idempotency is Idempotency.IDEMPOTENT or everywhere or not self._may_have_run(request)
+                dedup_everywhere = cls.idempotency is Idempotency.KEYED and cls.dedup_scope is DedupScope.ALL
+                retry_is_safe = (
+                    cls.idempotency is Idempotency.IDEMPOTENT
+                    or dedup_everywhere
+                    or not self._may_have_executed(request)
                 )
-                self._need(harmless, "rule 2: a refusal of what may have run")
+                self._require(retry_is_safe, "rule 2: rejected although it may have been executed")
 
-    def end(self) -> None:
-        """All that was taken has been answered."""
-        self._need(all(request.over for request in self.taken.values()), "rule 1: a request was lost")
+    def check_all_answered(self) -> None:
+        """Check that every accepted request has been answered."""
+        self._require(
+            all(request.answered for request in self.accepted.values()), "rule 1: a request was lost"
+        )
 
-    def _send(self, send: api.Send, now: float) -> None:
-        request, server = self.taken[send.id], self.known[send.server]
+    def _check_send(self, send: api.Send, now: float) -> None:
+        request, server = self.accepted[send.id], self.listed[send.server]
         cls = request.cls
-        self._need(not request.over, "rule 1: a send for what is over")
-        self._need(len(request.attempts) < self.settings.max_attempts, "more attempts than allowed")
-        out = [attempt for attempt in request.attempts if attempt.result is None]
-        self._need(not out or self.settings.parallel_attempts, "two attempts at once")
+        self._require(not request.answered, "rule 1: an attempt after the final answer")
+        self._require(len(request.attempts) < self.settings.max_attempts, "more attempts than allowed")
+        in_flight = [attempt for attempt in request.attempts if attempt.result is None]
+        self._require(not in_flight or self.settings.parallel_attempts, "two attempts at once")
         group = {DedupScope.ALL: None, DedupScope.ZONE: server.zone, DedupScope.CELL: server.cell}[
             cls.dedup_scope
         ]
-        ran = self._may_have_run(request)
-        if ran:
-            self._need(
-                cls.idempotency is not Idempotency.NON_IDEMPOTENT, "rule 2: an unsafe request sent again"
+        executed = self._may_have_executed(request)
+        if executed:
+            self._require(
+                cls.idempotency is not Idempotency.NON_IDEMPOTENT,
+                "rule 2: a non-idempotent request sent again",
+            )
+        if executed and cls.idempotency is Idempotency.KEYED:
+            self._require(
+                all(attempt.group == group for attempt in executed), "rule 2: another deduplication group"
+            )
+            self._require(
+                now - executed[0].sent_ms <= cls.dedup_window_ms, "rule 2: after the deduplication window"
             )
-        if ran and cls.idempotency is Idempotency.KEYED:
-            self._need(all(attempt.group == group for attempt in ran), "rule 2: another group")
-            self._need(now - ran[0].at <= cls.dedup_window_ms, "rule 2: after the window")
         since = self.out_of_service.get(send.server, now)
-        self._need(now - since <= self.settings.drain_grace_ms, "rule 3: sent to a server that drains")
+        self._require(
+            now - since <= self.settings.drain_grace_ms, "rule 3: sent to a server that is out of service"
+        )
         if request.attempts and self.settings.retry_budget_ratio is not None:
-            span = self.settings.retry_budget_window_ms
-            self.retries_at.append(now)
-            retries = sum(at >= now - span for at in self.retries_at)
-            taken = sum(at > now - span for at in self.taken_at)
-            allowed = self.settings.retry_budget_floor + self.settings.retry_budget_ratio * taken
-            self._need(retries <= allowed, "rule 5: beyond the budget of attempts")
+            window_ms = self.settings.retry_budget_window_ms
+            self.retries_ms.append(now)
+            retries = sum(at >= now - window_ms for at in self.retries_ms)
+            accepted = sum(at > now - window_ms for at in self.accepted_ms)
+            allowed = self.settings.retry_budget_floor + self.settings.retry_budget_ratio * accepted
+            self._require(retries <= allowed, "rule 5: over the retry budget")
         request.attempts.append(Attempt(now, send.server, group))
 
-    def _may_have_run(self, request: Taken) -> list[Attempt]:
-        proofs = {Result.UNREACHABLE, Result.NOT_SENT}
+    def _may_have_executed(self, request: AcceptedRequest) -> list[Attempt]:
+        not_executed = {Result.UNREACHABLE, Result.NOT_SENT}
         if not self.settings.rejected_may_have_run:
-            proofs.add(Result.REJECTED)  # rule 6
-        return [attempt for attempt in request.attempts if attempt.result not in proofs]
+            not_executed.add(Result.REJECTED)  # rule 6
+        return [attempt for attempt in request.attempts if attempt.result not in not_executed]
 
     @staticmethod
-    def _need(held: bool, rule: str) -> None:
-        if not held:
-            raise Broken(rule)
+    def _require(condition: bool, message: str) -> None:
+        if not condition:
+            raise RuleViolation(message)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: settings, lists and a driver that keeps the node's side of the contract."""
+"""Shared test helpers: settings, server lists and a driver that acts as the balancer's node."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Node:
-    """A balancer with a clock of its own; records its actions, and to which servers each request was sent."""
+    """A balancer with a simulated clock; records its actions and the servers each request was sent to."""
 
     def __init__(self, servers: int = 4, seed: int = 1, **changes: Any) -> None:
         self.balancer = Balancer(settings(**changes), seed)
@@ -71,15 +71,15 @@
     def complete(
         self, id: str, result: api.Result, after_ms: float = 50.0, final: bool | None = None
     ) -> list[api.Action]:
-        """Complete the last attempt of a request; final if it was served, unless said otherwise."""
+        """Complete the last attempt of a request; by default the result is final if it is `SERVED`."""
         self.now += after_ms
-        number = len(self.sent[id]) - 1
+        attempt = len(self.sent[id]) - 1
         final = result is api.Result.SERVED if final is None else final
-        event = api.AttemptCompleted(id, number, self.sent[id][number], result, after_ms, final)
+        event = api.AttemptCompleted(id, attempt, self.sent[id][attempt], result, after_ms, final)
         return self.handle(event)
 
     def serve(self, count: int, cls: str = "safe", gap_ms: float = 10.0, delay_ms: float = 50.0) -> list[int]:
-        """Send and serve so many requests one after another; the servers picked."""
+        """Send and serve `count` requests one after another, and return the selected servers."""
         picked = []
         for n in range(count):
             id = f"serve-{self.now}-{n}"
@@ -103,6 +103,6 @@
 
 
 def try_send(node: Node, id: str, server: int) -> bool:
-    """Ask the gate itself, as a new feature that forgot a rule would."""
+    """Call `Balancer._send` without the checks that its callers make; return whether it sent an attempt."""
     balancer = node.balancer
     return balancer._send(balancer._calls[id], balancer.server_set.servers[server], node.now)
--- a/tests/test_balancer_properties.py
+++ b/tests/test_balancer_properties.py
@@ -1,4 +1,4 @@
-"""Random legal event sequences: the six rules hold on every action, and the checker sees breaks."""
+"""The rules of `tests.checker` hold on random event sequences, and the checker detects violations."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.balancer.interface import Result
 from dunlinloft.balancer.retry_policy import NOT_EXECUTED_RESULTS, RetryPolicy
-from tests.checker import Broken, Checker
+from tests.checker import Checker, RuleViolation
 from tests.helpers import settings
 
 RESULTS = list(Result)
@@ -25,15 +25,15 @@
 
 
 @dataclass
-class Owed:
+class SentRequest:
     cls: api.RequestClass
-    deadline: float
+    deadline_ms: float
     attempts: list[tuple[float, int, Result | None]] = field(default_factory=list)  # sent, server, result
     final_answers: int = 0
 
 
-class World:
-    """A node's surroundings, which check what the balancer does."""
+class SimulatedNode:
+    """A node with random servers, requests and results, which checks the balancer's actions."""
 
     def __init__(self, seed: int, **changes: Any) -> None:
         self.rng = random.Random(seed)
@@ -41,12 +41,13 @@
         self.balancer = Balancer(self.settings, seed)
         self.checker = Checker(self.settings)
         self.now = 0.0
-        self.due: list[tuple[float, int, api.TimerFired | str]] = []  # timers, and deadlines by request
-        self.order = 0
-        self.requests: dict[str, Owed] = {}
+        # Timers, and ids of requests at their deadlines; the number keeps the order of equal times.
+        self.scheduled: list[tuple[float, int, api.TimerFired | str]] = []
+        self.scheduled_count = 0
+        self.requests: dict[str, SentRequest] = {}
         self.entries: dict[int, api.ServerEntry] = {}
         self.sends: list[tuple[float, int]] = []
-        self.give(api.Started())
+        self.deliver(api.Started())
         self.update_list([self.entry(n) for n in range(self.rng.randrange(7))])
 
     def entry(self, number: int, health: api.Health = api.Health.IN_SERVICE) -> api.ServerEntry:
@@ -60,66 +61,70 @@
             self.entries = {}
         for entry in entries:
             self.entries[entry.server] = entry
-        self.give(api.ServerListUpdate(kind, 1, entries))
+        self.deliver(api.ServerListUpdate(kind, 1, entries))
 
-    def push(self, at: float, what: api.TimerFired | str) -> None:
-        self.order += 1
-        heapq.heappush(self.due, (at, self.order, what))
+    def schedule(self, at: float, what: api.TimerFired | str) -> None:
+        self.scheduled_count += 1
+        heapq.heappush(self.scheduled, (at, self.scheduled_count, what))
 
-    def give(self, event: api.Event) -> None:
-        self.checker.event(event, self.now)
+    def deliver(self, event: api.Event) -> None:
+        self.checker.record_event(event, self.now)
         for action in self.balancer.handle(event, self.now):
-            self.check(action)
+            self.perform(action)
 
-    def check(self, action: api.Action) -> None:
-        self.checker.action(action, self.now)
+    def perform(self, action: api.Action) -> None:
+        self.checker.check_action(action, self.now)
         if isinstance(action, api.SetTimer):
             assert action.delay_ms >= 0.0
-            self.push(self.now + action.delay_ms, api.TimerFired(action.token))
+            self.schedule(self.now + action.delay_ms, api.TimerFired(action.token))
         elif isinstance(action, api.Send):
             self.requests[action.id].attempts.append((self.now, action.server, None))
             self.sends.append((self.now, action.server))
         elif isinstance(action, api.Fail | api.Reject):
             self.requests[action.id].final_answers += 1
 
-    def finish(self, id: str, result: Result) -> None:
-        owed = self.requests[id]
-        sent, server, _ = owed.attempts[-1]
-        owed.attempts[-1] = (sent, server, result)
-        final = bool(owed.final_answers) or result is Result.SERVED
-        if result is Result.SERVED and not owed.final_answers:
-            owed.final_answers += 1
-        number = len(owed.attempts) - 1
-        self.give(api.AttemptCompleted(id, number, server, result, self.now - sent, final))
-
-    def out(self) -> list[str]:
-        return [id for id, owed in self.requests.items() if owed.attempts and owed.attempts[-1][2] is None]
-
-    def pass_time(self, step: float) -> None:
-        target = self.now + step
-        while self.due and self.due[0][0] <= target:
-            at, _, what = heapq.heappop(self.due)
+    def complete(self, id: str, result: Result) -> None:
+        request = self.requests[id]
+        sent, server, _ = request.attempts[-1]
+        request.attempts[-1] = (sent, server, result)
+        final = bool(request.final_answers) or result is Result.SERVED
+        if result is Result.SERVED and not request.final_answers:
+            request.final_answers += 1
+        attempt = len(request.attempts) - 1
+        self.deliver(api.AttemptCompleted(id, attempt, server, result, self.now - sent, final))
+
+    def in_flight(self) -> list[str]:
+        return [
+            id
+            for id, request in self.requests.items()
+            if request.attempts and request.attempts[-1][2] is None
+        ]
+
+    def advance(self, duration_ms: float) -> None:
+        end = self.now + duration_ms
+        while self.scheduled and self.scheduled[0][0] <= end:
+            at, _, what = heapq.heappop(self.scheduled)
             self.now = max(self.now, at)
             if isinstance(what, api.TimerFired):
-                self.give(what)
+                self.deliver(what)
             elif not self.requests[what].final_answers:
-                owed = self.requests[what]
-                if not owed.attempts or owed.attempts[-1][2] is not None:
-                    raise Broken("rule 1: a request was lost")
-                self.finish(what, Result.TIMEOUT)
-                assert owed.final_answers == 1
-        self.now = target
-
-    def step(self, number: int) -> None:
+                request = self.requests[what]
+                if not request.attempts or request.attempts[-1][2] is not None:
+                    raise RuleViolation("rule 1: a request was lost")
+                self.complete(what, Result.TIMEOUT)
+                assert request.final_answers == 1
+        self.now = end
+
+    def random_step(self, number: int) -> None:
         choice = self.rng.random()
         if choice < 0.35:
             id, cls = f"r{number}", self.rng.choice(self.settings.classes)
             ttl = self.rng.choice([1.0, 50.0, 700.0, 3000.0])
-            self.requests[id] = Owed(cls, self.now + ttl)
-            self.push(self.now + ttl, id)
-            self.give(api.Request(id, cls.name, ttl))
-        elif choice < 0.7 and self.out():
-            self.finish(self.rng.choice(self.out()), self.rng.choices(RESULTS, WEIGHTS)[0])
+            self.requests[id] = SentRequest(cls, self.now + ttl)
+            self.schedule(self.now + ttl, id)
+            self.deliver(api.Request(id, cls.name, ttl))
+        elif choice < 0.7 and self.in_flight():
+            self.complete(self.rng.choice(self.in_flight()), self.rng.choices(RESULTS, WEIGHTS)[0])
         elif choice < 0.75:
             number = self.rng.randrange(8)
             health = self.rng.choice([api.Health.IN_SERVICE, api.Health.DRAINING, api.Health.TERMINATED])
@@ -127,113 +132,115 @@
         elif choice < 0.77:
             self.update_list([self.entry(n) for n in range(8) if self.rng.random() < 0.7])
         elif choice < 0.78:
-            self.give(api.ServerListUpdate(api.ListUpdateKind.FAILED))
+            self.deliver(api.ServerListUpdate(api.ListUpdateKind.FAILED))
         else:
-            self.pass_time(self.rng.choice([1.0, 5.0, 40.0, 300.0]))
+            self.advance(self.rng.choice([1.0, 5.0, 40.0, 300.0]))
 
 
 BUDGET = {"retry_budget_ratio": 0.03, "retry_budget_floor": 3.0, "retry_budget_window_ms": 5000.0}
 
 
-def play(seed: int, **changes: Any) -> World:
-    """A random day, to its end."""
-    world = World(seed, **changes)
+def run_random_events(seed: int, **changes: Any) -> SimulatedNode:
+    """Run a random event sequence until all requests are past their deadlines."""
+    node = SimulatedNode(seed, **changes)
     for number in range(150):
-        world.step(number)
-    world.pass_time(20_000.0)
-    world.checker.end()
-    return world
+        node.random_step(number)
+    node.advance(20_000.0)
+    node.checker.check_all_answered()
+    return node
 
 
 @hypothesis_settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 2**32), st.integers(1, 5), st.integers(0, 2), st.booleans(), st.booleans())
-def test_rules_are_kept_on_random_days(seed: int, attempts: int, tier: int, budget: bool, full: bool) -> None:
+def test_rules_hold_on_random_event_sequences(
+    seed: int, attempts: int, tier: int, budget: bool, rejected_may_have_run: bool
+) -> None:
     extra = BUDGET if budget else {}
-    play(
+    run_random_events(
         seed,
         max_attempts=attempts,
         tier=tier,
         subscribes=bool(seed % 2),
-        rejected_may_have_run=full,
+        rejected_may_have_run=rejected_may_have_run,
         **extra,
     )
 
 
-def breaks(**changes: Any) -> str:
-    """The rule that is broken on the first random day on which one is."""
+def first_violation(**changes: Any) -> str:
+    """Return the first rule violation over a number of seeds, or "none"."""
     for seed in range(60):
         try:
-            play(seed, **({"max_attempts": 4} | changes))
-        except Broken as broken:
-            return str(broken)
+            run_random_events(seed, **({"max_attempts": 4} | changes))
+        except RuleViolation as violation:
+            return str(violation)
     return "none"
 
 
-def test_the_checker_catches_broken_modules(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each fault is one that a careless change could bring; without a fault nothing is reported."""
-    assert breaks(**BUDGET, rejected_may_have_run=True) == "none"
+def test_checker_detects_planted_faults(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each fault removes one check from the balancer; without a fault no violation is reported."""
+    assert first_violation(**BUDGET, rejected_may_have_run=True) == "none"
 
     def always(*_: object) -> bool:
         return True
 
     with monkeypatch.context() as patch:
         patch.setattr(RetryPolicy, "may_send", always)
-        assert breaks().startswith("rule 2")
+        assert first_violation().startswith("rule 2")
     with monkeypatch.context() as patch:
         patch.setattr(RetryPolicy, "within_budget", always)
-        assert breaks(**BUDGET).startswith("rule 5")
+        assert first_violation(**BUDGET).startswith("rule 5")
     with monkeypatch.context() as patch:
         patch.setattr(server_module.Server, "group", lambda *_: None)
-        assert breaks().startswith("rule 2")
+        assert first_violation().startswith("rule 2")
     with monkeypatch.context() as patch:
         patch.setattr(Balancer, "_end_unserved", always)
-        assert breaks().startswith("rule 1")
+        assert first_violation().startswith("rule 1")
     with monkeypatch.context() as patch:
         patch.setattr(
             server_module,
             "Health",
             type("AllInService", (), {"IN_SERVICE": api.Health.DRAINING}),
         )
-        assert breaks(drain_grace_ms=0.0).startswith("rule 3")
+        assert first_violation(drain_grace_ms=0.0).startswith("rule 3")
 
-    class CreditsRejections(Balancer):
-        """Takes a rejection for a proof that an attempt never ran, whatever the settings say."""
+    class IgnoresRejectedMayHaveRun(Balancer):
+        """Treats a rejection as proof that an attempt was not executed, regardless of the settings."""
 
         def __init__(self, settings: api.Settings, seed: int) -> None:
             super().__init__(settings, seed)
             self.retry_policy.not_executed_results = NOT_EXECUTED_RESULTS
 
     with monkeypatch.context() as patch:
-        patch.setattr("tests.test_balancer_properties.Balancer", CreditsRejections)
-        assert breaks(rejected_may_have_run=True).startswith("rule 2")
+        patch.setattr("tests.test_balancer_properties.Balancer", IgnoresRejectedMayHaveRun)
+        assert first_violation(rejected_may_have_run=True).startswith("rule 2")
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_burst_onto_servers_in_slow_start_stays_in_budget(seed: int) -> None:
-    """Two servers start, then a burst comes: each gets less than the stated multiple of its share."""
-    world = World(seed, tier=1)
-    world.update_list([api.ServerEntry(n) for n in range(4)])
-
-    def load(seconds: float, gap: float, first: int) -> None:
-        for k in range(int(seconds * 1000 / gap)):
-            id = f"{first}-{k}"
-            world.requests[id] = Owed(world.settings.classes[0], world.now + 3000.0)
-            world.give(api.Request(id, "safe", 3000.0))
-            world.pass_time(gap)
-            for other in world.out():
-                if world.now - world.requests[other].attempts[-1][0] >= 30.0:
-                    world.finish(other, Result.SERVED)
-
-    load(20, 10.0, 0)
-    rate = 100.0 / 4  # a second, to a warm server
-    start = world.now
+def test_burst_to_servers_in_slow_start_stays_within_their_budget(seed: int) -> None:
+    """Two servers start before a burst: neither gets more than the configured multiple of its share."""
+    node = SimulatedNode(seed, tier=1)
+    node.update_list([api.ServerEntry(n) for n in range(4)])
+
+    def apply_load(duration_s: float, gap_ms: float, phase: int) -> None:
+        for k in range(int(duration_s * 1000 / gap_ms)):
+            id = f"{phase}-{k}"
+            node.requests[id] = SentRequest(node.settings.classes[0], node.now + 3000.0)
+            node.deliver(api.Request(id, "safe", 3000.0))
+            node.advance(gap_ms)
+            for other in node.in_flight():
+                if node.now - node.requests[other].attempts[-1][0] >= 30.0:
+                    node.complete(other, Result.SERVED)
+
+    apply_load(20, 10.0, 0)
+    rate_per_s = 100.0 / 4  # to each server that is not in slow start
+    start = node.now
     starting = [api.ServerEntry(n, started_ms=start) for n in (8, 9)]
-    world.update_list([api.ServerEntry(n) for n in range(4)] + starting)
-    load(3, 4.0, 1)
+    node.update_list([api.ServerEntry(n) for n in range(4)] + starting)
+    apply_load(3, 4.0, 1)
     for server in (8, 9):
-        times = [at for at, to in world.sends if to == server]
+        times = [at for at, to in node.sends if to == server]
         assert times, "a server in slow start gets something"
         for at in times:
-            span = [t for t in times if at <= t < at + 1000.0]
-            warmth = 0.25 + 0.75 * (at - start) / 8000.0
-            assert len(span) <= 3.0 * rate * warmth
+            within_a_second = [t for t in times if at <= t < at + 1000.0]
+            slow_start_share = 0.25 + 0.75 * (at - start) / 8000.0
+            assert len(within_a_second) <= 3.0 * rate_per_s * slow_start_share
