--- a/tests/test_balancer_reconfiguration.py
+++ b/tests/test_balancer_reconfiguration.py
@@ -1,4 +1,4 @@
-"""New settings and quota shares while calls are in flight; events about what is not there."""
+"""New settings and quota shares while calls are in flight, and events with unknown ids."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from tests.helpers import KEYED, SAFE, UNSAFE, Node, entries, final_answers, sends, settings, timers
 
 
-def test_new_settings_bind_new_calls_while_those_in_flight_keep_their_class() -> None:
+def test_new_settings_apply_to_new_calls_while_those_in_flight_keep_their_class() -> None:
     node = Node(classes=[SAFE, UNSAFE], max_attempts=3)
     node.request("old", "safe")
     stricter = replace(SAFE, idempotency=api.Idempotency.NON_IDEMPOTENT)
     node.handle(api.Reconfigured(settings(classes=[stricter, KEYED], max_attempts=3)))
     retry = node.complete("old", api.Result.ERROR)
-    assert timers(retry), "it came as safe to repeat"
+    assert timers(retry), "the request was idempotent when it was accepted"
     node.request("new", "safe")
     assert isinstance(final_answers(node.complete("new", api.Result.ERROR))[0], api.Fail)
     node.request("keyed", "keyed")
@@ -28,7 +28,7 @@
     assert set(node.balancer.classes) == {"safe", "keyed"}
 
 
-def test_fewer_attempts_bind_calls_in_flight() -> None:
+def test_lower_attempt_limit_applies_to_calls_in_flight() -> None:
     node = Node(max_attempts=3)
     node.request("a", "safe")
     assert timers(node.complete("a", api.Result.ERROR))
@@ -38,7 +38,7 @@
     assert not sends(actions) and final_answers(actions)
 
 
-def test_a_class_that_vanished_while_its_calls_wait_does_no_harm() -> None:
+def test_removing_a_class_with_waiting_calls_does_not_affect_other_classes() -> None:
     node = Node(servers=0, classes=[SAFE, UNSAFE])
     node.request("a", "unsafe")
     node.handle(api.Reconfigured(settings(classes=[KEYED])))
@@ -47,27 +47,27 @@
     assert node.balancer.statistics.lowest_on_time_share() == 1.0
 
 
-def test_quota_shares_hold_until_replaced() -> None:
+def test_quota_shares_apply_until_replaced() -> None:
     tenants = [api.Tenant("t", quota_per_s=40.0)]
     balancer = Balancer(replace(settings(), tenants=tenants, replicas=4), 1)
 
-    def within(at: float) -> int:
+    def admitted_within_quota(at: float) -> int:
         before = balancer.quota_counts.get("t", QuotaCounts()).within
         for n in range(100):
             balancer.handle(api.Request(f"{at}{n}", "safe", 100.0, "t"), at + 10.0 * n)
         return balancer.quota_counts["t"].within - before
 
-    within(0.0)
-    assert within(1_000.0) == pytest.approx(10, abs=1)
+    admitted_within_quota(0.0)
+    assert admitted_within_quota(1_000.0) == pytest.approx(10, abs=1)
     balancer.handle(api.QuotaShares({"t": 30.0}), 2_000.0)
-    within(2_000.0)
-    assert within(3_000.0) == pytest.approx(30, abs=1)
+    admitted_within_quota(2_000.0)
+    assert admitted_within_quota(3_000.0) == pytest.approx(30, abs=1)
     balancer.handle(api.QuotaShares({}), 4_000.0)
-    within(4_000.0)
-    assert within(5_000.0) == pytest.approx(10, abs=1)
+    admitted_within_quota(4_000.0)
+    assert admitted_within_quota(5_000.0) == pytest.approx(10, abs=1)
 
 
-def test_unknown_ids_and_timers_change_nothing() -> None:
+def test_events_with_unknown_ids_have_no_effect() -> None:
     node = Node()
     assert node.handle(api.TimerFired(999)) == []
     assert node.handle(api.ClientDisconnected("nobody")) == []
