--- a/tests/test_balancer_retries.py
+++ b/tests/test_balancer_retries.py
@@ -1,4 +1,4 @@
-"""Rules 1, 2, 5 and 6, back-off and time-outs: what may be sent again, when, and how a request ends."""
+"""Retries, back-off and timeouts, and how requests end; rules 1, 2, 5 and 6 of `tests.checker`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.helpers import Node, final_answers, sends, timers, try_send
 
 
-def test_a_retry_backs_off_and_goes_to_another_server() -> None:
+def test_retry_backs_off_and_goes_to_another_server() -> None:
     node = Node()
     node.request("a")
     [timer] = timers(node.complete("a", Result.ERROR))
@@ -20,28 +20,28 @@
 
 
 def test_back_off_doubles_with_jitter() -> None:
-    # Without jitter, doubling waits line retries up after a common stall.
-    firsts, seconds = [], []
+    # Without jitter, retries of requests that failed together would stay synchronized.
+    first_delays_ms, second_delays_ms = [], []
     for seed in range(200):
         node = Node(seed=seed)
         node.request("a", ttl_ms=30_000.0)
         [first] = timers(node.complete("a", Result.ERROR))
         node.handle(api.TimerFired(first.token), first.delay_ms)
         [second] = timers(node.complete("a", Result.ERROR))
-        firsts.append(first.delay_ms)
-        seconds.append(second.delay_ms)
-    assert sum(seconds) == pytest.approx(2.0 * sum(firsts), rel=0.1)
-    assert max(firsts) > 2.0 * min(firsts)
+        first_delays_ms.append(first.delay_ms)
+        second_delays_ms.append(second.delay_ms)
+    assert sum(second_delays_ms) == pytest.approx(2.0 * sum(first_delays_ms), rel=0.1)
+    assert max(first_delays_ms) > 2.0 * min(first_delays_ms)
 
 
-def test_rule_1_a_time_out_at_the_deadline_is_answered_once() -> None:
+def test_rule_1_timeout_at_the_deadline_is_answered_once() -> None:
     node = Node()
     node.request("a", "unsafe", 800.0)
     assert len(final_answers(node.complete("a", Result.TIMEOUT, 800.0))) == 1
     assert node.handle(api.ClientDisconnected("a")) == []
 
 
-def test_rule_1_without_servers_a_request_still_ends_in_time() -> None:
+def test_rule_1_request_is_answered_in_time_without_any_server() -> None:
     node = Node(servers=0)
     actions = node.request("a", ttl_ms=900.0)
     start = node.now
@@ -52,7 +52,7 @@
     assert node.now - start < 900.0
 
 
-def test_rule_1_nothing_is_sent_after_the_client_has_disconnected() -> None:
+def test_rule_1_no_retry_after_the_client_has_disconnected() -> None:
     node = Node()
     node.request("a")
     [timer] = timers(node.complete("a", Result.ERROR))
@@ -60,21 +60,21 @@
     assert node.handle(api.TimerFired(timer.token), timer.delay_ms) == []
 
 
-def test_rule_2_non_idempotent_is_not_retried_once_it_may_have_run() -> None:
+def test_rule_2_non_idempotent_request_is_not_retried_if_it_may_have_been_executed() -> None:
     for result in (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED):
         node = Node()
         node.request("a", "unsafe")
         assert final_answers(node.complete("a", result)) == [api.Fail("a")]
 
 
-def test_rule_2_non_idempotent_is_retried_when_it_never_ran() -> None:
+def test_rule_2_non_idempotent_request_is_retried_if_it_was_not_executed() -> None:
     node = Node()
     node.request("a", "unsafe")
     [timer] = timers(node.complete("a", Result.REJECTED))
     assert sends(node.handle(api.TimerFired(timer.token), timer.delay_ms))
 
 
-def test_rule_2_keyed_stays_in_its_group() -> None:
+def test_rule_2_keyed_request_is_retried_within_its_deduplication_group() -> None:
     for seed in range(20):
         node = Node(servers=8, seed=seed)
         node.request("a", "keyed")
@@ -83,17 +83,17 @@
         assert send.server % 2 == node.sent["a"][0] % 2
 
 
-def test_rule_2_keyed_is_not_sent_after_its_deduplication_window() -> None:
+def test_rule_2_keyed_request_is_not_retried_after_its_deduplication_window() -> None:
     node = Node()
     node.request("a", "keyed", ttl_ms=3000.0)
     actions = node.complete("a", Result.TIMEOUT, 1990.0)
     assert final_answers(actions) == [api.Fail("a")] and not timers(actions)
 
 
-def test_the_gate_itself_keeps_rules_1_and_2() -> None:
+def test_send_itself_enforces_rules_1_and_2() -> None:
     node = Node(servers=4)
-    node.request("out", "safe")
-    assert not try_send(node, "out", 1)  # one is out already
+    node.request("in-flight", "safe")
+    assert not try_send(node, "in-flight", 1)  # an attempt is in flight
     node.request("late", "safe", 400.0)
     node.complete("late", Result.ERROR, 100.0)
     node.now += 298.0
@@ -101,20 +101,20 @@
     node.request("keyed", "keyed")
     node.complete("keyed", Result.ERROR, 10.0)
     other = 1 - node.sent["keyed"][0] % 2
-    assert not try_send(node, "keyed", other)  # another group
+    assert not try_send(node, "keyed", other)  # another deduplication group
     node.now += 1995.0
-    assert not try_send(node, "keyed", 1 - other)  # the window is over
-    node.request("again", "safe")
-    node.complete("again", Result.ERROR, 10.0)
-    assert try_send(node, "again", 1)  # the gate does open
+    assert not try_send(node, "keyed", 1 - other)  # the deduplication window is over
+    node.request("allowed", "safe")
+    node.complete("allowed", Result.ERROR, 10.0)
+    assert try_send(node, "allowed", 1)  # nothing prevents this one
 
 
-def test_rule_5_retries_stay_within_the_stated_budget() -> None:
-    """Leiden's first score: 4 retries_sent attempts where 13 requests taken allow 3.4."""
+def test_rule_5_retries_stay_within_the_budget() -> None:
+    """Guards against a fault in which 4 retries were sent where 13 accepted requests allow 3.4."""
     node = Node(8, retry_budget_ratio=0.1, retry_budget_floor=2.0, retry_budget_window_ms=5000.0)
 
     def retries_sent(count: int) -> int:
-        """So many requests, of which each one's first attempt fails."""
+        """Make `count` requests whose first attempts fail; return the number of retries sent."""
         retries = 0
         for n in range(count):
             id = f"{node.now}-{n}"
@@ -124,23 +124,23 @@
         return retries
 
     assert retries_sent(9) == 2
-    assert retries_sent(1) == 1  # the tenth request taken earns one
+    assert retries_sent(1) == 1  # 10% of ten accepted requests is one retry
     node.now += 4990.0
-    assert retries_sent(1) == 0  # within the window, whatever else is in it
+    assert retries_sent(1) == 0  # the earlier retries are still in the window
     node.now += 20.0
-    assert retries_sent(8) == 2  # the first have left it, and nine taken earn none
+    assert retries_sent(8) == 2  # they have left it, and 10% of nine requests is less than one
 
 
-def test_a_sliding_window_that_is_never_read_drops_old_events() -> None:
-    """case2060: a node kept a time for each of 1,025 retries, and more with every minute."""
-    count = SlidingWindowCounter(1000.0)
+def test_sliding_window_that_is_never_read_drops_old_events() -> None:
+    """A node without a retry budget stored a time for each of 1,025 retries, growing without limit."""
+    counter = SlidingWindowCounter(1000.0)
     for n in range(500):
-        count.add(100.0 * n)
-    assert len(count._times_ms) == 11
-    assert count.count(100.0 * 499) == 11
+        counter.add(100.0 * n)
+    assert len(counter._times_ms) == 11
+    assert counter.count(100.0 * 499) == 11
 
 
-def test_without_a_stated_budget_retries_are_not_limited() -> None:
+def test_retries_are_not_limited_without_a_budget() -> None:
     node = Node(8)
     for n in range(20):
         node.request(f"{n}")
@@ -148,20 +148,20 @@
         assert try_send(node, f"{n}", 1)
 
 
-def test_rule_6_a_rejection_is_no_proof_where_so_stated() -> None:
+def test_rule_6_rejected_request_may_have_been_executed_if_the_settings_say_so() -> None:
     node = Node(rejected_may_have_run=True)
     node.request("a", "unsafe")
     assert final_answers(node.complete("a", Result.REJECTED)) == [api.Fail("a")]
     node.request("b", "keyed")
     node.complete("b", Result.REJECTED, 10.0)
-    assert not try_send(node, "b", 1 - node.sent["b"][0] % 2)  # it stays inside its group
+    assert not try_send(node, "b", 1 - node.sent["b"][0] % 2)  # it may only go to its group
     node.request("c", "unsafe")
-    assert timers(node.complete("c", Result.UNREACHABLE))  # that is still a proof
+    assert timers(node.complete("c", Result.UNREACHABLE))  # this was certainly not executed
 
 
-def test_an_unserved_request_is_rejected_wherever_a_retry_is_harmless() -> None:
-    """Leiden's days: what was turned away and could be asked again was failed, which promises nothing."""
-    for cls, result, end in (
+def test_unserved_request_is_rejected_if_a_retry_is_safe() -> None:
+    """A failure doesn't tell the client that it may retry; requests that were safe to retry used to fail."""
+    for cls, result, expected in (
         ("safe", Result.ERROR, api.Reject),
         ("keyed_all", Result.ERROR, api.Reject),
         ("unsafe", Result.UNREACHABLE, api.Reject),
@@ -171,28 +171,28 @@
         node = Node(max_attempts=1)
         node.request("a", cls)
         [answer] = final_answers(node.complete("a", result))
-        assert isinstance(answer, end)
+        assert isinstance(answer, expected)
 
 
-def test_a_stream_binds_its_request_to_one_attempt() -> None:
+def test_request_is_not_retried_once_its_response_streams() -> None:
     node = Node()
     node.request("a")
     node.handle(api.StreamStarted("a", 0, node.sent["a"][0], 20.0))
     assert not sends(node.complete("a", Result.RESET, 50.0, final=True))
 
 
-def test_an_attempt_times_out_no_sooner_than_the_node_may_be_late() -> None:
+def test_timeout_is_not_shorter_than_the_possible_lateness_of_the_node() -> None:
     node = Node()
-    node.serve(100, delay_ms=0.5)  # eight times that is over before a busy machine looks again
+    node.serve(100, delay_ms=0.5)  # a process on a busy machine may be delayed by more than eight times this
     [send] = sends(node.request("next"))
     assert 100.0 <= send.timeout_ms < 200.0
 
 
-def test_an_attempt_times_out_after_several_usual_delays() -> None:
-    """i2750ee: calls to a lost zone waited out a whole deadline and filled the slots of the tier above."""
+def test_attempt_times_out_after_several_usual_delays() -> None:
+    """Calls to a failed zone waited until their deadline and occupied the slots of the tier above."""
     node = Node(servers=4, tier=1, propagates_deadline=False)
     (early,) = sends(node.request("early"))
-    assert early.timeout_ms > 2000.0  # nothing is usual yet
+    assert early.timeout_ms > 2000.0  # there is no usual delay yet
     node.complete("early", Result.SERVED)
     node.serve(100, delay_ms=50.0)
     (send,) = sends(node.request("lost"))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter as the bench runs it: a process, lines in, lines out."""
+"""The simulator's adapter as a process that reads and writes lines of JSON."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 }  # fmt: skip
 
 
-def launch(node: str, salt: int = 7, env: dict[str, Any] = ENV) -> list[dict[str, Any]]:
+def launch_items(node: str, salt: int = 7, env: dict[str, Any] = ENV) -> list[dict[str, Any]]:
     servers = [
         {"server": n, "failure_domain": "z1" if n % 2 else "z2", "sku": "k1", "group": n % 3,
          "health": "in_service", "share": 1, "boot_time_ms": None} for n in range(5)
@@ -43,18 +43,18 @@
     ]
 
 
-def job(node: str, id: str, cls: str = "read", owner: str | None = "a") -> dict[str, Any]:
+def request_item(node: str, id: str, cls: str = "read", owner: str | None = "a") -> dict[str, Any]:
     return {"kind": "JobIn", "node": node, "request_id": id, "type": cls, "ttl_ms": 2500.0, "owner": owner,
             "again_by_client": False, "update": False, "entity": None, "size_hint_ms": None}  # fmt: skip
 
 
-def ended(node: str, action: dict[str, Any], code: int, number: int = 0) -> dict[str, Any]:
+def completed_item(node: str, action: dict[str, Any], code: int, number: int = 0) -> dict[str, Any]:
     return {"kind": "Completed", "node": node, "request_id": action["request_id"], "settled": code == 100,
             "disposition": code, "duration_ms": 40.0, "server": action["server"], "send_no": number,
             "report": None}  # fmt: skip
 
 
-def run(lines: list[Any], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_adapter(lines: list[Any], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     text = "".join((line if isinstance(line, str) else json.dumps(line)) + "\n" for line in lines)
     return subprocess.run(
         [sys.executable, "-m", "dunlinloft.balancer.wirehost"], input=text,
@@ -67,17 +67,17 @@
     return {"ts_ms": 1000.0 * number if now is None else now, "round": number, "items": list(items)}
 
 
-def day(nodes: list[str], rename: dict[str, str] | None = None) -> list[Any]:
-    """A fixed script; outcomes name servers, whether or not they were picked."""
+def scripted_batches(nodes: list[str], rename: dict[str, str] | None = None) -> list[Any]:
+    """Return a fixed sequence of batches; results name servers regardless of whether they were selected."""
     classes = ["read", "pay", "save"]
-    lines = [batch(1, *(item for n, node in enumerate(nodes) for item in launch(node, 7 + n)))]
+    lines = [batch(1, *(item for n, node in enumerate(nodes) for item in launch_items(node, 7 + n)))]
     for step in range(2, 80):
         items = []
         for node in nodes:
-            items.append(job(node, f"{node}-{step}", classes[step % 3]))
+            items.append(request_item(node, f"{node}-{step}", classes[step % 3]))
             old = {"request_id": f"{node}-{step - 1}", "server": step % 5}
             if step > 2:
-                items.append(ended(node, old, [100, 301, 302, 303, 304][step % 5]))
+                items.append(completed_item(node, old, [100, 301, 302, 303, 304][step % 5]))
             items.append({"kind": "Fired", "node": node, "nonce": step // 2})
         lines.append(batch(step, *items, now=1000.0 + 40.0 * step))
     if rename is None:
@@ -94,54 +94,59 @@
     return [json.loads(line) for line in result.stdout.splitlines()]
 
 
-def test_a_request_is_sent_and_the_reply_numbered() -> None:
-    lines = [batch(1), batch(2, *launch("node-0")), batch(3, job("node-0", "q"))]
-    [empty, first, second] = replies(run(lines))
+def test_request_is_sent_and_replies_are_numbered() -> None:
+    lines = [batch(1), batch(2, *launch_items("node-0")), batch(3, request_item("node-0", "q"))]
+    [empty, first, second] = replies(run_adapter(lines))
     assert empty == {"round": 1, "actions": []}
     assert {"kind": "Track", "node": "node-0", "on": True} in first["actions"]
     [send] = second["actions"]
     assert send["kind"] == "SubmitTo" and send["request_id"] == "q" and send["within_ms"] <= 2500.0
 
 
-def test_power_off_forgets_and_a_new_life_starts() -> None:
-    lines = [batch(1, *launch("node-0")), batch(2, {"kind": "PowerOff", "node": "node-0"}, *launch("node-0"))]
-    assert len(replies(run(lines))) == 2
+def test_node_can_be_launched_again_after_power_off() -> None:
+    lines = [
+        batch(1, *launch_items("node-0")),
+        batch(2, {"kind": "PowerOff", "node": "node-0"}, *launch_items("node-0")),
+    ]
+    assert len(replies(run_adapter(lines))) == 2
 
 
-def test_hash_seeds_and_processes_change_nothing() -> None:
-    both = replies(run(day(["node-0", "node-1"])))
-    assert both == replies(run(day(["node-0", "node-1"]), hash_seed="4242"))
+def test_replies_do_not_depend_on_the_hash_seed_or_other_nodes() -> None:
+    both = replies(run_adapter(scripted_batches(["node-0", "node-1"])))
+    assert both == replies(run_adapter(scripted_batches(["node-0", "node-1"]), hash_seed="4242"))
     for n, node in enumerate(["node-0", "node-1"]):
-        lines = day([node]) if n == 0 else [
+        lines = scripted_batches([node]) if n == 0 else [
             {**line, "items": [i for i in line["items"] if i.get("node", node) == node]}
-            for line in day(["node-0", "node-1"])
+            for line in scripted_batches(["node-0", "node-1"])
         ]  # fmt: skip
-        alone = replies(run(lines))
+        alone = replies(run_adapter(lines))
         assert [r["actions"] for r in alone] == [[a for a in r["actions"] if a["node"] == node] for r in both]
 
 
-def test_names_change_no_decision() -> None:
+def test_decisions_do_not_depend_on_names() -> None:
     names = {"read": "zz", "pay": "aa", "save": "mm", "a": "tenant-9", "z1": "north", "z2": "east",
              "k1": "big", "front": "x", "back": "y"}  # fmt: skip
-    assert replies(run(day(["node-0"]))) == replies(run(day(["node-0"], names)))
+    assert replies(run_adapter(scripted_batches(["node-0"]))) == replies(
+        run_adapter(scripted_batches(["node-0"], names))
+    )
 
 
-def test_reports_may_miss_values_or_be_negative_and_an_owner_may_be_0() -> None:
+def test_null_and_negative_report_values_and_owner_0_are_accepted() -> None:
     reports: list[Any] = [None, {}, {"queue": None}, {"queue": -3.0, "util": 0.5}, {"unheard_of": 1e300}]
-    lines = [batch(1, *launch("node-0"))]
+    lines = [batch(1, *launch_items("node-0"))]
     for n, report in enumerate(reports, 2):
-        request = {**job("node-0", f"q{n}"), "owner": 0}
-        outcome = {**ended("node-0", {"request_id": f"q{n}", "server": 1}, 100), "report": report}
-        lines.append(batch(n, request, outcome))
-    assert len(replies(run(lines))) == len(lines)
+        request = {**request_item("node-0", f"q{n}"), "owner": 0}
+        result = {**completed_item("node-0", {"request_id": f"q{n}", "server": 1}, 100), "report": report}
+        lines.append(batch(n, request, result))
+    assert len(replies(run_adapter(lines))) == len(lines)
 
 
-def test_the_end_of_input_is_the_end() -> None:
-    result = run([])
+def test_process_exits_at_the_end_of_input() -> None:
+    result = run_adapter([])
     assert (result.returncode, result.stdout, result.stderr) == (0, "", "")
 
 
-def broken_env(path: list[Any], value: Any = None) -> dict[str, Any]:
+def invalid_env(path: list[Any], value: Any = None) -> dict[str, Any]:
     env = copy.deepcopy(ENV)
     part = env
     for key in path[:-1]:
@@ -162,30 +167,48 @@
         ({"ts_ms": 5.0, "round": 2, "items": 7}, ["items", "array"]),
         ({"ts_ms": 5.0, "round": 2, "items": [3]}, ["items[0]", "object"]),
         (batch(2, {"kind": "Nonsense", "node": "node-0"}), ["items[0]", "unknown kind"]),
-        (batch(2, job("node-9", "q")), ["node-9", "not running"]),
-        (batch(2, {**job("node-0", "q"), "ttl_ms": "soon"}), ["ttl_ms", "number"]),
-        (batch(2, {**job("node-0", "q"), "ttl_ms": True}), ["ttl_ms", "number"]),
-        (batch(2, job("node-0", "q", "no-such-class")), ["type", "no-such-class"]),
-        (batch(2, ended("node-0", {"request_id": "q", "server": 1}, 999)), ["disposition", "999"]),
+        (batch(2, request_item("node-9", "q")), ["node-9", "not running"]),
+        (batch(2, {**request_item("node-0", "q"), "ttl_ms": "soon"}), ["ttl_ms", "number"]),
+        (batch(2, {**request_item("node-0", "q"), "ttl_ms": True}), ["ttl_ms", "number"]),
+        (batch(2, request_item("node-0", "q", "no-such-class")), ["type", "no-such-class"]),
+        (batch(2, completed_item("node-0", {"request_id": "q", "server": 1}, 999)), ["disposition", "999"]),
         (batch(2, {"kind": "Fired", "node": "node-0"}), ["nonce", "missing"]),
         (batch(2, {"kind": "View", "node": "node-0", "form": "FULL", "stamp": 2, "bank": 5}), ["bank", "5"]),
-        (batch(2, *launch("node-1", env=broken_env(["rules", "ramp_time_ms"]))), ["ramp_time_ms", "missing"]),
-        (batch(2, *launch("node-1", env=broken_env(["classes", 0, "semantics"], "x"))), ["semantics", "'x'"]),
-        (batch(2, *launch("node-1", env=broken_env(["siblings"], "two"))), ["siblings", "whole number"]),
-        (batch(2, *launch("node-1", env=broken_env(["classes"], []))), ["items[1]", "classes"]),
-        (batch(2, *launch("node-1", env=broken_env(["rules", "start_capacity"], 1.5))), ["start_capacity"]),
-        (batch(2, *launch("node-1", env=broken_env(["rules", "ramp_time_ms"], -1.0))), ["ramp_time_ms"]),
+        (
+            batch(2, *launch_items("node-1", env=invalid_env(["rules", "ramp_time_ms"]))),
+            ["ramp_time_ms", "missing"],
+        ),
+        (
+            batch(2, *launch_items("node-1", env=invalid_env(["classes", 0, "semantics"], "x"))),
+            ["semantics", "'x'"],
+        ),
+        (
+            batch(2, *launch_items("node-1", env=invalid_env(["siblings"], "two"))),
+            ["siblings", "whole number"],
+        ),
+        (batch(2, *launch_items("node-1", env=invalid_env(["classes"], []))), ["items[1]", "classes"]),
+        (
+            batch(2, *launch_items("node-1", env=invalid_env(["rules", "start_capacity"], 1.5))),
+            ["start_capacity"],
+        ),
+        (
+            batch(2, *launch_items("node-1", env=invalid_env(["rules", "ramp_time_ms"], -1.0))),
+            ["ramp_time_ms"],
+        ),
         ('{"ts_ms": NaN, "round": 2, "items": []}', ["ts_ms", "finite"]),
-        (batch(2, {**job("node-0", "q"), "ttl_ms": float("inf")}), ["ttl_ms", "finite"]),
+        (batch(2, {**request_item("node-0", "q"), "ttl_ms": float("inf")}), ["ttl_ms", "finite"]),
         ("[" * 100_000, ["line 2", "JSON"]),
         (
-            batch(2, {**ended("node-0", {"request_id": "q", "server": 1}, 100), "report": {"queue": "x"}}),
+            batch(
+                2,
+                {**completed_item("node-0", {"request_id": "q", "server": 1}, 100), "report": {"queue": "x"}},
+            ),
             ["queue", "number"],
         ),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(line: Any, words: list[str]) -> None:
-    result = run([batch(1, *launch("node-0")), line, batch(3)])
+def test_malformed_input_exits_with_a_single_line_message(line: Any, words: list[str]) -> None:
+    result = run_adapter([batch(1, *launch_items("node-0")), line, batch(3)])
     assert result.returncode == 2
     assert len(result.stdout.splitlines()) == 1
     [message] = result.stderr.splitlines()
