--- a/dunlinloft/balancer/balancer.py
+++ b/dunlinloft/balancer/balancer.py
@@ -33,9 +33,7 @@
 from dunlinloft.balancer.server_set import ServerSet, ZoneCapacity
 from dunlinloft.balancer.tenant_quotas import QuotaCounts, TenantQuotas
 
-RESUBSCRIBE_SHARE = (
-    0.1  # mean delay before subscribing again after a failure, as a share of the poll interval
-)
+RESUBSCRIBE_SHARE = 0.1  # mean delay before subscribing again, as a share of the poll interval
 # Maximum of that mean delay: whatever the interval, a node must know of a change within 6 s of discovery.
 RESUBSCRIBE_MAX_MS = 500.0
 RESUBSCRIBE_TOKEN = 0  # token of the timer for subscribing again; tokens of calls start at 1
--- a/dunlinloft/balancer/latency_baseline.py
+++ b/dunlinloft/balancer/latency_baseline.py
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self.usual_share = 0.0
         self.samples = 0.0
-        self._minimum_share = math.inf  # minimum of the mean, when requests hardly queued
+        self._minimum_share = math.inf  # minimum of the mean: the delay with hardly any queueing
 
     @property
     def established(self) -> bool:
--- a/dunlinloft/balancer/wirehost.py
+++ b/dunlinloft/balancer/wirehost.py
@@ -148,14 +148,14 @@
     def handle_batch(self, batch: Json) -> Json:
         """Process one batch and return the reply; raises `MalformedInput`, which names the invalid item."""
         now_ms: float = required(batch, "ts_ms", NUMBER)
-        number = required(batch, "round", int)
+        round_number = required(batch, "round", int)
         actions: list[Json] = []
         for index, item in enumerate(object_list(batch, "items")):
             try:
                 self._handle_item(item, now_ms, actions)
             except MalformedInput as error:
                 raise MalformedInput(f"items[{index}] ({item.get('kind')!r:.40}): {error}") from None
-        return {"round": number, "actions": actions}
+        return {"round": round_number, "actions": actions}
 
     def _handle_item(self, item: Json, now_ms: float, actions: list[Json]) -> None:
         """Process one item of a batch and append the resulting actions."""
--- a/tests/test_balancer_admission.py
+++ b/tests/test_balancer_admission.py
@@ -62,7 +62,7 @@
 def test_calls_stuck_at_unresponsive_servers_do_not_count_against_the_window(
     unresponsive: set[int], excluded: bool
 ) -> None:
-    """Calls to a failed zone must not fill_window the windows.
+    """Calls to a failed zone must not fill the windows.
 
     When they were counted, they took over half of each window, and half of all requests were rejected.
     """
--- a/tests/test_delay_controller.py
+++ b/tests/test_delay_controller.py
@@ -134,7 +134,7 @@
 
 
 def test_window_keeps_its_initial_size_until_there_are_answers() -> None:
-    """Requests were rejected in the first seconds under low load."""
+    """A window computed before the first answers rejected requests under low load."""
     controller = DelayController()
     for k in range(20):
         assert controller.window(4.0, 100.0 * k) == INITIAL_CALLS_PER_SERVER * 4.0
@@ -167,7 +167,7 @@
 
 
 def test_window_does_not_collapse_if_the_usual_delay_is_above_the_target() -> None:
-    """Each window lowered the answer rate, and that the next window, until the servers were idle."""
+    """Each window lowered the answer rate, and that the next window, although the servers were idle."""
     controller, now, delay_s = DelayController(), 0.0, 0.5  # with a latency target of 1 s
     in_flight = 20.0
     for _ in range(600):
