--- a/dunlinloft/controlplane/components.py
+++ b/dunlinloft/controlplane/components.py
@@ -111,7 +111,7 @@
         registry,
         publisher,
         placements,
-        lambda: replica.view_in_contact(now_ms()),
+        lambda: replica.view_with_majority_contact(now_ms()),
         replica.peer_addresses,
         peers.send,
     )
--- a/dunlinloft/controlplane/loops.py
+++ b/dunlinloft/controlplane/loops.py
@@ -11,7 +11,7 @@
 
 from dunlinloft.controlplane.components import Components
 from dunlinloft.controlplane.member_cache import CachedMembers
-from dunlinloft.coordination.stream import ControlKeepalive, ControlPlaneView, NodeSightings
+from dunlinloft.coordination.stream import ControlKeepalive, ControlPlaneView, NodeLivenessUpdate
 from dunlinloft.transport import message_stream
 from dunlinloft.transport.clock import now_ms
 
@@ -47,7 +47,7 @@
         while True:
             components.replica_host.tick()
             self._follow_view()
-            components.publisher.set_confirmed(components.replica.is_confirmed(now_ms()))
+            components.publisher.set_confirmed(components.replica.has_confirmed_state(now_ms()))
             components.quotas.refill()
             components.registry.expire(now_ms())
             components.registrar.publish_changes()
@@ -94,7 +94,7 @@
             await asyncio.sleep(NODE_EXCHANGE_INTERVAL_S)
             components.nodes.expire(now_ms())
             components.quotas.drop_expired()
-            frame = message_stream.encode_frame(NodeSightings(components.nodes.sightings(now_ms())))
+            frame = message_stream.encode_frame(NodeLivenessUpdate(components.nodes.liveness(now_ms())))
             for address in sorted(components.replica.peer_addresses()):
                 components.peers.send_frame(address, frame)
 
@@ -109,5 +109,5 @@
                 cached_names = names
                 servers = tuple(components.registry.records.values())
                 await components.disk.write_members(
-                    CachedMembers(servers, components.nodes.sightings(now_ms()))
+                    CachedMembers(servers, components.nodes.liveness(now_ms()))
                 )
--- a/dunlinloft/controlplane/member_cache.py
+++ b/dunlinloft/controlplane/member_cache.py
@@ -15,7 +15,7 @@
 
 from dunlinloft.controlplane.exceptions import MemberCacheError
 from dunlinloft.controlplane.file_layer import SYSTEM_FILES, FileLayer, write_fully
-from dunlinloft.coordination.stream import NodeSighting, ServerRecord
+from dunlinloft.coordination.stream import NodeLiveness, ServerRecord
 
 FORMAT_VERSION = 2
 
@@ -24,7 +24,7 @@
     """The servers and data-plane nodes that were known at one time."""
 
     servers: tuple[ServerRecord, ...] = ()
-    nodes: tuple[NodeSighting, ...] = ()
+    nodes: tuple[NodeLiveness, ...] = ()
 
 
 class _CacheFile(Struct, frozen=True):
--- a/dunlinloft/controlplane/replica_host.py
+++ b/dunlinloft/controlplane/replica_host.py
@@ -62,7 +62,7 @@
 
     async def call(self, change: ConfigurationChange | None) -> Reply:
         """Make an operator's call, a read where `change` is None; its outcome is 503 where time runs out."""
-        token = f"{self._replica.me.id}/{next(self._call_numbers)}/{secrets.token_hex(4)}"
+        token = f"{self._replica.local_member.id}/{next(self._call_numbers)}/{secrets.token_hex(4)}"
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
         self._calls[token] = future
         try:
--- a/dunlinloft/controlplane/startup.py
+++ b/dunlinloft/controlplane/startup.py
@@ -59,7 +59,7 @@
     components.replica_host.begin(initial_view(settings.seed_addresses()) if begins else None)
     host, port = split_host_port(address)
     await stack.enter_async_context(serve_streams(components.stream_services(), host, port))
-    logging.info("event=started node=%s member=%s", settings.node_name, replica.me.id)
+    logging.info("event=started node=%s member=%s", settings.node_name, replica.local_member.id)
     tasks = await stack.enter_async_context(BackgroundTasks())
     for loop in PeriodicLoops(components).coroutines():
         tasks.start(run_essential(loop, settings.node_name))
--- a/dunlinloft/controlplane/stream_session.py
+++ b/dunlinloft/controlplane/stream_session.py
@@ -17,8 +17,8 @@
     FetchConfiguration,
     LocalPlacement,
     NodeKeepalive,
+    NodeLivenessUpdate,
     NodeShutdown,
-    NodeSightings,
     PlacementCompleted,
     PlacementQuery,
     PrefillCompleted,
@@ -80,7 +80,7 @@
                 self._handle_node(self._subscription, message)
             case PlacementQuery() | LocalPlacement() | PrefillCompleted() | PlacementCompleted():
                 self._handle_placement(message)
-            case ServerHeartbeats() | ServerHeartbeatsAck() | QuotaHandover() | NodeSightings():
+            case ServerHeartbeats() | ServerHeartbeatsAck() | QuotaHandover() | NodeLivenessUpdate():
                 self._handle_peer(message)
             case _:
                 self._services.replica_host.handle(message)
@@ -108,7 +108,7 @@
         services.nodes.on_message(message.node, False, now)
         services.quotas.on_node_subscribed(message.node, message.uptime_ms, message.quota_holdings)
         services.registrar.publish_changes()
-        ranges = services.registry.digests.differing(message.server_digests)
+        ranges = services.registry.digests.differing_ranges(message.server_digests)
         servers = ServerSnapshot(
             services.registry.is_complete(now), ranges, services.registry.in_ranges(ranges)
         )
@@ -154,7 +154,7 @@
                 placement.on_completed(self._number, message)
 
     def _handle_peer(
-        self, message: ServerHeartbeats | ServerHeartbeatsAck | QuotaHandover | NodeSightings
+        self, message: ServerHeartbeats | ServerHeartbeatsAck | QuotaHandover | NodeLivenessUpdate
     ) -> None:
         services = self._services
         match message:
@@ -164,5 +164,5 @@
                 services.registrar.on_replication_acknowledged(message)
             case QuotaHandover():
                 services.quotas.on_handover(message)
-            case NodeSightings():
+            case NodeLivenessUpdate():
                 services.nodes.merge(message.nodes, now_ms())
--- a/dunlinloft/coordination/acceptor.py
+++ b/dunlinloft/coordination/acceptor.py
@@ -21,8 +21,8 @@
 class Acceptor:
     """Promises and acceptances of one replica in one epoch. Owned by `voting.Voting`, which checks epochs."""
 
-    def __init__(self, me: Member, durable: DurableState, hooks: VotingHooks) -> None:
-        self._me = me
+    def __init__(self, local_member: Member, durable: DurableState, hooks: VotingHooks) -> None:
+        self._local_member = local_member
         self._hooks = hooks
         self.promised: ProposalNumber | None = durable.promised
         self.accepted: AcceptedProposal | None = durable.accepted
@@ -38,7 +38,7 @@
         if self._reject_lower(message.sender, epoch, number):
             return
         self.promised = number
-        response = PrepareResponse(self._me, epoch, number, self.accepted)
+        response = PrepareResponse(self._local_member, epoch, number, self.accepted)
         self._answer_once_durable(PrepareRecord(number), message.sender, response)
 
     def on_accept(self, message: Accept) -> None:
@@ -47,11 +47,11 @@
         number = message.proposal_number
         if self._reject_lower(message.sender, epoch, number):
             return
-        if message.view.sealed_by == self._me.id and not self._seal_current_epoch():
+        if message.view.sealed_by == self._local_member.id and not self._seal_current_epoch():
             return
         self.promised = number
         self.accepted = AcceptedProposal(number, message.view)
-        response = Accepted(self._me, epoch, number)
+        response = Accepted(self._local_member, epoch, number)
         self._answer_once_durable(AcceptRecord(number, message.view), message.sender, response)
 
     def observe_promised(self, number: ProposalNumber) -> None:
@@ -66,12 +66,12 @@
         """Reject a proposal whose number is below the promised one; return whether it was."""
         if self.promised is None or number >= self.promised:
             return False
-        self._hooks.send(proposer.address, ProposalRejected(self._me, epoch, self.promised))
+        self._hooks.send(proposer.address, ProposalRejected(self._local_member, epoch, self.promised))
         return True
 
     def _seal_current_epoch(self) -> bool:
         """Ensure that the epoch in force commits nothing for want of this replica, if it does not yet."""
-        sealed = self.accepted is not None and self.accepted.view.sealed_by == self._me.id
+        sealed = self.accepted is not None and self.accepted.view.sealed_by == self._local_member.id
         return sealed or self._hooks.seal_epoch()
 
     def _answer_once_durable(
--- a/dunlinloft/coordination/calls.py
+++ b/dunlinloft/coordination/calls.py
@@ -37,24 +37,24 @@
     target: str | None = None  # address that it was last forwarded to
 
 
-class Calls:
+class CallHandler:
     """Both sides of a call: where it came in, and where it is executed. Owned by `Replica`."""
 
     def __init__(
         self,
-        me: Member,
+        local_member: Member,
         chain: ChainReplica,
         validate: Validator,
         emit: Callable[[Action], None],
         send: Callable[[str, ReplicaMessage], None],
         rng: random.Random,
     ) -> None:
-        self._me = me
+        self._local_member = local_member
         self._chain = chain
         self._emit = emit
         self._send = send
         self._pending: dict[str, _PendingCall] = {}  # by token
-        confirmation = EpochConfirmation(me, send, rng)
+        confirmation = EpochConfirmation(local_member, send, rng)
         self._changes = ChangeQueue(chain, validate, confirmation, self._send_outcome)
         self._reads = TailReads(chain, confirmation, self._send_outcome, CALL_TIMEOUT_MS)
         self._view: View | None = None
@@ -94,7 +94,7 @@
                 continue
             pending.target = target
             pending.sent_ms = now_ms
-            self._send(target, ForwardedCall(self._me, token, pending.change))
+            self._send(target, ForwardedCall(self._local_member, token, pending.change))
 
     # Where a call is executed.
 
@@ -123,10 +123,15 @@
         view = self._view
         if view is None or self._chain.epoch != view.epoch:
             return False
-        return view.position_of(self._me.id) == 0
+        return view.position_of(self._local_member.id) == 0
 
     def _send_outcome(self, caller: Caller, outcome: Outcome) -> None:
         result = CallResult(
-            self._me, caller.token, outcome.status, outcome.reason, outcome.version, outcome.document
+            self._local_member,
+            caller.token,
+            outcome.status,
+            outcome.reason,
+            outcome.version,
+            outcome.document,
         )
         self._send(caller.member.address, result)
--- a/dunlinloft/coordination/chain.py
+++ b/dunlinloft/coordination/chain.py
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        me: Member,
+        local_member: Member,
         durable: DurableState,
         emit: Callable[[Action], None],
         persist: PersistThen,
@@ -73,7 +73,7 @@
         """
         self._min_synced = min_synced
         self._position: int | None = None  # in the chain; None where it is not in it
-        self._me = me
+        self._local_member = local_member
         self._emit = emit
         self._persist = persist
         self.state = durable.state  # all that is on disk here
@@ -82,7 +82,7 @@
         self.epoch = 0
         self.synced = False  # equal to the predecessor in this epoch, or head
         self.synced_epoch = durable.synced_epoch  # the last in which it was found equal, as is on disk
-        self._writing = False  # a record that changes the state is on its way to the disk
+        self._write_pending = False  # a record that changes the state is on its way to the disk
         self._epoch_committed = NO_SEQUENCE  # the sequence up to which this epoch's tail has committed
         self._uncommitted: dict[int, ChainState] = {}  # by sequence
         self._recent: deque[LogEntry] = deque(maxlen=MAX_RECENT_ENTRIES)
@@ -96,7 +96,7 @@
 
     def enter_epoch(self, view: View) -> None:
         """Take the position that a view gives. The view is on disk."""
-        self._position = view.position_of(self._me.id)
+        self._position = view.position_of(self._local_member.id)
         position = self._position
         self.epoch = view.epoch
         self.synced = position == 0
@@ -129,7 +129,7 @@
         head that was not found equal, and isn't just being found so, ends that possibility. Returns whether
         it does.
         """
-        if self.synced or self._writing or not self.epoch or not self._position:
+        if self.synced or self._write_pending or not self.epoch or not self._position:
             return False
         if self.synced_epoch >= self.epoch:
             return False
@@ -139,7 +139,7 @@
     @property
     def fully_committed(self) -> bool:
         """Whether everything held here was committed by this epoch's tail."""
-        return self.synced and self._epoch_committed == self.state.sequence and not self._writing
+        return self.synced and self._epoch_committed == self.state.sequence and not self._write_pending
 
     @property
     def is_tail(self) -> bool:
@@ -151,18 +151,18 @@
 
     def append(self, entry: LogEntry) -> None:
         """Append an entry here; as the head, or as what the predecessor sent."""
-        self._writing = True
+        self._write_pending = True
         epoch = self.epoch
         self._persist(EntryRecord(entry), lambda: self._on_appended(entry, epoch))
 
     def _on_appended(self, entry: LogEntry, epoch: int) -> None:
-        self._writing = False
+        self._write_pending = False
         self._set_state(state_after(self.state, entry))
         self._recent.append(entry)
         if epoch != self.epoch:
             return
         if self._successor is not None and self._successor_synced:
-            self._emit(Send(self._successor.address, AppendEntries(self._me, self.epoch, (entry,))))
+            self._emit(Send(self._successor.address, AppendEntries(self._local_member, self.epoch, (entry,))))
         self._on_progress()
 
     def _set_state(self, state: ChainState) -> None:
@@ -191,7 +191,7 @@
 
     def _send_committed(self) -> None:
         if self._predecessor is not None and self._epoch_committed >= 0:
-            committed = Committed(self._me, self.epoch, self.committed.sequence)
+            committed = Committed(self._local_member, self.epoch, self.committed.sequence)
             self._emit(Send(self._predecessor.address, committed))
 
     def recent_entry(self, sequence: int) -> LogEntry | None:
@@ -213,7 +213,9 @@
 
     def _send_position_to_successor(self) -> None:
         if self._successor is not None:
-            position = PredecessorPosition(self._me, self.epoch, self.state.sequence, self.state.chain_digest)
+            position = PredecessorPosition(
+                self._local_member, self.epoch, self.state.sequence, self.state.chain_digest
+            )
             self._emit(Send(self._successor.address, position))
 
     def on_successor_position(self, position: SuccessorPosition) -> None:
@@ -229,10 +231,10 @@
             return
         missing = self._entries_after(position.sequence, position.chain_digest)
         if missing is None:
-            snapshot = InstallSnapshot(self._me, self.epoch, self.state)
+            snapshot = InstallSnapshot(self._local_member, self.epoch, self.state)
             self._emit(Send(self._successor.address, snapshot))
         elif missing:
-            self._emit(Send(self._successor.address, AppendEntries(self._me, self.epoch, missing)))
+            self._emit(Send(self._successor.address, AppendEntries(self._local_member, self.epoch, missing)))
 
     def _entries_after(self, sequence: int, chain_digest: str) -> tuple[LogEntry, ...] | None:
         """The entries after a point of this history; None where that point is not in memory."""
@@ -251,12 +253,14 @@
 
     def _send_position_to_predecessor(self) -> None:
         if self._predecessor is not None:
-            position = SuccessorPosition(self._me, self.epoch, self.state.sequence, self.state.chain_digest)
+            position = SuccessorPosition(
+                self._local_member, self.epoch, self.state.sequence, self.state.chain_digest
+            )
             self._emit(Send(self._predecessor.address, position))
 
     def on_predecessor_position(self, position: PredecessorPosition) -> None:
         """Compare with the predecessor: ask for what is missing, or become synced where both are equal."""
-        if not self._is_from(position.sender, position.epoch, self._predecessor) or self._writing:
+        if not self._is_from(position.sender, position.epoch, self._predecessor) or self._write_pending:
             return
         if (position.sequence, position.chain_digest) != (self.state.sequence, self.state.chain_digest):
             self._send_position_to_predecessor()
@@ -264,12 +268,12 @@
             self._on_progress()
             self._send_committed()
         else:
-            self._writing = True
+            self._write_pending = True
             epoch = self.epoch
             self._persist(SyncedRecord(epoch), lambda: self._on_synced(epoch))
 
     def _on_synced(self, epoch: int) -> None:
-        self._writing = False
+        self._write_pending = False
         self.synced_epoch = max(self.synced_epoch, epoch)
         if epoch == self.epoch:
             self.synced = True
@@ -277,7 +281,7 @@
 
     def on_append_entries(self, append: AppendEntries) -> None:
         """Append the predecessor's entries; for one that does not follow, wait for its next position."""
-        if not self._is_from(append.sender, append.epoch, self._predecessor) or self._writing:
+        if not self._is_from(append.sender, append.epoch, self._predecessor) or self._write_pending:
             return
         following = [entry for entry in append.entries if entry.sequence > self.state.sequence]
         if not following or following[0].sequence != self.state.sequence + 1:
@@ -291,7 +295,7 @@
         if not is_next_entry(self.state, first):
             self._send_position_to_predecessor()
             return
-        self._writing = True
+        self._write_pending = True
         self._persist(EntryRecord(first), lambda: self._on_first_appended(first, rest, epoch))
 
     def _on_first_appended(self, first: LogEntry, rest: list[LogEntry], epoch: int) -> None:
@@ -305,16 +309,16 @@
 
     def on_install_snapshot(self, install: InstallSnapshot) -> None:
         """Replace the state by the predecessor's, unless that is older than what is committed here."""
-        if not self._is_from(install.sender, install.epoch, self._predecessor) or self._writing:
+        if not self._is_from(install.sender, install.epoch, self._predecessor) or self._write_pending:
             return
         if install.state.sequence < self.committed.sequence:
             return
-        self._writing = True
+        self._write_pending = True
         epoch = self.epoch
         self._persist(SnapshotRecord(install.state), lambda: self._on_installed(install.state, epoch))
 
     def _on_installed(self, state: ChainState, epoch: int) -> None:
-        self._writing = False
+        self._write_pending = False
         self._recent.clear()
         self._uncommitted.clear()
         self._set_state(state)
--- a/dunlinloft/coordination/digests.py
+++ b/dunlinloft/coordination/digests.py
@@ -45,7 +45,7 @@
         """All ranges' digests, by range."""
         return tuple(self._ranges)
 
-    def differing(self, others: tuple[int, ...]) -> tuple[int, ...]:
+    def differing_ranges(self, others: tuple[int, ...]) -> tuple[int, ...]:
         """The ranges in which another side, with these digests, knows something else.
 
         All of them where the other side counts other ranges, as a node without any digests does.
--- a/dunlinloft/coordination/epoch_confirmation.py
+++ b/dunlinloft/coordination/epoch_confirmation.py
@@ -31,8 +31,10 @@
 class EpochConfirmation:
     """Asks the voters for confirmations, each under its own nonce. Shared by head and tail in `Calls`."""
 
-    def __init__(self, me: Member, send: Callable[[str, ReplicaMessage], None], rng: random.Random) -> None:
-        self._me = me
+    def __init__(
+        self, local_member: Member, send: Callable[[str, ReplicaMessage], None], rng: random.Random
+    ) -> None:
+        self._local_member = local_member
         self._send = send
         # Begins at random: no answer to a request of this process before a restart counts after it.
         self._last_nonce = rng.getrandbits(NONCE_BITS)
@@ -46,7 +48,7 @@
         if now_ms - current.sent_ms >= CONFIRM_RETRY_INTERVAL_MS:
             current.sent_ms = now_ms
             for member in view.roster:
-                self._send(member.address, ConfirmEpoch(self._me, view.epoch, current.nonce))
+                self._send(member.address, ConfirmEpoch(self._local_member, view.epoch, current.nonce))
         return len(current.confirmed_by) >= majority_of(view)
 
 
--- a/dunlinloft/coordination/failure_detector.py
+++ b/dunlinloft/coordination/failure_detector.py
@@ -41,8 +41,8 @@
 class FailureDetector:
     """The replicas received from of late, by member id. Owned by `Replica`."""
 
-    def __init__(self, me: Member) -> None:
-        self._me = me
+    def __init__(self, local_member: Member) -> None:
+        self._local_member = local_member
         self.peers: dict[str, Peer] = {}
 
     def on_heartbeat(self, heartbeat: Heartbeat, now_ms: float) -> None:
@@ -60,7 +60,7 @@
         peer.heartbeat = heartbeat
         peer.received_ms = now_ms
 
-    def forget_stale(self, now_ms: float) -> None:
+    def remove_stale_peers(self, now_ms: float) -> None:
         """Drop the replicas not received from for `PEER_RETENTION_MS`."""
         stale = [i for i, peer in self.peers.items() if now_ms - peer.received_ms > PEER_RETENTION_MS]
         for member_id in stale:
@@ -74,14 +74,14 @@
 
     def is_alive(self, member_id: str, now_ms: float) -> bool:
         """Whether a replica is not suspected here: it was received from within `SUSPECT_TIMEOUT_MS`."""
-        if member_id == self._me.id:
+        if member_id == self._local_member.id:
             return True
         peer = self.peers.get(member_id)
         return peer is not None and now_ms - peer.received_ms <= SUSPECT_TIMEOUT_MS
 
     def is_stable(self, member_id: str, now_ms: float) -> bool:
         """Whether a replica has been alive for long enough to be let in."""
-        if member_id == self._me.id:
+        if member_id == self._local_member.id:
             return True
         peer = self.peers.get(member_id)
         return (
@@ -102,7 +102,7 @@
 
     def ms_since_heartbeat(self, member_id: str, now_ms: float, since_ms: float) -> float:
         """Milliseconds since a replica's last heartbeat, counted from `since_ms` at the earliest."""
-        if member_id == self._me.id:
+        if member_id == self._local_member.id:
             return 0.0
         peer = self.peers.get(member_id)
         return now_ms - (since_ms if peer is None else max(peer.received_ms, since_ms))
@@ -114,7 +114,7 @@
         return self._receives(first, second, now_ms) and self._receives(second, first, now_ms)
 
     def _receives(self, receiver: str, sender: str, now_ms: float) -> bool:
-        if receiver == self._me.id:
+        if receiver == self._local_member.id:
             return self.is_alive(sender, now_ms)
         peer = self.peers.get(receiver)
         return peer is not None and self.is_alive(receiver, now_ms) and sender in peer.heartbeat.echoes
@@ -128,12 +128,12 @@
         """
         supporters = 0
         for member in view.roster:
-            if member.id == self._me.id:
+            if member.id == self._local_member.id:
                 supporters += 1
                 continue
             peer = self.peers.get(member.id)
             if peer is not None and peer.heartbeat.lease_epoch == view.epoch:
-                sent_ms = peer.heartbeat.echoes.get(self._me.id, -LEASE_DURATION_MS)
+                sent_ms = peer.heartbeat.echoes.get(self._local_member.id, -LEASE_DURATION_MS)
                 supporters += now_ms - sent_ms < LEASE_DURATION_MS
         return supporters >= majority_of(view)
 
@@ -145,9 +145,9 @@
         in_contact = 0
         for member in view.roster:
             peer = self.peers.get(member.id)
-            sent_ms = None if peer is None else peer.heartbeat.echoes.get(self._me.id)
+            sent_ms = None if peer is None else peer.heartbeat.echoes.get(self._local_member.id)
             recent = sent_ms is not None and now_ms - sent_ms < CONTACT_TIMEOUT_MS
-            in_contact += member.id == self._me.id or recent
+            in_contact += member.id == self._local_member.id or recent
         return in_contact >= majority_of(view)
 
     def lease_expired(self, member: Member, previous: View, epoch: int, now_ms: float) -> bool:
@@ -164,7 +164,7 @@
         """Whether all support that a voter gave to a member's lease is certainly too old by now."""
         if voter.id == member.id:
             return False
-        if voter.id == self._me.id:
+        if voter.id == self._local_member.id:
             peer = self.peers.get(member.id)
             limit_ms = SUSPECT_TIMEOUT_MS + ECHO_LOSS_MARGIN_MS
             return peer is not None and now_ms - peer.received_ms >= limit_ms
--- a/dunlinloft/coordination/heartbeat_exchange.py
+++ b/dunlinloft/coordination/heartbeat_exchange.py
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        me: Member,
+        local_member: Member,
         quorum_eligible: bool,
         seeds: tuple[str, ...],
         failure_detector: FailureDetector,
@@ -43,7 +43,7 @@
         send: Callable[[str, ReplicaMessage], None],
         now_ms: float,
     ) -> None:
-        self._me = me
+        self._local_member = local_member
         self._quorum_eligible = quorum_eligible
         self._seeds = seeds
         self._failure_detector = failure_detector
@@ -59,7 +59,7 @@
         if now_ms - self._sent_ms >= HEARTBEAT_INTERVAL_MS:
             self._sent_ms = now_ms
             self.send_to_all(now_ms)
-            self._failure_detector.forget_stale(now_ms)
+            self._failure_detector.remove_stale_peers(now_ms)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """Take other addresses of replicas to send heartbeats to while no replica is known."""
@@ -79,7 +79,7 @@
         """This replica's heartbeat as it is now."""
         status = self._status(now_ms)
         return Heartbeat(
-            sender=self._me,
+            sender=self._local_member,
             quorum_eligible=self._quorum_eligible,
             healthy=status.healthy,
             leaving=status.leaving,
@@ -95,18 +95,18 @@
     def on_heartbeat(self, heartbeat: Heartbeat, now_ms: float) -> None:
         """Take a replica's heartbeat; a replica seen for the first time gets one at once."""
         sender = heartbeat.sender
-        if sender.id == self._me.id:
+        if sender.id == self._local_member.id:
             return
         if sender.id not in self._failure_detector.peers:
             self._send(sender.address, self.own_heartbeat(now_ms))
         self._failure_detector.on_heartbeat(heartbeat, now_ms)
-        if sender.address != self._me.address:
+        if sender.address != self._local_member.address:
             self._known_addresses.add(sender.address)
         if heartbeat.quorum_eligible and len(self._known_addresses) < MAX_KNOWN_ADDRESSES:
-            self._known_addresses |= set(heartbeat.known_addresses) - {self._me.address}
+            self._known_addresses |= set(heartbeat.known_addresses) - {self._local_member.address}
         view = self._view()
         if view is not None and heartbeat.epoch < view.epoch:
-            self._send(sender.address, Decided(self._me, view))
+            self._send(sender.address, Decided(self._local_member, view))
 
     def peer_addresses(self) -> set[str]:
         """The addresses of all replicas that get heartbeats."""
@@ -115,5 +115,5 @@
         if view is not None:
             result |= {member.address for member in view.roster}
         result |= {peer.heartbeat.sender.address for peer in self._failure_detector.peers.values()}
-        result.discard(self._me.address)
+        result.discard(self._local_member.address)
         return result
--- a/dunlinloft/coordination/node_registry.py
+++ b/dunlinloft/coordination/node_registry.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from dunlinloft.coordination.stream import NodeSighting
+from dunlinloft.coordination.stream import NodeLiveness
 
 # A node from which nothing was received for so long may be spending without its owner. Keepalives come every
 # 300 ms; `quota.reserves.AUTONOMY_DELAY_MS` has to be longer.
@@ -54,9 +54,9 @@
         contact.receives_replies = receives_replies
         contact.shut_down = False
 
-    def merge(self, sightings: Iterable[NodeSighting], now_ms: float) -> None:
+    def merge(self, liveness: Iterable[NodeLiveness], now_ms: float) -> None:
         """Merge what another replica knows, or what was on disk."""
-        for sighting in sightings:
+        for sighting in liveness:
             seen_ms = now_ms - sighting.age_ms
             contact = self._contacts.setdefault(sighting.node, NodeContact(seen_ms))
             if seen_ms > contact.last_seen_ms:
@@ -70,10 +70,10 @@
         contact.last_seen_ms = now_ms
         contact.shut_down = True
 
-    def sightings(self, now_ms: float) -> tuple[NodeSighting, ...]:
+    def liveness(self, now_ms: float) -> tuple[NodeLiveness, ...]:
         """Return all nodes, to be sent to other replicas or written to disk."""
         return tuple(
-            NodeSighting(node, now_ms - contact.last_seen_ms, contact.shut_down)
+            NodeLiveness(node, now_ms - contact.last_seen_ms, contact.shut_down)
             for node, contact in self._contacts.items()
         )
 
--- a/dunlinloft/coordination/proposer.py
+++ b/dunlinloft/coordination/proposer.py
@@ -27,8 +27,10 @@
 class Proposer:
     """The proposals of one replica. Owned by `voting.Voting`, which passes in the view in force."""
 
-    def __init__(self, me: Member, rng: random.Random, send: Callable[[str, ReplicaMessage], None]) -> None:
-        self._me = me
+    def __init__(
+        self, local_member: Member, rng: random.Random, send: Callable[[str, ReplicaMessage], None]
+    ) -> None:
+        self._local_member = local_member
         self._rng = rng
         self._process_nonce = f"{rng.getrandbits(PROCESS_NONCE_BITS):08x}"
         self._send = send
@@ -56,10 +58,10 @@
         """
         number = 1 if promised is None else promised.number + 1
         # Of this process alone: a restarted one may have forgotten a number whose promise was not on disk.
-        proposal_number = ProposalNumber(number, f"{self._me.id}/{self._process_nonce}")
+        proposal_number = ProposalNumber(number, f"{self._local_member.id}/{self._process_nonce}")
         self._proposal = Proposal(desired.epoch, proposal_number, desired, now_ms)
         for member in view.roster:
-            self._send(member.address, Prepare(self._me, view, proposal_number))
+            self._send(member.address, Prepare(self._local_member, view, proposal_number))
         return proposal_number
 
     def on_prepare_response(self, message: PrepareResponse, view: View) -> None:
@@ -70,9 +72,9 @@
         chosen = proposal.on_prepared(message.sender.id, message.accepted, majority_of(view))
         if chosen is None:
             return
-        if chosen.sealed_by == self._me.id:
+        if chosen.sealed_by == self._local_member.id:
             # The sealer first: whoever accepts such a view relies on its having stopped, on disk.
-            self._send(self._me.address, Accept(self._me, proposal.number, chosen))
+            self._send(self._local_member.address, Accept(self._local_member, proposal.number, chosen))
         else:
             self._send_accept(proposal, chosen, view)
 
@@ -82,8 +84,11 @@
         if proposal is None:
             return None
         assert proposal.chosen is not None
-        if message.sender.id == self._me.id == proposal.chosen.sealed_by and not proposal.accepted_by:
-            proposal.accepted_by.add(self._me.id)
+        if (
+            message.sender.id == self._local_member.id == proposal.chosen.sealed_by
+            and not proposal.accepted_by
+        ):
+            proposal.accepted_by.add(self._local_member.id)
             self._send_accept(proposal, proposal.chosen, view)
         return proposal.on_accepted(message.sender.id, majority_of(view))
 
@@ -106,7 +111,7 @@
         """Begin phase 2 with all acceptors that have not accepted yet."""
         for member in view.roster:
             if member.id not in proposal.accepted_by:
-                self._send(member.address, Accept(self._me, proposal.number, chosen))
+                self._send(member.address, Accept(self._local_member, proposal.number, chosen))
 
     def _abandon(self, now_ms: float) -> None:
         self._proposal = None
--- a/dunlinloft/coordination/replica.py
+++ b/dunlinloft/coordination/replica.py
@@ -11,7 +11,7 @@
 
 from dunlinloft.coordination.actions import Action, Commit, Send
 from dunlinloft.coordination.call_messages import CallResult, ForwardedCall
-from dunlinloft.coordination.calls import Calls
+from dunlinloft.coordination.calls import CallHandler
 from dunlinloft.coordination.chain import ChainReplica
 from dunlinloft.coordination.chain_messages import (
     AppendEntries,
@@ -43,7 +43,7 @@
     ProposalRejected,
 )
 
-EARLIER_LEASES_END_MS = 750.0
+PREVIOUS_LEASES_EXPIRY_MS = 750.0
 """Since a view was learned, until no lease of an earlier one is left. Longer than
 `failure_detector.LEASE_DURATION_MS`, as that runs on the clock of who has the lease."""
 
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        me: Member,
+        local_member: Member,
         quorum_eligible: bool,
         durable: DurableState,
         seeds: tuple[str, ...],
@@ -75,16 +75,16 @@
         rng : draws nonces and backoffs.
         now_ms : the time.
         """
-        self.me = me
+        self.local_member = local_member
         self._quorum_eligible = quorum_eligible
         self._tolerance = tolerance
         self._actions: list[Action] = []
         self._now_ms = now_ms
         self._leaving = False
         self._writes = PendingWrites(self._emit)
-        self.failure_detector = FailureDetector(me)
-        self.chain = ChainReplica(me, durable, self._emit, self._persist, min_synced=tolerance + 1)
-        self._calls = Calls(me, self.chain, validate, self._emit, self._send, rng)
+        self.failure_detector = FailureDetector(local_member)
+        self.chain = ChainReplica(local_member, durable, self._emit, self._persist, min_synced=tolerance + 1)
+        self._calls = CallHandler(local_member, self.chain, validate, self._emit, self._send, rng)
         hooks = VotingHooks(
             send=self._send,
             persist=self._persist,
@@ -92,9 +92,9 @@
             on_view_durable=self._on_view_durable,
             seal_epoch=self.chain.seal_epoch,
         )
-        self._voting = Voting(me, quorum_eligible, durable, rng, now_ms, hooks)
+        self._voting = Voting(local_member, quorum_eligible, durable, rng, now_ms, hooks)
         self._heartbeats = HeartbeatExchange(
-            me,
+            local_member,
             quorum_eligible,
             seeds,
             self.failure_detector,
@@ -104,9 +104,9 @@
             now_ms,
         )
         self._reconciler = ViewReconciler(
-            me, tolerance, self._voting, self.failure_detector, self._heartbeats, now_ms
+            local_member, tolerance, self._voting, self.failure_detector, self._heartbeats, now_ms
         )
-        sealed = durable.accepted is not None and durable.accepted.view.sealed_by == me.id
+        sealed = durable.accepted is not None and durable.accepted.view.sealed_by == local_member.id
         if self.view is not None and not sealed:
             self.chain.enter_epoch(self.view)
 
@@ -188,24 +188,24 @@
         """
         view = self.view
         previous = self._voting.previous_view
-        if view is None or previous is None or self._voting.epoch_on_disk != view.epoch:
+        if view is None or previous is None or self._voting.durable_epoch != view.epoch:
             return False
-        if self._voting.entered_ms - self._voting.previous_entered_ms < EARLIER_LEASES_END_MS:
+        if self._voting.entered_ms - self._voting.previous_entered_ms < PREVIOUS_LEASES_EXPIRY_MS:
             return False
         member = next((m for m in previous.chain if m.address == address), None)
         if member is None:
             return False
         return self.failure_detector.lease_expired(member, previous, view.epoch, now_ms)
 
-    def view_in_contact(self, now_ms: float) -> View | None:
+    def view_with_majority_contact(self, now_ms: float) -> View | None:
         """The view, while a majority of its roster receives from this replica; it need not vote itself."""
         if self.view is None or not self.failure_detector.has_majority_contact(self.view, now_ms):
             return None
         return self.view
 
-    def is_confirmed(self, now_ms: float) -> bool:
+    def has_confirmed_state(self, now_ms: float) -> bool:
         """Whether what is committed here is as new as a majority knows: nodes are told so."""
-        return self.chain.synced and self.view_in_contact(now_ms) is not None
+        return self.chain.synced and self.view_with_majority_contact(now_ms) is not None
 
     def can_stop(self) -> bool:
         """Whether others can do without this process: it is in no chain, and enough have that on disk.
@@ -215,9 +215,9 @@
         view = self.view
         if view is None or not self._quorum_eligible:
             return True
-        if view.position_of(self.me.id) is not None:
+        if view.position_of(self.local_member.id) is not None:
             return False
-        others = [member for member in view.roster if member.id != self.me.id]
+        others = [member for member in view.roster if member.id != self.local_member.id]
         peers = self.failure_detector.peers
         informed = sum(m.id in peers and peers[m.id].heartbeat.epoch >= view.epoch for m in others)
         return informed >= min(self._tolerance + 1, len(others))
@@ -241,7 +241,7 @@
         self._writes.persist(record, on_durable, self._now_ms)
 
     def _send(self, address: str, message: ReplicaMessage) -> None:
-        if address == self.me.address:
+        if address == self.local_member.address:
             self._dispatch(message)
         else:
             self._emit(Send(address, message))
@@ -250,7 +250,7 @@
         return ReplicaStatus(
             healthy=self._quorum_eligible and not self._writes.is_stalled(now_ms),
             leaving=self._leaving,
-            epoch=self._voting.epoch_on_disk,
+            epoch=self._voting.durable_epoch,
             synced_epoch=self.chain.synced_epoch,
             lease_epoch=self._voting.lease_epoch,
         )
--- a/dunlinloft/coordination/stream/__init__.py
+++ b/dunlinloft/coordination/stream/__init__.py
@@ -39,9 +39,9 @@
     ControlKeepalive,
     ControlPlaneView,
     NodeKeepalive,
+    NodeLiveness,
+    NodeLivenessUpdate,
     NodeShutdown,
-    NodeSighting,
-    NodeSightings,
     Subscribe,
 )
 
@@ -72,7 +72,12 @@
 )
 # All that a control plane's listener accepts, from replicas and from nodes.
 ControlPlaneInbound = (
-    ReplicaMessage | QuotaHandover | ServerHeartbeats | ServerHeartbeatsAck | NodeSightings | NodeToControl
+    ReplicaMessage
+    | QuotaHandover
+    | ServerHeartbeats
+    | ServerHeartbeatsAck
+    | NodeLivenessUpdate
+    | NodeToControl
 )
 
 __all__ = [
@@ -88,9 +93,9 @@
     "FullConfiguration",
     "LocalPlacement",
     "NodeKeepalive",
+    "NodeLiveness",
+    "NodeLivenessUpdate",
     "NodeShutdown",
-    "NodeSighting",
-    "NodeSightings",
     "NodeToControl",
     "PlacementCompleted",
     "PlacementQuery",
--- a/dunlinloft/coordination/stream/subscription.py
+++ b/dunlinloft/coordination/stream/subscription.py
@@ -59,7 +59,7 @@
     node_count: int = field(name="nodes")  # data-plane nodes in the fleet
 
 
-class NodeSighting(Struct, frozen=True):
+class NodeLiveness(Struct, frozen=True):
     """A data-plane node that a replica knows."""
 
     node: str
@@ -67,7 +67,7 @@
     shut_down: bool = field(default=False, name="left")  # its process said that it ends
 
 
-class NodeSightings(Struct, frozen=True, tag="nodes_seen"):
+class NodeLivenessUpdate(Struct, frozen=True, tag="nodes_seen"):
     """Between control planes: the data-plane nodes that the sender knows."""
 
-    nodes: tuple[NodeSighting, ...]
+    nodes: tuple[NodeLiveness, ...]
--- a/dunlinloft/coordination/view_planning.py
+++ b/dunlinloft/coordination/view_planning.py
@@ -25,7 +25,7 @@
     """What one replica knows when it plans the next view."""
 
     view: View
-    me: Member
+    local_member: Member
     heartbeats: dict[str, Heartbeat]  # the last of each member by id, this replica's included
     failure_detector: FailureDetector
     tolerance: int  # how many replicas may be lost at once
@@ -62,7 +62,10 @@
 
         Of use only where detached members hold everything.
         """
-        behind = bool(self.view.position_of(self.me.id)) and self.me.id not in self.synced_ids()
+        behind = (
+            bool(self.view.position_of(self.local_member.id))
+            and self.local_member.id not in self.synced_ids()
+        )
         return behind and bool(self.view.detached)
 
     def _found_synced(self, member: Member) -> bool:
@@ -84,7 +87,7 @@
     if not chain and observation.may_seal_epoch():
         synced = frozenset(member.id for member in view.detached)
         chain = _desired_chain(observation, roster, synced)
-        sealer_id = observation.me.id
+        sealer_id = observation.local_member.id
     if not can_commit(chain, observation.tolerance):
         return None
     synced_prefix_length = next((n for n, m in enumerate(chain) if m.id not in synced), len(chain))
--- a/dunlinloft/coordination/view_reconciler.py
+++ b/dunlinloft/coordination/view_reconciler.py
@@ -17,14 +17,14 @@
 
     def __init__(
         self,
-        me: Member,
+        local_member: Member,
         tolerance: int,
         voting: Voting,
         failure_detector: FailureDetector,
         heartbeats: HeartbeatExchange,
         now_ms: float,
     ) -> None:
-        self._me = me
+        self._local_member = local_member
         self._tolerance = tolerance
         self._voting = voting
         self._failure_detector = failure_detector
@@ -48,10 +48,10 @@
 
     def _observation(self, view: View, now_ms: float) -> Observation:
         heartbeats = {member_id: peer.heartbeat for member_id, peer in self._failure_detector.peers.items()}
-        heartbeats[self._me.id] = self._heartbeats.own_heartbeat(now_ms)
+        heartbeats[self._local_member.id] = self._heartbeats.own_heartbeat(now_ms)
         return Observation(
             view=view,
-            me=self._me,
+            local_member=self._local_member,
             heartbeats=heartbeats,
             failure_detector=self._failure_detector,
             tolerance=self._tolerance,
@@ -64,7 +64,7 @@
         order = [*view.chain, *(member for member in view.roster if view.position_of(member.id) is None)]
         rank = 0
         for member in order:
-            if member.id == self._me.id:
+            if member.id == self._local_member.id:
                 break
             rank += self._failure_detector.is_reachable(member.id, now_ms)
         return rank
--- a/dunlinloft/coordination/voting.py
+++ b/dunlinloft/coordination/voting.py
@@ -37,22 +37,22 @@
 
     def __init__(
         self,
-        me: Member,
+        local_member: Member,
         quorum_eligible: bool,
         durable: DurableState,
         rng: random.Random,
         now_ms: float,
         hooks: VotingHooks,
     ) -> None:
-        self._me = me
+        self._local_member = local_member
         self._quorum_eligible = quorum_eligible
         self._hooks = hooks
         self._send = hooks.send
-        self._acceptor = Acceptor(me, durable, hooks)
-        self._proposer = Proposer(me, rng, hooks.send)
+        self._acceptor = Acceptor(local_member, durable, hooks)
+        self._proposer = Proposer(local_member, rng, hooks.send)
         self._now_ms = now_ms
         self.view = durable.view
-        self.epoch_on_disk = 0 if durable.view is None else durable.view.epoch
+        self.durable_epoch = 0 if durable.view is None else durable.view.epoch
         self.entered_ms = now_ms  # when the view was learned
         self.previous_view: View | None = None  # the one that it followed, where that was learned here
         self.previous_entered_ms = now_ms  # when that was learned
@@ -61,7 +61,9 @@
     @property
     def is_voter(self) -> bool:
         """Whether this replica is in the roster of the view in force."""
-        return self._quorum_eligible and self.view is not None and self._me.id in self.view.voter_ids()
+        return (
+            self._quorum_eligible and self.view is not None and self._local_member.id in self.view.voter_ids()
+        )
 
     @property
     def epoch(self) -> int:
@@ -114,7 +116,7 @@
         self._hooks.persist(ViewRecord(view), lambda: self._on_view_durable(view))
 
     def _on_view_durable(self, view: View) -> None:
-        self.epoch_on_disk = view.epoch
+        self.durable_epoch = view.epoch
         if self.view is view:
             self._hooks.on_view_durable(view)
 
@@ -138,11 +140,13 @@
         if self.epoch != message.epoch or not self.is_voter:
             self._send_view(message.sender)
         elif self._acceptor.accepted is None:
-            self._send(message.sender.address, EpochConfirmed(self._me, message.epoch, message.nonce))
+            self._send(
+                message.sender.address, EpochConfirmed(self._local_member, message.epoch, message.nonce)
+            )
 
     def _send_view(self, member: Member) -> None:
         if self.view is not None:
-            self._send(member.address, Decided(self._me, self.view))
+            self._send(member.address, Decided(self._local_member, self.view))
 
     # As a proposer.
 
@@ -186,8 +190,8 @@
             return
         addresses = {member.address for member in (*self.view.roster, *decided.roster)}
         self.learn(decided, self._now_ms)
-        for address in sorted(addresses - {self._me.address}):
-            self._send(address, Decided(self._me, decided))
+        for address in sorted(addresses - {self._local_member.address}):
+            self._send(address, Decided(self._local_member, decided))
 
     def _handle_rejected(self, message: ProposalRejected) -> None:
         if self._proposer.on_rejected(message, self._now_ms):
--- a/lab/control/quota_cluster.py
+++ b/lab/control/quota_cluster.py
@@ -14,7 +14,7 @@
 from dunlinloft.coordination.quota.ownership import quota_owner_address
 from dunlinloft.coordination.quota.reserves import NodeReserves
 from dunlinloft.coordination.replica import Replica
-from dunlinloft.coordination.stream import ControlPlaneView, NodeSighting
+from dunlinloft.coordination.stream import ControlPlaneView, NodeLiveness
 from lab.control.cluster import NETWORK_DELAY_MS, TICK_INTERVAL_MS, Cluster
 from lab.control.invariants import InvariantViolation
 from lab.control.machine import Machine
@@ -96,7 +96,7 @@
         self._owners: dict[int, str] = {}  # by epoch: who decided
         self._owning_epoch = 0  # the latest whose owner has decided
         self.nodes: dict[str, QuotaNode] = {}
-        self._remembered: dict[str, tuple[NodeSighting, ...]] = {}  # on each machine's disk
+        self._remembered: dict[str, tuple[NodeLiveness, ...]] = {}  # on each machine's disk
         super().__init__(seed, size)
         for number in range(nodes):
             self.start_node(f"node-{number}")
@@ -181,7 +181,7 @@
             if machine.replica is None or machine.frozen:
                 continue
             nodes = self.sides[source].nodes
-            known = nodes.sightings(self.now)
+            known = nodes.liveness(self.now)
             self._remembered[source] = known
             for target in self.machines:
                 self._to_replica(source, target, lambda side, known=known: side.nodes.merge(known, self.now))  # type: ignore[misc]
@@ -295,10 +295,10 @@
         if replica.view.epoch < self._owning_epoch:
             raise InvariantViolation(f"epoch {replica.view.epoch} granted after epoch {self._owning_epoch}")
         self._owning_epoch = replica.view.epoch
-        first = self._owners.setdefault(self._owning_epoch, replica.me.address)
-        if first != replica.me.address:
+        first = self._owners.setdefault(self._owning_epoch, replica.local_member.address)
+        if first != replica.local_member.address:
             raise InvariantViolation(
-                f"{first} and {replica.me.address} granted in epoch {self._owning_epoch}"
+                f"{first} and {replica.local_member.address} granted in epoch {self._owning_epoch}"
             )
 
     def _spend_without_owner(self, node: QuotaNode, amount: float) -> None:
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -25,25 +25,25 @@
     return cluster, running
 
 
-def acknowledged(operators: list[Operator]) -> int:
+def acknowledged_count(operators: list[Operator]) -> int:
     """How many changes of these operators were acknowledged."""
     return sum(operator.acked for operator in operators)
 
 
 def assert_progress(cluster: Cluster, operators: list[Operator], within_ms: float = ACK_TIMEOUT_MS) -> None:
     """Some change is acknowledged within a time."""
-    before = acknowledged(operators)
+    before = acknowledged_count(operators)
     cluster.run(within_ms)
-    assert acknowledged(operators) > before, "no change was acknowledged"
+    assert acknowledged_count(operators) > before, "no change was acknowledged"
 
 
-def current_view(cluster: Cluster) -> View:
+def latest_view(cluster: Cluster) -> View:
     """The latest view that any live replica knows."""
     views = [m.replica.view for m in cluster.machines.values() if m.replica is not None]
     return max((view for view in views if view is not None), key=lambda view: view.epoch)
 
 
-def cluster_without(seed: int, position: int) -> Cluster:
+def cluster_with_member_down(seed: int, position: int) -> Cluster:
     """A cluster of three of which the member at a position is down, with a view without it."""
     cluster = Cluster(seed)
     cluster.run(500.0)
@@ -52,9 +52,9 @@
     return cluster
 
 
-def send_changes_to_a_lone_head() -> None:
+def send_changes_to_head_without_live_successor() -> None:
     """Changes at a head whose only live peer has a stalled disk, while a third member is down."""
-    cluster = cluster_without(90, 2)
+    cluster = cluster_with_member_down(90, 2)
     head, second, _ = cluster.seeds
     cluster.stall(second, True)
     for number in range(80):
@@ -65,10 +65,10 @@
             cluster.stall(second, False)  # by now it has voted for a chain without itself
 
 
-def chain_replica(view: View, me: Member, state: ChainState) -> tuple[ChainReplica, list[Action]]:
+def chain_replica(view: View, local_member: Member, state: ChainState) -> tuple[ChainReplica, list[Action]]:
     """A chain replica in an epoch, whose disk answers at once; and the actions that it emits."""
     actions: list[Action] = []
-    durable = DurableState(me.incarnation, state=state, committed_digest=state.chain_digest)
-    chain = ChainReplica(me, durable, actions.append, lambda _, then: then(), 2)
+    durable = DurableState(local_member.incarnation, state=state, committed_digest=state.chain_digest)
+    chain = ChainReplica(local_member, durable, actions.append, lambda _, then: then(), 2)
     chain.enter_epoch(view)
     return chain, actions
--- a/tests/test_chain_replication.py
+++ b/tests/test_chain_replication.py
@@ -13,7 +13,7 @@
 from dunlinloft.coordination.views import View, initial_view
 from lab.control.invariants import InvariantViolation
 from lab.control.operators import empty_change
-from tests.replicas import chain_replica, send_changes_to_a_lone_head
+from tests.replicas import chain_replica, send_changes_to_head_without_live_successor
 
 
 def test_a_head_without_a_synced_successor_commits_nothing_whatever_its_chains_length() -> None:
@@ -43,7 +43,7 @@
 
 
 def test_a_head_without_a_synced_successor_acknowledges_nothing() -> None:
-    send_changes_to_a_lone_head()
+    send_changes_to_head_without_live_successor()
 
 
 def test_a_commit_by_chain_length_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -54,4 +54,4 @@
     # Chains of one are no longer proposed: that they are is part of the fault.
     monkeypatch.setattr(view_planning, "can_commit", lambda chain, _: bool(chain))
     with pytest.raises(InvariantViolation, match="committed with 1 copies"):
-        send_changes_to_a_lone_head()
+        send_changes_to_head_without_live_successor()
--- a/tests/test_control_planted.py
+++ b/tests/test_control_planted.py
@@ -6,7 +6,7 @@
 
 from dunlinloft.coordination.actions import Reply
 from dunlinloft.coordination.call_messages import ForwardedCall
-from dunlinloft.coordination.calls import Calls
+from dunlinloft.coordination.calls import CallHandler
 from dunlinloft.coordination.chain import ChainReplica
 from dunlinloft.coordination.change_queue import ChangeQueue
 from dunlinloft.coordination.epoch_confirmation import EpochConfirmation
@@ -161,14 +161,14 @@
 
 
 def test_two_changes_acknowledged_on_one_version_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    def careless(self: Calls, call: ForwardedCall, now_ms: float) -> None:
+    def careless(self: CallHandler, call: ForwardedCall, now_ms: float) -> None:
         if call.change is not None:
             version = self._chain.state.version
             order = ConfigurationChange(ChangeKind.REPLACE, version, call.change.digest, call.change.body)
             call = ForwardedCall(call.sender, call.token, order)
         real(self, call, now_ms)
 
-    real = Calls.on_forwarded_call
-    monkeypatch.setattr(Calls, "on_forwarded_call", careless)
+    real = CallHandler.on_forwarded_call
+    monkeypatch.setattr(CallHandler, "on_forwarded_call", careless)
     with pytest.raises(InvariantViolation, match="two orders on version 0"):
         _two_changes_on_one_version()
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -12,9 +12,9 @@
 from tests.replicas import (
     ACK_TIMEOUT_MS,
     SYNC_TIMEOUT_MS,
-    acknowledged,
+    acknowledged_count,
     assert_progress,
-    current_view,
+    latest_view,
     running_cluster,
 )
 
@@ -41,7 +41,9 @@
         cluster.run(1_200.0)
         replica = cluster.machines[address].replica
         assert replica is not None
-        assert replica.view_in_contact(cluster.now) is None, "it acknowledges no heartbeat of servers"
+        assert replica.view_with_majority_contact(cluster.now) is None, (
+            "it acknowledges no heartbeat of servers"
+        )
     assert set(statuses) == {503}
     assert len(statuses) == 28
     cluster.heal()
@@ -52,9 +54,9 @@
     cluster, operators = running_cluster(31)
     for other in cluster.seeds[1:]:
         cluster.disconnect(cluster.seeds[0], other)
-    before = acknowledged(operators)
+    before = acknowledged_count(operators)
     cluster.run(20_000.0)
-    assert acknowledged(operators) - before > 20
+    assert acknowledged_count(operators) - before > 20
     assert operators[0].worst_ms < ACK_TIMEOUT_MS
 
 
@@ -115,7 +117,7 @@
         cluster.run(2_000.0)
         cluster.add(newcomer)
     cluster.run(rng.uniform(4_000.0, 5_000.0))
-    view = current_view(cluster)
+    view = latest_view(cluster)
     assert {member.address for member in view.roster} == {first, second, newcomer}
     cluster.wipe(second)
     assert_progress(cluster, operators)
@@ -130,11 +132,11 @@
     cluster, operators = running_cluster(51)
     cluster.add("10.0.1.1:7000")
     cluster.run(2_000.0)
-    before = current_view(cluster)
+    before = latest_view(cluster)
     assert len(before.roster) == 3, "a newcomer waits until a member departs"
     cluster.leave(cluster.seeds[1], 8_000.0)
     cluster.run(300.0)
-    after = current_view(cluster)
+    after = latest_view(cluster)
     assert after.epoch == before.epoch + 1
     assert {member.address for member in after.roster} == {
         cluster.seeds[0],
@@ -166,13 +168,13 @@
     for additional, size in ((1, 3), (2, 5), (3, 5), (5, 7)):
         cluster = Cluster(60 + additional, 3, additional=additional)
         cluster.run(3_000.0)
-        assert len(current_view(cluster).roster) == size
+        assert len(latest_view(cluster).roster) == size
     cluster = Cluster(70, 3, additional=2)
     cluster.run(3_000.0)
     for removed in cluster.seeds[:2]:
         cluster.remove(removed)
         cluster.run(4_000.0)
-    assert len(current_view(cluster).roster) == 3
+    assert len(latest_view(cluster).roster) == 3
 
 
 @pytest.mark.parametrize("how", ["kill", "cut", "freeze"])
--- a/tests/test_control_world.py
+++ b/tests/test_control_world.py
@@ -13,7 +13,7 @@
 from lab.control.invariants import InvariantViolation
 from lab.control.operators import empty_change
 from lab.control.world import deployment_of, play, run_seed
-from tests.replicas import SYNC_TIMEOUT_MS, cluster_without
+from tests.replicas import SYNC_TIMEOUT_MS, cluster_with_member_down
 
 SEEDS = int(os.environ.get("WORLD_SEEDS", "28"))  # `dunlinloft explore control` plays thousands
 
@@ -89,7 +89,7 @@
 
 def test_a_disk_lost_before_the_commit_counts_as_a_replica() -> None:
     """Seed 21547: on its way to a frozen tail as the head lost its disk; the tail commits once it is back."""
-    cluster = cluster_without(92, 1)
+    cluster = cluster_with_member_down(92, 1)
     head, _, tail = cluster.seeds
     cluster.freeze(tail)
     cluster.call(head, empty_change(1, 0), lambda _: None)
--- a/tests/test_dataplane_server_table.py
+++ b/tests/test_dataplane_server_table.py
@@ -81,15 +81,15 @@
     current = [*records[1:], server_record(500)]
     table.on_listing("one", True, ALL, tuple(records))
     remote = RangeDigests(current)
-    ranges = remote.differing(table.digests())
+    ranges = remote.differing_ranges(table.digests())
     assert set(ranges) == {range_of("i-0"), range_of("i-500")}
     sent = tuple(record for record in current if range_of(record.id) in ranges)
     assert len(sent) < 20
     table.on_listing("other", True, ranges, sent)
     table.on_update("one", ServerUpdates((), tuple(record.id for record in records)), 0.0)
     assert set(table.pool("pool").servers) == {record.id for record in current}
-    assert remote.differing(table.digests()) == ()
-    assert len(remote.differing(())) == RANGE_COUNT
+    assert remote.differing_ranges(table.digests()) == ()
+    assert len(remote.differing_ranges(())) == RANGE_COUNT
 
 
 def test_restarted_replica_that_is_complete_removes_what_it_has_not_listed_since(table: ServerTable) -> None:
--- a/tests/test_disk_writer.py
+++ b/tests/test_disk_writer.py
@@ -16,7 +16,7 @@
 from dunlinloft.controlplane.store import ReplicaStore
 from dunlinloft.coordination.actions import Persist
 from dunlinloft.coordination.records import Record, SyncedRecord
-from dunlinloft.coordination.stream import NodeSighting
+from dunlinloft.coordination.stream import NodeLiveness
 
 
 async def _persisted(disk: DiskWriter, tokens: range) -> list[int]:
@@ -113,14 +113,14 @@
         async with open_disk(None, None) as disk:
             assert disk.durable.incarnation == ""
             assert await _persisted(disk, range(1, 3)) == [1, 2]
-            await disk.write_members(CachedMembers((), (NodeSighting("n", 1.0),)))
+            await disk.write_members(CachedMembers((), (NodeLiveness("n", 1.0),)))
             assert await disk.read_members() == CachedMembers()
 
     asyncio.run(main())
 
 
 def test_members_are_read_back_after_a_restart(tmp_path: Path) -> None:
-    members = CachedMembers((), (NodeSighting("n", 1.0),))
+    members = CachedMembers((), (NodeLiveness("n", 1.0),))
 
     async def main() -> None:
         async with open_disk(tmp_path, "0") as disk:
--- a/tests/test_node_registry.py
+++ b/tests/test_node_registry.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from dunlinloft.coordination.node_registry import NODE_CONTACT_TIMEOUT_MS, NODE_EXPIRY_MS, NodeRegistry
-from dunlinloft.coordination.stream import NodeSighting
+from dunlinloft.coordination.stream import NodeLiveness
 
 
 def test_a_node_without_contact_or_that_reports_none_is_disconnected() -> None:
     nodes = NodeRegistry()
     nodes.on_message("connected", True, 0.0)
-    nodes.merge((NodeSighting("unseen", 0.0),), 0.0)
+    nodes.merge((NodeLiveness("unseen", 0.0),), 0.0)
     assert nodes.disconnected(0.0) == ("unseen",)
     nodes.on_message("connected", False, 0.0)
     assert nodes.disconnected(0.0) == ("connected", "unseen")
@@ -26,9 +26,9 @@
     nodes.on_shutdown("node", 10.0)
     assert nodes.active_names() == ()
     other = NodeRegistry()
-    other.merge((NodeSighting("node", 5.0),), 10.0)
-    other.merge(nodes.sightings(20.0), 20.0)
+    other.merge((NodeLiveness("node", 5.0),), 10.0)
+    other.merge(nodes.liveness(20.0), 20.0)
     assert other.active_names() == ()
     nodes.on_message("node", True, 30.0)
-    other.merge(nodes.sightings(40.0), 40.0)
+    other.merge(nodes.liveness(40.0), 40.0)
     assert other.active_names() == ("node",)
--- a/tests/test_quota_windows.py
+++ b/tests/test_quota_windows.py
@@ -119,7 +119,7 @@
     replica = cluster.machines[owner].replica
     assert replica is not None
     assert replica.view is not None
-    assert replica.view.position_of(replica.me.id) is not None, "it is in the chain again"
+    assert replica.view.position_of(replica.local_member.id) is not None, "it is in the chain again"
     assert sum(node.refused for node in cluster.nodes.values()) - refused <= 3
 
 
@@ -244,18 +244,18 @@
 
 @pytest.mark.parametrize(("uptime_ms", "proven"), [(50.0, False), (5_000.0, True)])
 def test_a_voter_that_has_just_restarted_proves_nothing_of_a_lease(uptime_ms: float, proven: bool) -> None:
-    me, voter, owner = (Member(address, "0") for address in CHAIN)
-    before = View(1, (me, voter, owner), (me, voter, owner), 3)
-    detector = FailureDetector(me)
+    local_member, voter, owner = (Member(address, "0") for address in CHAIN)
+    before = View(1, (local_member, voter, owner), (local_member, voter, owner), 3)
+    detector = FailureDetector(local_member)
 
     def receive(sender: Member, epoch: int, echoes: tuple[Member, ...], now: float, uptime_ms: float) -> None:
         stamps = {member.id: now for member in echoes}
         heartbeat = Heartbeat(sender, True, True, False, epoch, 0, epoch, now, stamps, (), uptime_ms)
         detector.on_heartbeat(heartbeat, now)
 
-    receive(owner, 1, (me, voter), 0.0, 5_000.0)
-    receive(voter, 1, (me, owner), 0.0, 5_000.0)
-    receive(voter, 2, (me,), 650.0, uptime_ms)
+    receive(owner, 1, (local_member, voter), 0.0, 5_000.0)
+    receive(voter, 1, (local_member, owner), 0.0, 5_000.0)
+    receive(voter, 2, (local_member,), 650.0, uptime_ms)
     assert not detector.lease_expired(owner, before, 2, 700.0)
-    receive(voter, 2, (me,), 790.0, uptime_ms + 140.0)
+    receive(voter, 2, (local_member,), 790.0, uptime_ms + 140.0)
     assert detector.lease_expired(owner, before, 2, 800.0) == proven
--- a/tests/test_rejected_changes.py
+++ b/tests/test_rejected_changes.py
@@ -18,7 +18,7 @@
 from lab.control.cluster import Cluster
 from lab.control.invariants import InvariantViolation
 from lab.control.operators import empty_change
-from tests.replicas import current_view
+from tests.replicas import latest_view
 
 FUTURE = empty_change(9, 4, "future")
 
@@ -42,10 +42,10 @@
 
 def _replace_head(cluster: Cluster) -> None:
     """The head's process ends, and another replica leads the chain."""
-    head = current_view(cluster).chain[0].address
+    head = latest_view(cluster).chain[0].address
     cluster.kill(head)
     cluster.run(2_000.0)
-    assert current_view(cluster).chain[0].address != head
+    assert latest_view(cluster).chain[0].address != head
 
 
 @pytest.mark.parametrize("version", [0, 2])
--- a/tests/test_stream_session.py
+++ b/tests/test_stream_session.py
@@ -20,9 +20,9 @@
     FetchConfiguration,
     LocalPlacement,
     NodeKeepalive,
+    NodeLiveness,
+    NodeLivenessUpdate,
     NodeShutdown,
-    NodeSighting,
-    NodeSightings,
     PlacementQuery,
     PlacementReply,
     QuotaHoldingsReport,
@@ -142,7 +142,7 @@
     scene = _Scene()
     scene.session.handle(ServerHeartbeats((), ("i-1",)))
     assert scene.registrar.calls == [("on_relayed_heartbeats", ServerHeartbeats((), ("i-1",)))]
-    scene.session.handle(NodeSightings((NodeSighting("other", 0.0),)))
+    scene.session.handle(NodeLivenessUpdate((NodeLiveness("other", 0.0),)))
     assert scene.nodes.active_names() == ("other",)
     assert scene.replica_host.calls == []
 
--- a/tests/test_view_agreement.py
+++ b/tests/test_view_agreement.py
@@ -8,7 +8,7 @@
 import pytest
 
 from dunlinloft.coordination.actions import Send
-from dunlinloft.coordination.calls import Calls
+from dunlinloft.coordination.calls import CallHandler
 from dunlinloft.coordination.chain import ChainReplica
 from dunlinloft.coordination.records import DurableState
 from dunlinloft.coordination.replica import Replica
@@ -19,19 +19,19 @@
 from lab.control.cluster import Cluster
 from lab.control.invariants import InvariantViolation
 from lab.control.operators import empty_change
-from tests.replicas import chain_replica, cluster_without
+from tests.replicas import chain_replica, cluster_with_member_down
 
 
 def test_a_restarted_proposer_reuses_no_proposal_number() -> None:
     view = initial_view(("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"))
-    me, second, third = view.roster
+    local_member, second, third = view.roster
     numbers = set()
     for process in range(2):
         # The promise is not on disk yet: after the restart it is unknown.
-        durable = DurableState(me.incarnation, view=view)
-        replica = Replica(me, True, durable, (), 1, validate, random.Random(process), 0.0)
+        durable = DurableState(local_member.incarnation, view=view)
+        replica = Replica(local_member, True, durable, (), 1, validate, random.Random(process), 0.0)
         replica.start(None)
-        replica._voting.propose(view, View(2, view.roster, (me, second), 2))
+        replica._voting.propose(view, View(2, view.roster, (local_member, second), 2))
         prepares = [a.message for a in replica._actions if isinstance(a, Send)]
         numbers |= {message.proposal_number for message in prepares if isinstance(message, Prepare)}
         assert third.address in {a.address for a in replica._actions if isinstance(a, Send)}
@@ -41,29 +41,36 @@
 def test_accepting_a_later_view_ends_the_lease() -> None:
     cluster = Cluster(91)
     cluster.run(1_000.0)
-    me, second, _ = (cluster.machines[address].replica for address in cluster.seeds)
-    assert me is not None
+    first, second, _ = (cluster.machines[address].replica for address in cluster.seeds)
+    assert first is not None
     assert second is not None
-    assert me.view is not None
-    assert me.has_lease(cluster.now)
-    later = View(2, me.view.roster, me.view.chain[1:], 2)
-    me.handle(Accept(second.me, ProposalNumber(9, "second"), later), cluster.now)
+    assert first.view is not None
+    assert first.has_lease(cluster.now)
+    later = View(2, first.view.roster, first.view.chain[1:], 2)
+    first.handle(Accept(second.local_member, ProposalNumber(9, "second"), later), cluster.now)
     # The third still echoes its heartbeats in this epoch; with the second it decided the later view.
-    assert not me.has_lease(cluster.now)
+    assert not first.has_lease(cluster.now)
 
 
 def test_an_acceptance_from_before_a_restart_decides_nothing() -> None:
     view = initial_view(("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"))
-    me, second, third = view.roster
+    local_member, second, third = view.roster
     replica = Replica(
-        me, True, DurableState(me.incarnation, view=view), (), 1, validate, random.Random(1), 0.0
+        local_member,
+        True,
+        DurableState(local_member.incarnation, view=view),
+        (),
+        1,
+        validate,
+        random.Random(1),
+        0.0,
     )
     replica.start(None)
-    desired = View(2, view.roster, (me, second), 2)
+    desired = View(2, view.roster, (local_member, second), 2)
     number = replica._voting.propose(view, desired)
     for voter in (second, third):
         replica.handle(PrepareResponse(voter, 2, number, None), 1.0)
-    stale = type(number)(number.number, f"{me.id}/another process")
+    stale = type(number)(number.number, f"{local_member.id}/another process")
     for voter in (second, third):
         replica.handle(Accepted(voter, 2, stale), 2.0)
     assert replica.view == view
@@ -77,7 +84,9 @@
     for process in range(2):
         view = initial_view(("10.0.0.1:1", "10.0.0.2:1"))
         chain, _ = chain_replica(view, view.chain[1], ChainState())
-        calls = Calls(view.chain[1], chain, validate, lambda _: None, lambda *_: None, random.Random(process))
+        calls = CallHandler(
+            view.chain[1], chain, validate, lambda _: None, lambda *_: None, random.Random(process)
+        )
         nonces.add(calls._changes._confirmation._last_nonce)
     assert len(nonces) == 2
 
@@ -93,7 +102,7 @@
 
 
 def _cluster_with_a_detached_member() -> _DetachedMember:
-    cluster = cluster_without(91, 2)
+    cluster = cluster_with_member_down(91, 2)
     _, second, third = cluster.seeds
     for version in range(1, 9):
         cluster.submit(empty_change(version, version - 1), lambda _: None)
@@ -106,7 +115,7 @@
         assert behind is not None
         assert behind.view is not None
         view = behind.view
-        if view.detached and view.position_of(behind.me.id) and behind.chain.epoch == view.epoch:
+        if view.detached and view.position_of(behind.local_member.id) and behind.chain.epoch == view.epoch:
             assert [member.address for member in view.detached] == [second]
             assert not behind.chain.synced
             return _DetachedMember(cluster, view, behind, view.detached[0])
@@ -117,9 +126,11 @@
     """The member behind seals the epoch while the head, which has everything, still runs."""
     scene = _cluster_with_a_detached_member()
     cluster, view, behind, detached = scene.cluster, scene.view, scene.behind, scene.detached
-    desired = View(view.epoch + 1, view.roster, (detached, behind.me), 1, (), behind.me.id)
-    accept = Accept(behind.me, ProposalNumber(50, behind.me.id), desired)
-    cluster._perform(cluster.machines[behind.me.address], behind.handle(accept, cluster.now))
+    desired = View(
+        view.epoch + 1, view.roster, (detached, behind.local_member), 1, (), behind.local_member.id
+    )
+    accept = Accept(behind.local_member, ProposalNumber(50, behind.local_member.id), desired)
+    cluster._perform(cluster.machines[behind.local_member.address], behind.handle(accept, cluster.now))
     for version in range(9, 15):
         cluster.submit(empty_change(version, version - 1), lambda _: None)
         cluster.run(300.0)
@@ -142,11 +153,13 @@
     cluster, view, behind, detached = scene.cluster, scene.view, scene.behind, scene.detached
     assert behind.chain.seal_epoch()
     assert not behind.chain.seal_epoch(), "it takes no further part, and so can tell nothing more"
-    desired = View(view.epoch + 1, view.roster, (detached, behind.me), 1, (), behind.me.id)
+    desired = View(
+        view.epoch + 1, view.roster, (detached, behind.local_member), 1, (), behind.local_member.id
+    )
     durable = DurableState(
-        behind.me.incarnation, view=view, accepted=AcceptedProposal(ProposalNumber(1, "x"), desired)
+        behind.local_member.incarnation, view=view, accepted=AcceptedProposal(ProposalNumber(1, "x"), desired)
     )
-    restarted = Replica(behind.me, True, durable, (), 1, validate, random.Random(1), cluster.now)
+    restarted = Replica(behind.local_member, True, durable, (), 1, validate, random.Random(1), cluster.now)
     assert restarted.chain.epoch == 0
     head = cluster.machines[view.chain[0].address].replica
     assert head is not None
