--- a/dunlinloft/coordination/actions.py
+++ b/dunlinloft/coordination/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the state machines ask their host to do, in the order in which they are listed."""
+"""Actions that the state machines return; the host performs them in order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to a replica; it may get lost."""
+    """Send a message to a replica; delivery is not guaranteed."""
 
     address: str  # host:port of its internal listener
     message: ReplicaMessage
@@ -19,18 +19,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Append a record to the disk and sync it, in the order asked for; then call `Replica.on_persisted`."""
+    """Append a record to the disk and sync it, in order; then call `Replica.on_persisted`."""
 
-    token: int  # names the write when it is reported
+    token: int  # passed to `Replica.on_persisted`
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Reply to the operator's call that came with this token."""
+    """Reply to the operator call that was submitted with this token."""
 
     token: str
-    status: int  # a `call_status.CallStatus`, as in HTTP
+    status: int  # a `call_status.CallStatus`
     reason: str
     version: int
     document: Document | None
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """A state was committed: it can no longer be lost, and the data plane may have it."""
+    """A state was committed: it is replicated and may be published to the data plane."""
 
     state: ChainState
 
--- a/dunlinloft/coordination/call_messages.py
+++ b/dunlinloft/coordination/call_messages.py
@@ -1,4 +1,4 @@
-"""Operators' calls between the replica that received one and the head or tail that executes it."""
+"""Messages that carry operator calls from the receiving replica to the head or tail, and results back."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class ForwardedCall(Struct, frozen=True, tag="ask"):
-    """An operator's call, forwarded to the head (a change) or to the tail (a read)."""
+    """An operator call, forwarded to the head (a change) or to the tail (a read)."""
 
     sender: Member
-    token: str  # of the call, at its sender
+    token: str  # identifies the call at its sender
     change: ConfigurationChange | None = field(name="order")  # None for a read
 
 
 class CallResult(Struct, frozen=True, tag="answer"):
-    """The outcome of a forwarded call: an HTTP status, and what was read."""
+    """The result of a forwarded call: an HTTP status and, for a read, the document."""
 
     sender: Member
     token: str
--- a/dunlinloft/coordination/call_status.py
+++ b/dunlinloft/coordination/call_status.py
@@ -1,4 +1,4 @@
-"""The outcomes of an operator's call, as HTTP statuses."""
+"""Results of operator calls, as HTTP status codes."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class CallStatus(IntEnum):
-    """How a call ended; every status but `UNAVAILABLE` is final for this request."""
+    """The status of a completed call; every status except `UNAVAILABLE` is final for this request."""
 
     OK = 200
     INVALID = 400  # the change must not be applied, whatever the current version
     BASE_NOT_CURRENT = 412
-    UNAVAILABLE = 503  # it is not known whether the change was, or will be, applied
+    UNAVAILABLE = 503  # unknown outcome: the change may have been applied, or may still be
--- a/dunlinloft/coordination/calls.py
+++ b/dunlinloft/coordination/calls.py
@@ -1,7 +1,7 @@
-"""Operators' calls: forwarded to the head (changes) or the tail (reads), and executed there.
+"""Operator calls: any replica accepts them, and the head (changes) or the tail (reads) executes them.
 
-Any replica takes a call, and repeats the forwarding until a result comes back or the call times out. The two
-sides of execution are `change_queue` and `tail_reads`.
+The receiving replica resends a forwarded call until a result arrives or the call times out. `change_queue`
+executes changes, `tail_reads` executes reads.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 from dunlinloft.coordination.views import Member, View
 from dunlinloft.coordination.voting_messages import EpochConfirmed
 
-CALL_TIMEOUT_MS = 850.0  # a call without a result by then ends as unavailable; callers wait a second
-FORWARD_RETRY_INTERVAL_MS = 250.0  # a forwarded call or its result may be lost
+CALL_TIMEOUT_MS = 850.0  # until a call fails as unavailable; below the callers' own timeout of 1 s
+FORWARD_RETRY_INTERVAL_MS = 250.0  # between resends, as a forwarded call or its result may be lost
 
 
 @dataclass(slots=True)
 class _PendingCall:
-    """A call that came in here and has no result yet."""
+    """A call that this replica received and that has no result yet."""
 
     change: ConfigurationChange | None  # None for a read
     started_ms: float
     sent_ms: float = -FORWARD_RETRY_INTERVAL_MS
-    target: str | None = None  # address that it was last forwarded to
+    target: str | None = None  # address to which it was last forwarded
 
 
 class CallHandler:
-    """Both sides of a call: where it came in, and where it is executed. Owned by `Replica`."""
+    """Forwards calls that this replica receives, and executes those forwarded to it. Owned by `Replica`."""
 
     def __init__(
         self,
@@ -60,21 +60,21 @@
         self._view: View | None = None
 
     def advance(self, view: View | None, now_ms: float) -> None:
-        """Forward pending calls, and go on with those executed here. Called after every event."""
+        """Forward pending calls, and continue those being executed here. Called after every event."""
         self._view = view
         self._forward_pending(view, now_ms)
         if view is not None and self._chain.epoch == view.epoch:
             self._changes.advance(view, now_ms)
             self._reads.advance(view, now_ms)
 
-    # Where a call came in.
+    # Receiving side.
 
     def begin(self, token: str, change: ConfigurationChange | None, now_ms: float) -> None:
-        """Take an operator's call: a change, or a read where `change` is None."""
+        """Accept an operator call: a change, or a read if `change` is None."""
         self._pending[token] = _PendingCall(change, now_ms)
 
     def on_result(self, result: CallResult) -> None:
-        """Reply with the result of a forwarded call, unless that was done before."""
+        """Reply with the result of a forwarded call; duplicate results are ignored."""
         if self._pending.pop(result.token, None) is not None:
             self._emit(
                 Reply(result.token, result.status, result.reason, result.state_version, result.document)
@@ -96,10 +96,13 @@
             pending.sent_ms = now_ms
             self._send(target, ForwardedCall(self._local_member, token, pending.change))
 
-    # Where a call is executed.
+    # Executing side.
 
     def on_forwarded_call(self, call: ForwardedCall, now_ms: float) -> None:
-        """Take a call as head or tail; whoever is neither ignores it, and gets none for long."""
+        """Handle a forwarded call as head or tail.
+
+        Other replicas ignore it; the sender forwards it to the right one once it learns the current view.
+        """
         caller = Caller(call.sender, call.token)
         if call.change is None:
             self._reads.begin(caller, now_ms)
@@ -107,7 +110,7 @@
             self._changes.enqueue(caller, call.change)
 
     def on_epoch_confirmed(self, message: EpochConfirmed) -> None:
-        """Count a voter's confirmation that it knows of no later view."""
+        """Count a voter's confirmation that it has accepted no later view."""
         view = self._view
         if view is None or message.epoch != view.epoch or message.sender.id not in view.voter_ids():
             return
@@ -115,7 +118,7 @@
         count_confirmation(message, rounds)
 
     def on_view_changed(self) -> None:
-        """Drop what is executed here: who forwarded it does so again in the new view."""
+        """Drop all calls being executed here; their senders forward them again in the new view."""
         self._changes.clear()
         self._reads.clear()
 
--- a/dunlinloft/coordination/chain.py
+++ b/dunlinloft/coordination/chain.py
@@ -1,10 +1,10 @@
 """Chain replication within one epoch: the head appends, the tail commits, a successor catches up.
 
 Follows van Renesse and Schneider, "Chain Replication for Supporting High Throughput and Availability" (OSDI
-2004). Different from there, what is committed is on a given number of disks, `min_synced`: a tail commits
-only where so many members of this epoch, itself included, are known to be equal. Members before a synced tail
-hold what it holds, so its position in the chain tells that number. A chain's length says nothing: its last
-members may still be catching up.
+2004), with one difference: a committed entry is on at least `min_synced` disks. The tail commits only if that
+many members of this epoch, itself included, are known to hold the same history. All members before a synced
+tail hold what the tail holds, so its position in the chain gives that number. The length of the chain does
+not, because its last members may still be catching up.
 """
 
 from __future__ import annotations
@@ -32,24 +32,24 @@
 from dunlinloft.coordination.state import ChainState, LogEntry
 from dunlinloft.coordination.views import Member, View
 
-MAX_RECENT_ENTRIES = 64  # in memory, for a successor that is a little behind; an older one gets a snapshot
-POSITION_RESEND_INTERVAL_MS = 200.0  # between positions sent to a successor that may not have got something
+MAX_RECENT_ENTRIES = 64  # in memory; a successor that lacks older entries gets a snapshot
+POSITION_RESEND_INTERVAL_MS = 200.0  # between positions sent to a successor that may have missed a message
 
 NO_SEQUENCE = -1  # no position known yet; an empty state has sequence 0
 
 PersistThen = Callable[[Record, Callable[[], None]], None]
-"""Appends a record to the disk and calls the second argument once it is there."""
+"""Appends a record to the disk and calls the second argument once the record is durable."""
 
 
 class ChainReplica:
-    """A replica's part in an epoch's chain. Owned by `Replica`; `Calls` appends at the head and reads.
+    """A replica's role in the chain of an epoch. Owned by `Replica`; `CallHandler` appends and reads.
 
     Invariants:
 
-    - `state` is what the disk holds; it changes only once the record that changes it is there.
+    - `state` is the durable state; it changes only once the record of the change is durable.
     - `committed` is `state` or an earlier point of its history, and never goes back.
-    - At most one record that changes `state` is on its way to the disk.
-    - `synced` holds in the current epoch only: this replica is its head, or was found equal to a synced
+    - At most one write that changes `state` is pending.
+    - `synced` applies to the current epoch: this replica is its head, or was found equal to a synced
       predecessor.
     """
 
@@ -61,29 +61,29 @@
         persist: PersistThen,
         min_synced: int,
     ) -> None:
-        """Begin outside of any epoch.
+        """Create a replica that is in no epoch.
 
         Parameters
         ----------
-        me : this replica.
-        durable : what its disk holds.
-        emit : takes the actions for the host.
+        local_member : this replica.
+        durable : the state recovered from its disk.
+        emit : receives the actions for the host.
         persist : see `PersistThen`.
-        min_synced : on how many disks an entry has to be before it counts as committed.
+        min_synced : the number of disks that must hold an entry before it is committed.
         """
         self._min_synced = min_synced
-        self._position: int | None = None  # in the chain; None where it is not in it
+        self._position: int | None = None  # in the chain; None if not in it
         self._local_member = local_member
         self._emit = emit
         self._persist = persist
-        self.state = durable.state  # all that is on disk here
+        self.state = durable.state
         is_committed = durable.committed_digest == durable.state.chain_digest
         self.committed = durable.state if is_committed else ChainState()
         self.epoch = 0
         self.synced = False  # equal to the predecessor in this epoch, or head
-        self.synced_epoch = durable.synced_epoch  # the last in which it was found equal, as is on disk
-        self._write_pending = False  # a record that changes the state is on its way to the disk
-        self._epoch_committed = NO_SEQUENCE  # the sequence up to which this epoch's tail has committed
+        self.synced_epoch = durable.synced_epoch  # last epoch in which it was found equal; durable
+        self._write_pending = False  # a write that changes the state is pending
+        self._epoch_committed = NO_SEQUENCE  # up to which this epoch's tail has committed
         self._uncommitted: dict[int, ChainState] = {}  # by sequence
         self._recent: deque[LogEntry] = deque(maxlen=MAX_RECENT_ENTRIES)
         self._predecessor: Member | None = None
@@ -92,10 +92,10 @@
         self._successor_synced = False
         self._position_sent_ms = 0.0
 
-    # The epoch.
+    # Epochs.
 
     def enter_epoch(self, view: View) -> None:
-        """Take the position that a view gives. The view is on disk."""
+        """Assume this replica's position in the chain of a view. The view is durable."""
         self._position = view.position_of(self._local_member.id)
         position = self._position
         self.epoch = view.epoch
@@ -115,7 +115,7 @@
         self._on_progress()
 
     def leave_epoch(self) -> None:
-        """Take part in no epoch until the next view is on disk."""
+        """Leave the chain until the next view is durable."""
         self.epoch = 0
         self.synced = False
         self._epoch_committed = NO_SEQUENCE
@@ -123,11 +123,11 @@
         self._successor = None
 
     def seal_epoch(self) -> bool:
-        """Take no further part in this epoch, if it can't have committed anything without this replica.
+        """Leave this epoch for good if that ensures that it never commits; return whether it does.
 
-        Whatever it commits went through each member of its chain, found equal on disk; a member behind the
-        head that was not found equal, and isn't just being found so, ends that possibility. Returns whether
-        it does.
+        An entry commits only after every member of the chain has been found equal to its predecessor, which
+        is recorded on disk. A member behind the head that has not been found equal, and is not writing that
+        record, can therefore rule out any commit in this epoch by leaving it.
         """
         if self.synced or self._write_pending or not self.epoch or not self._position:
             return False
@@ -138,19 +138,19 @@
 
     @property
     def fully_committed(self) -> bool:
-        """Whether everything held here was committed by this epoch's tail."""
+        """Whether this epoch's tail has committed the whole state of this replica."""
         return self.synced and self._epoch_committed == self.state.sequence and not self._write_pending
 
     @property
     def is_tail(self) -> bool:
-        """Whether it commits and answers reads: the last member, behind enough others that are equal."""
+        """Whether this replica commits and serves reads: it is the last member and enough are synced."""
         enough = self._position is not None and self._position + 1 >= self._min_synced
         return self.synced and self._successor is None and enough
 
-    # Appending and committing.
+    # Append and commit.
 
     def append(self, entry: LogEntry) -> None:
-        """Append an entry here; as the head, or as what the predecessor sent."""
+        """Append an entry to the local log: a new one at the head, or one received from the predecessor."""
         self._write_pending = True
         epoch = self.epoch
         self._persist(EntryRecord(entry), lambda: self._on_appended(entry, epoch))
@@ -170,7 +170,7 @@
         self._uncommitted[state.sequence] = state
 
     def _on_progress(self) -> None:
-        """After a change: acknowledge to the predecessor, and commit where this is the tail."""
+        """Acknowledge a change to the predecessor, and commit it if this is the tail."""
         if not self.synced:
             return
         if self._predecessor is not None:
@@ -184,7 +184,7 @@
         if state is not None and state.sequence > self.committed.sequence:
             self.committed = state
             self._emit(Commit(state))
-            # On disk so that after a restart the data plane gets it at once, before the chain works again.
+            # Durable, so that a restarted replica can publish it before the chain is available again.
             self._persist(CommittedRecord(state.chain_digest), lambda: None)
         self._uncommitted = {n: s for n, s in self._uncommitted.items() if n > sequence}
         self._send_committed()
@@ -195,13 +195,13 @@
             self._emit(Send(self._predecessor.address, committed))
 
     def recent_entry(self, sequence: int) -> LogEntry | None:
-        """A recent entry; None where it is no longer in memory."""
+        """Return a recent entry; None if it is no longer in memory."""
         return next((entry for entry in self._recent if entry.sequence == sequence), None)
 
-    # Towards the successor.
+    # Replication to the successor.
 
     def on_tick(self, now_ms: float) -> None:
-        """Send the position again where the successor may not have got something."""
+        """Resend the position if the successor may have missed a message."""
         if not self.synced or self._successor is None:
             return
         if now_ms - self._position_sent_ms < POSITION_RESEND_INTERVAL_MS:
@@ -219,7 +219,7 @@
             self._emit(Send(self._successor.address, position))
 
     def on_successor_position(self, position: SuccessorPosition) -> None:
-        """Take the successor's acknowledgement, or send what it lacks."""
+        """Handle the successor's acknowledgement, or send the entries that it lacks."""
         if not self._is_from(position.sender, position.epoch, self._successor) or not self.synced:
             return
         assert self._successor is not None
@@ -237,7 +237,7 @@
             self._emit(Send(self._successor.address, AppendEntries(self._local_member, self.epoch, missing)))
 
     def _entries_after(self, sequence: int, chain_digest: str) -> tuple[LogEntry, ...] | None:
-        """The entries after a point of this history; None where that point is not in memory."""
+        """Return the entries after a point of this history; None if that point is not in memory."""
         entries = list(self._recent)
         for index, entry in enumerate(entries):
             if (entry.sequence, entry.chain_digest) == (sequence, chain_digest):
@@ -245,11 +245,11 @@
         return None
 
     def on_committed(self, committed: Committed) -> None:
-        """Take from the successor that the tail has committed up to a sequence."""
+        """Handle the successor's notice that the tail has committed up to a sequence."""
         if self._is_from(committed.sender, committed.epoch, self._successor) and self.synced:
             self._commit(committed.sequence)
 
-    # Towards the predecessor.
+    # Replication from the predecessor.
 
     def _send_position_to_predecessor(self) -> None:
         if self._predecessor is not None:
@@ -259,7 +259,7 @@
             self._emit(Send(self._predecessor.address, position))
 
     def on_predecessor_position(self, position: PredecessorPosition) -> None:
-        """Compare with the predecessor: ask for what is missing, or become synced where both are equal."""
+        """Compare with the predecessor: request missing entries, or become synced if both are equal."""
         if not self._is_from(position.sender, position.epoch, self._predecessor) or self._write_pending:
             return
         if (position.sequence, position.chain_digest) != (self.state.sequence, self.state.chain_digest):
@@ -280,7 +280,7 @@
             self._on_progress()
 
     def on_append_entries(self, append: AppendEntries) -> None:
-        """Append the predecessor's entries; for one that does not follow, wait for its next position."""
+        """Append the predecessor's entries; if they leave a gap, send this replica's position instead."""
         if not self._is_from(append.sender, append.epoch, self._predecessor) or self._write_pending:
             return
         following = [entry for entry in append.entries if entry.sequence > self.state.sequence]
@@ -290,7 +290,7 @@
         self._append_all(following, self.epoch)
 
     def _append_all(self, entries: list[LogEntry], epoch: int) -> None:
-        """Append one entry after the other, each once the one before it is on disk."""
+        """Append entries one at a time, each once the previous one is durable."""
         first, *rest = entries
         if not is_next_entry(self.state, first):
             self._send_position_to_predecessor()
@@ -308,7 +308,7 @@
             self._send_position_to_predecessor()
 
     def on_install_snapshot(self, install: InstallSnapshot) -> None:
-        """Replace the state by the predecessor's, unless that is older than what is committed here."""
+        """Replace the state by the predecessor's, unless that is older than the committed state here."""
         if not self._is_from(install.sender, install.epoch, self._predecessor) or self._write_pending:
             return
         if install.state.sequence < self.committed.sequence:
@@ -326,5 +326,5 @@
             self._send_position_to_predecessor()
 
     def _is_from(self, sender: Member, epoch: int, expected: Member | None) -> bool:
-        """Whether a message is of this epoch and from the neighbour that it should come from."""
+        """Return whether a message is from the expected neighbour, in this epoch."""
         return epoch == self.epoch != 0 and expected is not None and sender.id == expected.id
--- a/dunlinloft/coordination/chain_messages.py
+++ b/dunlinloft/coordination/chain_messages.py
@@ -1,4 +1,4 @@
-"""Messages between neighbours in a chain. Each is valid in its epoch only."""
+"""Messages between neighbours in the chain; each is valid only in its epoch."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PredecessorPosition(Struct, frozen=True, tag="offer"):
-    """A predecessor's position in the log, for its successor to compare and to catch up with."""
+    """From a predecessor: its position in the log, which the successor compares with its own."""
 
     sender: Member
     epoch: int
@@ -18,7 +18,7 @@
 
 
 class SuccessorPosition(Struct, frozen=True, tag="have"):
-    """A successor's position in the log as on its disk: an acknowledgement, or a request to catch up."""
+    """From a successor: its durable position in the log, as an acknowledgement or a request to catch up."""
 
     sender: Member
     epoch: int
@@ -27,7 +27,7 @@
 
 
 class AppendEntries(Struct, frozen=True, tag="append"):
-    """Entries that follow the successor's position."""
+    """From a predecessor: the entries that follow the successor's position."""
 
     sender: Member
     epoch: int
@@ -35,7 +35,7 @@
 
 
 class InstallSnapshot(Struct, frozen=True, tag="install"):
-    """The predecessor's whole state, for a successor whose history differs or is too old."""
+    """From a predecessor: its whole state, for a successor whose history differs or is too old."""
 
     sender: Member
     epoch: int
@@ -43,7 +43,7 @@
 
 
 class Committed(Struct, frozen=True, tag="committed"):
-    """The tail has committed everything up to this sequence; passed on from the tail to the head."""
+    """From a successor: the tail has committed everything up to this sequence; relayed towards the head."""
 
     sender: Member
     epoch: int
--- a/dunlinloft/coordination/change_queue.py
+++ b/dunlinloft/coordination/change_queue.py
@@ -1,12 +1,13 @@
-"""The head's queue of configuration changes: validated, appended and answered one after the other.
+"""The head's queue of configuration changes, which validates, appends and acknowledges them one at a time.
 
-One change at a time, so that each is validated against a committed state. A rejection is answered only once a
-majority has confirmed the epoch (`epoch_confirmation`); an acceptance only once this epoch's tail has
-committed the change.
+Processing one change at a time ensures that each is validated against a committed state. A rejection is
+returned only once a majority has confirmed the epoch (`epoch_confirmation`), an acceptance only once this
+epoch's tail has committed the change.
 
-A rejected change must never be accepted later, by any head. One on an old base version can't be, as versions
-rise; one that is invalid on its base version stays so. One whose base version does not exist yet might be,
-once that is current: its rejection is recorded in the replicated history, and answered once committed.
+No head may accept a change that was rejected before. A change on an old base version can't be accepted later,
+because versions only increase; a change that is invalid on its base version stays invalid. A change whose
+base version doesn't exist yet might become acceptable once that version is current, so its rejection is
+recorded in the replicated history and returned once that record is committed.
 """
 
 from __future__ import annotations
@@ -25,13 +26,13 @@
 from dunlinloft.coordination.verdicts import Invalid, Validator
 from dunlinloft.coordination.views import Member, View
 
-MAX_QUEUED_CHANGES = 64  # further ones are dropped; their callers send them again
-MAX_REMEMBERED_REJECTIONS = 1_024  # least recently used ones are forgotten first
+MAX_QUEUED_CHANGES = 64  # further changes are dropped; their senders resend them
+MAX_REMEMBERED_REJECTIONS = 1_024  # the least recently used are evicted first
 
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Where the result of a call goes: the replica that forwarded it, and the call's token there."""
+    """The destination of a call's result: the replica that forwarded it, and the call's token there."""
 
     member: Member
     token: str
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a call ends with; see `call_messages.CallResult`."""
+    """The result of a call; see `call_messages.CallResult`."""
 
     status: CallStatus
     reason: str
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Rejection:
-    """Why a change was rejected; it stays so."""
+    """Why a change was rejected. Rejections are final."""
 
     status: CallStatus
     reason: str
@@ -60,17 +61,17 @@
 
 @dataclass(slots=True)
 class _QueuedChange:
-    """A change at the head, with everybody who waits for its result."""
+    """A change at the head, with all callers that wait for its result."""
 
     change: ConfigurationChange
     callers: list[Caller]
-    sequence: int = 0  # of the entry that it waits for; 0 for none
+    sequence: int = 0  # of the entry that has to be committed first; 0 for none
     rejection: _Rejection | None = None
     confirmation: ConfirmationRound = field(default_factory=ConfirmationRound)
 
 
 class ChangeQueue:
-    """The changes waiting at the head, and the one in progress. Owned by `Calls`."""
+    """The changes queued at the head, and the one in progress. Owned by `CallHandler`."""
 
     def __init__(
         self,
@@ -88,7 +89,7 @@
         self._rejections: LRU[str, _Rejection] = LRU(MAX_REMEMBERED_REJECTIONS)  # by the change's digest
 
     def enqueue(self, caller: Caller, change: ConfigurationChange) -> None:
-        """Add a change; a caller of one that is here already joins those who wait for it."""
+        """Add a change; if it is queued or in progress already, add the caller to those waiting for it."""
         waiting = list(self._queue)
         if self._in_progress is not None:
             waiting.append(self._in_progress)
@@ -101,16 +102,16 @@
             self._queue.append(_QueuedChange(change, [caller]))
 
     def clear(self) -> None:
-        """Drop everything, as the view has changed: who forwarded it sends it again to the new head."""
+        """Drop all changes because the view changed; their senders forward them to the new head."""
         self._queue.clear()
         self._in_progress = None
 
     def confirmation_rounds(self) -> list[ConfirmationRound]:
-        """The rounds that wait for confirmations."""
+        """Return the rounds that wait for confirmations."""
         return [] if self._in_progress is None else [self._in_progress.confirmation]
 
     def advance(self, view: View, now_ms: float) -> None:
-        """Go on with the change in progress, and with the next ones as far as possible."""
+        """Process the change in progress and the queued ones as far as possible."""
         while True:
             if self._in_progress is None and not self._start_next():
                 return
@@ -122,7 +123,7 @@
             self._in_progress = None
 
     def _start_next(self) -> bool:
-        """Take up the next change, where everything before it is committed; return whether one was."""
+        """Start the next change if everything before it is committed; return whether one was started."""
         if not self._queue or not self._chain.fully_committed:
             return False
         queued = self._queue.popleft()
@@ -148,37 +149,37 @@
             if change.base_version > state.version:
                 self._reject_future_base(queued)
             return
-        verdict = self._validate(state.document, change)
-        if isinstance(verdict, Invalid):
-            queued.rejection = _Rejection(CallStatus.INVALID, verdict.reason)
-        elif verdict.version <= state.version:
+        result = self._validate(state.document, change)
+        if isinstance(result, Invalid):
+            queued.rejection = _Rejection(CallStatus.INVALID, result.reason)
+        elif result.version <= state.version:
             reason = f"version: not above the current {state.version}"
             queued.rejection = _Rejection(CallStatus.INVALID, reason)
         else:
             queued.sequence = state.sequence + 1
-            self._chain.append(next_entry(state, verdict.version, change))
+            self._chain.append(next_entry(state, result.version, change))
 
     def _reject_future_base(self, queued: _QueuedChange) -> None:
-        """Record the rejection of a change whose base version may become current later."""
+        """Append an entry that records the rejection of a change whose base version may become current."""
         state = self._chain.state
         queued.sequence = state.sequence + 1
         self._chain.append(rejection_entry(state, queued.change))
 
     def _finish(self, queued: _QueuedChange, view: View, now_ms: float) -> bool:
-        """Answer a change that is committed, or rejected and confirmed; return whether it was."""
+        """Complete a change that is committed, or rejected and confirmed; return whether it was completed."""
         version = self._chain.committed.version
         if self._chain.committed.sequence < queued.sequence:
             return False
         rejection = queued.rejection
         if rejection is None:
-            self._answer(queued, Outcome(CallStatus.OK, "taken", version))
+            self._notify_callers(queued, Outcome(CallStatus.OK, "taken", version))
             return True
         if not queued.sequence and not self._confirmation.is_confirmed(queued.confirmation, view, now_ms):
             return False
         self._rejections[queued.change.digest] = rejection
-        self._answer(queued, Outcome(rejection.status, rejection.reason, version))
+        self._notify_callers(queued, Outcome(rejection.status, rejection.reason, version))
         return True
 
-    def _answer(self, queued: _QueuedChange, outcome: Outcome) -> None:
+    def _notify_callers(self, queued: _QueuedChange, outcome: Outcome) -> None:
         for caller in queued.callers:
             self._send_outcome(caller, outcome)
--- a/dunlinloft/coordination/decaying_sum.py
+++ b/dunlinloft/coordination/decaying_sum.py
@@ -1,4 +1,4 @@
-"""An exponentially decaying sum: how much was used recently, and at which rate."""
+"""An exponentially decaying sum, which estimates recent usage and its rate."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 @dataclass(slots=True)
 class DecayingSum:
-    """A sum of amounts that decays with a time constant; `amount` was its value at `updated_ms`.
+    """A sum of amounts that decays with a time constant; `amount` is its value at `updated_ms`.
 
-    Times are in milliseconds of a steady clock.
+    Times are in milliseconds of a monotonic clock.
     """
 
     time_constant_ms: float
@@ -18,14 +18,14 @@
     updated_ms: float = 0.0
 
     def add(self, amount: float, now_ms: float) -> None:
-        """Add an amount that was used now."""
+        """Add an amount used now."""
         self.amount = self.value(now_ms) + amount
         self.updated_ms = now_ms
 
     def value(self, now_ms: float) -> float:
-        """Return the sum as decayed until now."""
+        """Return the decayed sum at this time."""
         return self.amount * math.exp((self.updated_ms - now_ms) / self.time_constant_ms)
 
     def rate_per_s(self, now_ms: float) -> float:
-        """Return the recent rate of what was added, per second."""
+        """Return the recent rate of added amounts, per second."""
         return self.value(now_ms) / (self.time_constant_ms / 1_000.0)
--- a/dunlinloft/coordination/document_changes.py
+++ b/dunlinloft/coordination/document_changes.py
@@ -1,4 +1,4 @@
-"""How a change turns one configuration document into the next; control plane and nodes compute the same."""
+"""Applies configuration changes to a document; control planes and nodes compute the same result."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def apply_change(document: Document, change: ConfigurationChange) -> Document:
-    """Return the document after a change: replaced, or with named items put in and taken out."""
+    """Return the document after a change: replaced, or with named items upserted and deleted."""
     if change.kind == ChangeKind.REPLACE:
         return change.body
     result = dict(document)
@@ -31,7 +31,7 @@
 
 
 def _upserted(items: list[Any], upserts: list[Any]) -> list[Any]:
-    """Return the items, with those of the same name exchanged in their positions and new ones at the end."""
+    """Return the items with those of the same name replaced in place, and new ones appended."""
     remaining = {_name(item): item for item in upserts}
     result = [remaining.pop(_name(item), item) for item in items]
     return [*result, *remaining.values()]
--- a/dunlinloft/coordination/heartbeat_exchange.py
+++ b/dunlinloft/coordination/heartbeat_exchange.py
@@ -1,4 +1,4 @@
-"""Sends and takes heartbeats: to whom, what they say, and what is learned of further replicas."""
+"""Sends and receives heartbeats, and discovers further replicas from them."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from dunlinloft.coordination.views import Member, View
 from dunlinloft.coordination.voting_messages import Decided
 
-HEARTBEAT_INTERVAL_MS = 150.0  # four within `failure_detector.SUSPECT_TIMEOUT_MS`
-MAX_KNOWN_ADDRESSES = 4_096  # of control planes, in memory and in a heartbeat
+HEARTBEAT_INTERVAL_MS = 150.0  # a quarter of `failure_detector.SUSPECT_TIMEOUT_MS`
+MAX_KNOWN_ADDRESSES = 4_096  # of control planes, in memory and per heartbeat
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaStatus:
-    """What a replica says of itself in a heartbeat; the fields are those of `Heartbeat`."""
+    """What a replica reports about itself in a heartbeat; see the fields of `Heartbeat`."""
 
     healthy: bool
     leaving: bool
@@ -27,7 +27,7 @@
 
 
 class HeartbeatExchange:
-    """The heartbeats of one replica, and the addresses of all others that it knows. Owned by `Replica`.
+    """Exchanges one replica's heartbeats and tracks the addresses of the others. Owned by `Replica`.
 
     `status` and `view` are called for each heartbeat.
     """
@@ -55,28 +55,28 @@
         self._known_addresses: set[str] = set()
 
     def on_tick(self, now_ms: float) -> None:
-        """Send heartbeats where they are due."""
+        """Send heartbeats if they are due."""
         if now_ms - self._sent_ms >= HEARTBEAT_INTERVAL_MS:
             self._sent_ms = now_ms
             self.send_to_all(now_ms)
             self._failure_detector.remove_stale_peers(now_ms)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other addresses of replicas to send heartbeats to while no replica is known."""
+        """Replace the seed addresses, to which heartbeats are sent even while no replica is known."""
         self._seeds = seeds
 
     def send_with_next_tick(self) -> None:
-        """Have heartbeats sent with the next tick, as there is something new in them."""
+        """Send heartbeats on the next tick, because their content has changed."""
         self._sent_ms = -HEARTBEAT_INTERVAL_MS
 
     def send_to_all(self, now_ms: float) -> None:
-        """Send a heartbeat to every known replica at once."""
+        """Send a heartbeat to every known replica immediately."""
         heartbeat = self.own_heartbeat(now_ms)
         for address in sorted(self.peer_addresses()):
             self._send(address, heartbeat)
 
     def own_heartbeat(self, now_ms: float) -> Heartbeat:
-        """This replica's heartbeat as it is now."""
+        """Return this replica's current heartbeat."""
         status = self._status(now_ms)
         return Heartbeat(
             sender=self._local_member,
@@ -93,7 +93,7 @@
         )
 
     def on_heartbeat(self, heartbeat: Heartbeat, now_ms: float) -> None:
-        """Take a replica's heartbeat; a replica seen for the first time gets one at once."""
+        """Handle a replica's heartbeat; a new replica gets one in return immediately."""
         sender = heartbeat.sender
         if sender.id == self._local_member.id:
             return
@@ -109,7 +109,7 @@
             self._send(sender.address, Decided(self._local_member, view))
 
     def peer_addresses(self) -> set[str]:
-        """The addresses of all replicas that get heartbeats."""
+        """Return the addresses of all replicas that heartbeats are sent to."""
         result = self._known_addresses | set(self._seeds)
         view = self._view()
         if view is not None:
--- a/dunlinloft/coordination/messages.py
+++ b/dunlinloft/coordination/messages.py
@@ -1,4 +1,4 @@
-"""The union of all messages between control-plane replicas, as JSON lines with a tag each."""
+"""The union of all messages between control-plane replicas, encoded as tagged JSON lines."""
 
 from __future__ import annotations
 
--- a/dunlinloft/coordination/node_registry.py
+++ b/dunlinloft/coordination/node_registry.py
@@ -1,7 +1,7 @@
-"""The data-plane nodes of the fleet, and which of them exchange messages with this replica.
+"""The data-plane nodes of the fleet, and which of them are connected to this replica.
 
-A node that the owner of a quota has no contact with may spend its standing shares, so the owner has to count
-it as spending. Times are in milliseconds of a steady clock.
+A node that has lost contact with the owner of a quota may keep spending its share of the rate, so the owner
+has to account for that. Times are in milliseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -11,27 +11,27 @@
 
 from dunlinloft.coordination.stream import NodeLiveness
 
-# A node from which nothing was received for so long may be spending without its owner. Keepalives come every
-# 300 ms; `quota.reserves.AUTONOMY_DELAY_MS` has to be longer.
+# A node that sent nothing for longer may be spending its share without the owner. Nodes send keepalives every
+# 300 ms; `quota.reserves.AUTONOMY_DELAY_MS` has to be longer than this timeout.
 NODE_CONTACT_TIMEOUT_MS = 450.0
-# A node from which no replica received anything for so long has left.
+# A node that sent nothing to any replica for longer is removed.
 NODE_EXPIRY_MS = 20_000.0
 
 
 @dataclass(slots=True)
 class NodeContact:
-    """What is known of one node.
+    """The contact state of one node.
 
     Attributes
     ----------
     last_seen_ms
-        When any replica last received something from it.
+        When any replica last received a message from it.
     last_received_ms
-        When this replica did; None where it never has.
+        When this replica last received one; None if it never has.
     receives_replies
-        The node says that this replica's replies reach it.
+        Whether the node reports that this replica's replies reach it.
     shut_down
-        Its process said that it ends; what it held of quotas ends with it.
+        Whether it announced its shutdown; its quota shares and reserves end with its process.
     """
 
     last_seen_ms: float
@@ -41,13 +41,13 @@
 
 
 class NodeRegistry:
-    """The nodes of the fleet as one replica knows them; owned by the control plane's process."""
+    """The nodes of the fleet as known to one replica. Owned by the control-plane process."""
 
     def __init__(self) -> None:
         self._contacts: dict[str, NodeContact] = {}
 
     def on_message(self, node: str, receives_replies: bool, now_ms: float) -> None:
-        """Note a message from a node itself, and whether this replica's replies reach it."""
+        """Record a message received from a node, and whether this replica's replies reach it."""
         contact = self._contacts.setdefault(node, NodeContact(now_ms))
         contact.last_seen_ms = now_ms
         contact.last_received_ms = now_ms
@@ -55,30 +55,30 @@
         contact.shut_down = False
 
     def merge(self, liveness: Iterable[NodeLiveness], now_ms: float) -> None:
-        """Merge what another replica knows, or what was on disk."""
-        for sighting in liveness:
-            seen_ms = now_ms - sighting.age_ms
-            contact = self._contacts.setdefault(sighting.node, NodeContact(seen_ms))
+        """Merge node liveness received from another replica or restored from disk."""
+        for record in liveness:
+            seen_ms = now_ms - record.age_ms
+            contact = self._contacts.setdefault(record.node, NodeContact(seen_ms))
             if seen_ms > contact.last_seen_ms:
                 contact.last_seen_ms = seen_ms
-                contact.shut_down = sighting.shut_down
-            contact.shut_down = contact.shut_down or sighting.shut_down
+                contact.shut_down = record.shut_down
+            contact.shut_down = contact.shut_down or record.shut_down
 
     def on_shutdown(self, node: str, now_ms: float) -> None:
-        """Note that a node's process ends."""
+        """Record that a node announced its shutdown."""
         contact = self._contacts.setdefault(node, NodeContact(now_ms))
         contact.last_seen_ms = now_ms
         contact.shut_down = True
 
     def liveness(self, now_ms: float) -> tuple[NodeLiveness, ...]:
-        """Return all nodes, to be sent to other replicas or written to disk."""
+        """Return the liveness of all nodes, to be sent to other replicas or written to disk."""
         return tuple(
             NodeLiveness(node, now_ms - contact.last_seen_ms, contact.shut_down)
             for node, contact in self._contacts.items()
         )
 
     def expire(self, now_ms: float) -> None:
-        """Drop nodes from which no replica received anything for long; called periodically."""
+        """Remove nodes that no replica received from within `NODE_EXPIRY_MS`; called periodically."""
         expired = [
             node for node, contact in self._contacts.items() if now_ms - contact.last_seen_ms > NODE_EXPIRY_MS
         ]
@@ -86,15 +86,15 @@
             del self._contacts[node]
 
     def active_names(self) -> tuple[str, ...]:
-        """Return the names of all nodes that have not said that they end, sorted."""
+        """Return the sorted names of all nodes that have not shut down."""
         return tuple(sorted(name for name, contact in self._contacts.items() if not contact.shut_down))
 
     def active_count(self) -> int:
-        """Return the number of nodes, at least one."""
+        """Return the number of active nodes, at least one."""
         return max(1, len(self.active_names()))
 
     def disconnected(self, now_ms: float) -> tuple[str, ...]:
-        """Return the nodes that may be spending without this owner now."""
+        """Return the nodes that may be spending quota without contact to this owner."""
         return tuple(
             name
             for name, contact in self._contacts.items()
--- a/dunlinloft/coordination/proposal.py
+++ b/dunlinloft/coordination/proposal.py
@@ -1,6 +1,6 @@
-"""A proposer's side of single-decree Paxos: one proposal for one epoch's view.
+"""One Paxos proposal for the view of one epoch, as tracked by its proposer.
 
-Follows Lamport, "Paxos Made Simple" (2001), section 2.2. The acceptors are the roster of the view before.
+Follows Lamport, "Paxos Made Simple" (2001), section 2.2. The acceptors are the roster of the previous view.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 
 @dataclass(slots=True)
 class Proposal:
-    """A proposal of this replica that is under way. Owned by `voting.Voting`."""
+    """A proposal of this replica that is in progress. Owned by `proposer.Proposer`."""
 
-    epoch: int  # of the view that is to be decided
+    epoch: int  # of the view to be decided
     number: ProposalNumber
-    desired: View  # proposed unless an acceptor has accepted another view before
+    desired: View  # proposed unless an acceptor has already accepted another view
     started_ms: float
-    prepared_by: set[str] = field(default_factory=set)  # ids of acceptors that answered phase 1
-    accepted_by: set[str] = field(default_factory=set)  # ids of acceptors that answered phase 2
-    highest_accepted: AcceptedProposal | None = None  # reported by an acceptor in phase 1
-    chosen: View | None = None  # the view of phase 2; None during phase 1
+    prepared_by: set[str] = field(default_factory=set)  # ids of acceptors that promised in phase 1
+    accepted_by: set[str] = field(default_factory=set)  # ids of acceptors that accepted in phase 2
+    highest_accepted: AcceptedProposal | None = None  # the highest-numbered one reported in phase 1
+    chosen: View | None = None  # the view proposed in phase 2; None during phase 1
 
     def on_prepared(self, acceptor_id: str, accepted: AcceptedProposal | None, majority: int) -> View | None:
-        """Count an answer of phase 1; return the view of phase 2 once a majority has answered.
+        """Count a promise of phase 1; return the view for phase 2 once a majority has promised.
 
-        Returns None before that, and for any answer that comes after it.
+        Returns None for all promises before and after the one that completes the majority.
         """
         if self.chosen is not None:
             return None
@@ -41,6 +41,6 @@
         return self.chosen
 
     def on_accepted(self, acceptor_id: str, majority: int) -> View | None:
-        """Count an answer of phase 2; return the decided view once a majority has accepted, else None."""
+        """Count an acceptance of phase 2; return the decided view once a majority has accepted, else None."""
         self.accepted_by.add(acceptor_id)
         return self.chosen if len(self.accepted_by) >= majority else None
--- a/dunlinloft/coordination/proposer.py
+++ b/dunlinloft/coordination/proposer.py
@@ -1,4 +1,4 @@
-"""A proposer's side of single-decree Paxos: one proposal at a time, for the view after the one in force.
+"""The proposer role of single-decree Paxos: one proposal at a time, for the view after the current one.
 
 Times are in milliseconds of a monotonic clock.
 """
@@ -19,13 +19,13 @@
     ProposalRejected,
 )
 
-PROPOSAL_TIMEOUT_MS = 500.0  # a proposal that is not decided by then is abandoned
-PROPOSAL_BACKOFF_MS = 200.0  # at most, drawn at random, between an abandoned proposal and the next
+PROPOSAL_TIMEOUT_MS = 500.0  # until an undecided proposal is abandoned
+PROPOSAL_BACKOFF_MS = 200.0  # maximum of the random delay between an abandoned proposal and the next
 PROCESS_NONCE_BITS = 32
 
 
 class Proposer:
-    """The proposals of one replica. Owned by `voting.Voting`, which passes in the view in force."""
+    """Makes the proposals of one replica. Owned by `voting.Voting`, which passes in the current view."""
 
     def __init__(
         self, local_member: Member, rng: random.Random, send: Callable[[str, ReplicaMessage], None]
@@ -38,11 +38,14 @@
         self._backoff_until_ms = 0.0
 
     def reset(self) -> None:
-        """Drop the proposal under way, as a later view was learned."""
+        """Drop the proposal in progress, because a later view was learned."""
         self._proposal = None
 
     def is_idle(self, now_ms: float) -> bool:
-        """Whether a proposal may begin: none is under way, and no backoff. Abandons one that timed out."""
+        """Return whether a proposal may begin: none is in progress and no backoff is pending.
+
+        Abandons a proposal that has timed out.
+        """
         if self._proposal is not None:
             if now_ms - self._proposal.started_ms > PROPOSAL_TIMEOUT_MS:
                 self._abandon(now_ms)
@@ -52,12 +55,12 @@
     def propose(
         self, view: View, desired: View, promised: ProposalNumber | None, now_ms: float
     ) -> ProposalNumber:
-        """Begin phase 1 among the roster of `view` for the view after it.
+        """Begin phase 1 with the roster of `view`, for the view that follows it.
 
-        Returns the proposal's number, which is above `promised`.
+        Returns the proposal number, which is above `promised`.
         """
         number = 1 if promised is None else promised.number + 1
-        # Of this process alone: a restarted one may have forgotten a number whose promise was not on disk.
+        # Unique to this process: after a restart, a number may be unknown whose promise was not yet durable.
         proposal_number = ProposalNumber(number, f"{self._local_member.id}/{self._process_nonce}")
         self._proposal = Proposal(desired.epoch, proposal_number, desired, now_ms)
         for member in view.roster:
@@ -65,7 +68,7 @@
         return proposal_number
 
     def on_prepare_response(self, message: PrepareResponse, view: View) -> None:
-        """Count an acceptor's answer of phase 1; begin phase 2 once a majority has answered."""
+        """Count an acceptor's promise; begin phase 2 once a majority has promised."""
         proposal = self._answered_proposal(message, view)
         if proposal is None:
             return
@@ -73,13 +76,13 @@
         if chosen is None:
             return
         if chosen.sealed_by == self._local_member.id:
-            # The sealer first: whoever accepts such a view relies on its having stopped, on disk.
+            # The sealer first: the other acceptors rely on its having durably left the previous epoch.
             self._send(self._local_member.address, Accept(self._local_member, proposal.number, chosen))
         else:
             self._send_accept(proposal, chosen, view)
 
     def on_accepted(self, message: Accepted, view: View) -> View | None:
-        """Count an acceptor's answer of phase 2; return the decided view once a majority has accepted."""
+        """Count an acceptor's acceptance; return the decided view once a majority has accepted."""
         proposal = self._answered_proposal(message, view)
         if proposal is None:
             return None
@@ -93,7 +96,7 @@
         return proposal.on_accepted(message.sender.id, majority_of(view))
 
     def on_rejected(self, message: ProposalRejected, now_ms: float) -> bool:
-        """Abandon the proposal that was rejected; return whether it was the one under way."""
+        """Abandon the proposal in progress if it was rejected; return whether it was."""
         proposal = self._proposal
         if proposal is None or proposal.epoch != message.epoch or message.promised <= proposal.number:
             return False
@@ -101,14 +104,14 @@
         return True
 
     def _answered_proposal(self, message: PrepareResponse | Accepted, view: View) -> Proposal | None:
-        """The proposal under way, if it is the one that a voter answers."""
+        """Return the proposal in progress if the message is a voter's response to it, else None."""
         proposal = self._proposal
         if proposal is None or (proposal.epoch, proposal.number) != (message.epoch, message.proposal_number):
             return None
         return proposal if message.sender.id in view.voter_ids() else None
 
     def _send_accept(self, proposal: Proposal, chosen: View, view: View) -> None:
-        """Begin phase 2 with all acceptors that have not accepted yet."""
+        """Send the phase 2 request to all acceptors that have not accepted yet."""
         for member in view.roster:
             if member.id not in proposal.accepted_by:
                 self._send(member.address, Accept(self._local_member, proposal.number, chosen))
--- a/dunlinloft/coordination/records.py
+++ b/dunlinloft/coordination/records.py
@@ -1,7 +1,7 @@
-"""The records that a replica appends to its disk, and the durable state that they add up to.
+"""The log records that a replica writes to disk, and the durable state that they produce.
 
-`apply_record` serves both sides: it recovers a log, and follows its writing. Tags and the encoded names of
-renamed fields are fixed: they are on disks.
+`apply_record` is used both to recover from a log and to track the state while writing it. Tags and the
+encoded names of renamed fields must not change, because they are stored on disk.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 
 class ViewRecord(Struct, frozen=True, tag="view"):
-    """A view was learned; promises and acceptances of earlier epochs are void."""
+    """A view was learned; it voids promises and acceptances of earlier epochs."""
 
     view: View
 
 
 class PrepareRecord(Struct, frozen=True, tag="promise"):
-    """The acceptor answered a prepare request: no lower-numbered proposal for the next view is accepted."""
+    """The acceptor promised to accept no lower-numbered proposal for the next view."""
 
     proposal_number: ProposalNumber = msgspec.field(name="ballot")
 
@@ -40,7 +40,7 @@
 
 
 class SnapshotRecord(Struct, frozen=True, tag="install"):
-    """The state was replaced by the predecessor's."""
+    """The state was replaced by a snapshot of the predecessor's."""
 
     state: ChainState
 
@@ -52,7 +52,7 @@
 
 
 class CommittedRecord(Struct, frozen=True, tag="committed"):
-    """The history up to this digest is committed: it can no longer be lost."""
+    """The history up to this digest is committed."""
 
     chain_digest: str
 
@@ -71,11 +71,11 @@
     accepted: AcceptedProposal | None = None
     state: ChainState = msgspec.field(default_factory=ChainState)
     synced_epoch: int = 0
-    committed_digest: str = ""  # the history that is known to be committed
+    committed_digest: str = ""  # chain digest of the history known to be committed
 
 
 def apply_record(durable: DurableState, record: Record) -> None:
-    """Change the durable state as one record says."""
+    """Apply one record to the durable state."""
     match record:
         case ViewRecord():
             durable.view = record.view
--- a/dunlinloft/coordination/replica.py
+++ b/dunlinloft/coordination/replica.py
@@ -1,7 +1,7 @@
-"""A replica of the control plane as one state machine: agreed views, the chain, and operators' calls.
+"""A control-plane replica as one state machine: agreed views, chain replication and operator calls.
 
-Hand it messages, ticks and `on_persisted`, and perform the actions that it returns, in order. Times are in
-milliseconds of a monotonic clock.
+The host passes in messages, ticks and completed writes, and performs the returned actions in order. Times are
+in milliseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -44,12 +44,12 @@
 )
 
 PREVIOUS_LEASES_EXPIRY_MS = 750.0
-"""Since a view was learned, until no lease of an earlier one is left. Longer than
-`failure_detector.LEASE_DURATION_MS`, as that runs on the clock of who has the lease."""
+"""Time after a view was learned until all leases of earlier views have expired. Longer than
+`failure_detector.LEASE_DURATION_MS`, because a lease runs on its holder's clock."""
 
 
 class Replica:
-    """One replica. Owns its parts and connects them; `ControlPlane` or a simulated machine hosts it."""
+    """One replica: owns and connects its components. Hosted by `ControlPlane` or a simulated machine."""
 
     def __init__(
         self,
@@ -62,18 +62,18 @@
         rng: random.Random,
         now_ms: float,
     ) -> None:
-        """Recover from what the disk holds; `start` comes next.
+        """Recover from the durable state; `start` must be called next.
 
         Parameters
         ----------
-        me : this incarnation of the replica's disk.
-        quorum_eligible : whether it may vote and hold state; others only forward calls.
-        durable : what its disk holds.
-        seeds : addresses of replicas to send heartbeats to at first.
-        tolerance : how many replicas may be lost at once without losing what was acknowledged.
-        validate : checks a configuration change at the head.
-        rng : draws nonces and backoffs.
-        now_ms : the time.
+        local_member : this incarnation of the replica's disk.
+        quorum_eligible : whether it may vote and hold state; other replicas only forward calls.
+        durable : the state recovered from its disk.
+        seeds : addresses of replicas to contact first.
+        tolerance : how many replicas may be lost at once without losing acknowledged changes.
+        validate : validates configuration changes at the head.
+        rng : source of nonces and random backoffs.
+        now_ms : the current time.
         """
         self.local_member = local_member
         self._quorum_eligible = quorum_eligible
@@ -112,16 +112,16 @@
 
     @property
     def view(self) -> View | None:
-        """The view in force, as far as is known here."""
+        """The latest view known to this replica."""
         return self._voting.view
 
     # Events.
 
     def start(self, initial: View | None) -> list[Action]:
-        """Begin; called once, before all other events.
+        """Start the replica; called once, before all other events.
 
-        `initial` is the view to begin with at the first start of all. It is put on disk like any other: a
-        replica that is started again may be given other seeds.
+        `initial` is the first view of a new cluster; it is ignored if this replica already has a view. It is
+        written to disk like any other view, because a replica may be restarted with different seeds.
         """
         if initial is not None and self.view is None:
             self._voting.learn(initial, self._now_ms)
@@ -130,13 +130,13 @@
         return self._finish_event()
 
     def handle(self, message: ReplicaMessage, now_ms: float) -> list[Action]:
-        """Take a message from another replica."""
+        """Handle a message from another replica."""
         self._now_ms = now_ms
         self._dispatch(message)
         return self._finish_event()
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Let time pass; called every 50 ms or so."""
+        """Run periodic work; called about every 50 ms."""
         self._now_ms = now_ms
         self._heartbeats.on_tick(now_ms)
         self._reconciler.on_tick(now_ms)
@@ -144,37 +144,38 @@
         return self._finish_event()
 
     def on_persisted(self, token: int, now_ms: float) -> list[Action]:
-        """Take the report that the record of a `Persist` action is on disk."""
+        """Handle the completion of a `Persist` action: its record is on disk."""
         self._now_ms = now_ms
         self._writes.on_persisted(token)
         return self._finish_event()
 
     def begin_call(self, token: str, change: ConfigurationChange | None, now_ms: float) -> list[Action]:
-        """Take an operator's call that came in here: a change, or a read where `change` is None.
+        """Accept an operator call: a change, or a read if `change` is None.
 
-        A `Reply` action with the token follows, within `calls.CALL_TIMEOUT_MS` or so.
+        A `Reply` action with the token follows within about `calls.CALL_TIMEOUT_MS`.
         """
         self._now_ms = now_ms
         self._calls.begin(token, change, now_ms)
         return self._finish_event()
 
     def leave(self, now_ms: float) -> list[Action]:
-        """Announce that this process shuts down: others replace it in the next view, see `can_stop`."""
+        """Announce the shutdown of this process: the next view excludes it, see `can_stop`."""
         self._now_ms = now_ms
         self._leaving = True
         self._heartbeats.send_to_all(now_ms)
         return self._finish_event()
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other seeds: those that a newcomer started with may be gone by now."""
+        """Replace the seeds, because those configured at the start may no longer exist."""
         self._heartbeats.set_seeds(seeds)
 
-    # Questions of the host. They change nothing.
+    # Queries of the host; they change no state.
 
     def has_lease(self, now_ms: float) -> bool:
-        """Whether singleton roles of the epoch may be used here: no later view was decided a moment ago.
+        """Return whether this replica has a lease and may exercise the epoch's singleton roles.
 
-        Its own acceptance of a later view ends its lease: that may be what made up the later view's majority.
+        The lease shows that no later view had been decided a moment ago. This replica's own acceptance of a
+        later view ends it, because that acceptance may complete the later view's majority.
         """
         view = self.view
         if view is None or self._voting.lease_epoch != view.epoch or not self._voting.is_voter:
@@ -182,9 +183,10 @@
         return self.failure_detector.has_lease(view, now_ms)
 
     def lease_expired(self, address: str, now_ms: float) -> bool:
-        """Whether the member that was at an address can use no lease of the previous view any more.
+        """Return whether the lease of a previous member at an address has certainly expired.
 
-        Nor can anybody use one of a still earlier view, as the previous view has to be older than any lease.
+        True only if the previous view is older than any lease, so that leases of still earlier views have
+        expired as well.
         """
         view = self.view
         previous = self._voting.previous_view
@@ -198,19 +200,22 @@
         return self.failure_detector.lease_expired(member, previous, view.epoch, now_ms)
 
     def view_with_majority_contact(self, now_ms: float) -> View | None:
-        """The view, while a majority of its roster receives from this replica; it need not vote itself."""
+        """Return the view while a majority of its roster receives from this replica, else None.
+
+        The replica need not be a voter itself.
+        """
         if self.view is None or not self.failure_detector.has_majority_contact(self.view, now_ms):
             return None
         return self.view
 
     def has_confirmed_state(self, now_ms: float) -> bool:
-        """Whether what is committed here is as new as a majority knows: nodes are told so."""
+        """Return whether the committed state here is confirmed to be current; this is reported to nodes."""
         return self.chain.synced and self.view_with_majority_contact(now_ms) is not None
 
     def can_stop(self) -> bool:
-        """Whether others can do without this process: it is in no chain, and enough have that on disk.
+        """Return whether this process may stop: it is not in the chain, and enough members know that durably.
 
-        Enough are so many that one of them is left after the losses that may come at once.
+        Enough means that at least one of them remains after `tolerance` simultaneous losses.
         """
         view = self.view
         if view is None or not self._quorum_eligible:
@@ -223,10 +228,10 @@
         return informed >= min(self._tolerance + 1, len(others))
 
     def peer_addresses(self) -> set[str]:
-        """The addresses of all other control planes that are known."""
+        """Return the addresses of all other known control planes."""
         return self._heartbeats.peer_addresses()
 
-    # Effects of the parts.
+    # Callbacks of the components.
 
     def _emit(self, action: Action) -> None:
         self._actions.append(action)
@@ -261,7 +266,7 @@
 
     def _on_view_durable(self, view: View) -> None:
         self.chain.enter_epoch(view)
-        self._heartbeats.send_with_next_tick()  # so that all others know soon that it is on disk here
+        self._heartbeats.send_with_next_tick()  # reports the durable view without delay
 
     def _dispatch(self, message: ReplicaMessage) -> None:
         match message:
--- a/dunlinloft/coordination/server_registry.py
+++ b/dunlinloft/coordination/server_registry.py
@@ -1,4 +1,4 @@
-"""The registry of servers, from their heartbeats: soft state that control planes merge with one another."""
+"""The registry of servers, built from their heartbeats: soft state that control planes share and merge."""
 
 from __future__ import annotations
 
@@ -9,17 +9,15 @@
 from dunlinloft.coordination.digests import RangeDigests, range_of
 from dunlinloft.coordination.stream import ServerRecord
 
-EXPIRY_INTERVALS = 3.5  # heartbeat intervals without a heartbeat, after which a server is dropped
-COMPLETE_INTERVALS = 1.5  # heartbeat intervals since the start, by when every live server has sent one
-PROCESS_PAUSE_THRESHOLD_MS = (
-    500.0  # between two calls of `expire`, above which this process was itself paused
-)
-TOMBSTONE_RETENTION_MS = 120_000.0  # for which late heartbeats of a deregistered server are ignored
+EXPIRY_INTERVALS = 3.5  # heartbeat intervals without a heartbeat until a server is removed
+COMPLETE_INTERVALS = 1.5  # heartbeat intervals after startup until every live server has sent one
+PROCESS_PAUSE_THRESHOLD_MS = 500.0  # a longer gap between calls of `expire` means this process was paused
+TOMBSTONE_RETENTION_MS = 120_000.0  # during which late heartbeats of a deregistered server are ignored
 
 
 @dataclass(frozen=True, slots=True)
 class RegistryChanges:
-    """What changed in the registry, for data-plane nodes."""
+    """Changes of the registry, for data-plane nodes."""
 
     changed: tuple[ServerRecord, ...] = ()
     removed: tuple[str, ...] = ()  # ids of servers that deregistered or expired
@@ -27,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedHeartbeats:
-    """What servers themselves sent to this control plane, for other control planes."""
+    """Messages that servers sent directly to this control plane, for other control planes."""
 
     records: tuple[ServerRecord, ...] = ()
     deregistered: tuple[str, ...] = ()  # ids
 
 
 class ServerRegistry:
-    """Servers by id, and the changes since they were last drained. Owned by `ControlPlane`.
+    """The servers by id, and the changes not drained yet. Owned by `ControlPlane`.
 
     Times are in milliseconds of a monotonic clock.
     """
@@ -45,9 +43,9 @@
         self._last_expire_ms = now_ms
         self.records: dict[str, ServerRecord] = {}
         self.digests = RangeDigests()
-        self._received_ms: dict[str, float] = {}  # by server: its last heartbeat
-        self._tombstones_ms: dict[str, float] = {}  # by deregistered server: since when
-        # What is to be drained, by server id; dicts in place of sets, to keep the order.
+        self._received_ms: dict[str, float] = {}  # by server id: time of its last heartbeat
+        self._tombstones_ms: dict[str, float] = {}  # by server id: time of its deregistration
+        # Pending changes by server id; dicts instead of sets preserve the order.
         self._changed: dict[str, None] = {}
         self._removed: dict[str, None] = {}
         self._received: dict[str, None] = {}
@@ -55,16 +53,16 @@
         self._expired: set[str] = set()
 
     def is_complete(self, now_ms: float) -> bool:
-        """Whether every live server has had time to send a heartbeat since this process began."""
+        """Return whether every live server has had time to send a heartbeat since this process started."""
         return now_ms >= self._complete_at_ms
 
     def restore(self, records: tuple[ServerRecord, ...], now_ms: float) -> None:
-        """Take what was known before a restart; a server without a heartbeat in time expires."""
+        """Restore the records from before a restart; servers that send no heartbeat in time expire."""
         for record in records:
             self._put(record, now_ms)
 
     def in_ranges(self, ranges: tuple[int, ...]) -> tuple[ServerRecord, ...]:
-        """The servers in these digest ranges."""
+        """Return the servers in these digest ranges."""
         wanted = set(ranges)
         return tuple(record for record in self.records.values() if range_of(record.id) in wanted)
 
@@ -75,9 +73,9 @@
         self._received_ms[record.id] = now_ms
 
     def on_heartbeat(self, record: ServerRecord, now_ms: float, relayed: bool = False) -> None:
-        """Take a server's heartbeat; `relayed` where another control plane received it.
+        """Handle a server's heartbeat; `relayed` if another control plane received it.
 
-        One that is late, or of a deregistered server, changes nothing. A draining server stays draining.
+        A late heartbeat, or one of a deregistered server, is ignored. A draining server stays draining.
         """
         if record.id in self._tombstones_ms:
             return
@@ -95,7 +93,7 @@
             self._changed[record.id] = None
 
     def on_deregistration(self, server_id: str, now_ms: float, relayed: bool = False) -> None:
-        """Remove a server that deregistered; `relayed` where another control plane was told."""
+        """Remove a server that deregistered; `relayed` if it deregistered at another control plane."""
         self._tombstones_ms[server_id] = now_ms
         if not relayed:
             self._deregistered[server_id] = None
@@ -111,10 +109,10 @@
             self._removed[server_id] = None
 
     def expire(self, now_ms: float) -> None:
-        """Remove servers without a heartbeat for too long, and old tombstones; to be called often.
+        """Remove servers whose heartbeats timed out, and old tombstones; called periodically.
 
-        Where it was not called for long, this process itself was paused and received nothing for that reason:
-        no server is charged with that time.
+        A long gap since the last call means that this process was paused and could receive nothing, so that
+        time does not count towards the timeout of any server.
         """
         paused_ms = now_ms - self._last_expire_ms
         self._last_expire_ms = now_ms
@@ -129,7 +127,7 @@
             del self._tombstones_ms[server_id]
 
     def drain_changes(self) -> RegistryChanges:
-        """Return what changed since the last call, for data-plane nodes."""
+        """Return the changes since the last call, for data-plane nodes."""
         changed = tuple(self.records[i] for i in self._changed if i in self.records)
         removed = tuple(self._removed)
         self._changed.clear()
@@ -137,13 +135,13 @@
         return RegistryChanges(changed, removed)
 
     def drain_expired(self) -> tuple[str, ...]:
-        """Return the servers, by id, that expired since the last call: they did not deregister."""
+        """Return the ids of servers that expired, without deregistering, since the last call."""
         expired = tuple(sorted(self._expired))
         self._expired.clear()
         return expired
 
     def drain_heartbeats(self) -> ReceivedHeartbeats:
-        """Return what servers themselves sent here since the last call, for other control planes."""
+        """Return what servers sent directly to this one since the last call, for other control planes."""
         records = tuple(self.records[i] for i in self._received if i in self.records)
         deregistered = tuple(self._deregistered)
         self._received.clear()
@@ -152,7 +150,7 @@
 
 
 def _differs(old: ServerRecord, new: ServerRecord) -> bool:
-    """Whether two records differ in more than what every heartbeat changes."""
+    """Return whether two records differ in fields other than those that every heartbeat changes."""
     return msgspec.structs.replace(old, sequence=new.sequence, warmup_remaining_ms=0.0) != (
         msgspec.structs.replace(new, warmup_remaining_ms=0.0)
     )
--- a/dunlinloft/coordination/state.py
+++ b/dunlinloft/coordination/state.py
@@ -1,4 +1,4 @@
-"""The replicated state: the operators' configuration document and the history of changes that made it."""
+"""The replicated state: the operators' configuration document and the history of its changes."""
 
 from __future__ import annotations
 
@@ -8,43 +8,43 @@
 from msgspec import UNSET, Struct, UnsetType, field
 
 Document = dict[str, Any]
-"""An operator's configuration as decoded JSON, with every field as it was sent, unknown ones included."""
+"""An operator's configuration as decoded JSON, with all fields as sent, including unknown ones."""
 
 
 class ChangeKind(StrEnum):
-    """What a change does with the document."""
+    """How a change modifies the document."""
 
-    REPLACE = "replace"  # the body is the next document
-    UPDATE = "update"  # the body names items to put in and to take out
+    REPLACE = "replace"  # the body is the new document
+    UPDATE = "update"  # the body lists items to upsert and to delete
 
 
 class ConfigurationChange(Struct, frozen=True):
-    """A change of the configuration that an operator asks for."""
+    """A configuration change requested by an operator."""
 
-    kind: str  # a `ChangeKind`; any string is read, as a newer version may know more of them
-    base_version: int = field(name="base")  # version that it builds on; 0 for the first
-    digest: str = field()  # of kind, base version and the body's bytes: a repeated request has the same
+    kind: str  # a `ChangeKind`; any string is accepted, as a newer release may define more kinds
+    base_version: int = field(name="base")  # the version that it applies to; 0 for the first change
+    digest: str = field()  # of the kind, base version and body bytes, so that a retried request has the same
     body: Document = field()
 
 
 class LogEntry(Struct, frozen=True):
-    """A change that the head has taken, at its position in the log."""
+    """A change accepted by the head, at its position in the log."""
 
     sequence: int
-    chain_digest: str  # of this entry and all before it: equal digests mean equal histories
+    chain_digest: str  # of this entry and all earlier ones: equal digests mean equal histories
     version: int
     change: ConfigurationChange = field(name="order")
 
 
 class AppliedChange(Struct, frozen=True):
-    """What is remembered of an applied change, so that a repeated request for it is acknowledged again."""
+    """The record of an applied change, by which a retried request for it is acknowledged again."""
 
     digest: str
     version: int
 
 
 class ChainState(Struct, frozen=True):
-    """The whole replicated state after some entry of the log."""
+    """The whole replicated state after an entry of the log."""
 
     sequence: int = 0
     chain_digest: str = ""
@@ -52,9 +52,9 @@
     document: Document = {}
     applied: tuple[AppliedChange, ...] = field(default=(), name="taken")  # oldest first
     document_digest: str | UnsetType = UNSET
-    """The `chain_digest` of the entry that made the document, where later ones only recorded rejections."""
+    """The `chain_digest` of the entry that produced the document, if later ones only record rejections."""
 
     @property
     def configuration_digest(self) -> str:
-        """The history up to the entry that made the document: what identifies the configuration to nodes."""
+        """Digest of the history up to the entry that produced the document; nodes identify it by this."""
         return self.chain_digest if self.document_digest is UNSET else self.document_digest
--- a/dunlinloft/coordination/stream/__init__.py
+++ b/dunlinloft/coordination/stream/__init__.py
@@ -1,8 +1,8 @@
-"""The messages between control plane and data-plane nodes, and of roles between replicas, as JSON lines.
+"""Messages between control planes and data-plane nodes, and between role owners, encoded as JSON lines.
 
-Each module holds the messages of one concern; this one exports them all, and the unions that the two programs
-decode. The encoded form is kept by each class's `tag` and each field's `name`: replicas and nodes of
-different releases run side by side, so neither may change, nor may the order of the fields.
+Each module defines the messages of one concern; this one exports them all, and the unions that the two
+programs decode. Each class's `tag` and each field's `name` determine the encoded form. They must not change,
+nor may the order of the fields, because replicas and nodes of different releases run side by side.
 """
 
 from dunlinloft.coordination.messages import ReplicaMessage
@@ -70,7 +70,7 @@
     | PlacementReply
     | ControlKeepalive
 )
-# All that a control plane's listener accepts, from replicas and from nodes.
+# Every message that a control plane accepts from replicas and nodes.
 ControlPlaneInbound = (
     ReplicaMessage
     | QuotaHandover
--- a/dunlinloft/coordination/stream/placement.py
+++ b/dunlinloft/coordination/stream/placement.py
@@ -1,4 +1,4 @@
-"""Placement messages between a node and the control plane that advises on a service."""
+"""Placement messages between a node and the control plane that owns a service's placement."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class PlacementQuery(Struct, frozen=True, tag="place"):
-    """From a node: requests advice on which server a request should go to.
+    """From a node: requests a recommendation for the server of a request.
 
     Attributes
     ----------
     request_id
-        Identifies the request on this stream, here and in later messages.
+        Identifies the request on this stream, in this message and later ones.
     prompt_segments
-        Name and tokens of each segment of the prompt, in order.
+        Name and token count of each segment of the prompt, in order.
     max_output_tokens
-        Tokens that its output may take.
+        Maximum number of output tokens.
     excluded_servers
-        Ids of servers that it must not go to.
+        Ids of servers that must not be recommended.
     wait_for_capacity
-        The request is late anyway, and waits rather than being rejected by a full server.
+        Whether the request, which is late anyway, waits rather than being rejected by a full server.
     """
 
     request_id: int = field(name="number")
@@ -33,8 +33,8 @@
 class PlacementReply(Struct, frozen=True, tag="placed"):
     """To a node: the reply to `PlacementQuery`.
 
-    `server_id` is empty where no server is advised; `wait_ms` is then the time after which to query anew,
-    or 0 where that is of no use.
+    `server_id` is empty if no server is recommended; `wait_ms` is then the delay before the next query, or 0
+    if another query is of no use.
     """
 
     request_id: int = field(name="number")
@@ -44,7 +44,7 @@
 
 
 class LocalPlacement(Struct, frozen=True, tag="place_chosen"):
-    """From a node: it chose a server itself, without timely advice; the request counts as placed there."""
+    """From a node: without a timely reply it chose a server itself; the request counts as placed there."""
 
     request_id: int = field(name="number")
     service: str
@@ -54,7 +54,7 @@
 
 
 class PrefillCompleted(Struct, frozen=True, tag="place_began"):
-    """From a node: the first output of a placed request arrived, so its prompt has been processed."""
+    """From a node: the first output of a placed request arrived, so the prompt has been processed."""
 
     service: str
     request_id: int = field(name="number")
--- a/dunlinloft/coordination/stream/quota.py
+++ b/dunlinloft/coordination/stream/quota.py
@@ -1,6 +1,7 @@
-"""Quota messages between a node and the owner of a tenant's quota, and between two owners.
+"""Quota messages between a node and the owner of a tenant's quota, and between successive owners.
 
-Amounts are in what the tenant's quota counts: requests or tokens. Shares are fractions of the tenant's rate.
+Amounts are in the unit of the tenant's quota, requests or tokens. Shares are fractions of the tenant's rate.
+A node may spend its standing share while no owner responds.
 """
 
 from __future__ import annotations
@@ -9,11 +10,11 @@
 
 
 class QuotaHoldingsReport(Struct, frozen=True, tag="holds_shares"):
-    """From a node: what it holds of tenants' quotas; sent as soon as it learns of a new epoch."""
+    """From a node: its shares and reserves of tenants' quotas; sent as soon as it learns of a new epoch."""
 
-    epoch: int  # from now on the node accepts shares from this epoch's owners only
+    epoch: int  # from now on the node accepts shares only from owners in this epoch
     shares: dict[str, float]  # by tenant: its standing share of the rate
-    reserves: dict[str, float] = {}  # by tenant: what it drew from an owner and has not spent
+    reserves: dict[str, float] = {}  # by tenant: the unspent amount drawn from an owner
 
 
 class QuotaRequest(Struct, frozen=True, tag="take_quota"):
@@ -24,13 +25,13 @@
     request_id
         Correlates the `QuotaGrant`.
     wanted_reserve
-        Amount that the node would like to draw into its reserve as well.
+        Additional amount requested for the node's reserve.
     current_share
-        Standing share of the tenant's rate that the node holds now.
+        The node's current standing share of the tenant's rate.
     autonomous
-        The node spends that share, as no owner answers it.
+        Whether the node is spending that share because no owner responds.
     is_retry
-        The node's client was rejected before.
+        Whether the client's request was rejected before.
     """
 
     request_id: int = field(name="number")
@@ -48,17 +49,17 @@
     Attributes
     ----------
     amount
-        Amount granted; 0 where nothing is left.
+        Amount granted; 0 if nothing is left.
     reserve
-        Amount drawn for the node's reserve beside it.
+        Additional amount granted for the node's reserve.
     share
-        Standing share of the rate that the node holds from now on.
+        The node's new standing share of the rate.
     wait_ms
         Time until the requested amount will be available.
     is_owner
-        False where the replica that received the request does not own the quota now.
+        False if the replica that received the request does not currently own the quota.
     scarce
-        Demand exceeds the quota, so that waiting is of no use.
+        Whether demand exceeds the quota, so that waiting is of no use.
     """
 
     request_id: int = field(name="number")
@@ -72,7 +73,7 @@
 
 
 class QuotaHandover(Struct, frozen=True, tag="quotas_handed_over"):
-    """From the owner of tenants' quotas to the next owner: the sender grants nothing of them any more."""
+    """From the owner of tenants' quotas to the next owner: the sender has stopped granting them."""
 
-    epoch: int  # in which the receiver is the owner; the sender was in the one before
-    levels: dict[str, float]  # by tenant: what was left in its bucket
+    epoch: int  # in which the receiver is the owner; the sender was the owner in the previous one
+    levels: dict[str, float]  # by tenant: the remaining level of its token bucket
--- a/dunlinloft/coordination/stream/servers.py
+++ b/dunlinloft/coordination/stream/servers.py
@@ -8,14 +8,14 @@
 
 
 class ServerRecord(Struct, frozen=True):
-    """One incarnation of a server, as reported by its heartbeats."""
+    """One incarnation of a server, as reported in its heartbeats."""
 
     id: str
     service: str
     address: str
     zone: str
-    capacity: int  # requests that it serves at once
-    state: str  # "ready" or "draining"; text, as a state of a later version has to be read, too
+    capacity: int  # maximum number of concurrent requests
+    state: str  # "ready" or "draining"; a string, so that states of later releases can be decoded
     sequence: int  # of the heartbeat; a higher one replaces a lower one
     warmup_remaining_ms: float = 0.0
     phase: str = ""
@@ -23,20 +23,20 @@
 
     @property
     def draining(self) -> bool:
-        """Whether it announced a graceful shutdown; so counts any state but ready, also an unknown one."""
+        """Whether it announced a graceful shutdown; any state except ready counts, including unknown ones."""
         return self.state != "ready"
 
 
 class ServerSnapshot(Struct, frozen=True, tag="servers"):
-    """To a node: the servers known to this control plane, in key ranges where the node's digests differ."""
+    """To a node: this control plane's server records in the key ranges whose digests differ."""
 
-    complete: bool  # False while it has just started and may not have received every server's heartbeat
+    complete: bool  # False after startup, until every live server has had time to send a heartbeat
     ranges: tuple[int, ...]
     records: tuple[ServerRecord, ...]
 
 
 class ServerSnapshotComplete(Struct, frozen=True, tag="servers_complete"):
-    """To a node: by now this control plane has had the heartbeats of all live servers, and sent them all."""
+    """To a node: this control plane has received heartbeats of all live servers and sent their records."""
 
 
 class ServerUpdates(Struct, frozen=True, tag="server_news"):
@@ -44,19 +44,19 @@
 
     changed: tuple[ServerRecord, ...]
     removed: tuple[str, ...] = field(name="gone")
-    # The removed ones that did not sign off: their heartbeats stopped.
+    # The removed servers that did not deregister: their heartbeats stopped.
     timed_out: tuple[str, ...] = field(default=(), name="silent")
 
 
 class ServerHeartbeats(Struct, frozen=True, tag="beats"):
-    """Between control planes: the heartbeats and sign-offs that the sender received since its last message.
+    """Between control planes: heartbeats and deregistrations received directly since the last message.
 
     Attributes
     ----------
     sender
-        Address to which the receipt is to be acknowledged.
+        Address to which the receiver sends its acknowledgement.
     announcement_id
-        Number to acknowledge it under; 0 where no acknowledgement is wanted.
+        Identifies the message in the acknowledgement; 0 if none is requested.
     """
 
     records: tuple[ServerRecord, ...]
@@ -66,7 +66,7 @@
 
 
 class ServerHeartbeatsAck(Struct, frozen=True, tag="beats_taken"):
-    """Between control planes: the sender has in memory what was announced under a number."""
+    """Between control planes: acknowledges the receipt, in memory, of a `ServerHeartbeats` message."""
 
     sender: str
     announcement_id: int = field(name="number")
--- a/dunlinloft/coordination/stream/subscription.py
+++ b/dunlinloft/coordination/stream/subscription.py
@@ -1,4 +1,4 @@
-"""Messages that begin, keep and end a node's stream, and what replicas know of the nodes."""
+"""Messages that open, keep alive and close a node's stream, and node liveness between control planes."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
     Attributes
     ----------
     configuration_id
-        The configuration in force at the node.
+        The configuration that is active at the node.
     uptime_ms
         Time since the node's process started.
     wants_configurations
-        False: committed configurations are only announced, and the node fetches what it lacks.
+        If False, committed configurations are only announced, and the node fetches those that it lacks.
     server_digests
-        One digest a key range of the servers that the node knows; ranges that agree are not sent.
+        One digest per key range of the node's server records; ranges with equal digests are not sent.
     quota_holdings
-        What the node holds of tenants' quotas.
+        The node's shares and reserves of tenants' quotas.
     """
 
     node: str
@@ -41,33 +41,31 @@
 class NodeKeepalive(Struct, frozen=True, tag="node_alive"):
     """From a node: keeps the stream alive."""
 
-    receives_replies: bool = field(
-        name="hears"
-    )  # whether the replies of the addressed replica reach the node
+    receives_replies: bool = field(name="hears")  # whether the receiver's replies reach the node
 
 
 class NodeShutdown(Struct, frozen=True, tag="node_ends"):
-    """From a node: its last message, as its process ends."""
+    """From a node: the last message before its process exits."""
 
 
 class ControlPlaneView(Struct, frozen=True, tag="replicas"):
-    """To a node: the present replicas, and the chain among which ownership is sharded by key."""
+    """To a node: the current replicas, and the chain over which ownership is sharded by key."""
 
     epoch: int
-    addresses: tuple[str, ...]  # of all replicas, any of which may be subscribed to
+    addresses: tuple[str, ...]  # of all replicas; a node may subscribe to any of them
     chain: tuple[str, ...]  # addresses of the replicas in the chain
     node_count: int = field(name="nodes")  # data-plane nodes in the fleet
 
 
 class NodeLiveness(Struct, frozen=True):
-    """A data-plane node that a replica knows."""
+    """The liveness of a data-plane node, as known to a replica."""
 
     node: str
-    age_ms: float  # since any replica received something from it
-    shut_down: bool = field(default=False, name="left")  # its process said that it ends
+    age_ms: float  # since any replica last received a message from it
+    shut_down: bool = field(default=False, name="left")  # it announced its shutdown
 
 
 class NodeLivenessUpdate(Struct, frozen=True, tag="nodes_seen"):
-    """Between control planes: the data-plane nodes that the sender knows."""
+    """Between control planes: the liveness of all data-plane nodes known to the sender."""
 
     nodes: tuple[NodeLiveness, ...]
--- a/dunlinloft/coordination/tail_reads.py
+++ b/dunlinloft/coordination/tail_reads.py
@@ -1,4 +1,4 @@
-"""Reads at the tail: answered with the committed state once a majority has confirmed the epoch."""
+"""Reads at the tail, which return the committed state once a majority has confirmed the epoch."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class _Read:
-    """A read that waits for its confirmation."""
+    """A read that waits for the confirmation of the epoch."""
 
     caller: Caller
     started_ms: float
@@ -21,9 +21,9 @@
 
 
 class TailReads:
-    """The reads that wait at the tail, by the call's token. Owned by `Calls`.
+    """The reads that wait at the tail, by call token. Owned by `CallHandler`.
 
-    `timeout_ms` after its arrival a read is dropped: its caller has given it up.
+    A read is dropped `timeout_ms` after its arrival, when its caller has timed out.
     """
 
     def __init__(
@@ -40,20 +40,20 @@
         self._reads: dict[str, _Read] = {}
 
     def begin(self, caller: Caller, now_ms: float) -> None:
-        """Take a read, if this is the tail and it is not here already."""
+        """Add a read if this replica is the tail and the read is not pending already."""
         if self._chain.is_tail and caller.token not in self._reads:
             self._reads[caller.token] = _Read(caller, now_ms)
 
     def clear(self) -> None:
-        """Drop everything, as the view has changed: who forwarded it sends it again to the new tail."""
+        """Drop all reads because the view changed; their senders forward them to the new tail."""
         self._reads.clear()
 
     def confirmation_rounds(self) -> list[ConfirmationRound]:
-        """The rounds that wait for confirmations."""
+        """Return the rounds that wait for confirmations."""
         return [read.confirmation for read in self._reads.values()]
 
     def advance(self, view: View, now_ms: float) -> None:
-        """Answer the reads that are confirmed, and drop those given up."""
+        """Reply to confirmed reads, and drop those that timed out."""
         for token, read in list(self._reads.items()):
             if now_ms - read.started_ms > self._timeout_ms:
                 del self._reads[token]
--- a/dunlinloft/coordination/verdicts.py
+++ b/dunlinloft/coordination/verdicts.py
@@ -1,4 +1,4 @@
-"""What a check says of a configuration change: a verdict type for each outcome, never an exception."""
+"""The result types of validating a configuration change; validators return them and raise no exceptions."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Valid:
-    """A change that may be applied."""
+    """The change may be applied."""
 
-    version: int  # of the document once it is applied
+    version: int  # of the resulting document
 
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """A change that must not be applied, with the reason for the operator."""
+    """The change must not be applied; the reason is reported to the operator."""
 
     reason: str
 
 
 Validator = Callable[[Document, ConfigurationChange], Valid | Invalid]
-"""Checks a change against the document that it builds on."""
+"""Validates a change against the document that it applies to."""
--- a/dunlinloft/coordination/view_reconciler.py
+++ b/dunlinloft/coordination/view_reconciler.py
@@ -1,4 +1,4 @@
-"""The loop that turns the desired view into the view in force."""
+"""The reconciliation loop that makes the desired view the current one."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 from dunlinloft.coordination.voting import Voting
 
 STARTUP_GRACE_MS = 800.0
-"""Since this process began, until it proposes views: replicas that start together are not taken for dead."""
+"""Time after startup before this replica proposes views, so that replicas that start together are not
+considered dead."""
 
 
 class ViewReconciler:
-    """Plans the desired view from what this replica observes, and has it proposed. Owned by `Replica`."""
+    """Plans the desired view from this replica's observations, and has it proposed. Owned by `Replica`."""
 
     def __init__(
         self,
@@ -32,7 +33,7 @@
         self._started_ms = now_ms
 
     def on_tick(self, now_ms: float) -> None:
-        """Compare the desired view with the one in force, unless a proposal is under way."""
+        """Compare the desired view with the current one, unless a proposal is in progress."""
         view = self._voting.view
         if not self._voting.may_propose(now_ms) or view is None:
             return
@@ -42,7 +43,7 @@
         has_majority = alive >= majority_of(view)
         desired = desired_view(self._observation(view, now_ms)) if has_majority else None
         if desired is None and has_majority:
-            # A proposal that stopped halfway is brought to an end: until then its acceptors confirm nothing.
+            # Complete an abandoned proposal: until a view is decided, its acceptors confirm no epoch.
             desired = self._voting.undecided_view
         self._voting.reconcile(desired, self._rank(view, now_ms), now_ms)
 
@@ -60,7 +61,7 @@
         )
 
     def _rank(self, view: View, now_ms: float) -> int:
-        """How many reachable replicas propose before this one: the chain in its order, then other voters."""
+        """Return how many reachable replicas propose first: the chain in order, then the other voters."""
         order = [*view.chain, *(member for member in view.roster if view.position_of(member.id) is None)]
         rank = 0
         for member in order:
--- a/dunlinloft/coordination/voting.py
+++ b/dunlinloft/coordination/voting.py
@@ -1,7 +1,7 @@
-"""A replica's part in deciding views: what it knows of them as a learner, with its acceptor and its proposer.
+"""A replica's role in deciding views: the Paxos learner, which owns the acceptor and the proposer.
 
-One single-decree Paxos for each epoch among the roster of the view before; see `acceptor` and `proposer`.
-Times are in milliseconds of a monotonic clock.
+Each epoch's view is decided by one instance of single-decree Paxos among the roster of the previous view; see
+`acceptor` and `proposer`. Times are in milliseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 )
 
 PROPOSAL_DELAY_MS = 100.0
-"""How long the desired view must differ before the first live replica proposes it."""
+"""Time for which the desired view must differ before the first live replica proposes it."""
 PROPOSAL_STAGGER_MS = 700.0
-"""Added for each live replica that goes first: longer than `proposer.PROPOSAL_TIMEOUT_MS`, so that proposers
-don't compete."""
+"""Additional delay per live replica of higher rank. Longer than `proposer.PROPOSAL_TIMEOUT_MS`, so that
+proposers don't compete."""
 
 
 class Voting:
-    """Holds the view in force and decides the next one with the other voters. Owned by `Replica`."""
+    """Holds the current view and decides the next one with the other voters. Owned by `Replica`."""
 
     def __init__(
         self,
@@ -54,34 +54,34 @@
         self.view = durable.view
         self.durable_epoch = 0 if durable.view is None else durable.view.epoch
         self.entered_ms = now_ms  # when the view was learned
-        self.previous_view: View | None = None  # the one that it followed, where that was learned here
-        self.previous_entered_ms = now_ms  # when that was learned
+        self.previous_view: View | None = None  # the directly preceding view, if it was learned here
+        self.previous_entered_ms = now_ms  # when the previous view was learned
         self._differs_since_ms: float | None = None
 
     @property
     def is_voter(self) -> bool:
-        """Whether this replica is in the roster of the view in force."""
+        """Whether this replica is in the roster of the current view."""
         return (
             self._quorum_eligible and self.view is not None and self._local_member.id in self.view.voter_ids()
         )
 
     @property
     def epoch(self) -> int:
-        """The epoch of the view in force; 0 for none."""
+        """The epoch of the current view; 0 if there is none."""
         return 0 if self.view is None else self.view.epoch
 
     @property
     def lease_epoch(self) -> int:
-        """The epoch whose leases this replica supports; 0 where it has accepted a view after it."""
+        """The epoch whose leases this replica supports; 0 if it has accepted a later view."""
         return 0 if self._acceptor.accepted is not None else self.epoch
 
     @property
     def undecided_view(self) -> View | None:
-        """The view that was accepted here and is not known to be decided."""
+        """The view that this replica has accepted and that is not known to be decided, if any."""
         return None if self._acceptor.accepted is None else self._acceptor.accepted.view
 
     def handle(self, message: VotingMessage, now_ms: float) -> None:
-        """Take a message."""
+        """Handle a message of the Paxos round or a request to confirm the epoch."""
         self._now_ms = now_ms
         match message:
             case Prepare():
@@ -100,7 +100,7 @@
                 self._handle_confirm_epoch(message)
 
     def learn(self, view: View, now_ms: float) -> None:
-        """Enter a view that a majority accepted, or the initial one; an earlier epoch's is ignored."""
+        """Enter a decided view or the initial one, unless it is no later than the current view."""
         self._now_ms = now_ms
         if view.epoch <= self.epoch:
             return
@@ -151,18 +151,18 @@
     # As a proposer.
 
     def may_propose(self, now_ms: float) -> bool:
-        """Whether to plan a view now: this replica votes, and may begin a proposal."""
+        """Return whether this replica is a voter and may begin a proposal now."""
         self._now_ms = now_ms
         return self._proposer.is_idle(now_ms) and self.is_voter
 
     def reconcile(self, desired: View | None, rank: int, now_ms: float) -> None:
-        """Propose the desired view once it has differed from the one in force for long enough.
+        """Propose the desired view once it has differed from the current one for long enough.
 
         Parameters
         ----------
-        desired : the view that should follow; None where the one in force is as it should be.
+        desired : the view that should follow; None if the current one needs no change.
         rank : how many live replicas propose before this one.
-        now_ms : the time.
+        now_ms : the current time.
         """
         self._now_ms = now_ms
         if desired is None or self.view is None:
@@ -175,7 +175,7 @@
             self.propose(self.view, desired)
 
     def propose(self, view: View, desired: View) -> ProposalNumber:
-        """Propose a view to the roster of `view`, which it follows; return the proposal's number."""
+        """Propose the view that follows `view` to the roster of `view`; return the proposal number."""
         return self._proposer.propose(view, desired, self._acceptor.promised, self._now_ms)
 
     def _handle_prepare_response(self, message: PrepareResponse) -> None:
--- a/dunlinloft/coordination/voting_hooks.py
+++ b/dunlinloft/coordination/voting_hooks.py
@@ -1,4 +1,4 @@
-"""How the parts that decide views act on their replica."""
+"""Callbacks from the voting components to their replica."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class VotingHooks:
-    """Effects that `voting.Voting` and its acceptor and proposer have on their replica."""
+    """Callbacks by which `voting.Voting` and its acceptor and proposer act on their replica."""
 
     send: Callable[[str, ReplicaMessage], None]
     persist: Callable[[Record, Callable[[], None]], None]
-    """Appends a record to the disk and calls the second argument once it is there."""
+    """Appends a record to the disk and calls the second argument once the record is durable."""
     on_view_learned: Callable[[], None]
-    """A later view was learned: the part in the epoch before ends now."""
+    """Called when a later view was learned; the replica leaves the current epoch."""
     on_view_durable: Callable[[View], None]
-    """The learned view is on disk: the part in its epoch begins."""
+    """Called when the learned view is on disk; the replica enters its epoch."""
     seal_epoch: Callable[[], bool]
-    """Ends the part in this epoch for good if that ensures that it never commits; returns whether it does."""
+    """Leaves this epoch for good if that ensures that it never commits; returns whether it does."""
--- a/dunlinloft/coordination/voting_messages.py
+++ b/dunlinloft/coordination/voting_messages.py
@@ -1,6 +1,6 @@
-"""Messages of the Paxos round that decides the next view, and of the confirmation that an epoch is the last.
+"""Messages of the Paxos round that decides the next view, and of the confirmation of the current epoch.
 
-Every message carries its sender, so that a reply finds its way.
+Every message carries its sender, to which responses are addressed.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Prepare(Struct, frozen=True, tag="prepare"):
-    """Phase 1a: ask the acceptors of the view in force to promise, for the view that follows it."""
+    """Phase 1a: request promises from the acceptors of the current view, for the view that follows it."""
 
     sender: Member
     current: View
@@ -19,16 +19,16 @@
 
 
 class PrepareResponse(Struct, frozen=True, tag="promise"):
-    """Phase 1b: no lower-numbered proposal is accepted any more; carries what was accepted before."""
+    """Phase 1b: a promise to accept no lower-numbered proposal, with the proposal accepted so far."""
 
     sender: Member
-    epoch: int  # of the view that is to be decided
+    epoch: int  # of the view to be decided
     proposal_number: ProposalNumber = field(name="ballot")
     accepted: AcceptedProposal | None = field()
 
 
 class Accept(Struct, frozen=True, tag="accept"):
-    """Phase 2a: ask to accept a view."""
+    """Phase 2a: request the acceptance of a view."""
 
     sender: Member
     proposal_number: ProposalNumber = field(name="ballot")
@@ -36,7 +36,7 @@
 
 
 class Accepted(Struct, frozen=True, tag="accepted"):
-    """Phase 2b: the view was accepted and is on disk."""
+    """Phase 2b: the acceptance is durable."""
 
     sender: Member
     epoch: int
@@ -44,7 +44,7 @@
 
 
 class ProposalRejected(Struct, frozen=True, tag="denied"):
-    """The acceptor has promised a higher-numbered proposal, in either phase."""
+    """Response in either phase: the acceptor has promised a higher-numbered proposal."""
 
     sender: Member
     epoch: int
@@ -52,14 +52,14 @@
 
 
 class Decided(Struct, frozen=True, tag="decided"):
-    """A majority accepted this view."""
+    """This view was accepted by a majority."""
 
     sender: Member
     view: View
 
 
 class ConfirmEpoch(Struct, frozen=True, tag="confirm"):
-    """Ask whether a later view may have been decided."""
+    """Request a confirmation that the sender's epoch is current."""
 
     sender: Member
     epoch: int
@@ -67,7 +67,7 @@
 
 
 class EpochConfirmed(Struct, frozen=True, tag="confirmed"):
-    """The sender has accepted no view after this epoch."""
+    """The sender has accepted no view later than this epoch's."""
 
     sender: Member
     epoch: int
@@ -75,4 +75,4 @@
 
 
 VotingMessage = Prepare | PrepareResponse | Accept | Accepted | ProposalRejected | Decided | ConfirmEpoch
-"""What `voting.Voting` takes; `EpochConfirmed` goes to who asked for it."""
+"""The messages handled by `voting.Voting`; `EpochConfirmed` is handled by the requester's `CallHandler`."""
