--- a/tests/server_records.py
+++ b/tests/server_records.py
@@ -1,4 +1,4 @@
-"""Records of servers, for tests of the data plane."""
+"""Server records for data-plane tests."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def server_record(number: int, sequence: int = 1, state: str = "ready") -> ServerRecord:
-    """The record of one server of the service `pool`."""
+    """Return the record of a server of the service `pool`."""
     return ServerRecord(f"i-{number}", "pool", f"10.0.0.{number}:80", "a", 8, state, sequence)
--- a/tests/test_chain_replication.py
+++ b/tests/test_chain_replication.py
@@ -1,4 +1,4 @@
-"""Chain replication: what a head and a tail may commit, and which entries a successor takes."""
+"""Chain replication: when a head or tail may commit, and which entries a successor appends."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.replicas import chain_replica, send_changes_to_head_without_live_successor
 
 
-def test_a_head_without_a_synced_successor_commits_nothing_whatever_its_chains_length() -> None:
+def test_a_head_without_a_synced_successor_commits_nothing_for_any_chain_length() -> None:
     view = initial_view(("10.0.0.1:1", "10.0.0.2:1"))
     head = view.chain[0]
     chain, _ = chain_replica(View(2, view.roster, (head,), 1), head, ChainState())
@@ -24,7 +24,7 @@
     assert not chain.is_tail
     chain.append(next_entry(ChainState(), 1, empty_change(1, 0)))
     assert chain.committed.sequence == 0
-    # A longer chain, whose second member has still to catch up, changes nothing.
+    # A longer chain makes no difference while its second member is still catching up.
     chain.enter_epoch(View(3, view.roster, view.chain, 1))
     assert not chain.fully_committed
 
@@ -32,14 +32,14 @@
 def test_an_entry_of_another_history_is_not_appended() -> None:
     view = initial_view(("10.0.0.1:1", "10.0.0.2:1"))
     head, tail = view.chain
-    ours = state_after(ChainState(), next_entry(ChainState(), 1, empty_change(1, 0, "ours")))
-    theirs = state_after(ChainState(), next_entry(ChainState(), 1, empty_change(1, 0, "theirs")))
-    chain, actions = chain_replica(view, tail, ours)
-    entry = next_entry(theirs, 2, empty_change(2, 1))
-    assert not is_next_entry(ours, entry)
+    local_state = state_after(ChainState(), next_entry(ChainState(), 1, empty_change(1, 0, "ours")))
+    other_state = state_after(ChainState(), next_entry(ChainState(), 1, empty_change(1, 0, "theirs")))
+    chain, actions = chain_replica(view, tail, local_state)
+    entry = next_entry(other_state, 2, empty_change(2, 1))
+    assert not is_next_entry(local_state, entry)
     chain.on_append_entries(AppendEntries(head, 1, (entry,)))
-    assert chain.state == ours
-    assert any(isinstance(action, Send) for action in actions), "it sends its position"
+    assert chain.state == local_state
+    assert any(isinstance(action, Send) for action in actions), "it sends its position instead"
 
 
 def test_a_head_without_a_synced_successor_acknowledges_nothing() -> None:
@@ -47,11 +47,11 @@
 
 
 def test_a_commit_by_chain_length_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    def commits_by_length(self: ChainReplica) -> bool:
+    def is_last_in_chain(self: ChainReplica) -> bool:
         return self.synced and self._successor is None
 
-    monkeypatch.setattr(ChainReplica, "is_tail", property(commits_by_length))
-    # Chains of one are no longer proposed: that they are is part of the fault.
+    monkeypatch.setattr(ChainReplica, "is_tail", property(is_last_in_chain))
+    # Chains of one member are normally not proposed, so the injected bug has to allow them.
     monkeypatch.setattr(view_planning, "can_commit", lambda chain, _: bool(chain))
     with pytest.raises(InvariantViolation, match="committed with 1 copies"):
         send_changes_to_head_without_live_successor()
--- a/tests/test_control_machine.py
+++ b/tests/test_control_machine.py
@@ -1,4 +1,4 @@
-"""A hypothesis state machine over the control plane's replicas: any order of tolerated faults."""
+"""A Hypothesis state machine over the control-plane replicas, with any sequence of tolerated faults."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from dunlinloft.coordination.state import ChangeKind, ConfigurationChange
 from lab.control.cluster import Cluster
 
-RUNS = int(os.environ.get("CONTROL_RUNS", "25"))  # docs/lab.md says how to play thousands
-SYNC_TIMEOUT_MS = 4_000.0  # a machine counts as lost for so long after it is back
+RUNS = int(os.environ.get("CONTROL_RUNS", "25"))  # docs/lab.md describes runs of thousands
+SYNC_TIMEOUT_MS = 4_000.0  # a repaired machine counts as lost until it has had this time to catch up
 
 
 class Replicas(RuleBasedStateMachine):
--- a/tests/test_control_replicas.py
+++ b/tests/test_control_replicas.py
@@ -1,4 +1,4 @@
-"""The control plane's replicas under seeded faults: the rules are checked after each step."""
+"""Control-plane replicas under seeded faults; the invariants are checked after each event."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 def _assert_recovered(cluster: Cluster, operator: Operator) -> None:
-    """With all faults repaired, changes are acknowledged, and reads show what was acknowledged."""
+    """Assert that, with all faults repaired, changes are acknowledged and reads return acknowledged state."""
     acked = operator.acked
     cluster.run(6_000.0)
     assert operator.acked > acked, "no change is acknowledged although nothing fails any more"
     versions: list[int] = []
 
-    def taker(reply: Reply | None) -> None:
+    def record_version(reply: Reply | None) -> None:
         if reply is not None and reply.status == 200:
             versions.append(reply.version)
 
     for machine in cluster.machines.values():
         if not machine.removed:
-            cluster.call(machine.address, None, taker)
+            cluster.call(machine.address, None, record_version)
     newest = cluster.checker.newest_acked
     cluster.run(1_500.0)
     assert versions, "nobody answers a read"
@@ -45,27 +45,27 @@
 
 
 @pytest.mark.parametrize("position", [0, 1, 2])
-@pytest.mark.parametrize("how", ["kill", "freeze", "cut", "one_way", "stall", "slow", "wipe"])
-def test_changes_are_acknowledged_while_one_machine_has_a_fault(position: int, how: str) -> None:
-    cluster = Cluster(100 * position + len(how))
+@pytest.mark.parametrize("fault", ["kill", "freeze", "cut", "one_way", "stall", "slow", "wipe"])
+def test_changes_are_acknowledged_while_one_machine_has_a_fault(position: int, fault: str) -> None:
+    cluster = Cluster(100 * position + len(fault))
     operator = Operator(cluster)
     operator.read()
     cluster.after(300.0, operator.change)
     cluster.run(2_000.0)
     address = cluster.seeds[position]
-    _begin_fault(cluster, address, how)
+    _begin_fault(cluster, address, fault)
     acked = operator.acked
     cluster.run(4_000.0)
-    assert operator.acked > acked, f"no change acknowledged while {how} lasts"
-    _repair(cluster, address, how)
+    assert operator.acked > acked, f"no change acknowledged while {fault} lasts"
+    _repair(cluster, address, fault)
     _assert_recovered(cluster, operator)
     view = next(m.replica.view for m in cluster.machines.values() if m.replica is not None)
     assert view is not None
     assert len(view.chain) == 3
 
 
-def _begin_fault(cluster: Cluster, address: str, how: str) -> None:
-    match how:
+def _begin_fault(cluster: Cluster, address: str, fault: str) -> None:
+    match fault:
         case "kill":
             cluster.kill(address)
         case "freeze":
@@ -73,7 +73,7 @@
         case "cut" | "one_way":
             for other in cluster.machines:
                 if other != address:
-                    cluster.disconnect(address, other, both=how == "cut")
+                    cluster.disconnect(address, other, both=fault == "cut")
         case "stall":
             cluster.stall(address, True)
         case "slow":
@@ -82,8 +82,8 @@
             cluster.wipe(address)
 
 
-def _repair(cluster: Cluster, address: str, how: str) -> None:
-    match how:
+def _repair(cluster: Cluster, address: str, fault: str) -> None:
+    match fault:
         case "kill" | "wipe":
             cluster.start(address)
         case "freeze":
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("wiped", [None, 0, 2])
 def test_replicas_restarted_with_other_seeds_find_each_other(wiped: int | None) -> None:
-    """The initial view was once in memory alone: seed_turnover, then all lost power (hunt 6ae8-19)."""
+    """Guards against a non-durable initial view, which is lost if all replicas restart with new seeds."""
     cluster = Cluster(11)
     operator = Operator(cluster)
     cluster.after(300.0, operator.change)
@@ -160,20 +160,20 @@
     _assert_recovered(cluster, operator)
 
 
-def _random_fault(cluster: Cluster, rng: random.Random, down: list[tuple[str, str]]) -> None:
-    """Begin or repair a fault of one machine; no more than one has a fault at a time."""
-    if down:
-        address, how = down.pop()
-        _repair(cluster, address, how)
+def _random_fault(cluster: Cluster, rng: random.Random, active_faults: list[tuple[str, str]]) -> None:
+    """Begin or repair a fault of one machine; at most one machine has a fault at a time."""
+    if active_faults:
+        address, fault = active_faults.pop()
+        _repair(cluster, address, fault)
         return
     address = rng.choice(cluster.seeds)
-    how = rng.choice(["kill", "freeze", "cut", "one_way", "stall", "slow", "wipe"])
-    _begin_fault(cluster, address, how)
-    down.append((address, how))
+    fault = rng.choice(["kill", "freeze", "cut", "one_way", "stall", "slow", "wipe"])
+    _begin_fault(cluster, address, fault)
+    active_faults.append((address, fault))
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_random_faults_break_no_rule(seed: int) -> None:
+def test_random_faults_violate_no_invariant(seed: int) -> None:
     cluster = Cluster(seed, loss=0.01 if seed % 2 else 0.0)
     rng = random.Random(seed)
     operators = [Operator(cluster), Operator(cluster)]
@@ -181,13 +181,13 @@
         cluster.after(300.0 * rng.random(), operator.change)
         operator.read()
     cluster.run(1_500.0)
-    down: list[tuple[str, str]] = []
+    active_faults: list[tuple[str, str]] = []
     for _ in range(8):
-        _random_fault(cluster, rng, down)
-        # A machine counts as lost until it has had time to catch up.
-        cluster.run(rng.uniform(200.0, 3_000.0) if down else 4_000.0)
-    while down:
-        _random_fault(cluster, rng, down)
+        _random_fault(cluster, rng, active_faults)
+        # A repaired machine counts as lost until it has had time to catch up.
+        cluster.run(rng.uniform(200.0, 3_000.0) if active_faults else 4_000.0)
+    while active_faults:
+        _random_fault(cluster, rng, active_faults)
     cluster.run(4_000.0)
     _assert_changes_continue(cluster, operators)
 
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -1,4 +1,4 @@
-"""The control plane under the faults that operators fear most, one scenario a test."""
+"""The control plane under the most critical fault scenarios, one per test."""
 
 from __future__ import annotations
 
@@ -29,14 +29,16 @@
     cluster.run(3_000.0)
     statuses: list[int] = []
 
-    def taker(reply: Reply | None) -> None:
+    def record_status(reply: Reply | None) -> None:
         if reply is not None:
             statuses.append(reply.status)
 
     for number in range(14):
-        cluster.call(address, None, taker)
+        cluster.call(address, None, record_status)
         cluster.call(
-            address, empty_change(9_000 + number, operators[0].version, "at the partitioned one"), taker
+            address,
+            empty_change(9_000 + number, operators[0].version, "at the partitioned one"),
+            record_status,
         )
         cluster.run(1_200.0)
         replica = cluster.machines[address].replica
@@ -67,16 +69,16 @@
     cluster = Cluster(seed)
     cluster.run(500.0)
     statuses_of: dict[str, list[int]] = {"one": [], "other": []}
-    orders = {name: empty_change(5, 0, name) for name in statuses_of}
-    for name, order in orders.items():
-        cluster.submit(order, statuses_of[name].append)
+    changes_by_name = {name: empty_change(5, 0, name) for name in statuses_of}
+    for name, change in changes_by_name.items():
+        cluster.submit(change, statuses_of[name].append)
     cluster.run(2_000.0)
     assert sorted(status for (status,) in statuses_of.values()) == [200, 412]
     winner = next(name for name, (status,) in statuses_of.items() if status == 200)
     cluster.kill(cluster.seeds[0])
     cluster.run(2_000.0)
-    for name, order in orders.items():
-        cluster.submit(order, statuses_of[name].append)
+    for name, change in changes_by_name.items():
+        cluster.submit(change, statuses_of[name].append)
     cluster.run(3_000.0)
     assert statuses_of[winner] == [200, 200]
     assert [a for name, a in statuses_of.items() if name != winner] == [[412, 412]]
@@ -91,7 +93,7 @@
     cluster.run(500.0)
     cluster.submit(empty_change(4, 0), lambda _: None)
     cluster.run(500.0)
-    cluster.submit(early, statuses.append)  # a copy that arrives late
+    cluster.submit(early, statuses.append)  # a delayed duplicate
     cluster.run(500.0)
     assert statuses == [412, 412]
 
@@ -152,7 +154,7 @@
     head, second, third = cluster.seeds
     cluster.kill(third)
     cluster.run(1_500.0)
-    cluster.wipe(second)  # one loss too many: the head alone has what was acknowledged
+    cluster.wipe(second)  # one loss more than tolerated: only the head holds the acknowledged changes
     cluster.leave(head, 60_000.0)
     cluster.run(3_000.0)
     assert cluster.machines[head].replica is not None, "it stays"
@@ -177,14 +179,14 @@
     assert len(latest_view(cluster).roster) == 3
 
 
-@pytest.mark.parametrize("how", ["kill", "cut", "freeze"])
-def test_a_member_that_missed_hundreds_of_changes_catches_up_before_it_is_head(how: str) -> None:
+@pytest.mark.parametrize("fault", ["kill", "cut", "freeze"])
+def test_a_member_that_missed_hundreds_of_changes_catches_up_before_it_is_head(fault: str) -> None:
     cluster = Cluster(80)
     cluster.run(500.0)
-    away, others = cluster.seeds[0], cluster.seeds[1:]
+    absent, others = cluster.seeds[0], cluster.seeds[1:]
     version = 0
 
-    def changes(number: int) -> None:
+    def submit_changes(number: int) -> None:
         nonlocal version
         for _ in range(number):
             statuses: list[int] = []
@@ -195,26 +197,26 @@
             assert statuses == [200]
             version += 1
 
-    changes(20)
+    submit_changes(20)
     for other in others:
-        cluster.disconnect(away, other)
-    if how == "kill":
-        cluster.kill(away)
-    elif how == "freeze":
-        cluster.freeze(away)
-    changes(380)
+        cluster.disconnect(absent, other)
+    if fault == "kill":
+        cluster.kill(absent)
+    elif fault == "freeze":
+        cluster.freeze(absent)
+    submit_changes(380)
     cluster.heal()
-    if how == "kill":
-        cluster.start(away)
-    elif how == "freeze":
-        cluster.thaw(away)
+    if fault == "kill":
+        cluster.start(absent)
+    elif fault == "freeze":
+        cluster.thaw(absent)
     cluster.run(SYNC_TIMEOUT_MS)
-    disk = cluster.machines[away].durable
+    disk = cluster.machines[absent].durable
     assert disk is not None
     assert disk.state.version == version
-    for other in others:  # at once: the one that was away has to be head
+    for other in others:  # both at once, so that the absent member has to become head
         cluster.kill(other)
     cluster.run(900.0)
     cluster.start(others[1])
     cluster.run(2_000.0)
-    changes(5)
+    submit_changes(5)
--- a/tests/test_control_world.py
+++ b/tests/test_control_world.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults against the simulated control plane, and schedules that once broke a rule."""
+"""Random fault schedules against the simulated control plane, and schedules that once violated invariants."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from lab.control.world import deployment_of, play, run_seed
 from tests.replicas import SYNC_TIMEOUT_MS, cluster_with_member_down
 
-SEEDS = int(os.environ.get("WORLD_SEEDS", "28"))  # `dunlinloft explore control` plays thousands
+SEEDS = int(os.environ.get("WORLD_SEEDS", "28"))  # `dunlinloft explore control` runs thousands
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_no_random_schedule_of_faults_breaks_a_rule(seed: int) -> None:
+def test_random_fault_schedules_violate_no_invariant(seed: int) -> None:
     assert play(seed) > 0
 
 
@@ -38,9 +38,9 @@
     _assert_detected("although nothing fails any more", range(0, 40))
 
 
-def test_a_broken_rule_is_reported_with_the_shortest_schedule(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_violation_is_reported_with_a_minimal_schedule(monkeypatch: pytest.MonkeyPatch) -> None:
     def never_synced(self: ChainReplica, position: PredecessorPosition) -> None:
-        """No successor becomes synced: after the first loss there is no tail."""
+        """Ignore the message, so that no successor becomes synced and no tail exists after the first loss."""
 
     monkeypatch.setattr(ChainReplica, "on_predecessor_position", never_synced)
     result = run_seed(1)
@@ -67,20 +67,23 @@
 
 
 def test_an_abandoned_proposal_is_completed() -> None:
-    """Seed 4424: two had accepted a view that nobody desired any more, and confirmed nothing ever after."""
+    """Seed 4424: guards against acceptors that block forever on an undecided view.
+
+    Two replicas had accepted a view that no replica desired any longer, and so confirmed no epoch after that.
+    """
     split = Fault(12_503.55136678152, FaultKind.SPLIT, 2_506.0209163933077, 58_310)
     partition = Fault(13_454.102252139757, FaultKind.PARTITION_FROM_ALL, 1_263.5152376472624, 15_814)
     assert play(4_424, (split, partition)) > 0
 
 
 def test_a_disk_lost_between_commit_and_answer_counts_as_a_replica() -> None:
-    """Seed 4789: committed on two disks, then one was lost, then the operator had its answer."""
+    """Seed 4789: a change was committed on two disks, and one was lost before the operator got the reply."""
     partition = Fault(5_194.2843714117225, FaultKind.PARTITION, 4_557.240223571141, 57_656)
     assert play(4_789, (partition, Fault(6_012.034361357097, FaultKind.WIPE, 513.8083944110192, 56_137))) > 0
 
 
 def test_a_detached_synced_member_leads_when_the_chains_only_synced_member_is_lost() -> None:
-    """Seed 4508: a stalled disk is detached; then the chain's only synced one loses its disk."""
+    """Seed 4508: a member with a stalled disk is detached; then the only synced member loses its disk."""
     restart = Fault(4_699.538375753763, FaultKind.RESTART, 2_324.9745928472457, 55_389)
     stall = Fault(5_660.325437332149, FaultKind.STALL, 4_560.514303204171, 8_537)
     wipe = Fault(7_506.711202275268, FaultKind.WIPE, 4_071.822066263923, 51_142)
@@ -88,7 +91,10 @@
 
 
 def test_a_disk_lost_before_the_commit_counts_as_a_replica() -> None:
-    """Seed 21547: on its way to a frozen tail as the head lost its disk; the tail commits once it is back."""
+    """Seed 21547: the head lost its disk while an entry was on its way to a frozen tail.
+
+    The tail commits the entry once it resumes, although only its own disk still holds it.
+    """
     cluster = cluster_with_member_down(92, 1)
     head, _, tail = cluster.seeds
     cluster.freeze(tail)
@@ -97,21 +103,24 @@
     cluster.remove(head)
     cluster.thaw(tail)
     cluster.run(100.0)
-    left = cluster.machines[tail].replica
-    assert left is not None
-    assert left.chain.committed.sequence == 1
+    survivor = cluster.machines[tail].replica
+    assert survivor is not None
+    assert survivor.chain.committed.sequence == 1
     cluster.checker._changes_on_lost_disks.clear()
     with pytest.raises(InvariantViolation, match="committed with 1 copies"):
-        cluster.checker.check_first_commit(left.chain.committed, cluster.machines)
+        cluster.checker.check_first_commit(survivor.chain.committed, cluster.machines)
 
 
 def test_a_chain_too_short_to_commit_is_not_proposed() -> None:
-    """Seed 3549: a chain of one dropped two members that held everything; then that one lost its disk."""
+    """Seed 3549: a chain of one excluded two members that held everything; then its member lost its disk."""
     assert play(3_549) > 0
 
 
 def test_a_replaced_machine_counts_as_lost_until_its_replacement_is_synced() -> None:
-    """Seed 2905 lost two disks where one may be lost: the replacement came after 5 s."""
+    """Seed 2905: guards against schedules that lose two disks where one is tolerated.
+
+    A machine was replaced after 5 s, and another disk was lost before the replacement was synced.
+    """
     cluster = Cluster(1)
     faults = FaultInjector(cluster, 1)
     cluster.run(500.0)
--- a/tests/test_node_registry.py
+++ b/tests/test_node_registry.py
@@ -1,4 +1,4 @@
-"""The data-plane nodes that a replica knows: which are connected, which have left."""
+"""The node registry: which data-plane nodes are connected, and which have shut down."""
 
 from __future__ import annotations
 
--- a/tests/test_rejected_changes.py
+++ b/tests/test_rejected_changes.py
@@ -1,4 +1,4 @@
-"""A change that was rejected is never taken later, by whichever head."""
+"""No head ever accepts a change that was rejected before."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def _status_of(cluster: Cluster, change: ConfigurationChange) -> int:
-    """The definite result of a change."""
+    """Submit a change and return its only, definite status."""
     statuses: list[int] = []
     cluster.submit(change, statuses.append)
     cluster.run(3_000.0)
@@ -41,7 +41,7 @@
 
 
 def _replace_head(cluster: Cluster) -> None:
-    """The head's process ends, and another replica leads the chain."""
+    """Kill the head and wait until another replica is the head."""
     head = latest_view(cluster).chain[0].address
     cluster.kill(head)
     cluster.run(2_000.0)
--- a/tests/test_server_registry.py
+++ b/tests/test_server_registry.py
@@ -13,7 +13,7 @@
 
 
 def _pass_time(registry: ServerRegistry, start_ms: float, end_ms: float) -> None:
-    """Expire servers as often as the control plane does."""
+    """Call `expire` as often as the control plane does."""
     now = start_ms
     while now < end_ms:
         now += 50.0
--- a/tests/test_view_agreement.py
+++ b/tests/test_view_agreement.py
@@ -1,4 +1,4 @@
-"""Agreement on views: proposals and confirmations across restarts, leases, and sealed epochs."""
+"""Agreement on views: proposals and confirmations across restarts, leases and sealed epochs."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     local_member, second, third = view.roster
     numbers = set()
     for process in range(2):
-        # The promise is not on disk yet: after the restart it is unknown.
+        # The promise was not durable, so it is unknown after the restart.
         durable = DurableState(local_member.incarnation, view=view)
         replica = Replica(local_member, True, durable, (), 1, validate, random.Random(process), 0.0)
         replica.start(None)
@@ -48,7 +48,7 @@
     assert first.has_lease(cluster.now)
     later = View(2, first.view.roster, first.view.chain[1:], 2)
     first.handle(Accept(second.local_member, ProposalNumber(9, "second"), later), cluster.now)
-    # The third still echoes its heartbeats in this epoch; with the second it decided the later view.
+    # The third replica still echoes in this epoch, but the other two may have decided the later view.
     assert not first.has_lease(cluster.now)
 
 
@@ -92,8 +92,8 @@
 
 
 @dataclass(frozen=True)
-class _DetachedMember:
-    """A chain of a synced head and a member behind it that is catching up; and a detached synced member."""
+class _DetachedMemberSetup:
+    """A chain of a synced head and a member that is catching up, and a detached member that is synced."""
 
     cluster: Cluster
     view: View
@@ -101,7 +101,7 @@
     detached: Member
 
 
-def _cluster_with_a_detached_member() -> _DetachedMember:
+def _cluster_with_a_detached_member() -> _DetachedMemberSetup:
     cluster = cluster_with_member_down(91, 2)
     _, second, third = cluster.seeds
     for version in range(1, 9):
@@ -118,14 +118,14 @@
         if view.detached and view.position_of(behind.local_member.id) and behind.chain.epoch == view.epoch:
             assert [member.address for member in view.detached] == [second]
             assert not behind.chain.synced
-            return _DetachedMember(cluster, view, behind, view.detached[0])
+            return _DetachedMemberSetup(cluster, view, behind, view.detached[0])
     raise AssertionError("no view left a synced member detached")
 
 
-def _send_changes_beside_a_sealer() -> None:
-    """The member behind seals the epoch while the head, which has everything, still runs."""
-    scene = _cluster_with_a_detached_member()
-    cluster, view, behind, detached = scene.cluster, scene.view, scene.behind, scene.detached
+def _submit_changes_after_sealing() -> None:
+    """Submit changes after the member that is catching up has sealed the epoch of a head that still runs."""
+    setup = _cluster_with_a_detached_member()
+    cluster, view, behind, detached = setup.cluster, setup.view, setup.behind, setup.detached
     desired = View(
         view.epoch + 1, view.roster, (detached, behind.local_member), 1, (), behind.local_member.id
     )
@@ -139,20 +139,20 @@
 
 
 def test_a_sealer_stops_its_epoch_before_others_rely_on_it() -> None:
-    _send_changes_beside_a_sealer()
+    _submit_changes_after_sealing()
 
 
 def test_a_sealer_that_does_not_stop_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ChainReplica, "seal_epoch", lambda _: True)
     with pytest.raises(InvariantViolation, match="after its witness had accepted"):
-        _send_changes_beside_a_sealer()
+        _submit_changes_after_sealing()
 
 
 def test_a_synced_member_cannot_seal_and_a_sealer_stays_stopped_after_a_restart() -> None:
-    scene = _cluster_with_a_detached_member()
-    cluster, view, behind, detached = scene.cluster, scene.view, scene.behind, scene.detached
+    setup = _cluster_with_a_detached_member()
+    cluster, view, behind, detached = setup.cluster, setup.view, setup.behind, setup.detached
     assert behind.chain.seal_epoch()
-    assert not behind.chain.seal_epoch(), "it takes no further part, and so can tell nothing more"
+    assert not behind.chain.seal_epoch(), "it has left the epoch and can't seal it again"
     desired = View(
         view.epoch + 1, view.roster, (detached, behind.local_member), 1, (), behind.local_member.id
     )
@@ -163,4 +163,4 @@
     assert restarted.chain.epoch == 0
     head = cluster.machines[view.chain[0].address].replica
     assert head is not None
-    assert not head.chain.seal_epoch(), "it has what the epoch may have committed"
+    assert not head.chain.seal_epoch(), "it is synced, so the epoch may have committed"
