--- a/dunlinloft/coordination/chain.py
+++ b/dunlinloft/coordination/chain.py
@@ -37,7 +37,7 @@
 
 NO_SEQUENCE = -1  # no position known yet; an empty state has sequence 0
 
-PersistThen = Callable[[Record, Callable[[], None]], None]
+PersistFunction = Callable[[Record, Callable[[], None]], None]
 """Appends a record to the disk and calls the second argument once the record is durable."""
 
 
@@ -58,7 +58,7 @@
         local_member: Member,
         durable: DurableState,
         emit: Callable[[Action], None],
-        persist: PersistThen,
+        persist: PersistFunction,
         min_synced: int,
     ) -> None:
         """Create a replica that is in no epoch.
@@ -68,7 +68,7 @@
         local_member : this replica.
         durable : the state recovered from its disk.
         emit : receives the actions for the host.
-        persist : see `PersistThen`.
+        persist : see `PersistFunction`.
         min_synced : the number of disks that must hold an entry before it is committed.
         """
         self._min_synced = min_synced
@@ -144,8 +144,8 @@
     @property
     def is_tail(self) -> bool:
         """Whether this replica commits and serves reads: it is the last member and enough are synced."""
-        enough = self._position is not None and self._position + 1 >= self._min_synced
-        return self.synced and self._successor is None and enough
+        enough_synced = self._position is not None and self._position + 1 >= self._min_synced
+        return self.synced and self._successor is None and enough_synced
 
     # Append and commit.
 
--- a/dunlinloft/coordination/replica.py
+++ b/dunlinloft/coordination/replica.py
@@ -159,7 +159,7 @@
         return self._finish_event()
 
     def leave(self, now_ms: float) -> list[Action]:
-        """Announce the shutdown of this process: the next view excludes it, see `can_stop`."""
+        """Announce the shutdown of this process, so that the next view replaces it; see `can_stop`."""
         self._now_ms = now_ms
         self._leaving = True
         self._heartbeats.send_to_all(now_ms)
--- a/dunlinloft/coordination/view_planning.py
+++ b/dunlinloft/coordination/view_planning.py
@@ -198,11 +198,11 @@
     """
     members = [m for m in observation.view.chain if m in roster or observation.is_leaving(m)]
     members += [m for m in roster if m not in members]
-    alive = [m for m in members if _is_alive(observation, m)]
+    alive = [m for m in members if _may_join_chain(observation, m)]
     return [m for m in alive if m.id in synced] + [m for m in alive if m.id not in synced]
 
 
-def _is_alive(observation: Observation, member: Member) -> bool:
+def _may_join_chain(observation: Observation, member: Member) -> bool:
     """Return whether a member is alive and, if it is not in the chain yet, stable enough to join."""
     in_chain = observation.view.position_of(member.id) is not None
     detector = observation.failure_detector
