--- a/dunlinloft/coordination/chain.py
+++ b/dunlinloft/coordination/chain.py
@@ -280,7 +280,7 @@
             self._on_progress()
 
     def on_append_entries(self, append: AppendEntries) -> None:
-        """Append the predecessor's entries; if they leave a gap, send this replica's position instead."""
+        """Append the predecessor's entries, or send the position if they don't continue this log."""
         if not self._is_from(append.sender, append.epoch, self._predecessor) or self._write_pending:
             return
         following = [entry for entry in append.entries if entry.sequence > self.state.sequence]
