--- a/tests/test_rejected_changes.py
+++ b/tests/test_rejected_changes.py
@@ -1,4 +1,4 @@
-"""A change that was rejected is never taken later, by whichever head."""
+"""No head ever accepts a change that was rejected before."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from lab.control.cluster import Cluster
 from lab.control.invariants import InvariantViolation
 from lab.control.operators import empty_change
-from tests.replicas import current_view
+from tests.replicas import latest_view
 
 FUTURE = empty_change(9, 4, "future")
 
 
 def _status_of(cluster: Cluster, change: ConfigurationChange) -> int:
-    """The definite result of a change."""
+    """Submit a change and return its only, definite status."""
     statuses: list[int] = []
     cluster.submit(change, statuses.append)
     cluster.run(3_000.0)
@@ -41,11 +41,11 @@
 
 
 def _replace_head(cluster: Cluster) -> None:
-    """The head's process ends, and another replica leads the chain."""
-    head = current_view(cluster).chain[0].address
+    """Kill the head and wait until another replica is the head."""
+    head = latest_view(cluster).chain[0].address
     cluster.kill(head)
     cluster.run(2_000.0)
-    assert current_view(cluster).chain[0].address != head
+    assert latest_view(cluster).chain[0].address != head
 
 
 @pytest.mark.parametrize("version", [0, 2])
