--- a/dunlinloft/dataplane/attempts.py
+++ b/dunlinloft/dataplane/attempts.py
@@ -24,7 +24,7 @@
 )
 from dunlinloft.dataplane.metrics import AttemptKind, PlacementSource
 from dunlinloft.dataplane.placement_client import NoPlacement, PlacedRequest, RetryPlacementLater
-from dunlinloft.dataplane.retry_budget import retry_gate_opens
+from dunlinloft.dataplane.retry_budget import retry_granted
 from dunlinloft.dataplane.server_pool import Server
 from dunlinloft.dataplane.service_context import ServiceContext
 from dunlinloft.dataplane.upstream import AttemptTrace
@@ -67,8 +67,8 @@
         self._id = client_request.http.headers.get(ATTEMPT_ID_HEADER, "")
         self._requirements = client_request.requirements()
         self._tried: list[str] = []  # ids of the servers that it was sent to
-        self._delivered = 0  # attempts that got a connection
-        self._unreachable = 0  # servers that could not be connected to
+        self._connected_attempts = 0  # attempts that got a connection
+        self._unreachable_servers = 0  # servers that could not be connected to
         self._placements: dict[str, PlacedRequest] = {}  # by id of a server where it is in flight
         self._base_headers = self._forwarded_headers()
         self.may_have_executed = False
@@ -111,18 +111,18 @@
         the backoff must end before the deadline.
         """
         if failure.cause is Cause.UNREACHED:
-            self._unreachable += 1
-            return self._unreachable < MAX_UNREACHABLE_SERVERS
-        if self._delivered >= self._request.active_route.route.max_attempts:
+            self._unreachable_servers += 1
+            return self._unreachable_servers < MAX_UNREACHABLE_SERVERS
+        if self._connected_attempts >= self._request.active_route.route.max_attempts:
             return False
         if failure.verdict is not Verdict.NOT_EXECUTED and not self._request.idempotent:
             return False
         context = self._context
-        if not retry_gate_opens(context.pool.controller, context.rng.random(), now_ms()):
+        if not retry_granted(context.pool.controller, context.rng.random(), now_ms()):
             return False
         if not context.budget.acquire_retry(context.node_count, now_ms()):
             return False
-        backoff_ms = RETRY_BACKOFF_MS * 2.0 ** (self._delivered - 1) * (0.5 + context.rng.random())
+        backoff_ms = RETRY_BACKOFF_MS * 2.0 ** (self._connected_attempts - 1) * (0.5 + context.rng.random())
         if now_ms() + backoff_ms >= self._request.deadline_ms:
             return False
         await asyncio.sleep(backoff_ms / 1_000.0)
@@ -226,14 +226,14 @@
         except asyncio.CancelledError:
             self._finish(server)
             raise
-        self._delivered += trace.connected
+        self._connected_attempts += trace.connected
         if not isinstance(result, AttemptFailure):
             self.may_have_executed = True
             server.on_response(self._id, now_ms())
             return result
         if result.verdict is not Verdict.NOT_EXECUTED:
             self.may_have_executed = True
-        self._eject(server, result, trace)
+        self._record_failure(server, result, trace)
         self._finish(server)
         if trace.connected:
             return result
@@ -260,7 +260,7 @@
             )
             return AttemptFailure(verdict_of_broken_attempt(trace.connected), Cause.LATE, "no answer in time")
 
-    def _eject(self, server: Server, failure: AttemptFailure, trace: AttemptTrace) -> None:
+    def _record_failure(self, server: Server, failure: AttemptFailure, trace: AttemptTrace) -> None:
         """Avoid a server that failed; one that only declined, for a moment."""
         if failure.verdict is Verdict.NOT_EXECUTED and trace.connected:
             server.on_declined(now_ms())
--- a/dunlinloft/dataplane/client_wait.py
+++ b/dunlinloft/dataplane/client_wait.py
@@ -18,13 +18,13 @@
     """Remembers the largest remaining time seen on each route; owned by the frontend."""
 
     def __init__(self) -> None:
-        self._longest_ms: LRU[str, float] = LRU(MAX_ROUTES)
+        self._largest_remaining_ms: LRU[str, float] = LRU(MAX_ROUTES)
 
     def waited_ms(self, route: str, remaining_ms: float) -> float:
         """Estimate the wait (ms) before an attempt that arrives with `remaining_ms` left."""
-        longest_ms = self._longest_ms.get(route, 0.0)
+        longest_ms = self._largest_remaining_ms.get(route, 0.0)
         if remaining_ms > longest_ms:
-            self._longest_ms[route] = remaining_ms
+            self._largest_remaining_ms[route] = remaining_ms
             return 0.0
         return longest_ms - remaining_ms
 
--- a/dunlinloft/dataplane/frontend.py
+++ b/dunlinloft/dataplane/frontend.py
@@ -58,7 +58,7 @@
         self._serving = serving
         self._client_wait = ClientWaitEstimator()
         self._metrics = metrics
-        self._busy: set[RequestHandler] = set()  # connections with a request in flight
+        self._active_connections: set[RequestHandler] = set()  # connections with a request in flight
 
     def close_connections(self, connections: Iterable[RequestHandler]) -> None:
         """Close connections: idle ones at once, others after their response.
@@ -66,7 +66,7 @@
         The library's `close` leaves an idle one open and drops what arrives on it.
         """
         for connection in connections:
-            if connection in self._busy:
+            if connection in self._active_connections:
                 connection.close()
             else:
                 connection.force_close()
@@ -74,14 +74,14 @@
     async def handle(self, request: BaseRequest) -> StreamResponse:
         """Answer one request and count it."""
         self._metrics.in_flight += 1
-        self._busy.add(request.protocol)
+        self._active_connections.add(request.protocol)
         try:
             response = await self._serve(request)
         except RequestRefused as refused:
             response = refused.response
         finally:
             self._metrics.in_flight -= 1
-            self._busy.discard(request.protocol)
+            self._active_connections.discard(request.protocol)
         if self._shutdown.started:
             response.force_close()
         self._metrics.requests[response.status] += 1
--- a/dunlinloft/dataplane/graceful_shutdown.py
+++ b/dunlinloft/dataplane/graceful_shutdown.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 # For the platform to send no more connections: it polls readiness once a second, twice.
-PLATFORM_NOTICE_MS = 2_600.0
+READINESS_PROPAGATION_MS = 2_600.0
 # Requests still in flight this long before the grace period ends are abandoned, so that the process exits
 # by itself before the platform kills it.
 EXIT_MARGIN_MS = 600.0
@@ -31,9 +31,9 @@
         return self.started_ms is not None
 
     @property
-    def notice_ms(self) -> float:
+    def readiness_propagation_ms(self) -> float:
         """Duration after SIGTERM within which the platform may still send new connections."""
-        return min(PLATFORM_NOTICE_MS, (self.grace_period_ms - EXIT_MARGIN_MS) / 2.0)
+        return min(READINESS_PROPAGATION_MS, (self.grace_period_ms - EXIT_MARGIN_MS) / 2.0)
 
     @property
     def deadline_ms(self) -> float:
@@ -50,6 +50,6 @@
         New connections that the platform sends before it has noticed are served all the same; after that
         only persistent connections of clients bring requests.
         """
-        if self.started_ms is None or now_ms < self.started_ms + self.notice_ms:
+        if self.started_ms is None or now_ms < self.started_ms + self.readiness_propagation_ms:
             return False
         return request_deadline_ms > self.deadline_ms
--- a/dunlinloft/dataplane/process.py
+++ b/dunlinloft/dataplane/process.py
@@ -30,7 +30,7 @@
 LISTEN_BACKLOG = 1_024  # connections
 METRICS_PORT = 9464  # as in `deploy/system.toml`
 DRAIN_POLL_INTERVAL_S = 0.05
-FAREWELL_FLUSH_S = 0.05  # for the announcement that this process ends to be sent
+SHUTDOWN_MESSAGE_FLUSH_S = 0.05  # for the announcement that this process ends to be sent
 
 
 class DataPlane:
@@ -115,13 +115,13 @@
         """
         self._shutdown.start(now_ms())
         logging.info("event=shutting_down node=%s", self._settings.current.node_name)
-        await asyncio.sleep(self._shutdown.notice_ms / 1_000.0)
+        await asyncio.sleep(self._shutdown.readiness_propagation_ms / 1_000.0)
         frontend_listener.close()
         self._frontend.close_connections(frontend_server.connections)
         while self._frontend.in_flight and now_ms() < self._shutdown.deadline_ms:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         self._clients.subscriptions.stop()
-        await asyncio.sleep(FAREWELL_FLUSH_S)
+        await asyncio.sleep(SHUTDOWN_MESSAGE_FLUSH_S)
 
     @property
     def ready(self) -> bool:
--- a/dunlinloft/dataplane/quota_charge.py
+++ b/dunlinloft/dataplane/quota_charge.py
@@ -38,9 +38,9 @@
     tenant: str
     amount: float  # in the unit of the tenant's quota
     limit: QuotaLimit
-    late_response_ms: float  # how long a response is waited for as long as the owner is alive
+    late_response_timeout_ms: float  # how long a response is waited for as long as the owner is alive
     retry_duration_ms: float  # how long the charge is retried at this node; 0 if the client does that
-    returned: bool = False  # the client was refused before
+    is_retry: bool = False  # the client was refused before
 
 
 def quota_charge(
@@ -58,7 +58,7 @@
     quota. If the quota is scarce it is refused at once: what comes in next is better spent on a request in
     time.
     """
-    returned = waited_ms > 0.0
-    retry_duration_ms = min(MAX_RETRY_DURATION_MS, RETRY_REMAINING_SHARE * remaining_ms) if returned else 0.0
-    late_response_ms = max(1_000.0 * OWNER_TIMEOUT_S, LATE_RESPONSE_TARGET_SHARE * latency_target_ms)
-    return QuotaCharge(tenant, amount, limit, late_response_ms, retry_duration_ms, returned)
+    is_retry = waited_ms > 0.0
+    retry_duration_ms = min(MAX_RETRY_DURATION_MS, RETRY_REMAINING_SHARE * remaining_ms) if is_retry else 0.0
+    late_response_timeout_ms = max(1_000.0 * OWNER_TIMEOUT_S, LATE_RESPONSE_TARGET_SHARE * latency_target_ms)
+    return QuotaCharge(tenant, amount, limit, late_response_timeout_ms, retry_duration_ms, is_retry)
--- a/dunlinloft/dataplane/quota_client.py
+++ b/dunlinloft/dataplane/quota_client.py
@@ -123,7 +123,7 @@
             tenant, charge.limit, response.reserve, response.share, requested_ms, self._clock()
         )
         if response.amount < charge.amount:
-            if not charge.returned:  # what is denied to one that returned may be there for others
+            if not charge.is_retry:  # what is denied to one that returned may be there for others
                 until_ms = self._clock() + min(response.wait_ms, MAX_DENIAL_CACHE_MS)
                 self._denials[tenant] = _Denial(until_ms, charge.amount, response.scarce)
             return OverQuota(response.wait_ms, Cause.QUOTA_OWNER, response.scarce)
@@ -169,7 +169,7 @@
         reserve = self._reserves.wanted_reserve(tenant, charge.limit, charge.amount, now)
         share = self._reserves.current_share(tenant, now)
         alone = self._reserves.autonomous(tenant, now)
-        return QuotaRequest(request_id, tenant, charge.amount, reserve, share, alone, charge.returned)
+        return QuotaRequest(request_id, tenant, charge.amount, reserve, share, alone, charge.is_retry)
 
     async def _await_response(
         self, owner: str, charge: QuotaCharge, future: asyncio.Future[QuotaGrant], requested_ms: float
@@ -183,7 +183,7 @@
             return result
         if self._streams.alive(owner) and self._reserves.replied_recently(owner, self._clock()):
             # The owner is alive: its response is only late, and better than a refusal.
-            await asyncio.wait((future,), timeout=charge.late_response_ms / 1_000.0 - OWNER_TIMEOUT_S)
+            await asyncio.wait((future,), timeout=charge.late_response_timeout_ms / 1_000.0 - OWNER_TIMEOUT_S)
             if future.done():
                 return future.result()
         self._suspended_until_ms[owner] = self._clock() + OWNER_SUSPENSION_MS
--- a/dunlinloft/dataplane/retry_budget.py
+++ b/dunlinloft/dataplane/retry_budget.py
@@ -6,8 +6,8 @@
 from dunlinloft.balancer.delay_controller import DelayController
 
 # Shares of the rule's bounds that are used, so that the fleet stays below them (`docs/system.md`).
-RATIO_USED = 0.8  # of the budget's ratio
-ALLOWANCE_USED = 0.6  # of its allowance, which is divided evenly among the nodes
+RATIO_SAFETY_FACTOR = 0.8  # of the budget's ratio
+ALLOWANCE_SAFETY_FACTOR = 0.6  # of its allowance, which is divided evenly among the nodes
 
 
 class RetryBudget:
@@ -17,8 +17,8 @@
     """
 
     def __init__(self, ratio: float, window_s: float, allowance: float) -> None:
-        self._ratio = ratio * RATIO_USED
-        self._allowance = allowance * ALLOWANCE_USED
+        self._ratio = ratio * RATIO_SAFETY_FACTOR
+        self._allowance = allowance * ALLOWANCE_SAFETY_FACTOR
         self._requests = SlidingWindowCounter(window_s * 1_000.0)
         self._retries = SlidingWindowCounter(window_s * 1_000.0)
 
@@ -35,6 +35,6 @@
         return True
 
 
-def retry_gate_opens(controller: DelayController, draw: float, now_ms: float) -> bool:
+def retry_granted(controller: DelayController, draw: float, now_ms: float) -> bool:
     """Whether the delay controller grants a retry; it counts the failure. `draw` is uniform in [0, 1)."""
     return draw < controller.retry_probability(now_ms)
--- a/dunlinloft/dataplane/server_pool.py
+++ b/dunlinloft/dataplane/server_pool.py
@@ -158,7 +158,7 @@
             return None
         prefix = requirements.shared_prefix
         if prefix is not None and requirements.shared_prefix_tokens >= MIN_AFFINITY_TOKENS:
-            candidates = self._affine(prefix, candidates)
+            candidates = self._preferred_by_affinity(prefix, candidates)
         return self._rotation.pick((server, _weight(server)) for server in candidates)
 
     def _ranking(self, prefix: str) -> list[Server]:
@@ -169,7 +169,7 @@
             self._rankings[prefix] = ranking
         return ranking
 
-    def _affine(self, prefix: str, candidates: list[Server]) -> list[Server]:
+    def _preferred_by_affinity(self, prefix: str, candidates: list[Server]) -> list[Server]:
         """The first server of the prefix's ranking that is not overloaded; all of them if each one is."""
         available = set(candidates)
         mean = sum(server.in_flight for server in candidates) / len(candidates)
--- a/dunlinloft/dataplane/server_table.py
+++ b/dunlinloft/dataplane/server_table.py
@@ -41,9 +41,9 @@
 
     def digests(self) -> tuple[int, ...]:
         """Digests of all known servers by id range; a replica sends only the ranges that differ."""
-        return RangeDigests(self._known()).values()
+        return RangeDigests(self._known_records()).values()
 
-    def _known(self) -> Iterable[ServerRecord]:
+    def _known_records(self) -> Iterable[ServerRecord]:
         return (server.record for pool in self.pools.values() for server in pool.servers.values())
 
     def on_listing(
@@ -57,7 +57,9 @@
         self._stream_lost_ms.pop(replica, None)
         old = self._listed.get(replica, {})
         listed_ranges = frozenset(ranges)
-        new = {record.id: record for record in self._known() if range_of(record.id) not in listed_ranges}
+        new = {
+            record.id: record for record in self._known_records() if range_of(record.id) not in listed_ranges
+        }
         new.update({record.id: record for record in records})
         self._unconfirmed[replica] = {i: record for i, record in old.items() if i not in new}
         self._listed[replica] = {**old, **new}
--- a/dunlinloft/dataplane/subscriptions.py
+++ b/dunlinloft/dataplane/subscriptions.py
@@ -96,7 +96,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}  # by wanted replica
         self._cancelled: dict[asyncio.Task[None], None] = {}  # of replicas no longer wanted
         self._fetches: dict[asyncio.Task[None], None] = {}
-        self._announced: tuple[str, ...] = ()  # addresses of all replicas
+        self._replica_addresses: tuple[str, ...] = ()  # addresses of all replicas
         self._started_ms = now_ms()
 
     async def run(self) -> None:
@@ -112,7 +112,7 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     def _reconcile(self) -> None:
-        wanted = self._wanted()
+        wanted = self._wanted_replicas()
         for address in sorted(wanted - self._tasks.keys()):
             self._tasks[address] = asyncio.create_task(self._maintain(address))
         for address in sorted(self._tasks.keys() - wanted):
@@ -120,7 +120,7 @@
             self._cancelled[task] = None
             task.add_done_callback(lambda done: self._cancelled.pop(done, None))
             task.cancel()
-        self._drop_failed()
+        self._remove_failed_tasks()
 
     async def close(self) -> None:
         """End all streams; to be called after `run` has ended."""
@@ -129,7 +129,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _drop_failed(self) -> None:
+    def _remove_failed_tasks(self) -> None:
         """Log streams that ended by a programming fault; they start anew at the next reconciliation."""
         for address, task in list(self._tasks.items()):
             if task.done():
@@ -137,15 +137,15 @@
                 if not task.cancelled() and task.exception() is not None:
                     logging.error("event=stream_failed replica=%s", address, exc_info=task.exception())
 
-    def _wanted(self) -> set[str]:
+    def _wanted_replicas(self) -> set[str]:
         """The replicas to subscribe to, and the seeds while none of those is connected."""
-        preferred = self._preference()[:MAX_STREAMS]
+        preferred = self._ranked_replicas()[:MAX_STREAMS]
         connected = any(address in self._streams for address in preferred)
         return set(preferred) if connected else set(preferred) | set(self._seeds())
 
-    def _preference(self) -> list[str]:
+    def _ranked_replicas(self) -> list[str]:
         """All replicas in this node's rendezvous order; the seeds before any replica is announced."""
-        return sorted(self._announced or self._seeds(), key=lambda address: rank(self._node, address))
+        return sorted(self._replica_addresses or self._seeds(), key=lambda address: rank(self._node, address))
 
     async def _wait_for_server_listing(self) -> None:
         """Let the first streams list all servers, so that the others need not."""
@@ -185,7 +185,7 @@
     ) -> message_stream.StreamEnd:
         """Subscribe on a new connection and receive until it ends; returns why it did."""
         with self._streams.open(address, writer):
-            wants_configurations = address in self._preference()[:CONFIGURATION_STREAMS]
+            wants_configurations = address in self._ranked_replicas()[:CONFIGURATION_STREAMS]
             if not wants_configurations:
                 await self._wait_for_server_listing()
             writer.send(self._subscribe_message(wants_configurations))
@@ -211,20 +211,20 @@
     def _on_message(self, address: str, message: ControlToNode) -> None:
         self._streams.on_received(address)
         if isinstance(message, ControlPlaneView):
-            self._on_replicas(address, message)
+            self._on_view(address, message)
         elif isinstance(message, ConfigurationAnnouncement):
-            self._on_version(address, message)
+            self._on_announcement(address, message)
         else:
             self._subscriber.apply(address, message)
 
-    def _on_version(self, address: str, message: ConfigurationAnnouncement) -> None:
+    def _on_announcement(self, address: str, message: ConfigurationAnnouncement) -> None:
         """A replica announced a configuration, which another stream usually carries."""
         if message.id.supersedes(self._subscriber.configuration_id, True):
             task = asyncio.create_task(self._fetch(address, message.id))
             self._fetches[task] = None
             task.add_done_callback(lambda done: self._fetches.pop(done, None))
 
-    def _on_replicas(self, address: str, message: ControlPlaneView) -> None:
+    def _on_view(self, address: str, message: ControlPlaneView) -> None:
         """Take the newest view of the control plane.
 
         The number of nodes is the largest that any connected replica knows: one that has just started knows
@@ -235,7 +235,7 @@
         if message.epoch < epoch:
             return
         self._streams.view = msgspec.structs.replace(message, node_count=max(self._node_counts.values()))
-        self._announced = message.addresses
+        self._replica_addresses = message.addresses
         if message.epoch > epoch:
             self._streams.broadcast(self._quota_holdings())
 
--- a/dunlinloft/dataplane/upstream.py
+++ b/dunlinloft/dataplane/upstream.py
@@ -53,7 +53,7 @@
     context.trace_request_ctx.reused = True
 
 
-def stated_idle_timeout_s(keep_alive: str) -> float | None:
+def advertised_idle_timeout_s(keep_alive: str) -> float | None:
     """The idle timeout that a server's `Keep-Alive` header states; None if it states none."""
     for parameter in keep_alive.split(","):
         name, _, value = parameter.partition("=")
@@ -126,7 +126,7 @@
         self._connector.set_idle_timeout(self._idle_timeout_s)
 
     def _increase_idle_timeout(self, keep_alive: str) -> None:
-        stated_s = stated_idle_timeout_s(keep_alive)
+        stated_s = advertised_idle_timeout_s(keep_alive)
         if stated_s is not None:
             self._max_idle_timeout_s = max(MIN_IDLE_TIMEOUT_S, stated_s - IDLE_TIMEOUT_MARGIN_S)
         idle_timeout_s = min(self._max_idle_timeout_s, self._idle_timeout_s * IDLE_TIMEOUT_INCREASE)
--- a/tests/test_dataplane_metrics.py
+++ b/tests/test_dataplane_metrics.py
@@ -8,7 +8,7 @@
 from dunlinloft.dataplane.causes import Cause
 from dunlinloft.dataplane.metrics import Metrics
 from lab.router.bare_node import BareNode
-from tests.virtual_time import run_virtually
+from tests.virtual_time import run_in_virtual_time
 
 ROUTE = {
     "name": "r",
@@ -37,7 +37,7 @@
         assert node.metrics.in_flight == 0
         await node.stop()
 
-    run_virtually(play())
+    run_in_virtual_time(play())
 
 
 def test_exposition_can_be_parsed() -> None:
--- a/tests/test_dataplane_retry_budget.py
+++ b/tests/test_dataplane_retry_budget.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dunlinloft.balancer.delay_controller import DelayController
-from dunlinloft.dataplane.retry_budget import RetryBudget, retry_gate_opens
+from dunlinloft.dataplane.retry_budget import RetryBudget, retry_granted
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -37,8 +37,8 @@
     for _ in range(200):
         now += 20.0
         controller.record_answer(20.0, 200.0, now, True)
-    assert all(retry_gate_opens(controller, draw / 10.0, now) for draw in range(10))
+    assert all(retry_granted(controller, draw / 10.0, now) for draw in range(10))
     for _ in range(600):
         now += 20.0
         controller.record_answer(900.0, 200.0, now, True)
-    assert sum(retry_gate_opens(controller, draw / 10.0, now) for draw in range(10)) <= 1
+    assert sum(retry_granted(controller, draw / 10.0, now) for draw in range(10)) <= 1
--- a/tests/test_dataplane_upstream.py
+++ b/tests/test_dataplane_upstream.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dunlinloft.dataplane.upstream import stated_idle_timeout_s
+from dunlinloft.dataplane.upstream import advertised_idle_timeout_s
 
 
 @pytest.mark.parametrize(
@@ -12,4 +12,4 @@
     [("timeout=10, max=100", 10.0), ("max=100,Timeout = 7", 7.0), ("", None), ("timeout=soon", None)],
 )
 def test_idle_timeout_is_read_from_the_keep_alive_header(keep_alive: str, timeout_s: float | None) -> None:
-    assert stated_idle_timeout_s(keep_alive) == timeout_s
+    assert advertised_idle_timeout_s(keep_alive) == timeout_s
--- a/tests/test_discovery_bound.py
+++ b/tests/test_discovery_bound.py
@@ -18,7 +18,7 @@
 from dunlinloft.node.node import PUSHED_RETRY_S
 from tests.peers import CLOSE, HANG, RESET, Registry, Seen, Server, World, answer, world
 from tests.test_rare_moments import hanging
-from tests.virtual_time import run_virtually
+from tests.virtual_time import run_in_virtual_time
 
 MOST_MS, MOVED_MS = 6_000.0, 4_000.0  # counts as told: in general, and after SIGHUP
 ENDLESS = b"HTTP/1.1 200 X\r\nContent-Length: 1000000\r\n\r\n{"
@@ -111,7 +111,7 @@
         assert await play(tmp_path, (fault,), membership_mode=mode, rules=rules) < MOST_MS
         assert await play(tmp_path, (fault, fault), membership_mode=mode, rules=rules) < MOST_MS
 
-    run_virtually(test())
+    run_in_virtual_time(test())
 
 
 def test_after_several_faults_in_a_row_the_change_is_known_in_time(tmp_path: Path) -> None:
@@ -120,7 +120,7 @@
         for faults in itertools.product([HANG], later, later, later):
             assert await play(tmp_path, faults, membership_mode=PUSHED) < MOST_MS, faults
 
-    run_virtually(test())
+    run_in_virtual_time(test())
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
@@ -128,7 +128,7 @@
     async def test() -> None:
         assert await storm(tmp_path, seed) < MOST_MS
 
-    run_virtually(test())
+    run_in_virtual_time(test())
 
 
 def test_a_connection_that_does_not_come_up_is_given_up_in_time(tmp_path: Path) -> None:
@@ -152,7 +152,7 @@
             await registry.stop()
         await other.stop()
 
-    run_virtually(test())
+    run_in_virtual_time(test())
 
 
 @pytest.mark.parametrize("mode", [PUSHED, ASKED])
@@ -162,7 +162,7 @@
         taken = await play(tmp_path, (HANG, CUT), 41, 3, membership_mode=mode, rules=rules)
         assert taken < MOST_MS
 
-    run_virtually(test())
+    run_in_virtual_time(test())
 
 
 def test_after_a_move_with_faults_the_new_address_is_heard_in_time(tmp_path: Path) -> None:
@@ -181,7 +181,7 @@
             await registry.stop()
         await other.stop()
 
-    run_virtually(test())
+    run_in_virtual_time(test())
 
 
 def test_a_list_without_a_length_ends_with_its_connection(tmp_path: Path) -> None:
@@ -204,4 +204,4 @@
             await registry.stop()
         await other.stop()
 
-    run_virtually(test())
+    run_in_virtual_time(test())
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from dunlinloft.dataplane.graceful_shutdown import EXIT_MARGIN_MS, PLATFORM_NOTICE_MS, GracefulShutdown
+from dunlinloft.dataplane.graceful_shutdown import EXIT_MARGIN_MS, READINESS_PROPAGATION_MS, GracefulShutdown
 from lab.router.raw_server import Arrival, Connection
 from tests.raw_servers import HOST, Scene, good_response, play
 
@@ -14,7 +14,7 @@
     assert not shutdown.refuses(1e9, 0.0)
     shutdown.start(1_000.0)
     assert shutdown.deadline_ms == 9_000.0 - EXIT_MARGIN_MS
-    noticed_ms = 1_000.0 + PLATFORM_NOTICE_MS
+    noticed_ms = 1_000.0 + READINESS_PROPAGATION_MS
     assert not shutdown.refuses(1e9, noticed_ms - 1.0), "the platform may not have noticed yet"
     assert shutdown.refuses(shutdown.deadline_ms + 1.0, noticed_ms)
     assert not shutdown.refuses(shutdown.deadline_ms, noticed_ms)
@@ -22,7 +22,7 @@
 
 def test_short_grace_period_leaves_time_for_responses() -> None:
     shutdown = GracefulShutdown(4_000.0)
-    assert shutdown.notice_ms == (4_000.0 - EXIT_MARGIN_MS) / 2.0
+    assert shutdown.readiness_propagation_ms == (4_000.0 - EXIT_MARGIN_MS) / 2.0
 
 
 def test_idle_connections_are_closed_at_once_and_busy_ones_after_their_response() -> None:
--- a/tests/test_placement_client.py
+++ b/tests/test_placement_client.py
@@ -15,7 +15,7 @@
 )
 from dunlinloft.dataplane.placement_client import PlacedRequest, PlacementClient
 from dunlinloft.dataplane.server_pool import ServerRequirements
-from tests.virtual_time import run_virtually
+from tests.virtual_time import run_in_virtual_time
 
 CHAIN = ("10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000")
 
@@ -59,7 +59,7 @@
         assert await _Owner(35.0).request()
         assert not await _Owner(45.0).request()
 
-    run_virtually(play())
+    run_in_virtual_time(play())
 
 
 def test_owner_that_replied_late_is_suspended_only_if_its_stream_is_down() -> None:
@@ -73,7 +73,7 @@
             completed = [message for message in owner.sent if isinstance(message, PlacementCompleted)]
             assert len(completed) == 1, "the late placement is released"
 
-    run_virtually(play())
+    run_in_virtual_time(play())
 
 
 def test_local_choice_is_reported_and_so_is_its_completion() -> None:
--- a/tests/test_quota_client.py
+++ b/tests/test_quota_client.py
@@ -14,7 +14,7 @@
 from dunlinloft.dataplane.quota_charge import MAX_RETRY_DURATION_MS, Granted, OverQuota, quota_charge
 from dunlinloft.dataplane.quota_client import QuotaClient
 from tests.quotas import BOUNDS, CHAIN, LIMIT, owner_address, owner_at
-from tests.virtual_time import run_virtually
+from tests.virtual_time import run_in_virtual_time
 
 FEW_NODES = ControlPlaneView(1, CHAIN, CHAIN, 2)
 MANY_NODES = ControlPlaneView(1, CHAIN, CHAIN, 72)
@@ -134,7 +134,7 @@
         assert isinstance(result, OverQuota)
         assert took_ms < 50.0, "its client is told to come back in a quarter of the objective"
 
-    run_virtually(play())
+    run_in_virtual_time(play())
 
 
 def test_owner_that_never_responds_is_waited_for_only_briefly() -> None:
@@ -148,7 +148,7 @@
         assert first_took_ms == pytest.approx(100.0, abs=5.0)
         assert second_took_ms == pytest.approx(30.0, abs=5.0), "a quarter of the objective is 50 ms"
 
-    run_virtually(play())
+    run_in_virtual_time(play())
 
 
 def test_late_response_adds_nothing_to_the_reserve() -> None:
@@ -166,7 +166,7 @@
         await asyncio.sleep(0.1)
         assert streams.client.reserves()["tenant"] == full - 1_000.0
 
-    run_virtually(play())
+    run_in_virtual_time(play())
 
 
 def test_client_that_leaves_during_its_charge_leaves_nothing_behind() -> None:
@@ -181,7 +181,7 @@
         await asyncio.sleep(0.1)
         assert streams.client.reserves() == {}
 
-    run_virtually(play())
+    run_in_virtual_time(play())
 
 
 def test_returned_request_waits_for_an_owner_and_a_first_attempt_does_not() -> None:
@@ -195,7 +195,7 @@
         assert result == Granted()
         assert 400.0 <= took_ms < 700.0
 
-    run_virtually(play())
+    run_in_virtual_time(play())
 
 
 @pytest.mark.parametrize(
@@ -221,7 +221,7 @@
         assert isinstance(result, OverQuota if scarce else Granted)
         assert (took_ms < 10.0) == scarce
 
-    run_virtually(play())
+    run_in_virtual_time(play())
 
 
 def test_denial_of_an_owner_carries_a_wait() -> None:
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -36,7 +36,7 @@
 )
 from tests.test_bodies import Raw
 from tests.test_node import Program
-from tests.virtual_time import run_virtually
+from tests.virtual_time import run_in_virtual_time
 
 
 class HangingServer:
@@ -513,7 +513,7 @@
             await asyncio.sleep(3.0)
             assert not scene.node.serves()  # now it is known that there is nobody
 
-    run_virtually(test())
+    run_in_virtual_time(test())
 
 
 # Answers
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -43,7 +43,7 @@
         return self._now
 
 
-def run_virtually(test: Coroutine[Any, Any, None]) -> None:
+def run_in_virtual_time(test: Coroutine[Any, Any, None]) -> None:
     """Run a test in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(test)
