--- a/dunlinloft/dataplane/__main__.py
+++ b/dunlinloft/dataplane/__main__.py
@@ -11,7 +11,7 @@
 
 
 def load(settings: Settings) -> Program:
-    """Build the program. Its modules are imported here, once the settings are known to be usable."""
+    """Build the program. Imports its modules only now, after the settings have been validated."""
     from dunlinloft.transport.aiohttp_import import import_aiohttp
 
     import_aiohttp()
--- a/dunlinloft/dataplane/active_configuration.py
+++ b/dunlinloft/dataplane/active_configuration.py
@@ -1,9 +1,9 @@
-"""The configuration that a node serves by: it never goes back to an older one while the process lives.
+"""The active configuration of a node, which is never replaced by an older one while the process runs.
 
-A configuration is identified by its version and the digest of its history: a version may be chosen twice,
-and where one of the two changes is lost, a node that holds it must not take the other for the same. A
-process that has just started waits a moment for a configuration that a majority confirms. Times are
-milliseconds of the monotonic clock.
+A configuration is identified by its version and the digest of its history. The version alone is ambiguous:
+two changes may get the same version, and if one of them is lost, a node that applied it must not take the
+other for the same configuration. A process that has just started waits briefly for a configuration that a
+majority confirms. Times are milliseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -19,14 +19,15 @@
 from dunlinloft.dataplane.routing import RoutingTable
 from dunlinloft.exceptions import ConfigurationError
 
-# How long the first configuration waits for a confirmed one if its sender is not in contact with a majority.
+# How long a node without an active configuration holds back one whose sender is not in contact with a
+# majority, in case a confirmed one arrives.
 CONFIRMATION_WAIT_MS = 120.0
 
 
 class ActiveConfiguration:
-    """Owns the active routing table and decides when another configuration replaces it.
+    """Owns the active routing table and decides when a new configuration replaces it.
 
-    Fed by `NodeState`; the frontend reads `table` on each request.
+    `NodeState` passes it the control plane's messages; the frontend reads `table` on each request.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -38,7 +39,7 @@
         self._candidate_since_ms = 0.0
 
     def on_snapshot(self, message: FullConfiguration, now_ms: float) -> None:
-        """A control plane sent a complete configuration."""
+        """Handle a complete configuration from a control plane."""
         if self.table is not None or message.confirmed:
             self._activate(message.id, message.document, message.confirmed)
         elif self._candidate is None or message.id.version > self._candidate.id.version:
@@ -47,13 +48,13 @@
             self._candidate = message
 
     def on_delta(self, message: ConfigurationDelta) -> None:
-        """A control plane sent a change to the configuration that it believes active here."""
+        """Handle a change; ignored unless its base is the active configuration."""
         if self.table is not None and self.id == message.base:
             change = ConfigurationChange(ChangeKind.UPDATE, message.base.version, "", message.body)
             self._activate(message.id, apply_change(self._document, change), message.confirmed)
 
     def on_tick(self, now_ms: float) -> bool:
-        """Activate the unconfirmed candidate once its wait is over; returns whether that happened."""
+        """Activate the unconfirmed candidate if its wait is over; returns whether it was activated."""
         candidate = self._candidate
         if (
             candidate is None
@@ -64,17 +65,17 @@
         self._activate(candidate.id, candidate.document, False)
         return True
 
-    def _activate(self, offered: ConfigurationId, document: Document, confirmed: bool) -> None:
-        """Build the table of a newer configuration, then swap it in at once."""
-        if self.table is not None and not offered.supersedes(self.id, confirmed):
+    def _activate(self, new_id: ConfigurationId, document: Document, confirmed: bool) -> None:
+        """Build the routing table of a newer configuration, then replace the active one with it."""
+        if self.table is not None and not new_id.supersedes(self.id, confirmed):
             return
         try:
             configuration = to_configuration(document)
         except ConfigurationError as error:
-            logging.error("event=configuration_refused version=%s error=%s", offered.version, error)
+            logging.error("event=configuration_refused version=%s error=%s", new_id.version, error)
             return
         self.table = RoutingTable(configuration, self._rng)
-        self.id = offered
+        self.id = new_id
         self._document = document
         self._candidate = None
-        logging.info("event=configuration_active version=%d confirmed=%s", offered.version, confirmed)
+        logging.info("event=configuration_active version=%d confirmed=%s", new_id.version, confirmed)
--- a/dunlinloft/dataplane/attempts.py
+++ b/dunlinloft/dataplane/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one request: which server each goes to, and whether another may follow."""
+"""The attempts of one request: chooses the server for each and decides whether to retry."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 from dunlinloft.dataplane.verdict import AttemptFailure, Verdict, verdict_of_broken_attempt
 from dunlinloft.transport.clock import now_ms
 
-MAX_UNREACHABLE_SERVERS = 4  # after so many failed connections a request is abandoned
-# Backoff before the first retry, doubled with each attempt and jittered; T1 of the source, which names half a
-# second: deadlines here leave no room for that (`docs/system.md`, "Where the design clashes").
+MAX_UNREACHABLE_SERVERS = 4  # failed connections after which a request is abandoned
+# Backoff before the first retry, doubled with each attempt and jittered. The source of the retry design uses
+# half a second for this (T1); the deadlines here leave no room for that (`docs/system.md`).
 RETRY_BACKOFF_MS = 10.0
-# Share of its remaining time that a request past its latency target waits for a free slot.
+# Maximum share of its remaining time that a request past its latency target waits for a free slot.
 SLOT_WAIT_REMAINING_SHARE = 0.5
 
-# Set or removed by the node whatever the client sent.
+# Client headers that are not forwarded; the node sets some of them itself.
 _REPLACED_HEADERS = (
     API_KEY_HEADER,
     TENANT_ID_HEADER,
@@ -52,30 +52,30 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenResponse:
-    """A response whose head was received; `AttemptSequence.close` releases it."""
+    """A response whose head has been received; `AttemptSequence.close` releases it."""
 
     server: Server
     response: aiohttp.ClientResponse
 
 
 class AttemptSequence:
-    """Sends one request and retries it where the rules allow; owned by its `Exchange`."""
+    """Sends one request and retries it if the retry policy allows; owned by its `Exchange`."""
 
     def __init__(self, client_request: ClientRequest, context: ServiceContext) -> None:
         self._request = client_request
         self._context = context
         self._id = client_request.http.headers.get(ATTEMPT_ID_HEADER, "")
         self._requirements = client_request.requirements()
-        self._tried: list[str] = []  # ids of the servers that it was sent to
-        self._connected_attempts = 0  # attempts that got a connection
+        self._tried: list[str] = []  # ids of the servers that the request was sent to
+        self._connected_attempts = 0  # attempts that established a connection
         self._unreachable_servers = 0  # servers that could not be connected to
-        self._placements: dict[str, PlacedRequest] = {}  # by id of a server where it is in flight
+        self._placements: dict[str, PlacedRequest] = {}  # by id of the server where it is in flight
         self._base_headers = self._forwarded_headers()
         self.may_have_executed = False
         context.budget.on_request(now_ms())
 
     def _forwarded_headers(self) -> CIMultiDict[str]:
-        """The client's headers that go to every server."""
+        """The headers that are sent with every attempt."""
         headers = end_to_end_headers(CIMultiDict(self._request.http.headers))
         for name in _REPLACED_HEADERS:
             headers.popall(name, None)
@@ -84,7 +84,7 @@
         return headers
 
     async def open(self, last_event_id: str | None = None) -> OpenResponse | AttemptFailure:
-        """Send until a response may be relayed, or no further attempt is allowed.
+        """Send attempts until a response can be relayed or no further attempt is allowed.
 
         Parameters
         ----------
@@ -104,11 +104,11 @@
                 return result
 
     async def may_retry(self, failure: AttemptFailure) -> bool:
-        """Decide whether another attempt may follow a failure, and wait for its backoff.
+        """Decide whether the request may be retried after a failure, and wait for the backoff.
 
-        An unreachable server costs no attempt. Otherwise there must be an attempt left, the request must be
-        idempotent or not executed, the delay controller must grant the retry, the budget must have room, and
-        the backoff must end before the deadline.
+        An attempt at an unreachable server doesn't count towards the route's maximum. Otherwise an attempt
+        must be left, the request must be idempotent or known not to have been executed, the delay controller
+        and the retry budget must grant the retry, and the backoff must end before the deadline.
         """
         if failure.cause is Cause.UNREACHED:
             self._unreachable_servers += 1
@@ -129,7 +129,7 @@
         return True
 
     def on_response_started(self) -> None:
-        """The response's first bytes can be relayed: take a delay sample, and tell the service's owner."""
+        """Record the delay when relaying starts, and notify the service's owner."""
         now = now_ms()
         for placement in self._placements.values():
             placement.on_response_started()
@@ -138,7 +138,7 @@
         )
 
     def close(self, opened: OpenResponse) -> None:
-        """Release an attempt that is no longer in flight, and its connection."""
+        """Release a completed attempt and its connection."""
         self._finish(opened.server)
         opened.response.close()
 
@@ -148,10 +148,10 @@
         if placement is not None:
             placement.finish(server.consecutive_failures > 0)
 
-    # Choice of a server.
+    # Server selection.
 
     async def _choose_server(self) -> Server | None:
-        """The server that the service's owner names, or else this node's own choice."""
+        """The server that the service's owner chooses; without one, a server chosen locally."""
         context = self._context
         excluded = context.pool.excluded_ids(
             self._request.latency_target_ms, context.upstream.max_in_flight, self._tried, now_ms()
@@ -167,7 +167,7 @@
         return self._choose_locally()
 
     def _choose_locally(self) -> Server | None:
-        """This node's own choice; reported to the owner, which counts all that is in flight."""
+        """Choose a server locally and report it to the owner, which tracks all requests in flight."""
         context = self._context
         requirements = self._requirements
         server = context.pool.select(requirements, context.upstream.max_in_flight, self._tried, now_ms())
@@ -180,10 +180,10 @@
         return server
 
     async def _request_placement(self, excluded: set[str]) -> PlacedRequest | NoPlacement:
-        """Ask the service's owner.
+        """Request a server from the service's owner.
 
-        A request past its latency target waits for a free slot, for a share of its remaining time at most;
-        after that it accepts a full server.
+        A request past its latency target waits for a free slot for at most `SLOT_WAIT_REMAINING_SHARE` of its
+        remaining time; after that it accepts a full server.
         """
         context = self._context
         started_ms = now_ms()
@@ -198,7 +198,7 @@
             await asyncio.sleep(placement.wait_ms * (0.5 + context.rng.random()) / 1_000.0)
             wait_for_capacity = now_ms() < wait_until_ms
 
-    # One attempt.
+    # Sending one attempt.
 
     def _headers(self, server: Server, last_event_id: str | None) -> CIMultiDict[str]:
         now = now_ms()
@@ -215,7 +215,7 @@
     async def _send(
         self, server: Server, last_event_id: str | None
     ) -> aiohttp.ClientResponse | AttemptFailure:
-        """Make one attempt, up to the head of its response."""
+        """Make one attempt and wait for the head of its response."""
         trace = AttemptTrace()
         kind = AttemptKind.RETRY if self._tried else AttemptKind.FIRST
         self._context.metrics.attempts[kind] += 1
@@ -242,7 +242,7 @@
     async def _send_within_deadline(
         self, server: Server, last_event_id: str | None, trace: AttemptTrace
     ) -> aiohttp.ClientResponse | AttemptFailure:
-        """Send within the remaining time; a timeout counts as a delay sample of its length."""
+        """Send with the remaining time as timeout; a timeout is recorded as a delay of that length."""
         remaining_ms = self._request.deadline_ms - now_ms()
         try:
             async with asyncio.timeout(remaining_ms / 1_000.0):
@@ -261,7 +261,7 @@
             return AttemptFailure(verdict_of_broken_attempt(trace.connected), Cause.LATE, "no answer in time")
 
     def _record_failure(self, server: Server, failure: AttemptFailure, trace: AttemptTrace) -> None:
-        """Avoid a server that failed; one that only declined, for a moment."""
+        """Eject a server that failed; one that only declined is avoided for a shorter time."""
         if failure.verdict is Verdict.NOT_EXECUTED and trace.connected:
             server.on_declined(now_ms())
         else:
--- a/dunlinloft/dataplane/client_request.py
+++ b/dunlinloft/dataplane/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request after it was read and matched, and what its headers state of its needs."""
+"""A client's request after it was read and matched to a route, and the requirements in its headers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from dunlinloft.dataplane.routing import ActiveRoute
 from dunlinloft.dataplane.server_pool import PromptSegment, ServerRequirements
 
-# Values of a route's `type`.
+# Values of the `type` of a route.
 STREAMING = "streaming"
 SAFE = "safe"
 
@@ -32,7 +32,7 @@
 
     @property
     def latency_target_ms(self) -> float:
-        """The latency within which a response has its full value."""
+        """The route's target for the latency of a response."""
         return self.active_route.route.target_latency_ms
 
     @property
@@ -42,23 +42,23 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether it may be executed more than once."""
+        """Whether the request may be executed more than once."""
         route = self.active_route.route
         return route.type == SAFE or (self.streaming and route.resumable)
 
     @property
     def priority(self) -> int:
-        """Its priority, 0 being most urgent; the tenant's takes precedence over the route's."""
+        """The priority, 0 being most urgent; the tenant's takes precedence over the route's."""
         if self.tenant is not None and self.tenant.priority is not None:
             return self.tenant.priority
         return self.active_route.route.priority
 
     def waited_ms(self, now_ms: float) -> float:
-        """How long the client has waited, over all its attempts."""
+        """How long the client has waited, summed over all its attempts."""
         return self.waited_before_ms + now_ms - self.arrived_ms
 
     def requirements(self) -> ServerRequirements:
-        """What it needs of its server; malformed headers count as missing."""
+        """What the request requires of its server; malformed headers are ignored."""
         header = self.http.headers.get(PROMPT_SEGMENTS_HEADER)
         if header is None:
             return ServerRequirements(self.latency_target_ms)
@@ -69,7 +69,7 @@
             return ServerRequirements(self.latency_target_ms)
         if len(segments) < 2:
             return ServerRequirements(self.latency_target_ms, None, 0, segments, max_output_tokens)
-        # The last segment is the request's own; those before it are shared with other requests.
+        # The last segment is specific to this request; the ones before it are shared with other requests.
         shared_tokens = sum(tokens for _, tokens in segments[:-1])
         return ServerRequirements(
             self.latency_target_ms, segments[-2][0], shared_tokens, segments, max_output_tokens
--- a/dunlinloft/dataplane/control_clients.py
+++ b/dunlinloft/dataplane/control_clients.py
@@ -1,6 +1,6 @@
-"""A node's side of the control plane: what it receives from there, and what it asks for.
+"""The control-plane clients of a node: configuration, service discovery, quotas and placement.
 
-Apart from the listeners and connections to servers, so that the lab runs these parts without them.
+Separate from the listeners and the connections to servers, so that simulations can run without these.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from dunlinloft.transport.live_settings import LiveSettings
 
 TICK_INTERVAL_S = 0.1
-LISTING_RETENTION_HEARTBEATS = 4.0  # heartbeat intervals that a lost stream's server listing is kept for
+LISTING_RETENTION_HEARTBEATS = 4.0  # heartbeat intervals for which a lost stream's server listing is kept
 
 
 class ControlClients(Struct, frozen=True):
-    """The parts of one node that speak with the control plane."""
+    """The components of one node that communicate with the control plane."""
 
     settings: LiveSettings
     configuration: ActiveConfiguration
@@ -37,7 +37,7 @@
     subscriptions: Subscriptions
 
     async def tick_forever(self) -> None:
-        """Do what is due by time; one of the node's essential loops."""
+        """Run the periodic work; one of the node's essential loops."""
         retention_ms = LISTING_RETENTION_HEARTBEATS * self.settings.current.heartbeat_interval_ms
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
@@ -47,7 +47,7 @@
 def build_control_clients(
     settings: LiveSettings, rng: random.Random, serving: asyncio.Event
 ) -> ControlClients:
-    """Build the parts; `serving` is set once the node has what it needs to serve."""
+    """Build the components; `serving` is set as soon as the node can serve requests."""
     fixed = settings.current
     configuration = ActiveConfiguration(rng)
     servers = ServerTable(rng)
--- a/dunlinloft/dataplane/control_streams.py
+++ b/dunlinloft/dataplane/control_streams.py
@@ -1,4 +1,4 @@
-"""What the request path needs of the streams to the control plane."""
+"""The interface through which the request path uses the streams to the control plane."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ControlStreams(Protocol):
-    """The control plane's current replicas, and messages to them by address.
+    """The control plane's current view, and sending messages to its replicas by address.
 
     Implemented by `ReplicaStreams`; used by `QuotaClient` and `PlacementClient`.
     """
@@ -20,21 +20,21 @@
         """The control plane as last announced; None before the first announcement."""
 
     def alive(self, address: str) -> bool:
-        """Whether a replica's stream is up and was opened or received from recently."""
+        """Whether a replica's stream is open, and was opened or received a message recently."""
 
     def send(self, address: str, message: Struct) -> bool:
-        """Send to one replica; returns whether there is a stream to it."""
+        """Send to one replica; returns whether a stream to it is open."""
 
 
 class NoControlStreams:
-    """The null object: no control plane, as on the request path that tests run alone."""
+    """The null object, for tests that run the request path without a control plane."""
 
     view: ControlPlaneView | None = None
 
     def alive(self, _: str) -> bool:
-        """No replica is alive."""
+        """Return False: there is no replica."""
         return False
 
     def send(self, _: str, __: Struct) -> bool:
-        """Nothing is sent."""
+        """Drop the message; returns False."""
         return False
--- a/dunlinloft/dataplane/event_framing.py
+++ b/dunlinloft/dataplane/event_framing.py
@@ -1,7 +1,7 @@
 """Framing of server-sent events: forwards complete events only.
 
-A client whose stream is resumed at another server must see no half event and no gap. Only the framing of
-the event stream format is read (blank lines, `id:` fields); data pass through unchanged.
+A client whose stream is resumed at another server must see no partial event and no gap. Only the framing of
+the event stream format is parsed (blank lines, `id:` fields); the data is forwarded unchanged.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 _EVENT_END = re.compile(rb"\r?\n\r?\n")
 _ID_FIELD = re.compile(rb"^id:[ ]?(.*?)\r?$", re.MULTILINE)
 
-MAX_PENDING_BYTES = 1_048_576  # of an incomplete event; a longer one is forwarded as it comes
+MAX_PENDING_BYTES = 1_048_576  # of an incomplete event; a longer one is forwarded as it arrives
 
 
 class EventFramer:
-    """Splits a byte stream at the ends of events; one instance per relayed stream."""
+    """Splits a byte stream at event boundaries; one instance per relayed stream."""
 
     def __init__(self) -> None:
-        self._pending = b""  # the beginning of an event that is incomplete yet
+        self._pending = b""  # the received part of an incomplete event
         self.last_event_id: str | None = None  # of the events returned so far
 
     def feed(self, data: bytes) -> bytes:
-        """Add received bytes; returns those to forward now, which end with the end of an event."""
+        """Add received bytes; returns the bytes to forward now, up to the end of a complete event."""
         pending = self._pending + data
         last_separator = max(pending.rfind(b"\n\n"), pending.rfind(b"\n\r\n"))
         if last_separator < 0:
@@ -41,11 +41,11 @@
         return complete
 
     def discard_incomplete(self) -> None:
-        """Drop the incomplete event of a broken stream: the server that resumes sends it from its start."""
+        """Drop the incomplete event of a broken stream; the resuming server sends it again in full."""
         self._pending = b""
 
     def flush(self) -> bytes:
-        """Return what follows the last complete event; to be called at the regular end of the stream."""
+        """Return the bytes after the last complete event; called at the regular end of the stream."""
         remainder = self._pending
         self._pending = b""
         return remainder
--- a/dunlinloft/dataplane/exceptions.py
+++ b/dunlinloft/dataplane/exceptions.py
@@ -1,7 +1,7 @@
 """The data plane's exceptions, in one hierarchy.
 
-Outcomes that are expected on the request path (a failed attempt, an exceeded quota, no placement) are values:
-`AttemptFailure`, `OverQuota`, `NoPlacement`. Only what unwinds several calls is raised.
+Expected outcomes on the request path (a failed attempt, an exceeded quota, no placement) are returned as
+values: `AttemptFailure`, `OverQuota`, `NoPlacement`. Only what unwinds several calls is raised.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 
 class RequestRefused(DataPlaneError):
-    """The frontend answers a request itself, before anything is forwarded.
+    """The frontend refuses a request before anything is forwarded.
 
-    Raised while a request is read and matched; caught by `Frontend.handle` alone.
+    Raised while a request is read and matched; caught only by `Frontend.handle`.
     """
 
     def __init__(self, response: Refusal) -> None:
--- a/dunlinloft/dataplane/exchange.py
+++ b/dunlinloft/dataplane/exchange.py
@@ -1,4 +1,4 @@
-"""One client's request from its admission to its one final response."""
+"""One client request from its admission to its final response."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from dunlinloft.dataplane.verdict import AttemptFailure, Verdict
 from dunlinloft.transport.clock import now_ms
 
-MAX_BUFFERED_BYTES = 262_144  # of a response that is not forwarded before it is complete
-NOT_EXECUTED_RETRY_AFTER_S = 0.15  # when a client should come back if no server executed its request
+MAX_BUFFERED_BYTES = 262_144  # of a response that is held back until it is complete
+NOT_EXECUTED_RETRY_AFTER_S = 0.15  # for clients whose request no server executed
 
 
 class Exchange:
@@ -33,10 +33,10 @@
         self._request = client_request
         self._attempts = AttemptSequence(client_request, context)
         self._shutdown = shutdown
-        self._response: StreamResponse | None = None  # to the client, once its head was sent
+        self._response: StreamResponse | None = None  # to the client; set when its head is sent
 
     async def run(self) -> StreamResponse:
-        """Serve the request. Returns exactly one final response."""
+        """Serve the request; returns its only final response."""
         while True:
             opened = await self._attempts.open()
             if isinstance(opened, AttemptFailure):
@@ -48,9 +48,9 @@
                 return self._refusal(response)
 
     def _refusal(self, failure: AttemptFailure) -> Response:
-        """The final response to a request that is abandoned.
+        """The final response to an abandoned request.
 
-        503 promises that the request was not executed, so it is given only where that is known.
+        503 guarantees that the request was not executed, so it is sent only if that is known.
         """
         if not self._attempts.may_have_executed:
             return Refusal(503, failure.cause, failure.reason, NOT_EXECUTED_RETRY_AFTER_S)
@@ -59,7 +59,7 @@
         return Refusal(502, failure.cause, failure.reason)
 
     async def _relay(self, opened: OpenResponse) -> StreamResponse | AttemptFailure:
-        """Relay a response; a failure if the attempt is lost and nothing was sent to the client."""
+        """Relay a response; returns a failure if the attempt broke before anything was sent to the client."""
         try:
             async with asyncio.timeout(max(0.0, self._request.deadline_ms - now_ms()) / 1_000.0):
                 if self._request.streaming and opened.response.status < 300:
@@ -79,14 +79,14 @@
         return headers
 
     async def _start_response(self, response: aiohttp.ClientResponse) -> StreamResponse:
-        """Send the head to the client; from here on there can be no other response."""
+        """Send the head to the client; after this no other response is possible."""
         head = self._head(response)
         self._response = StreamResponse(status=response.status, reason=response.reason, headers=head)
         await self._response.prepare(self._request.http)
         return self._response
 
     def _abort(self, response: StreamResponse) -> StreamResponse:
-        """Close the client's connection, so that what was relayed can't be taken for complete."""
+        """Close the client's connection, so that the client can't take a partial response for complete."""
         transport = self._request.http.transport
         if transport is not None:
             transport.close()
@@ -95,9 +95,9 @@
     # Bodies.
 
     async def _relay_body(self, opened: OpenResponse) -> StreamResponse | AttemptFailure:
-        """Buffer a response until it is complete, unless it is too long for that.
+        """Buffer a response until it is complete; relay it directly if it exceeds the buffer.
 
-        Until its head is sent to the client, a broken attempt can be retried.
+        A broken attempt can be retried only as long as no head has been sent to the client.
         """
         response = opened.response
         buffered = b""
@@ -129,7 +129,7 @@
     # Streams of events.
 
     async def _relay_stream(self, opened: OpenResponse) -> StreamResponse | AttemptFailure:
-        """Relay events as they come, and resume at another server where that is allowed."""
+        """Relay events as they arrive; resume at another server if that is allowed."""
         framer = EventFramer()
         failure = await self._relay_events(opened, framer)
         while failure is not None:
@@ -149,7 +149,7 @@
         return self._response
 
     async def _relay_events(self, opened: OpenResponse, framer: EventFramer) -> AttemptFailure | None:
-        """Relay one server's events to the regular end of its stream; the failure if it breaks."""
+        """Relay one server's events until its stream ends; returns the failure if the stream breaks."""
         while True:
             chunk = await read_chunk(opened.response)
             if isinstance(chunk, AttemptFailure):
@@ -166,7 +166,7 @@
     async def _resume(self, framer: EventFramer, failure: AttemptFailure) -> OpenResponse | None:
         """Resume a broken stream after its last event at another server; None if that isn't possible.
 
-        The client keeps the head, and the signature, of the first server.
+        The client has already received the first server's head, including its signature.
         """
         if framer.last_event_id is None or not self._request.idempotent:
             return None
--- a/dunlinloft/dataplane/frontend.py
+++ b/dunlinloft/dataplane/frontend.py
@@ -1,4 +1,4 @@
-"""The listener for clients: reads requests, matches and charges them, and has them forwarded."""
+"""Handles client requests: reads them, matches routes, charges quotas and starts forwarding."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from dunlinloft.dataplane.routing import ActiveRoute, RoutingTable, quota_cost
 from dunlinloft.transport.clock import now_ms
 
-BODY_TIMEOUT_S = 20.0  # for a complete body
+BODY_TIMEOUT_S = 20.0  # for reading a complete body
 READ_CHUNK_BYTES = 65_536
 STARTING_RETRY_AFTER_S = 0.3
-CLOSING_RETRY_AFTER_S = 0.01  # another node serves it at once
-# A node that has just started delays a request for this long, or this share of its deadline if that is
-# shorter, until it can serve: that takes less time than a client's retry.
+CLOSING_RETRY_AFTER_S = 0.01  # short, as another node can serve the request at once
+# A node that has just started holds a request until it can serve, for at most this time or this share of the
+# request's deadline. Waiting here takes less time than a retry by the client.
 STARTUP_DELAY_S = 0.6
 STARTUP_DELAY_DEADLINE_SHARE = 0.25
 
@@ -40,7 +40,7 @@
 
 
 class Frontend:
-    """Handles clients' requests; `DataPlane` owns it and passes `handle` to aiohttp's server."""
+    """Handles client requests; `DataPlane` owns it and passes `handle` to aiohttp's server."""
 
     def __init__(
         self,
@@ -61,9 +61,9 @@
         self._active_connections: set[RequestHandler] = set()  # connections with a request in flight
 
     def close_connections(self, connections: Iterable[RequestHandler]) -> None:
-        """Close connections: idle ones at once, others after their response.
+        """Close connections: idle ones at once, the others after their response.
 
-        The library's `close` leaves an idle one open and drops what arrives on it.
+        aiohttp's `close` leaves an idle connection open and drops requests that arrive on it.
         """
         for connection in connections:
             if connection in self._active_connections:
@@ -72,7 +72,7 @@
                 connection.force_close()
 
     async def handle(self, request: BaseRequest) -> StreamResponse:
-        """Answer one request and count it."""
+        """Respond to one request and count it."""
         self._metrics.in_flight += 1
         self._active_connections.add(request.protocol)
         try:
@@ -95,14 +95,14 @@
         return self._metrics.in_flight
 
     async def _serve(self, request: BaseRequest) -> StreamResponse:
-        """Admit a request and have it forwarded. Raises `RequestRefused`."""
+        """Admit a request and forward it. Raises `RequestRefused`."""
         arrived_ms = now_ms()
         table = self._active_table()
         limits = Limits() if table is None else table.limits
         body = await self._read_body(request, limits.max_body_bytes)
         if not self._serving.is_set():
             await self._await_serving(request)
-        # A configuration activated while the body was read counts: it may add the route or key.
+        # Use a configuration that was activated while the body was read: it may have added the route or key.
         table = self._active_table()
         if table is None:
             return Refusal(503, Cause.STARTING, "no configuration yet", STARTING_RETRY_AFTER_S)
@@ -140,7 +140,7 @@
         return await self._create_exchange(client_request).run()
 
     async def _await_serving(self, request: BaseRequest) -> None:
-        """Wait a moment for what the node needs to serve."""
+        """Wait until the node can serve, for a limited time."""
         delay_s = min(STARTUP_DELAY_S, STARTUP_DELAY_DEADLINE_SHARE * _remaining_ms(request) / 1_000.0)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(delay_s):
@@ -176,14 +176,14 @@
 
 
 def _body_refused(status: int, cause: Cause, text: str) -> RequestRefused:
-    """A refusal that closes the connection: what follows on it is the rest of the body."""
+    """A refusal that closes the connection, because unread bytes of the body still follow on it."""
     refusal = Refusal(status, cause, text)
     refusal.force_close()
     return RequestRefused(refusal)
 
 
 def _remaining_ms(request: BaseRequest) -> float:
-    """The time that the client gives this attempt; infinite if it states none."""
+    """The remaining time that the client states for this attempt; infinite if it states none."""
     try:
         return float(request.headers.get(DEADLINE_HEADER, "inf"))
     except ValueError:
--- a/dunlinloft/dataplane/graceful_shutdown.py
+++ b/dunlinloft/dataplane/graceful_shutdown.py
@@ -1,19 +1,19 @@
-"""Graceful shutdown of a node: until when it accepts requests after SIGTERM, and which ones it refuses."""
+"""Graceful shutdown of a node: how long it accepts requests after SIGTERM, and which ones it refuses."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# For the platform to send no more connections: it polls readiness once a second, twice.
+# Time until the platform stops sending connections: it needs two readiness polls, one second apart.
 READINESS_PROPAGATION_MS = 2_600.0
 # Requests still in flight this long before the grace period ends are abandoned, so that the process exits
-# by itself before the platform kills it.
+# before the platform kills it.
 EXIT_MARGIN_MS = 600.0
 
 
 @dataclass(slots=True)
 class GracefulShutdown:
-    """The phases of a shutdown; owned by the process, read by the frontend and by every exchange.
+    """The state of a shutdown; owned by the process, read by the frontend and by every exchange.
 
     All times are milliseconds of the monotonic clock.
     """
@@ -22,12 +22,12 @@
     started_ms: float | None = None
 
     def start(self, now_ms: float) -> None:
-        """Begin to drain; called once, on SIGTERM."""
+        """Start draining; called once, on SIGTERM."""
         self.started_ms = now_ms
 
     @property
     def started(self) -> bool:
-        """Whether the node drains: it is not ready, and closes each connection after its response."""
+        """Whether the node is draining: it reports unready and closes each connection after its response."""
         return self.started_ms is not None
 
     @property
@@ -47,8 +47,8 @@
     def refuses(self, request_deadline_ms: float, now_ms: float) -> bool:
         """Whether a request that arrives now is refused, because it may outlast the shutdown.
 
-        New connections that the platform sends before it has noticed are served all the same; after that
-        only persistent connections of clients bring requests.
+        Requests that arrive before the platform has stopped sending connections are always accepted; after
+        that, requests arrive only on clients' persistent connections.
         """
         if self.started_ms is None or now_ms < self.started_ms + self.readiness_propagation_ms:
             return False
--- a/dunlinloft/dataplane/metrics.py
+++ b/dunlinloft/dataplane/metrics.py
@@ -1,7 +1,7 @@
 """Counters of one node and their text in the Prometheus exposition format.
 
-Counting increments an integer. The library that renders the text is imported at the first scrape: a start
-should not wait for it.
+Counting only increments integers. The library that renders the text is imported at the first scrape, to keep
+the start of the process short.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
     """Who chose a server: the `by` label of `dunlinloft_placements_total`."""
 
     OWNER = "advised"  # the service's owner in the control plane
-    NODE = "own"  # this node, for want of an answer
+    NODE = "own"  # this node, without a placement from the owner
 
 
 class Metrics:
-    """What one node has counted since its start; incremented on the request path, read by scrapes."""
+    """The counters of one node since its start; incremented on the request path, read by scrapes."""
 
     def __init__(self) -> None:
         self.requests: Counter[int] = Counter()  # by status of the final response
@@ -48,7 +48,7 @@
         self.in_flight = 0
 
     def collect(self) -> Iterator[Metric]:
-        """Yield all metric families; called by the library's registry."""
+        """Yield all metric families; called by the registry of prometheus_client."""
         from prometheus_client.metrics_core import CounterMetricFamily, GaugeMetricFamily
 
         requests = CounterMetricFamily("dunlinloft_requests", "Final answers, by status.", labels=["status"])
@@ -79,7 +79,7 @@
         return generate_latest(registry)
 
     async def handle(self, request: BaseRequest) -> StreamResponse:
-        """Answer a scrape; the handler of the metrics listener."""
+        """Respond to a scrape; the request handler of the metrics listener."""
         if request.path != METRICS_PATH:
             return Response(status=404, text="no such page")
         return Response(body=self.exposition(), headers={"Content-Type": EXPOSITION_CONTENT_TYPE})
--- a/dunlinloft/dataplane/node_state.py
+++ b/dunlinloft/dataplane/node_state.py
@@ -1,4 +1,4 @@
-"""What a node knows from the control plane, and when that is enough to serve."""
+"""Applies control-plane messages to a node's state, and determines when the node can serve."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class NodeState:
-    """Applies the control plane's messages to the parts of the node, and acknowledges configurations.
+    """Dispatches control-plane messages to the components of the node, and acknowledges configurations.
 
     Implements `Subscriber` for `Subscriptions`; `DataPlane` calls `on_tick`.
 
     Parameters
     ----------
     serving
-        Set here, once, when the node has what it needs to serve.
+        Set here, once, as soon as the node can serve requests.
     """
 
     def __init__(
@@ -54,12 +54,12 @@
 
     @property
     def configuration_id(self) -> ConfigurationId:
-        """The active configuration."""
+        """Identifies the active configuration."""
         return self._configuration.id
 
     @property
     def has_all_servers(self) -> bool:
-        """Whether some replica has listed all servers."""
+        """Whether any replica has listed all servers."""
         return self._servers.complete
 
     def server_digests(self) -> tuple[int, ...]:
@@ -67,11 +67,11 @@
         return self._servers.digests()
 
     def owner_responds(self, replica: str, now_ms: float) -> bool:
-        """Whether a replica answers this node's quota requests."""
+        """Whether a replica responds to this node's quota requests."""
         return self._quotas.owner_responds(replica, now_ms)
 
     def quota_shares(self, now_ms: float) -> dict[str, float]:
-        """Standing shares of quotas that this node has, by tenant."""
+        """This node's standing shares of quotas, by tenant."""
         return self._quotas.shares(now_ms)
 
     def quota_reserves(self) -> dict[str, float]:
@@ -79,11 +79,11 @@
         return self._quotas.reserves()
 
     def on_stream_lost(self, replica: str) -> None:
-        """A replica's stream ended."""
+        """Handle the end of a replica's stream."""
         self._servers.on_stream_lost(replica, now_ms())
 
     def apply(self, replica: str, message: ControlToNode) -> None:
-        """Dispatch a message from a replica to the part of the node that it concerns."""
+        """Dispatch a message from a replica to the component that handles it."""
         match message:
             case FullConfiguration():
                 self._configuration.on_snapshot(message, now_ms())
@@ -106,7 +106,7 @@
         self._check_ready_to_serve()
 
     def on_tick(self, listing_retention_ms: float) -> None:
-        """Do what is due by time; called ten times a second."""
+        """Run the periodic work; called ten times a second."""
         if self._configuration.on_tick(now_ms()):
             self._acknowledge()
             self._check_ready_to_serve()
@@ -119,7 +119,7 @@
             self._streams.broadcast(ConfigurationApplied(self._configuration.id))
 
     def _check_ready_to_serve(self) -> None:
-        """Begin to serve with a configuration and servers for all its routes, or with all that there are."""
+        """Start serving with a configuration and servers for all its routes, or with a complete listing."""
         table = self._configuration.table
         if self._serving.is_set() or table is None:
             return
--- a/dunlinloft/dataplane/placement_client.py
+++ b/dunlinloft/dataplane/placement_client.py
@@ -1,7 +1,7 @@
 """The client side of placement: requests a server from a service's owner, and reports the outcome.
 
-Placement is advice: without it in time the node chooses a server itself and only notifies the owner, which
-counts what is in flight in the fleet.
+Placement is advisory: if no reply arrives in time, the node chooses a server itself and only notifies the
+owner, which tracks the requests in flight in the whole fleet.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 from dunlinloft.dataplane.control_streams import ControlStreams
 from dunlinloft.dataplane.server_pool import ServerRequirements
 
-# How long an answer is waited for: a share of the request's latency target, and at least the minimum.
+# Timeout of a placement request: a share of the request's latency target, but at least the minimum.
 TIMEOUT_TARGET_SHARE = 0.2
 MIN_TIMEOUT_MS = 20.0
-# An owner whose stream is down and that did not answer gets no request for this long.
+# How long an owner gets no requests after one timed out while its stream was down.
 OWNER_SUSPENSION_MS = 250.0
 
 
@@ -40,15 +40,15 @@
 
 
 class NoPlacement(enum.Enum):
-    """Why there is no advice; the node chooses a server itself."""
+    """Why there is no placement; the node chooses a server itself."""
 
     OWNER_UNAVAILABLE = "owner unavailable"  # unknown, suspended, or without a stream to it
     TIMED_OUT = "timed out"
-    NO_SERVER = "no server"  # the owner knows none that it may name
+    NO_SERVER = "no server"  # the owner knows no eligible server
 
 
 class PlacedRequest:
-    """A request that the owner counts as in flight at a server, until `finish` is called."""
+    """A request that the owner counts as in flight at a server until `finish` is called."""
 
     def __init__(
         self, client: PlacementClient, owner: str, service: str, request_id: int, server_id: str
@@ -61,12 +61,12 @@
         self._finished = False
 
     def on_response_started(self) -> None:
-        """Report that the first bytes of the response came."""
+        """Report that the first bytes of the response have arrived."""
         if not self._finished:
             self._client.notify(self._owner, PrefillCompleted(self._service, self._request_id))
 
     def finish(self, failed: bool) -> None:
-        """Report that the request is no longer in flight; only the first call counts.
+        """Report that the request is no longer in flight; later calls have no effect.
 
         Parameters
         ----------
@@ -79,7 +79,7 @@
 
 
 class PlacementClient:
-    """Requests placements over the control streams; used by `AttemptSequence`, fed by `NodeState`."""
+    """Requests placements over the control streams; `NodeState` passes it the replies."""
 
     def __init__(self, streams: ControlStreams) -> None:
         self._streams = streams
@@ -88,11 +88,11 @@
         self._suspended_until_ms: dict[str, float] = {}  # by owner
 
     def notify(self, owner: str, message: Struct) -> None:
-        """Send to an owner; one that is gone no longer counts the request anyway."""
+        """Send to an owner, if its stream is open; one that is gone no longer counts the request anyway."""
         self._streams.send(owner, message)
 
     def on_reply(self, owner: str, message: PlacementReply) -> None:
-        """An owner's answer; a placement that comes too late is released."""
+        """Handle an owner's reply; a placement that arrives too late is released."""
         future = self._pending.pop(message.request_id, None)
         if future is not None and not future.done():
             future.set_result(message)
@@ -107,7 +107,7 @@
     def report_choice(
         self, service: str, requirements: ServerRequirements, server_id: str
     ) -> PlacedRequest | None:
-        """Notify the owner which server the node chose itself; None if there is no owner to notify."""
+        """Notify the owner which server the node chose itself; None if no owner can be notified."""
         owner = self._owner(service)
         if owner is None:
             return None
@@ -132,9 +132,9 @@
         Parameters
         ----------
         excluded
-            Ids of servers that must not be named.
+            Ids of servers that must not be chosen.
         wait_for_capacity
-            Whether the request would rather wait for a free slot than be declined by a full server.
+            Whether the request should wait for a free slot rather than be declined by a full server.
         """
         owner = self._owner(service)
         if owner is None or now_ms < self._suspended_until_ms.get(owner, 0.0):
--- a/dunlinloft/dataplane/process.py
+++ b/dunlinloft/dataplane/process.py
@@ -1,4 +1,4 @@
-"""The data-plane process: builds the parts of a node, listens, and shuts down gracefully on SIGTERM."""
+"""The data-plane process: builds the components of a node, listens, and shuts down gracefully on SIGTERM."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
 from dunlinloft.transport.live_settings import LiveSettings
 from dunlinloft.transport.tasks import BackgroundTasks, run_essential
 
-CLIENT_IDLE_TIMEOUT_S = 75.0  # persistent client connections idle for longer are closed
-MAX_HEADER_BYTES = 65_536  # of one header line of a client
+CLIENT_IDLE_TIMEOUT_S = 75.0  # of persistent client connections
+MAX_HEADER_BYTES = 65_536  # limit for one header line of a client
 LISTEN_BACKLOG = 1_024  # connections
 METRICS_PORT = 9464  # as in `deploy/system.toml`
 DRAIN_POLL_INTERVAL_S = 0.05
-SHUTDOWN_MESSAGE_FLUSH_S = 0.05  # for the announcement that this process ends to be sent
+SHUTDOWN_MESSAGE_FLUSH_S = 0.05  # time for sending the shutdown message to the control plane
 
 
 class DataPlane:
-    """One data-plane node; `transport.program.run_program` builds it from its settings and runs it."""
+    """One data-plane node; `transport.program.run_program` builds it from the settings and runs it."""
 
     def __init__(self, settings: Settings) -> None:
         rng = random.Random(secrets.randbits(64))
         bounds = settings.timing_bounds
         self._settings = LiveSettings(settings)
         self._shutdown = GracefulShutdown(1_000.0 * bounds.grace_period_s)
-        self._serving = asyncio.Event()  # set once the node has what it needs to serve
+        self._serving = asyncio.Event()  # set as soon as the node can serve requests
         self._metrics = Metrics()
         self._clients = build_control_clients(self._settings, rng, self._serving)
         self._contexts = ServiceContexts(self._clients, rng, self._metrics)
@@ -57,8 +57,8 @@
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then drain.
 
-        Connections to servers are left to the end of the process: closing them earlier would make requests
-        that outlast the shutdown look broken, and retried, before they are cancelled.
+        Connections to servers stay open until the process exits: closing them earlier would make requests
+        that outlast the shutdown appear broken, so that they would be retried before they are cancelled.
         """
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
@@ -85,7 +85,7 @@
             await self._clients.subscriptions.close()
 
     async def _listen(self, frontend_server: Server, listeners: contextlib.ExitStack) -> asyncio.Server:
-        """Open all listeners; `listeners` closes them at the end. Returns the frontend's."""
+        """Open all listeners, to be closed by `listeners`; returns the frontend's listener."""
         loop = asyncio.get_running_loop()
         addresses = self._settings.current.listeners_config
         assert addresses.frontend is not None
@@ -102,16 +102,17 @@
             metrics_server = Server(self._metrics.handle, access_log=None)
             host = self._settings.current.ip_address
             metrics_listener = await loop.create_server(metrics_server, host, METRICS_PORT)
-        except OSError as error:  # the node is of use without its metrics
+        except OSError as error:  # the node can serve without its metrics
             logging.warning("event=metrics_unavailable port=%d error=%s", METRICS_PORT, error.strerror)
         else:
             listeners.enter_context(contextlib.closing(metrics_listener))
         return frontend_listener
 
     async def _drain(self, frontend_server: Server, frontend_listener: asyncio.Server) -> None:
-        """Become unready, stop listening once the platform has noticed, and finish what is in flight.
+        """Report unready, stop listening once the platform has noticed, and complete the requests in flight.
 
-        The control plane is notified of the end only after the last response: it counts this node's requests.
+        The control plane is notified of the shutdown only after the last response, because it tracks this
+        node's requests.
         """
         self._shutdown.start(now_ms())
         logging.info("event=shutting_down node=%s", self._settings.current.node_name)
@@ -125,7 +126,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the platform should send connections."""
+        """Whether the platform should send connections to this node."""
         return not self._shutdown.started and self._serving.is_set()
 
     async def _on_readiness(self, _: BaseRequest) -> StreamResponse:
--- a/dunlinloft/dataplane/quota_client.py
+++ b/dunlinloft/dataplane/quota_client.py
@@ -1,4 +1,4 @@
-"""The client side of tenants' quotas: charges requests at the quota's owner, or to this node's reserve."""
+"""The client side of tenants' quotas: charges requests at the quota's owner or to this node's reserve."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 from dunlinloft.dataplane.quota_charge import OWNER_TIMEOUT_S, Granted, OverQuota, QuotaCharge
 from dunlinloft.transport.clock import now_ms
 
-OWNER_SUSPENSION_MS = 250.0  # an owner that did not respond in time gets no request for this long
-MAX_DENIAL_CACHE_MS = 60.0  # how long an owner's denial applies to further requests that are no smaller
-# Between two charges of a request that is retried at this node; jittered.
+OWNER_SUSPENSION_MS = 250.0  # how long an owner gets no requests after a timeout
+MAX_DENIAL_CACHE_MS = 60.0  # how long a denial applies to further requests that are no smaller
+# Bounds of the jittered interval between two charges of a request that is retried at this node.
 MIN_RETRY_INTERVAL_MS = 20.0
 MAX_RETRY_INTERVAL_MS = 150.0
 MIN_RETRY_JITTER = 0.75
@@ -29,7 +29,7 @@
 
 
 class _Denial(Struct, frozen=True):
-    """An owner's recent denial: it applies to requests of at least this amount."""
+    """An owner's recent denial; it applies to requests of at least this amount."""
 
     until_ms: float
     amount: float
@@ -37,18 +37,18 @@
 
 
 class _Unanswered(enum.Enum):
-    """The owner's response isn't there, and the reserve was not charged for it."""
+    """The owner has not responded, and the reserve was not charged instead."""
 
     UNANSWERED = "unanswered"
 
 
 class QuotaClient:
-    """Charges requests to tenants' quotas; used by the frontend, fed by `NodeState`.
+    """Charges requests to tenants' quotas; used by the frontend, gets grants from `NodeState`.
 
     Parameters
     ----------
     clock
-        Monotonic, in milliseconds.
+        The monotonic clock, in milliseconds.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._suspended_until_ms: dict[str, float] = {}  # by owner
 
     def owner_responds(self, owner: str, now_ms: float) -> bool:
-        """Whether an owner answers this node."""
+        """Whether an owner responds to this node."""
         return self._reserves.receives_replies(owner, now_ms)
 
     def shares(self, now_ms: float) -> dict[str, float]:
@@ -74,21 +74,21 @@
         return self._reserves.shares(now_ms)
 
     def reserves(self) -> dict[str, float]:
-        """What this node drew from owners and has not spent, by tenant."""
+        """Amounts that this node drew from owners and has not spent, by tenant."""
         return self._reserves.reserves()
 
     def on_grant(self, message: QuotaGrant) -> None:
-        """An owner's response; what comes too late is dropped, though its amount is charged.
+        """Handle an owner's response; a late one is dropped, although its amount is charged.
 
-        It must not go to the reserve: the owner has not counted it as drawn, and its bucket may fill up by as
-        much again.
+        The amount must not be added to the reserve: the owner has not counted it as drawn, and its bucket may
+        refill by the same amount.
         """
         future = self._pending.pop(message.request_id, None)
         if future is not None and not future.done():
             future.set_result(message)
 
     async def charge(self, charge: QuotaCharge) -> Granted | OverQuota:
-        """Charge a request, as often as the charge's retry duration allows."""
+        """Charge a request, with retries for up to the charge's retry duration."""
         deadline_ms = self._clock() + charge.retry_duration_ms
         while True:
             result = await self._charge_once(charge)
@@ -123,29 +123,29 @@
             tenant, charge.limit, response.reserve, response.share, requested_ms, self._clock()
         )
         if response.amount < charge.amount:
-            if not charge.is_retry:  # what is denied to one that returned may be there for others
+            if not charge.is_retry:  # an amount denied to a retry may be available to others
                 until_ms = self._clock() + min(response.wait_ms, MAX_DENIAL_CACHE_MS)
                 self._denials[tenant] = _Denial(until_ms, charge.amount, response.scarce)
             return OverQuota(response.wait_ms, Cause.QUOTA_OWNER, response.scarce)
         return Granted()
 
     def _charge_reserve(self, charge: QuotaCharge) -> Granted | OverQuota:
-        """Charge this node's reserve, without the owner."""
+        """Charge this node's reserve without the owner."""
         wait_ms = self._reserves.spend_without_owner(
             charge.tenant, charge.limit, charge.amount, self._clock()
         )
         return OverQuota(wait_ms, Cause.QUOTA_ALONE) if wait_ms else Granted()
 
     def _is_owner(self, address: str, tenant: str) -> bool:
-        """Whether the replica that responded still is the owner.
+        """Whether the replica that responded is still the owner.
 
-        If not, this node has reported its shares and reserves to the next one already.
+        If not, this node has already reported its shares and reserves to the next owner.
         """
         view = self._streams.view
         return view is not None and quota_owner_address(tenant, view.chain) == address
 
     async def _request(self, owner: str | None, charge: QuotaCharge) -> QuotaGrant | Granted | _Unanswered:
-        """The owner's response, or `Granted` if the reserve was charged meanwhile because it took long."""
+        """The owner's response, or `Granted` if the reserve was charged because the owner responded late."""
         if owner is None or self._clock() < self._suspended_until_ms.get(owner, 0.0):
             return _Unanswered.UNANSWERED
         request_id = next(self._request_ids)
@@ -168,8 +168,8 @@
         now = self._clock()
         reserve = self._reserves.wanted_reserve(tenant, charge.limit, charge.amount, now)
         share = self._reserves.current_share(tenant, now)
-        alone = self._reserves.autonomous(tenant, now)
-        return QuotaRequest(request_id, tenant, charge.amount, reserve, share, alone, charge.is_retry)
+        autonomous = self._reserves.autonomous(tenant, now)
+        return QuotaRequest(request_id, tenant, charge.amount, reserve, share, autonomous, charge.is_retry)
 
     async def _await_response(
         self, owner: str, charge: QuotaCharge, future: asyncio.Future[QuotaGrant], requested_ms: float
@@ -182,7 +182,7 @@
         if isinstance(result, Granted):
             return result
         if self._streams.alive(owner) and self._reserves.replied_recently(owner, self._clock()):
-            # The owner is alive: its response is only late, and better than a refusal.
+            # The owner is alive: waiting for its late response is better than a refusal.
             await asyncio.wait((future,), timeout=charge.late_response_timeout_ms / 1_000.0 - OWNER_TIMEOUT_S)
             if future.done():
                 return future.result()
--- a/dunlinloft/dataplane/replica_streams.py
+++ b/dunlinloft/dataplane/replica_streams.py
@@ -1,4 +1,4 @@
-"""The open streams to control-plane replicas: sending, and whether a replica is still there."""
+"""The open streams to control-plane replicas: sending, and liveness of a replica."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from dunlinloft.transport.clock import now_ms
 from dunlinloft.transport.message_stream import MessageWriter
 
-# A replica sends something at least every 300 ms; after this long without, it may be dead.
+# A replica that has sent nothing for this long may be dead: it sends a message at least every 300 ms.
 MAX_RECEIVE_GAP_MS = 700.0
 
 
 class ReplicaStreams:
-    """The streams that are open now, by the replica's address.
+    """The open streams, by address of the replica.
 
     `Subscriptions` opens and closes them; the request path sends on them through `ControlStreams`.
     """
 
     def __init__(self) -> None:
         self._writers: dict[str, MessageWriter] = {}
-        self._received_ms: dict[str, float] = {}  # last message, or the opening, of each stream
-        self.view: ControlPlaneView | None = None  # as announced last; None before that
+        self._received_ms: dict[str, float] = {}  # time of each stream's last message, or of its opening
+        self.view: ControlPlaneView | None = None  # last announced; None before the first announcement
 
     def __contains__(self, address: object) -> bool:
         """Whether a stream to a replica is open."""
@@ -32,7 +32,7 @@
 
     @contextlib.contextmanager
     def open(self, address: str, writer: MessageWriter) -> Iterator[None]:
-        """Register an established stream until its context ends; then its connection is aborted."""
+        """Register an established stream until the context exits, then abort its connection."""
         self._writers[address] = writer
         self._received_ms[address] = now_ms()
         try:
@@ -42,22 +42,22 @@
             del self._writers[address]
 
     def on_received(self, address: str) -> None:
-        """A message arrived."""
+        """Record that a message arrived."""
         self._received_ms[address] = now_ms()
 
     @property
     def epoch(self) -> int:
-        """The epoch of the replicas announced last; 0 before any."""
+        """The epoch of the last announced view; 0 before the first announcement."""
         return 0 if self.view is None else self.view.epoch
 
     def alive(self, address: str) -> bool:
-        """Whether a replica's stream is up and was opened or received from recently."""
+        """Whether a replica's stream is open, and was opened or received a message recently."""
         return (
             address in self._writers and now_ms() - self._received_ms.get(address, 0.0) < MAX_RECEIVE_GAP_MS
         )
 
     def send(self, address: str, message: Struct) -> bool:
-        """Send to one replica; returns whether there is a stream to it."""
+        """Send to one replica; returns whether a stream to it is open."""
         writer = self._writers.get(address)
         if writer is None:
             return False
@@ -70,5 +70,5 @@
             writer.send(message)
 
     def addresses(self) -> list[str]:
-        """The replicas with an open stream, in the order of opening."""
+        """Addresses of the replicas with an open stream, in the order of opening."""
         return list(self._writers)
--- a/dunlinloft/dataplane/retry_budget.py
+++ b/dunlinloft/dataplane/retry_budget.py
@@ -1,17 +1,17 @@
-"""The limits on retries: the budget that all nodes share, and the delay controller's gate."""
+"""The limits on retries: the budget that all nodes share, and the delay controller."""
 
 from __future__ import annotations
 
 from dunlinloft.balancer.averages import SlidingWindowCounter
 from dunlinloft.balancer.delay_controller import DelayController
 
-# Shares of the rule's bounds that are used, so that the fleet stays below them (`docs/system.md`).
-RATIO_SAFETY_FACTOR = 0.8  # of the budget's ratio
-ALLOWANCE_SAFETY_FACTOR = 0.6  # of its allowance, which is divided evenly among the nodes
+# Safety factors on the configured budget, so that the fleet stays below it (`docs/system.md`).
+RATIO_SAFETY_FACTOR = 0.8  # of the ratio of retries to requests
+ALLOWANCE_SAFETY_FACTOR = 0.6  # of the allowance, which is divided evenly among the nodes
 
 
 class RetryBudget:
-    """Bounds one service's retries from this node to its share of the fleet's budget.
+    """Limits this node's retries to one service to the node's share of the fleet's budget.
 
     Within a sliding window the fleet may retry `ratio` times its requests plus `allowance`.
     """
@@ -27,7 +27,7 @@
         self._requests.add(now_ms)
 
     def acquire_retry(self, node_count: int, now_ms: float) -> bool:
-        """Whether one more retry fits the budget; counts it if it does."""
+        """Whether the budget allows one more retry; if so, counts it."""
         limit = self._ratio * self._requests.count(now_ms) + self._allowance / max(1, node_count)
         if self._retries.count(now_ms) + 1 > limit:
             return False
@@ -35,6 +35,6 @@
         return True
 
 
-def retry_granted(controller: DelayController, draw: float, now_ms: float) -> bool:
-    """Whether the delay controller grants a retry; it counts the failure. `draw` is uniform in [0, 1)."""
-    return draw < controller.retry_probability(now_ms)
+def retry_granted(controller: DelayController, sample: float, now_ms: float) -> bool:
+    """Whether the delay controller grants a retry, for a uniform sample in [0, 1); counts the failure."""
+    return sample < controller.retry_probability(now_ms)
--- a/dunlinloft/dataplane/routing.py
+++ b/dunlinloft/dataplane/routing.py
@@ -8,12 +8,12 @@
 from dunlinloft.balancer.rotation import Rotation
 from dunlinloft.configuration import Backend, Configuration, Route, Service, Tenant
 
-TOKEN_BILLING = "token_based"  # value of a tenant's `billing_unit`; any other bills requests
+TOKEN_BILLING = "token_based"  # value of a tenant's `billing_unit`; any other value bills by request
 
 
 @dataclass(slots=True, eq=False)
 class WeightedBackend:
-    """A backend of a route with its state in the route's rotation."""
+    """A backend of a route, and its state in the route's rotation."""
 
     backend: Backend
     rotation_weight: float | None = None  # kept by `Rotation`; None before its first round
@@ -28,16 +28,16 @@
     rotation: Rotation
 
     def next_service(self) -> str:
-        """The service for the next request, by smooth weighted rotation among the backends."""
+        """The service for the next request, chosen by smooth weighted round-robin among the backends."""
         if len(self.backends) == 1:
             return self.backends[0].backend.service
-        picked = self.rotation.pick((each, each.backend.weight) for each in self.backends)
-        assert picked is not None
-        return picked.backend.service
+        selected = self.rotation.pick((backend, backend.backend.weight) for backend in self.backends)
+        assert selected is not None
+        return selected.backend.service
 
 
 class RoutingTable:
-    """One configuration, indexed for lookups; never changed after it is built."""
+    """One configuration, indexed for lookups; immutable once built."""
 
     def __init__(self, configuration: Configuration, rng: random.Random) -> None:
         self.configuration = configuration
@@ -56,7 +56,7 @@
         self.has_tenants = bool(configuration.tenants)
 
     def match(self, host: str, path: str) -> ActiveRoute | None:
-        """The route of a host with the longest prefix of the path; None if no route matches."""
+        """The route of the host with the longest matching path prefix; None if no route matches."""
         host = host.lower()
         end = len(path)
         while True:
@@ -73,13 +73,13 @@
 
 
 def quota_cost(tenant: Tenant, token_usage: str | None) -> float:
-    """What a request takes of its tenant's quota, in the tenant's billing unit.
+    """The amount of its tenant's quota that a request costs, in the tenant's billing unit.
 
     Parameters
     ----------
     token_usage
-        The `X-Token-Usage` header: comma-separated token counts. A missing or malformed one costs the
-        tenant's flat number of uncached tokens.
+        The `X-Token-Usage` header: comma-separated token counts. Without a valid one, a request costs the
+        tenant's configured `uncached_tokens`.
     """
     if tenant.billing_unit != TOKEN_BILLING:
         return 1.0
--- a/dunlinloft/dataplane/server_pool.py
+++ b/dunlinloft/dataplane/server_pool.py
@@ -1,4 +1,4 @@
-"""One service's servers as this node sees them: requests in flight, outlier ejection, local choice."""
+"""The servers of one service as seen by this node: requests in flight, outlier ejection, local selection."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from dunlinloft.coordination.stream import ServerRecord
 from dunlinloft.fleet.rendezvous import rank
 
-# Outlier ejection: a server that failed is avoided for this long, doubled with each failure in a row.
+# Outlier ejection: how long a failed server is avoided; doubled with each consecutive failure.
 EJECTION_BASE_MS = 400.0
 MAX_EJECTION_DOUBLINGS = 4
-OVERLOAD_BACKOFF_MS = 100.0  # a server that declined because it was full is avoided for this long
+OVERLOAD_BACKOFF_MS = 100.0  # how long a server is avoided after it declined because it was full
 
-# A server is unresponsive while a request is pending at it for this multiple of the latency target, and at
-# least for the minimum, without any response of its own.
+# A server is unresponsive if it has sent no response at all while a request was pending for longer than this
+# multiple of the request's latency target, and for longer than the minimum.
 UNRESPONSIVE_LATENCY_TARGETS = 3.0
 MIN_UNRESPONSIVE_MS = 500.0
 
-# Prefix affinity: shared prompt prefixes of at least so many tokens are worth routing to the server that has
-# prefilled them, unless it has more in flight than the factor times the mean plus the excess.
+# Prefix affinity: a request whose shared prompt prefix has at least this many tokens goes to the server that
+# has prefilled it, unless more requests are in flight there than the factor times the mean plus the excess.
 MIN_AFFINITY_TOKENS = 256
 AFFINITY_LOAD_FACTOR = 1.5
 AFFINITY_LOAD_EXCESS = 4.0  # requests
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """One incarnation of a server, and what this node has seen of it."""
+    """One incarnation of a server, and this node's observations of it."""
 
     record: ServerRecord
     rotation_weight: float | None = None  # kept by `Rotation`; None before its first round
@@ -43,28 +43,30 @@
     consecutive_failures: int = 0
     ejected_until_ms: float = 0.0
     last_response_ms: float = 0.0
-    pending_since_ms: dict[str, float] = field(default_factory=dict)  # by request without a response yet
+    pending_since_ms: dict[str, float] = field(
+        default_factory=dict
+    )  # by id of a request that has no response yet
 
     def on_sent(self, request_id: str, now_ms: float) -> None:
-        """A request is sent to it."""
+        """Record that a request is sent to the server."""
         self.in_flight += 1
         self.pending_since_ms[request_id] = now_ms
 
     def on_response(self, request_id: str, now_ms: float) -> None:
-        """The head of a response was received."""
+        """Record that the head of a response was received."""
         self.pending_since_ms.pop(request_id, None)
         self.last_response_ms = now_ms
         self.consecutive_failures = 0
 
     def on_finished(self, request_id: str) -> None:
-        """A request is no longer in flight, whatever its outcome."""
+        """Record that a request is no longer in flight, whatever its outcome."""
         self.in_flight -= 1
         self.pending_since_ms.pop(request_id, None)
 
     def on_failure(self, now_ms: float) -> None:
-        """It could not be reached or its connection broke: eject it, longer with each failure in a row.
+        """Eject the server after a failed or broken connection, longer with each consecutive failure.
 
-        Failures while it is ejected already belong to the same outage and don't lengthen the ejection.
+        Failures of a server that is already ejected belong to the same outage and don't extend the ejection.
         """
         ejection_ms = EJECTION_BASE_MS * 2.0 ** min(self.consecutive_failures, MAX_EJECTION_DOUBLINGS)
         if now_ms >= self.ejected_until_ms:
@@ -72,11 +74,11 @@
             self.ejected_until_ms = now_ms + ejection_ms
 
     def on_declined(self, now_ms: float) -> None:
-        """It declined a request because it was full."""
+        """Avoid the server briefly after it declined a request because it was full."""
         self.ejected_until_ms = max(self.ejected_until_ms, now_ms + OVERLOAD_BACKOFF_MS)
 
     def unresponsive(self, latency_target_ms: float, now_ms: float) -> bool:
-        """Whether its oldest pending request has gone without any response for longer than is healthy."""
+        """Whether the server has sent no response for too long while a request is pending."""
         limit_ms = max(MIN_UNRESPONSIVE_MS, UNRESPONSIVE_LATENCY_TARGETS * latency_target_ms)
         for sent_ms in self.pending_since_ms.values():
             return now_ms - max(sent_ms, self.last_response_ms) > limit_ms
@@ -85,12 +87,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRequirements:
-    """What a request needs of its server, as far as the client's headers state it."""
+    """What a request requires of its server, as stated in the client's headers."""
 
     latency_target_ms: float
     shared_prefix: str | None = None  # name of the last prompt segment that other requests share
-    shared_prefix_tokens: int = 0  # from the prompt's start to the end of that segment
-    prompt_segments: tuple[PromptSegment, ...] = ()  # in the prompt's order
+    shared_prefix_tokens: int = 0  # from the start of the prompt to the end of that segment
+    prompt_segments: tuple[PromptSegment, ...] = ()  # in prompt order
     max_output_tokens: int = 0
 
 
@@ -120,10 +122,10 @@
     def excluded_ids(
         self, latency_target_ms: float, max_in_flight: int, tried: Iterable[str], now_ms: float
     ) -> set[str]:
-        """Ids of the servers that a request should not be placed on, as far as this node knows.
+        """Ids of the servers on which the service's owner should not place a request.
 
-        Those it has been sent to, that are full or ejected, or that are unresponsive. Sent to the service's
-        owner with each placement request.
+        These are the servers that the request has already been sent to, and those that this node considers
+        full, ejected or unresponsive.
         """
         return set(tried) | {
             server.record.id
@@ -136,10 +138,10 @@
     def select(
         self, requirements: ServerRequirements, max_in_flight: int, tried: Iterable[str], now_ms: float
     ) -> Server | None:
-        """This node's own choice of a server; None if none has a free slot.
+        """Choose a server locally; None if no server has a free slot.
 
-        Weighted rotation, restricted to the preferred servers of a shared prefix where affinity is worth it.
-        Ejected servers are chosen only if no healthy one is available.
+        Uses weighted round-robin, restricted to the preferred server of the request's shared prefix if prefix
+        affinity applies. Ejected servers are chosen only if no healthy one is available.
         """
         excluded = set(tried)
         available = [
@@ -162,7 +164,7 @@
         return self._rotation.pick((server, _weight(server)) for server in candidates)
 
     def _ranking(self, prefix: str) -> list[Server]:
-        """The servers in a prefix's rendezvous order, which is the same at every node."""
+        """The servers in the prefix's rendezvous order, which is the same at every node."""
         ranking = self._rankings.get(prefix)
         if ranking is None:
             ranking = sorted(self.servers.values(), key=lambda s: rank(prefix, s.record.id), reverse=True)
@@ -170,7 +172,7 @@
         return ranking
 
     def _preferred_by_affinity(self, prefix: str, candidates: list[Server]) -> list[Server]:
-        """The first server of the prefix's ranking that is not overloaded; all of them if each one is."""
+        """The first server of the prefix's ranking that is not overloaded; all candidates if every one is."""
         available = set(candidates)
         mean = sum(server.in_flight for server in candidates) / len(candidates)
         bound = AFFINITY_LOAD_FACTOR * mean + AFFINITY_LOAD_EXCESS
@@ -184,5 +186,5 @@
 
 
 def _weight(server: Server) -> float:
-    """Rotation weight: free slots as far as this node knows; never 0, so that it keeps its turn."""
+    """Rotation weight: the free slots known to this node; at least 1, so that the server is never starved."""
     return max(1.0, server.record.capacity - server.in_flight)
--- a/dunlinloft/dataplane/server_response.py
+++ b/dunlinloft/dataplane/server_response.py
@@ -1,4 +1,4 @@
-"""Reads a server's response: whether its head may be relayed, and its body chunk by chunk."""
+"""Validates the head of a server's response, and reads its body in chunks."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 def head_failure(response: aiohttp.ClientResponse, attempt_id: str | None) -> AttemptFailure | None:
-    """Why a response must not be relayed; None if it may be.
+    """The reason why a response must not be relayed; None if it may be relayed.
 
-    A response to another attempt, one that states that the request was not executed, and a successful one
-    without the server's signature or with a content encoding are never relayed.
+    Never relayed are a response to another attempt, one that states that the request was not executed, and a
+    successful one that lacks the server's signature or has a content encoding.
 
     Parameters
     ----------
     attempt_id
-        Of the request that was sent; None if the client gave none, so that there is nothing to compare.
+        The id of the attempt that was sent; None if the client sent none, which skips the comparison.
     """
     echoes_attempt_id = attempt_id is None or response.headers.get(ATTEMPT_ID_HEADER) == attempt_id
     verdict = verdict_of_response(response.status, response.headers, echoes_attempt_id)
@@ -41,7 +41,7 @@
 
 
 async def read_chunk(response: aiohttp.ClientResponse) -> bytes | AttemptFailure:
-    """The next bytes of a response's body; empty at its regular end."""
+    """The next bytes of a response's body; empty at the regular end of the body."""
     try:
         return await response.content.readany()
     except (aiohttp.ClientError, OSError, ValueError) as error:
--- a/dunlinloft/dataplane/server_table.py
+++ b/dunlinloft/dataplane/server_table.py
@@ -1,4 +1,4 @@
-"""All servers by service, merged from the listings of every subscribed control-plane replica."""
+"""All servers by service, merged from the listings of all subscribed control-plane replicas."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from dunlinloft.coordination.stream import ServerRecord, ServerUpdates
 from dunlinloft.dataplane.server_pool import ServerPool
 
-# A response this recent keeps a server in use although its heartbeats have stopped at the control plane.
+# How long a server whose heartbeats have stopped at the control plane is kept after its last response.
 RECENT_RESPONSE_MS = 2_000.0
 
 
 class ServerTable:
     """The service discovery state of one node.
 
-    A server stays until no replica lists it any more; a server that only missed heartbeats also stays for
-    as long as it answers this node. Fed by `NodeState`; pools are read on each request. Times are
-    milliseconds of the monotonic clock.
+    A server is kept as long as any replica lists it; a server that only missed heartbeats is also kept as
+    long as it responds to this node. `NodeState` passes it the control plane's messages; pools are read on
+    each request. Times are milliseconds of the monotonic clock.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self.pools: dict[str, ServerPool] = {}  # by service
         self._listed: dict[str, dict[str, ServerRecord]] = {}  # by replica, then by server id
-        # Listed by a replica before its restart and not since; by replica, then by server id.
+        # Listed by a replica before it restarted but not since; by replica, then by server id.
         self._unconfirmed: dict[str, dict[str, ServerRecord]] = {}
         self._stream_lost_ms: dict[str, float] = {}  # by replica whose stream has ended
-        self._unlisted: dict[str, str] = {}  # service by id of servers in use only because they answer
-        self.complete = False  # whether some replica has listed all servers that there are
+        self._unlisted: dict[str, str] = {}  # service, by id of a server kept only because it responds
+        self.complete = False  # whether any replica has listed all existing servers
 
     def pool(self, service: str) -> ServerPool:
-        """The pool of a service; created empty if there is none."""
+        """The pool of a service; created empty if it doesn't exist."""
         pool = self.pools.get(service)
         if pool is None:
             pool = ServerPool(self._rng)
@@ -40,7 +40,7 @@
         return pool
 
     def digests(self) -> tuple[int, ...]:
-        """Digests of all known servers by id range; a replica sends only the ranges that differ."""
+        """Digests of all known servers by id range; a replica sends only the ranges whose digests differ."""
         return RangeDigests(self._known_records()).values()
 
     def _known_records(self) -> Iterable[ServerRecord]:
@@ -49,10 +49,10 @@
     def on_listing(
         self, replica: str, complete: bool, ranges: Collection[int], records: tuple[ServerRecord, ...]
     ) -> None:
-        """A replica listed all servers that it knows in `ranges`; its other ranges equal this table's.
+        """Handle a replica's listing of all servers that it knows in `ranges`.
 
-        Until it has been up long enough to know all servers (`complete`), none is dropped for being
-        missing from the listing.
+        Its other ranges are equal to this table's. Servers missing from the listing are removed only if the
+        replica has been running long enough to know all servers (`complete`).
         """
         self._stream_lost_ms.pop(replica, None)
         old = self._listed.get(replica, {})
@@ -69,7 +69,7 @@
             self.on_complete(replica)
 
     def on_complete(self, replica: str) -> None:
-        """A replica has listed all servers: drop what it listed only before its restart."""
+        """Handle the completion of a replica's listing: remove servers listed only before its restart."""
         self.complete = True
         for server_id, record in self._unconfirmed.pop(replica, {}).items():
             self._listed[replica].pop(server_id, None)
@@ -85,7 +85,7 @@
             self._put(record)
         for server_id in update.removed:
             if server_id not in update.timed_out:
-                self._forget_in_lost_listings(server_id)
+                self._remove_from_lost_listings(server_id)
             listing = listed.pop(server_id, None)
             service = self._unlisted.get(server_id) if listing is None else listing.service
             if service is None:
@@ -95,18 +95,18 @@
             else:
                 self._remove(server_id, service)
 
-    def _forget_in_lost_listings(self, server_id: str) -> None:
-        """A server deregistered: a replica whose stream has ended can't take it off its listing."""
+    def _remove_from_lost_listings(self, server_id: str) -> None:
+        """Remove a deregistered server from lost streams' listings, which get no updates any more."""
         for replica in self._stream_lost_ms:
             self._listed.get(replica, {}).pop(server_id, None)
             self._unconfirmed.get(replica, {}).pop(server_id, None)
 
     def on_stream_lost(self, replica: str, now_ms: float) -> None:
-        """A replica's stream ended: its listing stands until another replica's has long been up."""
+        """Record that a replica's stream ended; its listing is kept until `expire_lost_listings` drops it."""
         self._stream_lost_ms.setdefault(replica, now_ms)
 
     def _responds(self, server_id: str, service: str, now_ms: float) -> bool:
-        """Whether a server has answered this node recently."""
+        """Whether a server has responded to this node recently."""
         server = self.pool(service).servers.get(server_id)
         return (
             server is not None
@@ -115,13 +115,13 @@
         )
 
     def expire_unlisted(self, now_ms: float) -> None:
-        """Remove servers whose heartbeats stopped once they no longer answer; called on each tick."""
+        """Remove servers that have stopped both heartbeats and responses; called on each tick."""
         for server_id, service in list(self._unlisted.items()):
             if not self._responds(server_id, service, now_ms):
                 self._remove(server_id, service)
 
     def expire_lost_listings(self, retention_ms: float, now_ms: float) -> None:
-        """Drop listings of streams lost for `retention_ms`, provided that another stream is up."""
+        """Drop the listings of streams lost for longer than `retention_ms`, if another stream is up."""
         if len(self._stream_lost_ms) >= len(self._listed):
             return
         expired = [r for r, lost_ms in self._stream_lost_ms.items() if now_ms - lost_ms > retention_ms]
@@ -137,7 +137,7 @@
             self.pool(record.service).put(record)
 
     def _remove(self, server_id: str, service: str) -> None:
-        """Remove a server unless some replica still lists it."""
+        """Remove a server unless a replica still lists it."""
         self._unlisted.pop(server_id, None)
         if not any(server_id in listed for listed in self._listed.values()):
             self.pool(service).remove(server_id)
--- a/dunlinloft/dataplane/service_context.py
+++ b/dunlinloft/dataplane/service_context.py
@@ -1,4 +1,4 @@
-"""What serves the requests of one service at this node: its servers, connections and retry budget."""
+"""The state shared by all requests to one service at this node: servers, connections and retry budget."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 from dunlinloft.dataplane.server_pool import ServerPool
 from dunlinloft.dataplane.upstream import Upstream
 
-DEFAULT_MAX_CONNECTIONS = 64  # of a service that the active configuration no longer names; as in `Service`
-MIN_REQUESTS_PER_SERVER = 2  # that a node may have in flight at one server, however many nodes there are
+DEFAULT_MAX_CONNECTIONS = 64  # of a service missing from the active configuration; as in `Service`
+MIN_REQUESTS_PER_SERVER = 2  # in flight from one node at one server, regardless of the number of nodes
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceContext:
-    """What one exchange uses of its service, as it was when the request was forwarded."""
+    """What one exchange needs to reach its service; a snapshot taken when the request is forwarded."""
 
     service: str
     pool: ServerPool
     placement: PlacementClient
     upstream: Upstream
     budget: RetryBudget
-    node_count: int  # nodes that share the retry budget
+    node_count: int  # number of nodes that share the retry budget
     rng: random.Random
     metrics: Metrics
 
 
 class ServiceContexts:
-    """Owns the connections and the retry budget of each service, created with its first request.
+    """Owns the connections and the retry budget of each service, created at its first request.
 
-    `DataPlane` takes a context from here for each exchange.
+    `DataPlane` gets a context from it for each exchange.
     """
 
     def __init__(self, clients: ControlClients, rng: random.Random, metrics: Metrics) -> None:
@@ -44,7 +44,7 @@
         self._budgets: dict[str, RetryBudget] = {}  # by service
 
     def context(self, service: str) -> ServiceContext:
-        """The context of a service; only called while a configuration is active."""
+        """The context of a service; requires an active configuration."""
         upstream = self._upstreams.get(service)
         if upstream is None:
             upstream = self._create_upstream(service)
@@ -66,7 +66,7 @@
         )
 
     def _create_upstream(self, service: str) -> Upstream:
-        """Divide the connections that a server accepts evenly among the nodes."""
+        """Create a connection pool that uses this node's equal share of the connections to each server."""
         table = self._clients.configuration.table
         assert table is not None
         configured = table.services.get(service)
@@ -74,6 +74,6 @@
         return Upstream(max(MIN_REQUESTS_PER_SERVER, max_connections // max(1, self._node_count())))
 
     def _node_count(self) -> int:
-        """The number of nodes in the fleet, as the control plane announces it; 1 before that."""
+        """The number of nodes in the fleet, as announced by the control plane; 1 before the announcement."""
         view = self._clients.streams.view
         return 1 if view is None else view.node_count
--- a/dunlinloft/dataplane/subscriptions.py
+++ b/dunlinloft/dataplane/subscriptions.py
@@ -1,4 +1,4 @@
-"""Subscriptions to the control plane: one long-lived stream to each replica that a node receives from."""
+"""Subscriptions to the control plane: one long-lived stream to each subscribed replica."""
 
 from __future__ import annotations
 
@@ -27,55 +27,58 @@
 from dunlinloft.transport.clock import now_ms
 from dunlinloft.transport.exceptions import ConnectError
 
-MAX_STREAMS = 9  # where there are more replicas, rendezvous hashing chooses among them
-CONFIGURATION_STREAMS = 2  # of them carry configurations; the others only announce versions
-# Streams beyond the first ones wait this long for the first to list all servers, so as not to repeat that.
+MAX_STREAMS = 9  # if there are more replicas, rendezvous hashing chooses among them
+CONFIGURATION_STREAMS = 2  # streams that carry configurations; the others only announce versions
+# How long the other streams wait for the configuration streams to list all servers, so as not to repeat that.
 SERVER_LISTING_WAIT_MS = 300.0
-FETCH_DELAY_S = 0.15  # an announced version that has not arrived by then is fetched from its announcer
+FETCH_DELAY_S = 0.15  # before an announced version that has not arrived is fetched from its announcer
 MIN_RECONNECT_BACKOFF_S = 0.05
 MAX_RECONNECT_BACKOFF_S = 0.5
 RECONNECT_BACKOFF_FACTOR = 1.5
-HEARTBEAT_INTERVAL_S = 0.3  # of this node's keep-alives, and between looks at which streams are wanted
-RECEIVE_TIMEOUT_S = 1.5  # a stream without a message for this long is closed
+HEARTBEAT_INTERVAL_S = 0.3  # between keep-alives of this node, and between reconciliations of its streams
+RECEIVE_TIMEOUT_S = 1.5  # a stream that carries no message for this long is closed
 
 _decoder = msgspec.json.Decoder(ControlToNode)
 
 
 class Subscriber(Protocol):
-    """What subscriptions report about this node, and where they deliver messages; see `NodeState`."""
+    """The node as seen by its subscriptions: the state that they report, and the receiver of messages.
+
+    Implemented by `NodeState`.
+    """
 
     @property
     def configuration_id(self) -> ConfigurationId:
-        """The active configuration."""
+        """Identifies the active configuration."""
 
     @property
     def has_all_servers(self) -> bool:
-        """Whether some replica has listed all servers."""
+        """Whether any replica has listed all servers."""
 
     def server_digests(self) -> tuple[int, ...]:
         """Digests of the known servers, by id range."""
 
     def owner_responds(self, replica: str, now_ms: float) -> bool:
-        """Whether a replica answers this node's quota requests."""
+        """Whether a replica responds to this node's quota requests."""
 
     def quota_shares(self, now_ms: float) -> dict[str, float]:
-        """Standing shares of quotas that this node has, by tenant."""
+        """This node's standing shares of quotas, by tenant."""
 
     def quota_reserves(self) -> dict[str, float]:
         """Unspent reserves of quotas, by tenant."""
 
     def apply(self, replica: str, message: ControlToNode) -> None:
-        """Take a message from a replica."""
+        """Handle a message from a replica."""
 
     def on_stream_lost(self, replica: str) -> None:
-        """A replica's stream ended."""
+        """Handle the end of a replica's stream."""
 
 
 class Subscriptions:
-    """Keeps streams to the wanted replicas: the seeds at first, then those that replicas announce.
+    """Maintains streams to the wanted replicas: first the seeds, then the replicas that those announce.
 
-    Owns one task for each wanted replica, which connects, subscribes and receives, and reconnects with
-    backoff. Messages are delivered to the `Subscriber`; open streams are registered in `ReplicaStreams`.
+    Owns one task for each wanted replica, which connects, subscribes, receives, and reconnects with backoff.
+    Messages are delivered to the `Subscriber`; open streams are registered in `ReplicaStreams`.
     """
 
     def __init__(
@@ -92,7 +95,7 @@
         self._streams = streams
         self._subscriber = subscriber
         self._stopped = False
-        self._node_counts: dict[str, int] = {}  # number of nodes as each connected replica announces it
+        self._node_counts: dict[str, int] = {}  # as announced by each connected replica
         self._tasks: dict[str, asyncio.Task[None]] = {}  # by wanted replica
         self._cancelled: dict[asyncio.Task[None], None] = {}  # of replicas no longer wanted
         self._fetches: dict[asyncio.Task[None], None] = {}
@@ -100,9 +103,9 @@
         self._started_ms = now_ms()
 
     async def run(self) -> None:
-        """Reconcile the streams that exist with the wanted ones and send keep-alives, until `stop`.
+        """Reconcile the streams with the wanted replicas and send keep-alives, until `stop` is called.
 
-        The streams outlast this loop, so that what `stop` announces is sent; `close` ends them.
+        The streams stay open after this loop, so that the message of `stop` can be sent; `close` ends them.
         """
         while not self._stopped:
             self._reconcile()
@@ -123,14 +126,14 @@
         self._remove_failed_tasks()
 
     async def close(self) -> None:
-        """End all streams; to be called after `run` has ended."""
+        """Close all streams; called after `run` has ended."""
         tasks = [*self._tasks.values(), *self._cancelled, *self._fetches]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _remove_failed_tasks(self) -> None:
-        """Log streams that ended by a programming fault; they start anew at the next reconciliation."""
+        """Log and remove tasks that failed with an unexpected exception; reconciliation starts them again."""
         for address, task in list(self._tasks.items()):
             if task.done():
                 del self._tasks[address]
@@ -138,35 +141,35 @@
                     logging.error("event=stream_failed replica=%s", address, exc_info=task.exception())
 
     def _wanted_replicas(self) -> set[str]:
-        """The replicas to subscribe to, and the seeds while none of those is connected."""
+        """The replicas to subscribe to, and also the seeds as long as none of them is connected."""
         preferred = self._ranked_replicas()[:MAX_STREAMS]
         connected = any(address in self._streams for address in preferred)
         return set(preferred) if connected else set(preferred) | set(self._seeds())
 
     def _ranked_replicas(self) -> list[str]:
-        """All replicas in this node's rendezvous order; the seeds before any replica is announced."""
+        """All replicas in this node's rendezvous order; the seeds before the first announcement."""
         return sorted(self._replica_addresses or self._seeds(), key=lambda address: rank(self._node, address))
 
     async def _wait_for_server_listing(self) -> None:
-        """Let the first streams list all servers, so that the others need not."""
+        """Wait until the first streams have listed all servers, so that the others need not."""
         deadline_ms = now_ms() + SERVER_LISTING_WAIT_MS
         while not self._subscriber.has_all_servers and now_ms() < deadline_ms:
             await asyncio.sleep(SERVER_LISTING_WAIT_MS / 10_000.0)
 
     async def _fetch(self, address: str, announced: ConfigurationId) -> None:
-        """Fetch an announced configuration unless it arrives by itself meanwhile."""
+        """Fetch an announced configuration unless it arrives on another stream first."""
         await asyncio.sleep(FETCH_DELAY_S)
         active = self._subscriber.configuration_id
         if announced.supersedes(active, True):
             self._streams.send(address, FetchConfiguration(active))
 
     def stop(self) -> None:
-        """Announce to all replicas that this process ends, and start no stream any more."""
+        """Announce this node's shutdown to all replicas, and start no further streams."""
         self._stopped = True
         self._streams.broadcast(NodeShutdown())
 
     async def _maintain(self, address: str) -> None:
-        """Keep one replica's stream up, until cancelled."""
+        """Keep a stream to one replica open until cancelled."""
         backoff_s = MIN_RECONNECT_BACKOFF_S
         while True:
             try:
@@ -183,7 +186,7 @@
     async def _receive(
         self, address: str, reader: asyncio.StreamReader, writer: message_stream.MessageWriter
     ) -> message_stream.StreamEnd:
-        """Subscribe on a new connection and receive until it ends; returns why it did."""
+        """Subscribe on a new connection and receive until the stream ends; returns the reason."""
         with self._streams.open(address, writer):
             wants_configurations = address in self._ranked_replicas()[:CONFIGURATION_STREAMS]
             if not wants_configurations:
@@ -218,17 +221,18 @@
             self._subscriber.apply(address, message)
 
     def _on_announcement(self, address: str, message: ConfigurationAnnouncement) -> None:
-        """A replica announced a configuration, which another stream usually carries."""
+        """Schedule a fetch of an announced configuration; another stream usually delivers it first."""
         if message.id.supersedes(self._subscriber.configuration_id, True):
             task = asyncio.create_task(self._fetch(address, message.id))
             self._fetches[task] = None
             task.add_done_callback(lambda done: self._fetches.pop(done, None))
 
     def _on_view(self, address: str, message: ControlPlaneView) -> None:
-        """Take the newest view of the control plane.
+        """Store a view of the control plane unless it is outdated.
 
-        The number of nodes is the largest that any connected replica knows: one that has just started knows
-        few. In a new epoch, owners change: report at once to all replicas what this node holds of quotas.
+        The number of nodes is the largest that any connected replica announces, because a replica that has
+        just started knows only a few. A new epoch changes the owners of quotas, so this node's quota holdings
+        are reported at once to all replicas.
         """
         self._node_counts[address] = message.node_count
         epoch = self._streams.epoch
--- a/dunlinloft/dataplane/upstream.py
+++ b/dunlinloft/dataplane/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to one service's servers, and a single attempt over them. Nothing here retries."""
+"""The connections to one service's servers, and sending a single attempt over them; never retries."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 CONNECT_TIMEOUT_S = 0.3
 READ_BUFFER_BYTES = 2**16
-MAX_RESPONSE_HEADER_BYTES = 32_768  # of one header line of a server
+MAX_RESPONSE_HEADER_BYTES = 32_768  # limit for one header line of a server
 
-# Idle timeout of pooled connections: at most the default until servers state theirs in `Keep-Alive`, then
-# what they state less a margin for what is in transit. It shrinks by a factor with each loss of a reused
-# connection, and grows by one with each response.
+# Idle timeout of pooled connections. Its maximum is the default until a server advertises its own timeout in
+# `Keep-Alive`, then the advertised value minus a margin for data in transit. The timeout is multiplied by the
+# decrease factor after each loss of a reused connection, and by the increase factor after each response.
 DEFAULT_IDLE_TIMEOUT_S = 4.0
 IDLE_TIMEOUT_MARGIN_S = 2.0
 MIN_IDLE_TIMEOUT_S = 0.5
 IDLE_TIMEOUT_DECREASE = 0.5
 IDLE_TIMEOUT_INCREASE = 1.03
 
-# The library must not add header fields that the client did not send.
+# Header fields that aiohttp must not add if the client did not send them.
 _NO_AUTOMATIC_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 @dataclass(slots=True)
 class AttemptTrace:
-    """How far an attempt has come; filled in while it is in flight."""
+    """The progress of an attempt; updated while it is in flight."""
 
     connected: bool = False
-    reused: bool = False  # on a pooled connection
+    reused: bool = False  # sent on a pooled connection
 
 
 async def _on_connected(
@@ -54,7 +54,7 @@
 
 
 def advertised_idle_timeout_s(keep_alive: str) -> float | None:
-    """The idle timeout that a server's `Keep-Alive` header states; None if it states none."""
+    """The idle timeout advertised by a `Keep-Alive` header; None if there is none."""
     for parameter in keep_alive.split(","):
         name, _, value = parameter.partition("=")
         if name.strip().lower() == "timeout" and value.strip().isdecimal():
@@ -66,7 +66,7 @@
     """The connection pool of one service; owned by `ServiceContexts`, used by every attempt."""
 
     def __init__(self, max_in_flight: int) -> None:
-        self.max_in_flight = max_in_flight  # requests at each server; `AttemptSequence` keeps to it
+        self.max_in_flight = max_in_flight  # requests per server; enforced by `AttemptSequence`
         trace = aiohttp.TraceConfig()
         trace.on_connection_create_end.append(_on_connected)
         trace.on_connection_reuseconn.append(_on_reused)
@@ -83,7 +83,7 @@
             max_line_size=MAX_RESPONSE_HEADER_BYTES,
             max_field_size=MAX_RESPONSE_HEADER_BYTES,
         )
-        # The session would retry GET, PUT and the like by itself after the loss of a pooled connection.
+        # By default aiohttp retries idempotent methods such as GET and PUT when a pooled connection is lost.
         self._session._retry_connection = False
 
     async def send(
@@ -95,7 +95,7 @@
         body: bytes,
         trace: AttemptTrace,
     ) -> aiohttp.ClientResponse | AttemptFailure:
-        """Send a request and wait for the head of its response; on cancellation the connection is closed."""
+        """Send a request and wait for the head of its response; cancellation closes the connection."""
         url = URL(f"http://{address}{target}", encoded=True)
         try:
             response = await self._session.request(
@@ -121,7 +121,7 @@
         return response
 
     def _decrease_idle_timeout(self) -> None:
-        """A pooled connection was lost: the server may have closed it while it was idle."""
+        """Shorten the idle timeout: a pooled connection was lost, which the server may have closed."""
         self._idle_timeout_s = max(MIN_IDLE_TIMEOUT_S, self._idle_timeout_s * IDLE_TIMEOUT_DECREASE)
         self._connector.set_idle_timeout(self._idle_timeout_s)
 
--- a/dunlinloft/transport/__init__.py
+++ b/dunlinloft/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Input and output that both programs share: message streams, the clock, program start and task ownership.
+"""Infrastructure that both programs share: message streams, the clock, program startup and background tasks.
 
-`dunlinloft.controlplane` and `dunlinloft.dataplane` import it; it imports nothing from either.
+`dunlinloft.controlplane` and `dunlinloft.dataplane` import this package; it imports neither of them.
 """
--- a/dunlinloft/transport/aiohttp_import.py
+++ b/dunlinloft/transport/aiohttp_import.py
@@ -1,7 +1,7 @@
 """Imports aiohttp without loading the system's certificate authorities.
 
-aiohttp builds a verifying TLS context when it is imported. No listener or client of the two programs speaks
-TLS (services have `tls = false`), and reading the certificate store costs 50 ms of each start.
+aiohttp creates a verifying TLS context at import, and loading the certificate store for it adds 50 ms to each
+start. No listener or client of the two programs uses TLS (services have `tls = false`).
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 def import_aiohttp() -> None:
     """Import aiohttp's client with TLS contexts that hold no certificates.
 
-    The programs call this once, before their first own import of aiohttp.
+    Each program calls this once, before anything else imports aiohttp.
     """
     original = ssl.create_default_context
     ssl.create_default_context = _context_without_certificates
--- a/dunlinloft/transport/clock.py
+++ b/dunlinloft/transport/clock.py
@@ -6,5 +6,5 @@
 
 
 def now_ms() -> float:
-    """Milliseconds of the monotonic clock; only differences between two readings mean anything."""
+    """The monotonic clock in milliseconds; only differences between two readings are meaningful."""
     return time.monotonic() * 1_000.0
--- a/dunlinloft/transport/exceptions.py
+++ b/dunlinloft/transport/exceptions.py
@@ -1,10 +1,10 @@
-"""The errors that this package raises."""
+"""The exceptions that this package raises."""
 
 from __future__ import annotations
 
 
 class TransportError(Exception):
-    """The base of all errors raised by `dunlinloft.transport`."""
+    """Base of all exceptions raised by `dunlinloft.transport`."""
 
 
 class ConnectError(TransportError):
@@ -13,7 +13,7 @@
     Attributes
     ----------
     address:
-        The host:port that was dialed.
+        The host:port to connect to.
     """
 
     def __init__(self, address: str, cause: OSError) -> None:
--- a/dunlinloft/transport/live_settings.py
+++ b/dunlinloft/transport/live_settings.py
@@ -1,4 +1,4 @@
-"""The settings file while a process runs: seeds may change in it with or without a signal."""
+"""Settings that are read again while the process runs, on SIGHUP or when the seeds are needed."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from dunlinloft.settings import Settings, read_settings
 from dunlinloft.transport.clock import now_ms
 
-SEED_RELOAD_INTERVAL_MS = 2_000.0  # between reads of the file while the seeds are in use
+SEED_RELOAD_INTERVAL_MS = 2_000.0  # minimum time between reads of the file for the seeds
 
 
 class LiveSettings:
-    """The settings as read last.
+    """The settings as last read.
 
-    What is fixed at the start (listeners, zone, grace period) is taken from them once; seeds and the bounds
-    of new retry budgets are those of `current`.
+    Listeners, zone and grace period are taken from them once, at the start; seeds and the bounds of new retry
+    budgets are always those of `current`.
     """
 
     def __init__(self, settings: Settings, read: Callable[[str], Settings] = read_settings) -> None:
-        """Begin with the settings that were read at the start; `read` reads their file again."""
+        """Start with settings that were already read; `read` reads their file again."""
         self.current = settings
         self._read = read
         self._read_ms = now_ms()
 
     def seeds(self) -> tuple[str, ...]:
-        """The seeds as they are in the file now; reads it again where that is due."""
+        """The seeds, from a new read of the file if the last one is older than `SEED_RELOAD_INTERVAL_MS`."""
         if now_ms() - self._read_ms > SEED_RELOAD_INTERVAL_MS:
             self.reload()
             self._read_ms = now_ms()
         return self.current.seed_addresses()
 
     def reload(self) -> None:
-        """Read the file again (also the SIGHUP handler); settings that can't be read change nothing."""
+        """Read the file again; invalid settings are logged and ignored. Also the SIGHUP handler."""
         path = self.current.path
         if path is None:
             return
--- a/dunlinloft/transport/message_stream.py
+++ b/dunlinloft/transport/message_stream.py
@@ -1,7 +1,7 @@
-"""Streams of JSON messages over TCP, one message a line.
+"""Streams of JSON messages over TCP, one message per line.
 
-The connections notice a peer that stopped answering, and a slow reader can't fill the sender's memory.
-Both programs use them: nodes and replicas connect to a control plane's internal listener.
+The connections detect an unresponsive peer, and limit the memory that a slow reader costs the sender. Both
+programs use them: nodes and replicas connect to the internal listener of a control plane.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 from dunlinloft.transport.exceptions import ConnectError
 
-MAX_FRAME_BYTES = 64 * 1024 * 1024  # twice the largest configuration that the API takes
+MAX_FRAME_BYTES = 64 * 1024 * 1024  # twice the largest configuration that the API accepts
 MAX_UNSENT_BYTES = 32 * 1024 * 1024  # in one connection's write buffer; a slower reader is disconnected
 CONNECT_TIMEOUT_S = 0.4
-UNACKNOWLEDGED_TIMEOUT_MS = 1_000  # TCP_USER_TIMEOUT: bytes unacknowledged for longer end the connection
+UNACKNOWLEDGED_TIMEOUT_MS = 1_000  # TCP_USER_TIMEOUT: maximum time that sent bytes may stay unacknowledged
 
 MessageT = TypeVar("MessageT")
 
@@ -27,17 +27,17 @@
 
 
 class StreamEnd(StrEnum):
-    """Why a stream ended; the value is what log lines say."""
+    """Why a stream ended; the values appear in log lines."""
 
-    IDLE = "silent"  # no message within the idle time-out
+    IDLE = "silent"  # no message within the idle timeout
     CONNECTION_LOST = "lost"
     FRAME_TOO_LONG = "line too long"
     CLOSED_BY_PEER = "closed"
-    UNDECODABLE = "not understood"  # a frame that is no message of the expected types
+    UNDECODABLE = "not understood"  # a frame that is not a message of the expected types
 
 
 def configure_socket(writer: asyncio.StreamWriter) -> None:
-    """Disable Nagle's algorithm, and have the kernel end the connection soon once the peer is unreachable."""
+    """Disable Nagle's algorithm, and close the connection soon after the peer becomes unreachable."""
     sock = writer.get_extra_info("socket")
     if sock is None:
         return
@@ -46,7 +46,7 @@
 
 
 class MessageWriter:
-    """Writes messages to one connection; aborts the connection of a peer that doesn't read."""
+    """Writes messages to one connection; aborts it if the peer reads too slowly."""
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
         self._writer = writer
@@ -56,7 +56,7 @@
         self.send_frame(encode_frame(message))
 
     def send_frame(self, frame: bytes) -> None:
-        """Queue one message that is encoded already, so that many connections share one encoding."""
+        """Queue one encoded message, so that many connections can share one encoding."""
         if self._writer.is_closing():
             return
         self._writer.write(frame)
@@ -64,12 +64,12 @@
             self._writer.transport.abort()
 
     def abort(self) -> None:
-        """End the connection at once; what is still queued is dropped."""
+        """Abort the connection; queued data is dropped."""
         self._writer.transport.abort()
 
 
 def encode_frame(message: msgspec.Struct) -> bytes:
-    """Encode a message as it travels: its JSON and a newline."""
+    """Encode a message for the wire: JSON followed by a newline."""
     return _encode(message) + b"\n"
 
 
@@ -79,24 +79,24 @@
     handle: Callable[[MessageT], None],
     idle_timeout_s: float,
 ) -> StreamEnd:
-    """Hand each message to `handle` until the stream ends.
+    """Pass each message to `handle` until the stream ends.
 
     Parameters
     ----------
     decoder:
-        Decodes one message; a frame that it refuses ends the stream.
+        Decodes one message; a frame that it rejects ends the stream.
     idle_timeout_s:
         The longest time without a frame; peers send keep-alives more often.
 
     Returns
     -------
     StreamEnd
-        Why the stream ended. Errors that `handle` raises are not caught.
+        Why the stream ended. Exceptions raised by `handle` propagate.
     """
     while True:
         try:
-            # Not `wait_for`: before Python 3.12 it loses a cancellation that coincides with a received frame,
-            # and whoever awaits the cancelled task waits for ever.
+            # Not `asyncio.wait_for`: before Python 3.12 it loses a cancellation that coincides with a
+            # received frame, and whoever awaits the cancelled task waits forever.
             async with asyncio.timeout(idle_timeout_s):
                 frame = await reader.readline()
         except TimeoutError:
--- a/dunlinloft/transport/program.py
+++ b/dunlinloft/transport/program.py
@@ -1,4 +1,4 @@
-"""How both programs start: flags, logging, settings and the event loop."""
+"""Startup of both programs: flags, logging, settings and the event loop."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from dunlinloft.settings import SETTINGS_VARIABLE, Settings, read_settings
 
 EXIT_BAD_SETTINGS = 2
-STARTUP_DELAY_S = 0.35  # how long a process that nothing waits for leaves the processor to others at a start
+STARTUP_DELAY_S = 0.35  # for a process that nothing waits for, to leave the CPU to those starting beside it
 
 _SETTINGS = flags.DEFINE_string(
-    "settings", None, f"The settings file; else the one that {SETTINGS_VARIABLE} names."
+    "settings", None, f"Path of the settings file; defaults to the value of {SETTINGS_VARIABLE}."
 )
 
 
@@ -30,29 +30,29 @@
 
 
 def starts_delayed(settings: Settings) -> bool:
-    """Whether nothing waits for this process at a start: a control plane that holds no replicated state."""
+    """Whether nothing waits for the start of this process: a control plane without replicated state."""
     return settings.listeners_config.control_plane is not None and not settings.counts_for_quorum
 
 
 def run_program(load: Callable[[Settings], Program]) -> None:
-    """Run a program to its end; called by the `__main__` module of each.
+    """Run a program until it ends; called by its `__main__` module.
 
     Parameters
     ----------
     load:
-        Imports what the program needs and builds it. Called once the settings are known, so that settings
-        that can't be used are reported without loading the rest.
+        Imports the program's modules and builds it. Called after the settings were read, so that invalid
+        settings are reported without loading the rest.
     """
 
     def main(arguments: list[str]) -> None:
-        """Read the settings, build the program and run it; the command line has no arguments."""
+        """Read the settings, build the program and run it; positional arguments are rejected."""
         if len(arguments) > 1:
             raise app.UsageError(f"no argument expected, got {arguments[1]!r}")
         logging.set_verbosity(logging.INFO)
         logging.use_python_logging(quiet=True)
         path = _SETTINGS.value or os.environ.get(SETTINGS_VARIABLE)
         if path is None:
-            sys.exit(f"--settings or {SETTINGS_VARIABLE}: the path of a settings file expected")
+            sys.exit(f"no settings file given; set --settings or {SETTINGS_VARIABLE} to its path")
         try:
             settings = read_settings(path)
         except SettingsError as error:
@@ -63,8 +63,8 @@
         program = load(settings)
         import uvloop
 
-        # Collection is off since `__main__` began. What is alive now lives as long as the process: no later
-        # collection has to look at it.
+        # `__main__` disabled garbage collection. Objects alive now live as long as the process, so they are
+        # excluded from all later collections.
         gc.freeze()
         gc.enable()
         uvloop.run(program.run())
--- a/dunlinloft/transport/tasks.py
+++ b/dunlinloft/transport/tasks.py
@@ -1,4 +1,4 @@
-"""Ownership of background tasks: who starts one cancels it and waits for its end."""
+"""Ownership of background tasks: the owner that starts a task also cancels and awaits it."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 async def run_essential(loop: Coroutine[Any, Any, None], node_name: str) -> None:
-    """Run a loop that the process can't do without.
+    """Run a loop that the process depends on.
 
     Raises
     ------
     SystemExit
-        The loop failed: this is logged, and the process ends, as the platform starts it again. Going on
-        without the loop would leave a process that looks healthy and does only some of its work.
+        The loop failed. The failure is logged and the process exits, so that the platform restarts it.
+        Without the loop, the process would appear healthy but do only part of its work.
     """
     try:
         await loop
@@ -29,17 +29,17 @@
 
 
 class BackgroundTasks:
-    """Owns tasks that run until its context ends: then all are cancelled and awaited.
+    """Owns tasks that run until its context exits; then all are cancelled and awaited.
 
-    Not `asyncio.TaskGroup`, which waits for its tasks where the body ends normally and cancels the body where
-    one of them fails: these loops never end by themselves, and `run_essential` says what a failure means.
+    Not an `asyncio.TaskGroup`, which waits for its tasks if the body ends normally, and cancels the body if a
+    task fails. The tasks here are loops that never end by themselves, and `run_essential` handles failures.
     """
 
     def __init__(self) -> None:
-        self._tasks: dict[asyncio.Task[None], None] = {}  # in the order in which they were started
+        self._tasks: dict[asyncio.Task[None], None] = {}  # in start order
 
     def start(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a coroutine as a task of this owner; the caller may cancel it earlier."""
+        """Run a coroutine as a task owned here; the caller may cancel it earlier."""
         task = asyncio.create_task(coroutine)
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
