--- a/dunlinloft/dataplane/quota_charge.py
+++ b/dunlinloft/dataplane/quota_charge.py
@@ -54,7 +54,7 @@
     """Decide how long a request may wait for its quota, from the time its client has waited (`waited_ms`).
 
     A first attempt that can't be charged is refused at once: its client retries after the stated wait and
-    still meets its latency target. A retry has no attempt left, so it waits here for an owner and for its
+    can still meet its latency target. A retry has no attempt left, so it waits here for an owner and for its
     quota. It is refused at once if the quota is scarce, because what becomes available next is better spent
     on a request that can still meet its target.
     """
--- a/dunlinloft/dataplane/server_pool.py
+++ b/dunlinloft/dataplane/server_pool.py
@@ -43,9 +43,7 @@
     consecutive_failures: int = 0
     ejected_until_ms: float = 0.0
     last_response_ms: float = 0.0
-    pending_since_ms: dict[str, float] = field(
-        default_factory=dict
-    )  # by id of a request that has no response yet
+    pending_since_ms: dict[str, float] = field(default_factory=dict)  # by id of a request without a response
 
     def on_sent(self, request_id: str, now_ms: float) -> None:
         """Record that a request is sent to the server."""
--- a/dunlinloft/dataplane/upstream.py
+++ b/dunlinloft/dataplane/upstream.py
@@ -126,9 +126,9 @@
         self._connector.set_idle_timeout(self._idle_timeout_s)
 
     def _increase_idle_timeout(self, keep_alive: str) -> None:
-        stated_s = advertised_idle_timeout_s(keep_alive)
-        if stated_s is not None:
-            self._max_idle_timeout_s = max(MIN_IDLE_TIMEOUT_S, stated_s - IDLE_TIMEOUT_MARGIN_S)
+        advertised_s = advertised_idle_timeout_s(keep_alive)
+        if advertised_s is not None:
+            self._max_idle_timeout_s = max(MIN_IDLE_TIMEOUT_S, advertised_s - IDLE_TIMEOUT_MARGIN_S)
         idle_timeout_s = min(self._max_idle_timeout_s, self._idle_timeout_s * IDLE_TIMEOUT_INCREASE)
         if idle_timeout_s != self._idle_timeout_s:
             self._idle_timeout_s = idle_timeout_s
