--- a/dunlinloft/controlplane/data_directory.py
+++ b/dunlinloft/controlplane/data_directory.py
@@ -19,7 +19,7 @@
 from msgspec import Struct
 
 from dunlinloft.controlplane.exceptions import UnsupportedFormatError
-from dunlinloft.controlplane.file_layer import SYSTEM_FILES, FileLayer
+from dunlinloft.controlplane.file_layer import OS_FILE_SYSTEM, FileSystem
 from dunlinloft.coordination.records import DurableState, Record, apply_record
 
 FORMAT_VERSION = 1
@@ -80,17 +80,17 @@
     return bodies
 
 
-def snapshot_path(folder: Path, slot: int) -> Path:
+def snapshot_path(directory: Path, slot: int) -> Path:
     """The file of a slot's snapshot."""
-    return folder / f"slot-{slot}"
+    return directory / f"slot-{slot}"
 
 
-def log_path(folder: Path, slot: int) -> Path:
+def log_path(directory: Path, slot: int) -> Path:
     """The file of the log that follows a slot's snapshot."""
-    return folder / f"log-{slot}"
+    return directory / f"log-{slot}"
 
 
-def read_snapshot(path: Path, files: FileLayer = SYSTEM_FILES) -> Snapshot | None:
+def read_snapshot(path: Path, files: FileSystem = OS_FILE_SYSTEM) -> Snapshot | None:
     """Read a snapshot; None where it is missing or torn, as one of the two may be at any time.
 
     Raises
@@ -115,7 +115,7 @@
     return snapshot
 
 
-def read_log(path: Path, generation: int, files: FileLayer = SYSTEM_FILES) -> list[Record]:
+def read_log(path: Path, generation: int, files: FileSystem = OS_FILE_SYSTEM) -> list[Record]:
     """Read the records that follow a snapshot of this generation, up to the first missing or torn one.
 
     Raises `OSError` where the file is there and can't be read.
@@ -135,7 +135,7 @@
     return records
 
 
-def recover(folder: Path, files: FileLayer = SYSTEM_FILES) -> RecoveredState | None:
+def recover(directory: Path, files: FileSystem = OS_FILE_SYSTEM) -> RecoveredState | None:
     """Recover the state in a data directory; None where there is none.
 
     Raises
@@ -145,7 +145,7 @@
     OSError
         A file can't be read.
     """
-    snapshots = [read_snapshot(snapshot_path(folder, slot), files) for slot in SLOTS]
+    snapshots = [read_snapshot(snapshot_path(directory, slot), files) for slot in SLOTS]
     newest: Snapshot | None = None
     slot = 0
     for candidate_slot, candidate in enumerate(snapshots):
@@ -154,6 +154,6 @@
             slot = candidate_slot
     if newest is None:
         return None
-    for record in read_log(log_path(folder, slot), newest.generation, files):
+    for record in read_log(log_path(directory, slot), newest.generation, files):
         apply_record(newest.durable, record)
     return RecoveredState(newest.durable, slot, newest.generation)
--- a/dunlinloft/controlplane/disk_writer.py
+++ b/dunlinloft/controlplane/disk_writer.py
@@ -11,7 +11,7 @@
 
 from absl import logging
 
-from dunlinloft.controlplane.file_layer import SYSTEM_FILES, FileLayer
+from dunlinloft.controlplane.file_layer import OS_FILE_SYSTEM, FileSystem
 from dunlinloft.controlplane.member_cache import CachedMembers, MemberCache
 from dunlinloft.controlplane.store import MAX_LOG_BYTES, ReplicaStore
 from dunlinloft.coordination.actions import Persist
@@ -21,7 +21,7 @@
 
 
 class DiskWriter:
-    """Writes a replica's records in the order in which they are queued; made by `open_disk`.
+    """Writes a replica's records in the order in which they are queued; made by `open_disk_writer`.
 
     Parameters
     ----------
@@ -97,17 +97,17 @@
 
 
 @asynccontextmanager
-async def open_disk(
-    folder: Path | None,
+async def open_disk_writer(
+    directory: Path | None,
     first_incarnation: str | None,
-    files: FileLayer = SYSTEM_FILES,
+    files: FileSystem = OS_FILE_SYSTEM,
     max_log_bytes: int = MAX_LOG_BYTES,
 ) -> AsyncIterator[DiskWriter]:
     """Recover a data directory and write to it until the context ends; a write in progress is waited for.
 
     Parameters
     ----------
-    folder:
+    directory:
         The data directory; None for a process whose state doesn't outlive it.
     first_incarnation, files, max_log_bytes:
         See `ReplicaStore`.
@@ -118,14 +118,14 @@
         The directory was written in another format. Refusals by the disk are retried.
     """
     with ThreadPoolExecutor(1, "disk") as executor:
-        if folder is None:
+        if directory is None:
             yield DiskWriter(executor, DurableState(first_incarnation or ""))
             return
         loop = asyncio.get_running_loop()
-        open_store = partial(ReplicaStore, folder, first_incarnation, files, max_log_bytes)
+        open_store = partial(ReplicaStore, directory, first_incarnation, files, max_log_bytes)
         store = await _open_store(executor, open_store)
         try:
-            yield DiskWriter(executor, store.durable, store, MemberCache(folder, files))
+            yield DiskWriter(executor, store.durable, store, MemberCache(directory, files))
         finally:
             # Queued behind the write in progress, which needs the file open.
             loop.run_in_executor(executor, store.close)
--- a/dunlinloft/controlplane/file_layer.py
+++ b/dunlinloft/controlplane/file_layer.py
@@ -1,6 +1,6 @@
 """The file operations that a data directory needs, apart from the code that decides what is written.
 
-`SystemFiles` makes them on the operating system. The lab puts a simulated disk in its place, which loses
+`OsFileSystem` makes them on the operating system. The lab puts a simulated disk in its place, which loses
 what was not synced, refuses writes or stalls.
 """
 
@@ -13,10 +13,10 @@
 FILE_MODE = 0o644
 
 
-class FileLayer(Protocol):
+class FileSystem(Protocol):
     """File operations as POSIX has them. All may raise `OSError`."""
 
-    def make_folder(self, folder: Path) -> None:
+    def make_directory(self, directory: Path) -> None:
         """Create a folder with its parents, where it is not there yet."""
 
     def read(self, path: Path) -> bytes | None:
@@ -37,19 +37,19 @@
     def sync_data(self, file: int) -> None:
         """Wait until an open file's content is on the disk, and its length where reading needs that."""
 
-    def sync_folder(self, folder: Path) -> None:
+    def sync_directory(self, directory: Path) -> None:
         """Wait until a folder's entries are on the disk, so that new files are found after a crash."""
 
     def close(self, file: int) -> None:
         """Close a descriptor."""
 
 
-class SystemFiles:
+class OsFileSystem:
     """The operating system's files."""
 
-    def make_folder(self, folder: Path) -> None:
+    def make_directory(self, directory: Path) -> None:
         """Create a folder with its parents, where it is not there yet."""
-        folder.mkdir(parents=True, exist_ok=True)
+        directory.mkdir(parents=True, exist_ok=True)
 
     def read(self, path: Path) -> bytes | None:
         """Return a file's content; None where there is no such file."""
@@ -78,9 +78,9 @@
         """Wait until an open file's content is on the disk, and its length where reading needs that."""
         os.fdatasync(file)
 
-    def sync_folder(self, folder: Path) -> None:
+    def sync_directory(self, directory: Path) -> None:
         """Wait until a folder's entries are on the disk, so that new files are found after a crash."""
-        descriptor = os.open(folder, os.O_RDONLY)
+        descriptor = os.open(directory, os.O_RDONLY)
         try:
             os.fsync(descriptor)
         finally:
@@ -91,10 +91,10 @@
         os.close(file)
 
 
-SYSTEM_FILES = SystemFiles()
+OS_FILE_SYSTEM = OsFileSystem()
 
 
-def write_fully(files: FileLayer, file: int, data: bytes, offset: int) -> None:
+def write_fully(files: FileSystem, file: int, data: bytes, offset: int) -> None:
     """Write all of `data` at an offset; one call may write less than it is given. Raises `OSError`."""
     remaining = memoryview(data)
     while remaining:
--- a/dunlinloft/controlplane/loops.py
+++ b/dunlinloft/controlplane/loops.py
@@ -46,7 +46,7 @@
         components = self._components
         while True:
             components.replica_host.tick()
-            self._follow_view()
+            self._apply_view()
             components.publisher.set_confirmed(components.replica.has_confirmed_state(now_ms()))
             components.quotas.refill()
             components.registry.expire(now_ms())
@@ -56,7 +56,7 @@
                 components.publisher.publish_servers_complete()
             await asyncio.sleep(TICK_INTERVAL_S)
 
-    def _follow_view(self) -> None:
+    def _apply_view(self) -> None:
         """Shard quotas by the view in force, and send nodes the replicas in it.
 
         Without a view nobody has answered yet: the seeds in the settings file may have changed meanwhile.
@@ -68,7 +68,7 @@
             return
         addresses = tuple(member.address for member in view.roster)
         chain = tuple(member.address for member in view.chain)
-        components.quotas.follow_view(view)
+        components.quotas.apply_view(view)
         components.publisher.publish_view(
             ControlPlaneView(view.epoch, addresses, chain, components.nodes.active_count())
         )
--- a/dunlinloft/controlplane/member_cache.py
+++ b/dunlinloft/controlplane/member_cache.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from dunlinloft.controlplane.exceptions import MemberCacheError
-from dunlinloft.controlplane.file_layer import SYSTEM_FILES, FileLayer, write_fully
+from dunlinloft.controlplane.file_layer import OS_FILE_SYSTEM, FileSystem, write_fully
 from dunlinloft.coordination.stream import NodeLiveness, ServerRecord
 
 FORMAT_VERSION = 2
@@ -41,9 +41,9 @@
 class MemberCache:
     """The cache files of one data directory. Its methods wait for the disk; `DiskWriter` calls them."""
 
-    def __init__(self, folder: Path, files: FileLayer = SYSTEM_FILES) -> None:
+    def __init__(self, directory: Path, files: FileSystem = OS_FILE_SYSTEM) -> None:
         self._files = files
-        self._paths = (folder / "servers-0", folder / "servers-1")
+        self._paths = (directory / "servers-0", directory / "servers-1")
         self._generation = 0
 
     def read(self) -> CachedMembers:
@@ -73,7 +73,7 @@
             self._files.close(file)
 
 
-def _read_file(path: Path, files: FileLayer) -> _CacheFile:
+def _read_file(path: Path, files: FileSystem) -> _CacheFile:
     """Read and check one cache file. Raises `MemberCacheError`."""
     try:
         data = files.read(path)
--- a/dunlinloft/controlplane/node_publisher.py
+++ b/dunlinloft/controlplane/node_publisher.py
@@ -80,8 +80,8 @@
         if published_id == self._id:  # the entry only recorded that a change was rejected
             self._state = state
             return
-        follows = state.sequence == self._state.sequence + 1
-        is_update = entry is not None and entry.change.kind == ChangeKind.UPDATE and follows
+        is_next_state = state.sequence == self._state.sequence + 1
+        is_update = entry is not None and entry.change.kind == ChangeKind.UPDATE and is_next_state
         self._update = entry if is_update else None
         self._base_id = self._id
         self._state = state
@@ -105,7 +105,7 @@
                     subscription.sent_id = subscription.acknowledged_id
             self._publish_current()
 
-    def resend_after(self, subscription: NodeSubscription, current_id: ConfigurationId) -> None:
+    def on_fetch(self, subscription: NodeSubscription, current_id: ConfigurationId) -> None:
         """Send the state to a node that was notified of it, lacks it, and has `current_id` in force."""
         subscription.sent_id = current_id
         self._send_state(subscription)
@@ -131,12 +131,12 @@
             subscription.writer.send_frame(frame)
 
     def _publish_current(self) -> None:
-        notice = message_stream.encode_frame(ConfigurationAnnouncement(self._id))
+        announcement = message_stream.encode_frame(ConfigurationAnnouncement(self._id))
         for subscription in self.subscriptions:
             if subscription.receives_configurations:
                 self._send_state(subscription)
             else:
-                subscription.writer.send_frame(notice)
+                subscription.writer.send_frame(announcement)
 
     def _send_state(self, subscription: NodeSubscription) -> None:
         if not self._id.version or not self._id.supersedes(subscription.sent_id, self._confirmed):
--- a/dunlinloft/controlplane/peer_connections.py
+++ b/dunlinloft/controlplane/peer_connections.py
@@ -16,7 +16,7 @@
 
 RECONNECT_INTERVAL_S = 0.08
 IDLE_TIMEOUT_S = 60.0  # a connection on which nothing was sent for longer is closed: its replica has left
-MAX_EARLY_FRAMES = 64  # queued while the first attempt to connect is made
+MAX_QUEUED_FRAMES = 64  # queued while the first attempt to connect is made
 
 
 class PeerConnection:
@@ -29,14 +29,14 @@
     def __init__(self, address: str) -> None:
         self._address = address
         self._writer: message_stream.MessageWriter | None = None
-        self._early_frames: list[bytes] = []
+        self._queued_frames: list[bytes] = []
 
     def send_frame(self, frame: bytes) -> None:
         """Send an encoded message, or queue it while the connection is being made."""
         if self._writer is not None:
             self._writer.send_frame(frame)
-        elif len(self._early_frames) < MAX_EARLY_FRAMES:
-            self._early_frames.append(frame)
+        elif len(self._queued_frames) < MAX_QUEUED_FRAMES:
+            self._queued_frames.append(frame)
 
     async def run(self) -> None:
         """Keep the connection up until cancelled."""
@@ -44,13 +44,13 @@
             try:
                 reader, writer = await message_stream.connect(self._address)
             except ConnectError:
-                self._early_frames.clear()
+                self._queued_frames.clear()
                 await asyncio.sleep(RECONNECT_INTERVAL_S)
                 continue
             self._writer = message_stream.MessageWriter(writer)
-            for frame in self._early_frames:
+            for frame in self._queued_frames:
                 self._writer.send_frame(frame)
-            self._early_frames.clear()
+            self._queued_frames.clear()
             try:
                 await reader.read(1)  # the other side never writes here: this waits for the connection's end
             except OSError:
--- a/dunlinloft/controlplane/placement_service.py
+++ b/dunlinloft/controlplane/placement_service.py
@@ -19,7 +19,7 @@
 )
 from dunlinloft.transport.clock import now_ms
 
-NO_CAPACITY_RETRY_MS = 30.0  # delay of a request that rather waits than fails, where no server has a slot
+NO_CAPACITY_RETRY_DELAY_MS = 30.0  # for a request that waits while no server has a free slot
 
 
 class PlacementService:
@@ -43,7 +43,7 @@
         placement_id = PlacementId(stream_number, message.request_id)
         service = self._placements.service(message.service)
         server_id = service.assign(placement_id, request, message.excluded_servers, now_ms())
-        wait_ms = NO_CAPACITY_RETRY_MS if server_id is None and message.wait_for_capacity else 0.0
+        wait_ms = NO_CAPACITY_RETRY_DELAY_MS if server_id is None and message.wait_for_capacity else 0.0
         return PlacementReply(message.request_id, message.service, server_id or "", wait_ms)
 
     def on_local_placement(self, stream_number: int, message: LocalPlacement) -> None:
--- a/dunlinloft/controlplane/quota_service.py
+++ b/dunlinloft/controlplane/quota_service.py
@@ -55,11 +55,11 @@
         limits = {tenant.name: QuotaLimit(tenant.rate_per_s, tenant.burst) for tenant in tenants}
         self._owner.set_limits(limits)
 
-    def follow_view(self, view: View) -> None:
+    def apply_view(self, view: View) -> None:
         """Take over the quotas that this replica owns by a view, and hand over those it no longer owns."""
         chain = tuple(member.address for member in view.chain)
-        for given_up in self._owner.set_chain(view.epoch, chain, now_ms()):
-            self._send(given_up.new_owner, QuotaHandover(view.epoch, given_up.levels))
+        for handover in self._owner.set_chain(view.epoch, chain, now_ms()):
+            self._send(handover.new_owner, QuotaHandover(view.epoch, handover.levels))
 
     def refill(self) -> None:
         """Refill quotas for the time that has passed; called with every tick."""
@@ -89,7 +89,7 @@
         view = self._replica.view
         if view is not None:
             # The view may have been learned since the last tick: it ends what was owned by the one before.
-            self.follow_view(view)
+            self.apply_view(view)
         request = QuotaDemand(
             node,
             message.tenant,
@@ -99,16 +99,16 @@
             message.autonomous,
             message.is_retry,
         )
-        taken = self._owner.handle_request(request, self._replica.has_lease(now), now)
-        if isinstance(taken, NotQuotaOwner):
+        decision = self._owner.handle_request(request, self._replica.has_lease(now), now)
+        if isinstance(decision, NotQuotaOwner):
             return QuotaGrant(message.request_id, message.tenant, 0.0, 0.0, 0.0, 0.0, False)
-        amount = 0.0 if taken.wait_ms else message.amount
+        amount = 0.0 if decision.wait_ms else message.amount
         return QuotaGrant(
             message.request_id,
             message.tenant,
             amount,
-            taken.reserve,
-            taken.share,
-            taken.wait_ms,
-            scarce=taken.scarce,
+            decision.reserve,
+            decision.share,
+            decision.wait_ms,
+            scarce=decision.scarce,
         )
--- a/dunlinloft/controlplane/replica_host.py
+++ b/dunlinloft/controlplane/replica_host.py
@@ -44,7 +44,7 @@
         self._calls: dict[str, asyncio.Future[Reply]] = {}  # the operator's calls in flight, by token
         self._call_numbers = itertools.count(1)
 
-    def begin(self, initial_view: View | None) -> None:
+    def start(self, initial_view: View | None) -> None:
         """Start the replica, with the view to begin with where this is the first start of all."""
         self._perform(self._replica.start(initial_view))
 
--- a/dunlinloft/controlplane/server_registrar.py
+++ b/dunlinloft/controlplane/server_registrar.py
@@ -23,7 +23,7 @@
 from dunlinloft.transport.clock import now_ms
 
 REPLICATION_TIMEOUT_S = 0.8  # for a majority to take that a server leaves; the server waits a second
-REPLICATION_RETRY_S = 0.15  # what a replica has not acknowledged by then is resent
+REPLICATION_RETRY_INTERVAL_S = 0.15  # what a replica has not acknowledged by then is resent
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
     ----------
     address:
         This replica's internal listener.
-    in_contact:
+    view_with_majority_contact:
         Returns the view while this replica is in contact with a majority of its roster, else None.
     peer_addresses:
         Returns the addresses of all other control planes.
@@ -63,7 +63,7 @@
         registry: ServerRegistry,
         publisher: NodePublisher,
         placements: PlacementDirectory,
-        in_contact: Callable[[], View | None],
+        view_with_majority_contact: Callable[[], View | None],
         peer_addresses: Callable[[], set[str]],
         send: Callable[[str, Struct], None],
     ) -> None:
@@ -71,10 +71,10 @@
         self._registry = registry
         self._publisher = publisher
         self._placements = placements
-        self._in_contact = in_contact
+        self._view_with_majority_contact = view_with_majority_contact
         self._peer_addresses = peer_addresses
         self._send = send
-        self._numbers = itertools.count(1)
+        self._replication_numbers = itertools.count(1)
         self._replications: dict[int, _Replication] = {}  # under way, by number
         self._replicated: set[str] = set()  # servers of which a majority knows that they drain
 
@@ -82,7 +82,7 @@
         """Handle a server's heartbeat; True where it may be acknowledged."""
         self._registry.on_heartbeat(record, now_ms())
         self.publish_changes()
-        view = self._in_contact()
+        view = self._view_with_majority_contact()
         if view is None:
             return False
         if not record.draining or record.id in self._replicated:
@@ -93,7 +93,7 @@
         """Handle a server's deregistration; True where it may be acknowledged."""
         self._registry.on_deregistration(server_id, now_ms())
         self.publish_changes()
-        view = self._in_contact()
+        view = self._view_with_majority_contact()
         if view is None:
             return False
         return await self._replicate(view, server_id, (), (server_id,))
@@ -102,7 +102,7 @@
         self, view: View, server_id: str, records: tuple[ServerRecord, ...], left: tuple[str, ...]
     ) -> bool:
         """Send a change to the roster until a majority acknowledged it; False where time ran out first."""
-        number = next(self._numbers)
+        number = next(self._replication_numbers)
         replication = _Replication(view, set())
         self._replications[number] = replication
         replication.acknowledge(self._address)
@@ -124,7 +124,7 @@
             if member.address not in replication.acknowledged_by:
                 self._send(member.address, message)
         try:
-            async with asyncio.timeout(REPLICATION_RETRY_S):
+            async with asyncio.timeout(REPLICATION_RETRY_INTERVAL_S):
                 await replication.majority_reached.wait()
         except TimeoutError:
             return
--- a/dunlinloft/controlplane/startup.py
+++ b/dunlinloft/controlplane/startup.py
@@ -8,8 +8,8 @@
 from absl import logging
 
 from dunlinloft.controlplane.components import Components, build_components, build_replica
-from dunlinloft.controlplane.disk_writer import open_disk
-from dunlinloft.controlplane.file_layer import SYSTEM_FILES, FileLayer
+from dunlinloft.controlplane.disk_writer import open_disk_writer
+from dunlinloft.controlplane.file_layer import OS_FILE_SYSTEM, FileSystem
 from dunlinloft.controlplane.loops import PeriodicLoops
 from dunlinloft.controlplane.peer_connections import PeerConnections
 from dunlinloft.controlplane.store import MAX_LOG_BYTES
@@ -24,7 +24,7 @@
     live_settings: LiveSettings,
     started_ms: float,
     stack: AsyncExitStack,
-    files: FileLayer = SYSTEM_FILES,
+    files: FileSystem = OS_FILE_SYSTEM,
     max_log_bytes: int = MAX_LOG_BYTES,
 ) -> Components:
     """Open, build and start a control plane; `stack` closes everything in reverse order.
@@ -46,17 +46,19 @@
         The internal listener's address can't be used.
     """
     settings = live_settings.current
-    holds_state = settings.counts_for_quorum
-    folder = Path(settings.data_directory) if settings.data_directory and holds_state else None
+    counts_for_quorum = settings.counts_for_quorum
+    directory = Path(settings.data_directory) if settings.data_directory and counts_for_quorum else None
     first_incarnation = FIRST_INCARNATION if settings.bootstrap else None
-    disk = await stack.enter_async_context(open_disk(folder, first_incarnation, files, max_log_bytes))
+    disk = await stack.enter_async_context(
+        open_disk_writer(directory, first_incarnation, files, max_log_bytes)
+    )
     replica = build_replica(settings, disk.durable)
     members = await disk.read_members()
     peers = await stack.enter_async_context(PeerConnections())
     components = build_components(live_settings, started_ms, replica, disk, peers, members)
     address = settings.control_address(settings.ip_address)
-    begins = settings.bootstrap and holds_state and address in settings.seed_addresses()
-    components.replica_host.begin(initial_view(settings.seed_addresses()) if begins else None)
+    is_first_start = settings.bootstrap and counts_for_quorum and address in settings.seed_addresses()
+    components.replica_host.start(initial_view(settings.seed_addresses()) if is_first_start else None)
     host, port = split_host_port(address)
     await stack.enter_async_context(serve_streams(components.stream_services(), host, port))
     logging.info("event=started node=%s member=%s", settings.node_name, replica.local_member.id)
--- a/dunlinloft/controlplane/store.py
+++ b/dunlinloft/controlplane/store.py
@@ -19,7 +19,7 @@
     recover,
     snapshot_path,
 )
-from dunlinloft.controlplane.file_layer import SYSTEM_FILES, FileLayer, write_fully
+from dunlinloft.controlplane.file_layer import OS_FILE_SYSTEM, FileSystem, write_fully
 from dunlinloft.coordination.records import DurableState, Record, apply_record
 from dunlinloft.coordination.views import Member, View
 
@@ -36,9 +36,9 @@
 
     def __init__(
         self,
-        folder: Path,
+        directory: Path,
         first_incarnation: str | None,
-        files: FileLayer = SYSTEM_FILES,
+        files: FileSystem = OS_FILE_SYSTEM,
         max_log_bytes: int = MAX_LOG_BYTES,
     ) -> None:
         """Recover the directory's state, or begin one, and write it to the other slot.
@@ -60,11 +60,11 @@
         StoreError
             The directory was written in another format.
         """
-        self._folder = folder
+        self._directory = directory
         self._files = files
         self._max_log_bytes = max_log_bytes
-        files.make_folder(folder)
-        recovered = recover(folder, files)
+        files.make_directory(directory)
+        recovered = recover(directory, files)
         if recovered is None:
             recovered = RecoveredState(DurableState(first_incarnation or secrets.token_hex(8)), 1, 0)
         self.durable = recovered.durable
@@ -124,8 +124,8 @@
         slot = 1 - self._slot
         generation = self._generation + 1
         body = msgspec.json.encode(Snapshot(FORMAT_VERSION, generation, self.durable))
-        self._write_file(snapshot_path(self._folder, slot), encode_frame(body))
-        log = self._files.open(log_path(self._folder, slot))
+        self._write_file(snapshot_path(self._directory, slot), encode_frame(body))
+        log = self._files.open(log_path(self._directory, slot))
         try:
             self._files.truncate(log)
             self._files.sync(log)
@@ -138,7 +138,7 @@
         self._generation = generation
         self._next_number = 0
         self._log_bytes = 0
-        self._files.sync_folder(self._folder)
+        self._files.sync_directory(self._directory)
 
     def _write_file(self, path: Path, data: bytes) -> None:
         """Replace a file's content and sync it."""
@@ -151,7 +151,7 @@
             self._files.close(file)
 
 
-def begin_new_epoch(folder: Path, address: str, epoch: int) -> Member:
+def begin_new_epoch(directory: Path, address: str, epoch: int) -> Member:
     """Make a data directory the only member of a new epoch, in a new incarnation; return that member.
 
     For an operator (`dunlinloft state begin`), after more disks were lost than the deployment tolerates: what
@@ -166,7 +166,7 @@
     """
     incarnation = secrets.token_hex(8)
     member = Member(address, incarnation)
-    with ReplicaStore(folder, None) as store:
+    with ReplicaStore(directory, None) as store:
         durable = store.durable
         durable.incarnation = incarnation
         durable.view = View(epoch, (member,), (member,), 1)
@@ -175,7 +175,7 @@
         durable.synced_epoch = 0
         durable.committed_digest = durable.state.chain_digest
         store.write_snapshot()
-    with (folder / NEW_EPOCHS_FILE).open("a") as log:
+    with (directory / NEW_EPOCHS_FILE).open("a") as log:
         log.write(f"epoch {epoch} begun from version {durable.state.version} as {member.id}\n")
         log.flush()
         os.fsync(log.fileno())
--- a/dunlinloft/controlplane/stream_server.py
+++ b/dunlinloft/controlplane/stream_server.py
@@ -27,7 +27,7 @@
     def __init__(self, services: StreamServices, tasks: BackgroundTasks) -> None:
         self._services = services
         self._tasks = tasks
-        self._numbers = itertools.count(1)
+        self._stream_numbers = itertools.count(1)
 
     def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve a new connection."""
@@ -36,13 +36,15 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         message_stream.configure_socket(writer)
         message_writer = message_stream.MessageWriter(writer)
-        session = StreamSession(next(self._numbers), message_writer, self._services)
+        session = StreamSession(next(self._stream_numbers), message_writer, self._services)
         try:
-            end = await message_stream.read_messages(reader, _decoder, session.handle, STREAM_IDLE_TIMEOUT_S)
+            stream_end = await message_stream.read_messages(
+                reader, _decoder, session.handle, STREAM_IDLE_TIMEOUT_S
+            )
         finally:
             message_writer.abort()
             session.close()
-        if end is message_stream.StreamEnd.UNDECODABLE:
+        if stream_end is message_stream.StreamEnd.UNDECODABLE:
             logging.warning("event=refused_line peer=%s", writer.get_extra_info("peername"))
 
 
--- a/dunlinloft/controlplane/stream_session.py
+++ b/dunlinloft/controlplane/stream_session.py
@@ -59,7 +59,7 @@
     """
 
     def __init__(self, number: int, writer: MessageWriter, services: StreamServices) -> None:
-        self._number = number
+        self._stream_number = number
         self._writer = writer
         self._services = services
         self._subscription: NodeSubscription | None = None
@@ -92,7 +92,7 @@
         """
         if self._subscription is not None:
             self._services.publisher.unsubscribe(self._subscription)
-        self._services.placement.on_stream_closed(self._number)
+        self._services.placement.on_stream_closed(self._stream_number)
 
     def _subscribe(self, message: Subscribe) -> None:
         services = self._services
@@ -127,7 +127,7 @@
         services = self._services
         match message:
             case FetchConfiguration():
-                services.publisher.resend_after(subscription, message.current)
+                services.publisher.on_fetch(subscription, message.current)
             case ConfigurationApplied():
                 subscription.acknowledged_id = message.id
             case QuotaHoldingsReport():
@@ -145,13 +145,13 @@
         placement = self._services.placement
         match message:
             case PlacementQuery():
-                self._writer.send(placement.choose_server(self._number, message))
+                self._writer.send(placement.choose_server(self._stream_number, message))
             case LocalPlacement():
-                placement.on_local_placement(self._number, message)
+                placement.on_local_placement(self._stream_number, message)
             case PrefillCompleted():
-                placement.on_prefill_completed(self._number, message)
+                placement.on_prefill_completed(self._stream_number, message)
             case PlacementCompleted():
-                placement.on_completed(self._number, message)
+                placement.on_completed(self._stream_number, message)
 
     def _handle_peer(
         self, message: ServerHeartbeats | ServerHeartbeatsAck | QuotaHandover | NodeLivenessUpdate
--- a/lab/simulation/files.py
+++ b/lab/simulation/files.py
@@ -80,7 +80,7 @@
 
 
 class SimulatedFiles:
-    """One disk's files; implements `FileLayer`.
+    """One disk's files; implements `FileSystem`.
 
     Attributes
     ----------
@@ -101,9 +101,9 @@
         self.full = False
         self.operations: list[Operation] = []
 
-    # `FileLayer`.
+    # `FileSystem`.
 
-    def make_folder(self, folder: Path) -> None:
+    def make_directory(self, folder: Path) -> None:
         """Do nothing: there is one folder."""
 
     def read(self, path: Path) -> bytes | None:
@@ -141,7 +141,7 @@
         """Sync an open file's content."""
         self._do(SyncFile(self._descriptors[file]))
 
-    def sync_folder(self, folder: Path) -> None:
+    def sync_directory(self, folder: Path) -> None:
         """Sync the names."""
         self._do(SyncFolder())
 
--- a/tests/test_disk_writer.py
+++ b/tests/test_disk_writer.py
@@ -11,7 +11,7 @@
 
 from dunlinloft.controlplane import disk_writer
 from dunlinloft.controlplane.data_directory import recover
-from dunlinloft.controlplane.disk_writer import DiskWriter, open_disk
+from dunlinloft.controlplane.disk_writer import DiskWriter, open_disk_writer
 from dunlinloft.controlplane.member_cache import CachedMembers
 from dunlinloft.controlplane.store import ReplicaStore
 from dunlinloft.coordination.actions import Persist
@@ -34,7 +34,7 @@
 
 def test_records_are_reported_in_order_once_they_are_on_disk(tmp_path: Path) -> None:
     async def main() -> None:
-        async with open_disk(tmp_path, "0") as disk:
+        async with open_disk_writer(tmp_path, "0") as disk:
             assert await _persisted(disk, range(1, 6)) == [1, 2, 3, 4, 5]
 
     asyncio.run(main())
@@ -56,7 +56,7 @@
     monkeypatch.setattr(disk_writer, "DISK_RETRY_INTERVAL_S", 0.001)
 
     async def main() -> None:
-        async with open_disk(tmp_path, "0") as disk:
+        async with open_disk_writer(tmp_path, "0") as disk:
             assert await _persisted(disk, range(1, 2)) == [1]
 
     asyncio.run(main())
@@ -64,24 +64,24 @@
 
 
 def test_a_disk_that_refuses_to_open_is_tried_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    folder = tmp_path / "data"
-    folder.write_text("in the way")
+    directory = tmp_path / "data"
+    directory.write_text("in the way")
     monkeypatch.setattr(disk_writer, "DISK_RETRY_INTERVAL_S", 0.001)
 
     async def main() -> None:
         opened = asyncio.create_task(_open_and_close())
         await asyncio.sleep(0.02)
         assert not opened.done()
-        folder.unlink()
+        directory.unlink()
         async with asyncio.timeout(5.0):
             await opened
 
     async def _open_and_close() -> None:
-        async with open_disk(folder, "0"):
+        async with open_disk_writer(directory, "0"):
             pass
 
     asyncio.run(main())
-    assert recover(folder) is not None
+    assert recover(directory) is not None
 
 
 def test_closing_waits_for_the_write_in_progress(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -96,7 +96,7 @@
     monkeypatch.setattr(ReplicaStore, "append", write_slowly)
 
     async def main() -> None:
-        async with open_disk(tmp_path, "0") as disk:
+        async with open_disk_writer(tmp_path, "0") as disk:
             writing = asyncio.create_task(disk.run(lambda _: None))
             disk.write(Persist(1, SyncedRecord(3)))
             await asyncio.to_thread(began.wait, 5.0)
@@ -110,7 +110,7 @@
 
 def test_without_a_folder_records_count_as_durable_at_once() -> None:
     async def main() -> None:
-        async with open_disk(None, None) as disk:
+        async with open_disk_writer(None, None) as disk:
             assert disk.durable.incarnation == ""
             assert await _persisted(disk, range(1, 3)) == [1, 2]
             await disk.write_members(CachedMembers((), (NodeLiveness("n", 1.0),)))
@@ -123,10 +123,10 @@
     members = CachedMembers((), (NodeLiveness("n", 1.0),))
 
     async def main() -> None:
-        async with open_disk(tmp_path, "0") as disk:
+        async with open_disk_writer(tmp_path, "0") as disk:
             assert await disk.read_members() == CachedMembers()
             await disk.write_members(members)
-        async with open_disk(tmp_path, None) as disk:
+        async with open_disk_writer(tmp_path, None) as disk:
             assert await disk.read_members() == members
 
     asyncio.run(main())
--- a/tests/test_peer_connections.py
+++ b/tests/test_peer_connections.py
@@ -9,7 +9,7 @@
 import pytest
 
 from dunlinloft.controlplane import peer_connections
-from dunlinloft.controlplane.peer_connections import MAX_EARLY_FRAMES, PeerConnections
+from dunlinloft.controlplane.peer_connections import MAX_QUEUED_FRAMES, PeerConnections
 from dunlinloft.transport import message_stream
 from dunlinloft.transport.exceptions import ConnectError
 
@@ -90,7 +90,7 @@
 def test_messages_sent_while_connecting_are_kept_in_order_up_to_a_limit(
     play: Callable[..., _Dialer],
 ) -> None:
-    frames = [b"%d\n" % number for number in range(MAX_EARLY_FRAMES + 5)]
+    frames = [b"%d\n" % number for number in range(MAX_QUEUED_FRAMES + 5)]
 
     async def scene(peers: PeerConnections, dialer: _Dialer) -> None:
         for frame in frames:
@@ -99,7 +99,7 @@
         peers.send_frame(ADDRESS, b"later\n")
 
     (connection,) = play(scene).connections
-    assert connection.written == [*frames[:MAX_EARLY_FRAMES], b"later\n"]
+    assert connection.written == [*frames[:MAX_QUEUED_FRAMES], b"later\n"]
 
 
 def test_messages_are_dropped_where_no_connection_can_be_made(play: Callable[..., _Dialer]) -> None:
--- a/tests/test_simulated_machines.py
+++ b/tests/test_simulated_machines.py
@@ -237,7 +237,7 @@
     for seed in range(300):
         files = SimulatedFiles(random.Random(seed))
         _write(files, FILE, b"synced", 0, sync=True)
-        files.sync_folder(FILE.parent)
+        files.sync_directory(FILE.parent)
         _write(files, FILE, b"AAAA", 6, sync=False)
         _write(files, FILE, b"BBBB", 10, sync=False)
         files.lose_power()
@@ -274,7 +274,7 @@
     """The file after three writes in one call that a crash interrupts."""
     loop = SimulatedEventLoop()  # type: ignore[abstract]
     disk = SimulatedDisk(loop, random.Random(seed))
-    disk.files.sync_folder(FILE.parent)
+    disk.files.sync_directory(FILE.parent)
 
     def call() -> None:
         for number in range(3):
