--- a/dunlinloft/controlplane/__init__.py
+++ b/dunlinloft/controlplane/__init__.py
@@ -1,6 +1,6 @@
-"""The control plane: the operator's API, the servers' heartbeats, and the configuration and its distribution.
+"""The control plane: operator API, server heartbeats, and configuration storage and distribution.
 
-`process` is the program; `components` builds what it consists of and shows who uses whom. The decisions are
-in `dunlinloft.coordination`, which does no input or output; the modules here host them on sockets, a disk and
-the clock. Imported by nothing but its own `__main__` and `dunlinloft state`, which reads data directories.
+`process` is the entry point; `components` builds the object graph. The protocol logic is in
+`dunlinloft.coordination`, which does no I/O; the modules here connect it to sockets, the disk and the clock.
+Only its own `__main__` and `dunlinloft state`, which reads data directories, import this package.
 """
--- a/dunlinloft/controlplane/__main__.py
+++ b/dunlinloft/controlplane/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m dunlinloft.controlplane`: the settings are in the file that DUNLINLOFT_CONFIG names."""
+"""Entry point of `python -m dunlinloft.controlplane`; DUNLINLOFT_CONFIG names the settings file."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def load(settings: Settings) -> Program:
-    """Build the program; what it needs is imported here, once the settings are known to be usable."""
+    """Build the program. Its modules are imported here, after the settings have been validated."""
 
     from dunlinloft.controlplane.process import ControlPlane
 
@@ -19,7 +19,7 @@
 
 
 if __name__ == "__main__":
-    gc.disable()  # nothing that imports make is garbage; `run_program` enables it
+    gc.disable()  # imports create no garbage worth collecting; `run_program` enables the collector
     from dunlinloft.transport.program import run_program
 
     run_program(load)
--- a/dunlinloft/controlplane/commit_handler.py
+++ b/dunlinloft/controlplane/commit_handler.py
@@ -1,4 +1,4 @@
-"""What a committed configuration changes on this control plane."""
+"""Applies committed configurations on this control plane and publishes them to the nodes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CommitHandler:
-    """Sends committed configurations to the nodes, and puts them in force here."""
+    """Publishes committed configurations to the nodes and applies them locally."""
 
     def __init__(self, publisher: NodePublisher, quotas: QuotaService, placement: PlacementService) -> None:
         self._publisher = publisher
@@ -21,10 +21,10 @@
         self._placement = placement
 
     def on_commit(self, state: ChainState, entry: LogEntry | None) -> None:
-        """Handle a committed state; `entry` is what made it of the one before, where that is known.
+        """Handle a committed state; `entry` is the log entry that produced it, if known.
 
-        A configuration that this program can't use is logged; nodes get it all the same, as they may run
-        another version of it.
+        A configuration that is invalid for this program version is logged and not applied here. It is still
+        published, because nodes may run another version that accepts it.
         """
         self._publisher.publish_state(state, entry)
         try:
--- a/dunlinloft/controlplane/components.py
+++ b/dunlinloft/controlplane/components.py
@@ -1,4 +1,4 @@
-"""Builds what a control plane consists of; shows who uses whom."""
+"""Builds the object graph of a control plane."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 
 class Components(Struct, frozen=True):
-    """One control plane, complete: nothing in it is added later.
+    """All components of one control plane.
 
-    A `Struct`, never encoded: to define a dataclass of this size takes a start some 2 ms.
+    A `Struct`, although it is never encoded: defining a dataclass of this size adds about 2 ms to startup.
     """
 
     replica: Replica
@@ -49,7 +49,7 @@
     settings: LiveSettings
 
     def stream_services(self) -> StreamServices:
-        """What the internal listener's sessions hand messages to."""
+        """The services that handle messages received on the internal listener."""
         return StreamServices(
             replica_host=self.replica_host,
             nodes=self.nodes,
@@ -62,7 +62,7 @@
 
 
 def build_replica(settings: Settings, durable: DurableState) -> Replica:
-    """The replica's state machine, with the durable state that was recovered."""
+    """Build the replica's state machine from the recovered durable state."""
     incarnation = durable.incarnation or secrets.token_hex(8)
     return Replica(
         Member(settings.control_address(settings.ip_address), incarnation),
@@ -84,14 +84,14 @@
     peers: PeerConnections,
     members: CachedMembers,
 ) -> Components:
-    """Build a complete control plane; nothing runs or is sent yet.
+    """Build all components of a control plane; no task is started and no message is sent yet.
 
     Parameters
     ----------
     started_ms:
-        When the process started, on the clock of `now_ms`: from then on heartbeats could be received.
+        Start time of the process on the `now_ms` clock; heartbeats can have been received from then on.
     members:
-        The servers and nodes known before this start.
+        Servers and nodes cached before this start.
     """
     settings = live_settings.current
     address = settings.control_address(settings.ip_address)
@@ -133,7 +133,7 @@
 
 
 def _validate(document: Document, change: ConfigurationChange) -> Valid | Invalid:
-    """Validate a change; what that needs is imported with the first one, so that a start is quick."""
+    """Validate a change. The validation module is imported on first use to keep startup fast."""
     from dunlinloft.validation import validate
 
     return validate(document, change)
--- a/dunlinloft/controlplane/data_directory.py
+++ b/dunlinloft/controlplane/data_directory.py
@@ -1,12 +1,12 @@
-"""The files of a replica's data directory, and what they recover to.
+"""File format of a replica's data directory, and recovery from it.
 
-There are two slots that are written in turn. Each holds a snapshot of all the replica's durable state,
-followed by a short write-ahead log of the records since. Snapshot and log carry the slot's generation, so
-that a log left from an earlier use of the slot is not replayed. Both files consist of frames: length, CRC-32
-and a JSON body. Reading a log ends at the first frame that is missing or torn. Recovery takes the readable
-snapshot of the highest generation and replays its log.
+Two slots are written alternately. Each holds a snapshot of the replica's complete durable state, followed by
+a short write-ahead log of later records. Snapshot and log carry the slot's generation, so that a log left
+over from an earlier use of the slot is not replayed. Both files consist of frames: length, CRC-32 and a JSON
+body. Reading a log stops at the first missing or torn frame. Recovery loads the valid snapshot with the
+highest generation and replays its log.
 
-`ReplicaStore` writes these files; `dunlinloft state` reads them beside a running process.
+`ReplicaStore` writes these files; `dunlinloft state` can read them while the process is running.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 FORMAT_VERSION = 1
 SLOTS = (0, 1)
 
-_FRAME_HEADER = struct.Struct("<II")  # length of the body, and its CRC-32
+_FRAME_HEADER = struct.Struct("<II")  # body length, CRC-32 of the body
 
 
 class Snapshot(Struct, frozen=True):
-    """The body of a slot's only frame."""
+    """The body of the single frame in a snapshot file."""
 
     format: int
     generation: int
@@ -37,15 +37,15 @@
 
 
 class LogRecord(Struct, frozen=True):
-    """The body of a frame in a log."""
+    """The body of one frame in a log file."""
 
     generation: int
-    number: int  # from 0, without a gap
+    number: int  # consecutive, starting at 0
     record: Record
 
 
 class RecoveredState(Struct, frozen=True):
-    """What a data directory recovers to, and the slot that is in use."""
+    """The state recovered from a data directory, and the slot and generation it came from."""
 
     durable: DurableState
     slot: int
@@ -57,17 +57,17 @@
 
 
 def encode_frame(body: bytes) -> bytes:
-    """Put a frame's header before its body."""
+    """Prefix a body with its frame header."""
     return _FRAME_HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
 def frame_size(body: bytes) -> int:
-    """Bytes that a frame with this body takes in its file."""
+    """Size in bytes of a frame with this body, including its header."""
     return _FRAME_HEADER.size + len(body)
 
 
 def intact_frames(data: bytes) -> list[bytes]:
-    """The bodies of the intact frames from the start of a file, up to the first that is missing or torn."""
+    """The bodies of all frames from the start of a file up to the first missing or torn one."""
     bodies = []
     offset = 0
     while offset + _FRAME_HEADER.size <= len(data):
@@ -81,22 +81,22 @@
 
 
 def snapshot_path(directory: Path, slot: int) -> Path:
-    """The file of a slot's snapshot."""
+    """Path of a slot's snapshot file."""
     return directory / f"slot-{slot}"
 
 
 def log_path(directory: Path, slot: int) -> Path:
-    """The file of the log that follows a slot's snapshot."""
+    """Path of the log file that follows a slot's snapshot."""
     return directory / f"log-{slot}"
 
 
 def read_snapshot(path: Path, files: FileSystem = OS_FILE_SYSTEM) -> Snapshot | None:
-    """Read a snapshot; None where it is missing or torn, as one of the two may be at any time.
+    """Read a snapshot; None if it is missing or torn, which is normal for one of the two slots.
 
     Raises
     ------
     UnsupportedFormatError
-        It was written in another format.
+        The snapshot was written in another format.
     OSError
         The file can't be read.
     """
@@ -118,7 +118,7 @@
 def read_log(path: Path, generation: int, files: FileSystem = OS_FILE_SYSTEM) -> list[Record]:
     """Read the records that follow a snapshot of this generation, up to the first missing or torn one.
 
-    Raises `OSError` where the file is there and can't be read.
+    Raises `OSError` if the file exists but can't be read.
     """
     data = files.read(path)
     if data is None:
@@ -136,12 +136,12 @@
 
 
 def recover(directory: Path, files: FileSystem = OS_FILE_SYSTEM) -> RecoveredState | None:
-    """Recover the state in a data directory; None where there is none.
+    """Recover the state stored in a data directory; None if it holds no valid snapshot.
 
     Raises
     ------
     UnsupportedFormatError
-        One of its snapshots was written in another format.
+        A snapshot was written in another format.
     OSError
         A file can't be read.
     """
--- a/dunlinloft/controlplane/disk_writer.py
+++ b/dunlinloft/controlplane/disk_writer.py
@@ -1,4 +1,4 @@
-"""The thread that waits for the disk, so that the event loop never does."""
+"""Performs blocking disk writes on a separate thread, so that the event loop never blocks on the disk."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from dunlinloft.coordination.actions import Persist
 from dunlinloft.coordination.records import DurableState, Record
 
-DISK_RETRY_INTERVAL_S = 0.2  # after a write that the disk refused
+DISK_RETRY_INTERVAL_S = 0.2  # after a failed disk operation
 
 
 class DiskWriter:
-    """Writes a replica's records in the order in which they are queued; made by `open_disk_writer`.
+    """Writes a replica's records in the order in which they were queued; created by `open_disk_writer`.
 
     Parameters
     ----------
     executor:
-        The one thread on which all calls wait for the disk, in the order in which they were made.
+        A single thread that runs all blocking disk calls in submission order.
     durable:
-        The durable state as it was recovered.
+        The recovered durable state.
     store, cache:
-        None for a process without a data directory: its records count as durable at once.
+        None for a process without a data directory; its records count as durable immediately.
     """
 
     def __init__(
@@ -48,29 +48,29 @@
         self._wake = asyncio.Event()
 
     async def read_members(self) -> CachedMembers:
-        """The servers and nodes that were known before this start."""
+        """Read the servers and nodes that were cached before this start."""
         if self._cache is None:
             return CachedMembers()
         return await asyncio.get_running_loop().run_in_executor(self._executor, self._cache.read)
 
     async def write_members(self, members: CachedMembers) -> None:
-        """Cache the servers and nodes known now. An `OSError` is logged and ignored: this is soft state."""
+        """Cache the known servers and nodes. An `OSError` is logged and ignored: this is soft state."""
         if self._cache is None:
             return
         try:
             await asyncio.get_running_loop().run_in_executor(self._executor, self._cache.write, members)
         except OSError as error:
-            logging.warning("event=disk_refused at=servers error=%s", error)
+            logging.warning("event=disk_error operation=write_members error=%s", error)
 
     def write(self, action: Persist) -> None:
-        """Queue a record that the replica wants to be durable."""
+        """Queue a record that the replica has to persist."""
         self._pending.append(action)
         self._wake.set()
 
     async def run(self, on_persisted: Callable[[int], None]) -> None:
-        """Write what is queued, many records in one sync, and call `on_persisted` with each one's token.
+        """Write queued records, one sync per batch, and call `on_persisted` with the token of each record.
 
-        One of the control plane's essential loops; it never ends.
+        This is one of the control plane's essential loops and runs until it is cancelled.
         """
         while True:
             await self._wake.wait()
@@ -85,14 +85,14 @@
                 on_persisted(action.token)
 
     async def _append(self, store: ReplicaStore, records: list[Record]) -> None:
-        """Append records, retrying until the disk accepts them."""
+        """Append records, retrying until the write succeeds."""
         loop = asyncio.get_running_loop()
         while True:
             try:
                 await loop.run_in_executor(self._executor, store.append, records)
                 return
             except OSError as error:
-                logging.error("event=disk_refused at=write error=%s", error)
+                logging.error("event=disk_error operation=append error=%s", error)
                 await asyncio.sleep(DISK_RETRY_INTERVAL_S)
 
 
@@ -103,19 +103,19 @@
     files: FileSystem = OS_FILE_SYSTEM,
     max_log_bytes: int = MAX_LOG_BYTES,
 ) -> AsyncIterator[DiskWriter]:
-    """Recover a data directory and write to it until the context ends; a write in progress is waited for.
+    """Recover a data directory and provide its writer; on exit, wait for a write in progress.
 
     Parameters
     ----------
     directory:
-        The data directory; None for a process whose state doesn't outlive it.
+        The data directory; None for a process that keeps its state in memory only.
     first_incarnation, files, max_log_bytes:
         See `ReplicaStore`.
 
     Raises
     ------
     StoreError
-        The directory was written in another format. Refusals by the disk are retried.
+        The directory was written in another format. An `OSError` is logged and the operation retried.
     """
     with ThreadPoolExecutor(1, "disk") as executor:
         if directory is None:
@@ -127,7 +127,7 @@
         try:
             yield DiskWriter(executor, store.durable, store, MemberCache(directory, files))
         finally:
-            # Queued behind the write in progress, which needs the file open.
+            # Queued on the executor behind a write in progress, which still needs the open file.
             loop.run_in_executor(executor, store.close)
 
 
@@ -137,5 +137,5 @@
         try:
             return await loop.run_in_executor(executor, open_store)
         except OSError as error:
-            logging.error("event=disk_refused at=open error=%s", error)
+            logging.error("event=disk_error operation=open error=%s", error)
             await asyncio.sleep(DISK_RETRY_INTERVAL_S)
--- a/dunlinloft/controlplane/exceptions.py
+++ b/dunlinloft/controlplane/exceptions.py
@@ -1,4 +1,4 @@
-"""The errors that the control plane raises."""
+"""Exceptions raised by the control plane."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 
 
 class ControlPlaneError(Exception):
-    """The base of all errors raised by `dunlinloft.controlplane`."""
+    """Base class of all errors raised by `dunlinloft.controlplane`."""
 
 
 class StoreError(ControlPlaneError):
-    """A replica's data directory can't be used; the text names the file and the reason."""
+    """A replica's data directory is unusable; the message names the file and the reason."""
 
 
 class UnsupportedFormatError(StoreError):
-    """A snapshot has a format that this program can't read.
+    """A snapshot has a format that this program version can't read.
 
     Attributes
     ----------
     path:
-        The snapshot's file.
+        The snapshot file.
     found:
         The format number in the file.
     """
 
     def __init__(self, path: Path, found: int, expected: int) -> None:
-        super().__init__(f"{path}: format {found}, expected {expected}")
+        super().__init__(f"{path}: unsupported format {found}, expected {expected}")
         self.path = path
         self.found = found
 
 
 class MemberCacheError(ControlPlaneError):
-    """A file of the member cache is missing, damaged or of another format."""
+    """A member cache file is missing, corrupt or in another format."""
 
     def __init__(self, path: Path, reason: object) -> None:
         super().__init__(f"{path}: {reason}")
@@ -39,8 +39,8 @@
 
 
 class BodyTooLargeError(ControlPlaneError):
-    """The body of an HTTP request exceeds its limit."""
+    """The body of an HTTP request exceeds its size limit."""
 
     def __init__(self, limit_bytes: int) -> None:
-        super().__init__(f"a body of at most {limit_bytes} bytes expected")
+        super().__init__(f"request body exceeds {limit_bytes} bytes")
         self.limit_bytes = limit_bytes
--- a/dunlinloft/controlplane/file_layer.py
+++ b/dunlinloft/controlplane/file_layer.py
@@ -1,7 +1,7 @@
-"""The file operations that a data directory needs, apart from the code that decides what is written.
+"""The file operations that a data directory needs, behind an interface.
 
-`OsFileSystem` makes them on the operating system. The lab puts a simulated disk in its place, which loses
-what was not synced, refuses writes or stalls.
+`OsFileSystem` implements them with system calls. The lab substitutes a simulated disk that loses unsynced
+data, fails writes or stalls.
 """
 
 from __future__ import annotations
@@ -14,72 +14,72 @@
 
 
 class FileSystem(Protocol):
-    """File operations as POSIX has them. All may raise `OSError`."""
+    """File operations with POSIX semantics. All may raise `OSError`."""
 
     def make_directory(self, directory: Path) -> None:
-        """Create a folder with its parents, where it is not there yet."""
+        """Create a directory and its parents if they don't exist."""
 
     def read(self, path: Path) -> bytes | None:
-        """Return a file's content; None where there is no such file."""
+        """Return a file's content; None if it doesn't exist."""
 
     def open(self, path: Path) -> int:
-        """Open a file for writing, created where it is missing; return its descriptor."""
+        """Open a file for writing, creating it if it doesn't exist; return its descriptor."""
 
     def truncate(self, file: int) -> None:
-        """Set an open file's length to 0."""
+        """Truncate an open file to length 0."""
 
     def write(self, file: int, data: memoryview, offset: int) -> int:
-        """Write at an offset; return how many bytes were written, which may be fewer than given."""
+        """Write at an offset; return the number of bytes written, which may be less than `len(data)`."""
 
     def sync(self, file: int) -> None:
-        """Wait until an open file's content and length are on the disk."""
+        """Flush an open file's content and metadata to disk (fsync)."""
 
     def sync_data(self, file: int) -> None:
-        """Wait until an open file's content is on the disk, and its length where reading needs that."""
+        """Flush an open file's content, and the metadata needed to read it, to disk (fdatasync)."""
 
     def sync_directory(self, directory: Path) -> None:
-        """Wait until a folder's entries are on the disk, so that new files are found after a crash."""
+        """Flush a directory's entries to disk, so that newly created files survive a crash."""
 
     def close(self, file: int) -> None:
-        """Close a descriptor."""
+        """Close a file descriptor."""
 
 
 class OsFileSystem:
-    """The operating system's files."""
+    """`FileSystem` on the operating system's files."""
 
     def make_directory(self, directory: Path) -> None:
-        """Create a folder with its parents, where it is not there yet."""
+        """Create a directory and its parents if they don't exist."""
         directory.mkdir(parents=True, exist_ok=True)
 
     def read(self, path: Path) -> bytes | None:
-        """Return a file's content; None where there is no such file."""
+        """Return a file's content; None if it doesn't exist."""
         try:
             return path.read_bytes()
         except FileNotFoundError:
             return None
 
     def open(self, path: Path) -> int:
-        """Open a file for writing, created where it is missing; return its descriptor."""
+        """Open a file for writing, creating it if it doesn't exist; return its descriptor."""
         return os.open(path, os.O_RDWR | os.O_CREAT, FILE_MODE)
 
     def truncate(self, file: int) -> None:
-        """Set an open file's length to 0."""
+        """Truncate an open file to length 0."""
         os.ftruncate(file, 0)
 
     def write(self, file: int, data: memoryview, offset: int) -> int:
-        """Write at an offset; return how many bytes were written, which may be fewer than given."""
+        """Write at an offset; return the number of bytes written, which may be less than `len(data)`."""
         return os.pwrite(file, data, offset)
 
     def sync(self, file: int) -> None:
-        """Wait until an open file's content and length are on the disk."""
+        """Flush an open file's content and metadata to disk (fsync)."""
         os.fsync(file)
 
     def sync_data(self, file: int) -> None:
-        """Wait until an open file's content is on the disk, and its length where reading needs that."""
+        """Flush an open file's content, and the metadata needed to read it, to disk (fdatasync)."""
         os.fdatasync(file)
 
     def sync_directory(self, directory: Path) -> None:
-        """Wait until a folder's entries are on the disk, so that new files are found after a crash."""
+        """Flush a directory's entries to disk, so that newly created files survive a crash."""
         descriptor = os.open(directory, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -87,7 +87,7 @@
             os.close(descriptor)
 
     def close(self, file: int) -> None:
-        """Close a descriptor."""
+        """Close a file descriptor."""
         os.close(file)
 
 
@@ -95,7 +95,7 @@
 
 
 def write_fully(files: FileSystem, file: int, data: bytes, offset: int) -> None:
-    """Write all of `data` at an offset; one call may write less than it is given. Raises `OSError`."""
+    """Write all of `data` at an offset, continuing after short writes. Raises `OSError`."""
     remaining = memoryview(data)
     while remaining:
         written = files.write(file, remaining, offset)
--- a/dunlinloft/controlplane/http_api.py
+++ b/dunlinloft/controlplane/http_api.py
@@ -1,9 +1,9 @@
-"""The HTTP API: what servers and the operator call.
+"""The HTTP API for servers and the operator.
 
 =========================================  ==================================================
 POST /instances/{server id}/heartbeat      a server's heartbeat
-POST /instances/{server id}/deregister     a server ends
-POST /configuration/replace, .../update    an operator's change; `X-Base-Version` names its base
+POST /instances/{server id}/deregister     a server shuts down
+POST /configuration/replace, .../update    a configuration change based on version `X-Base-Version`
 GET /configuration/describe                the committed configuration
 =========================================  ==================================================
 """
@@ -32,7 +32,7 @@
 
 
 class Heartbeat(msgspec.Struct):
-    """The body of a heartbeat; fields that are not named here are ignored."""
+    """The body of a heartbeat request; unknown fields are ignored."""
 
     service: str
     address: str
@@ -49,14 +49,14 @@
 
 
 class HttpApi:
-    """Decodes calls, hands them on, and encodes their outcomes.
+    """Decodes requests, dispatches them to the replica or the registrar, and encodes the responses.
 
     Parameters
     ----------
     call:
-        Makes an operator's call, a read where the change is None (`ReplicaHost.call`).
+        Performs an operator request, a read if the change is None (`ReplicaHost.call`).
     heartbeat, deregister:
-        Handle a server's call; True where it may be acknowledged (`ServerRegistrar`).
+        Handle a server's request; return True if it may be acknowledged (`ServerRegistrar`).
     """
 
     def __init__(
@@ -70,11 +70,11 @@
         self._deregister = deregister
 
     async def handle(self, request: BaseRequest) -> StreamResponse:
-        """Answer one call."""
+        """Handle one HTTP request."""
         try:
             return await self._route(request)
         except BodyTooLargeError:
-            return json_response(413, "the body is too large")
+            return json_response(413, "request body too large")
 
     async def _route(self, request: BaseRequest) -> StreamResponse:
         segments = request.path.strip("/").split("/")
@@ -88,13 +88,13 @@
                 return await self._on_change(request, kind)
             case ("GET", ["configuration", "describe"]):
                 return await self._on_describe()
-        return json_response(404, "no such call")
+        return json_response(404, "no such endpoint")
 
     async def _on_heartbeat(self, server_id: str, body: bytes) -> StreamResponse:
         try:
             heartbeat = _heartbeat_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return json_response(400, f"heartbeat: {error}")
+            return json_response(400, f"invalid heartbeat: {error}")
         record = ServerRecord(
             server_id,
             heartbeat.service,
@@ -113,11 +113,11 @@
         data = await read_body(request, MAX_CONFIGURATION_BYTES)
         base = request.headers.get(BASE_VERSION_HEADER, "")
         if not base.isdecimal():
-            return json_response(400, f"{BASE_VERSION_HEADER}: a whole number expected")
+            return json_response(400, f"{BASE_VERSION_HEADER} header must be a non-negative integer")
         document = parse_document(data)
         if isinstance(document, Invalid):
             return json_response(400, document.reason)
-        # The digest covers the bytes as they were sent: the same bytes resent are the same change.
+        # The digest covers the raw request bytes, so that a retry with the same bytes is the same change.
         digest = hashlib.blake2b(f"{kind}/{int(base)}/".encode() + data, digest_size=16).hexdigest()
         reply = await self._call(ConfigurationChange(kind, int(base), digest, document))
         return json_response(reply.status, reply.reason)
@@ -127,13 +127,13 @@
         if reply.status != 200:
             return json_response(reply.status, reply.reason)
         if not reply.version:
-            return json_response(404, "no configuration has been taken yet")
+            return json_response(404, "no configuration has been committed yet")
         body = msgspec.json.encode(reply.document)
         return Response(status=200, body=body, content_type="application/json")
 
 
 async def read_body(request: BaseRequest, limit_bytes: int) -> bytes:
-    """Read a request's body. Raises `BodyTooLargeError`."""
+    """Read a request's body up to a limit. Raises `BodyTooLargeError`."""
     chunks: list[bytes] = []
     length = 0
     async for chunk in request.content.iter_chunked(READ_CHUNK_BYTES):
@@ -145,24 +145,24 @@
 
 
 def parse_document(data: bytes) -> Document | Invalid:
-    """Parse the body of a change; `Invalid` says what is wrong with it."""
+    """Parse the body of a configuration change; `Invalid` gives the reason if it can't be parsed."""
     try:
         document = json.loads(data)
     except (ValueError, RecursionError):
-        return Invalid("the body is not JSON that can be read whole")
+        return Invalid("request body is not valid JSON or is nested too deeply")
     if not isinstance(document, dict):
-        return Invalid("the body: an object expected")
+        return Invalid("request body must be a JSON object")
     return document
 
 
 def json_response(status: int, reason: str = "") -> Response:
-    """A response that gives its reason, where there is one, in its body."""
+    """Build a JSON response whose body contains the reason, if there is one."""
     body = msgspec.json.encode({"reason": reason} if reason else {})
     return Response(status=status, body=body, content_type="application/json")
 
 
 def _acknowledgement(acknowledged: bool) -> Response:
-    """The response to a server: one that isn't acknowledged here turns to another control plane."""
+    """The response to a server; on 503 the server retries at another control plane."""
     if acknowledged:
         return json_response(200)
-    return json_response(503, "this control plane can't pass it on now")
+    return json_response(503, "no confirmation by a majority of control planes")
--- a/dunlinloft/controlplane/loops.py
+++ b/dunlinloft/controlplane/loops.py
@@ -1,6 +1,6 @@
-"""The control plane's periodic work: ticks, keep-alives, and exchanges with other replicas.
+"""The control plane's periodic tasks: ticks, keep-alives, and exchanges with other replicas.
 
-Each loop is essential (`run_essential`): one that fails ends the process.
+Each loop runs under `run_essential`: if one fails, the process exits.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 from dunlinloft.transport import message_stream
 from dunlinloft.transport.clock import now_ms
 
-TICK_INTERVAL_S = 0.05  # the replica's time-outs are 100 ms and more
-KEEPALIVE_INTERVAL_S = 0.3  # a node takes a replica for unreachable after 0.7 s without a message
-HEARTBEAT_RELAY_INTERVAL_S = 0.3  # of servers' heartbeats that changed nothing; changes are relayed at once
+TICK_INTERVAL_S = 0.05  # the replica's timeouts are at least 100 ms
+KEEPALIVE_INTERVAL_S = 0.3  # a node treats a replica as unreachable after 0.7 s without a message
+HEARTBEAT_RELAY_INTERVAL_S = 0.3  # heartbeats without a state change; changes are relayed immediately
 NODE_EXCHANGE_INTERVAL_S = 1.0
-MEMBER_CACHE_INTERVAL_S = 1.0  # between checks whether other servers or nodes are known than those on disk
+MEMBER_CACHE_INTERVAL_S = 1.0  # between comparisons of the known members with those on disk
 
 
 class PeriodicLoops:
-    """The loops over a control plane's components."""
+    """Creates the coroutines of all periodic tasks."""
 
     def __init__(self, components: Components) -> None:
         self._components = components
         self._completeness_published = False
 
     def coroutines(self) -> list[Coroutine[Any, Any, None]]:
-        """All loops, in the order in which they are to be started."""
+        """All loops, in start order."""
         disk = self._components.disk
         return [
             disk.run(self._components.replica_host.on_persisted),
@@ -42,7 +42,7 @@
         ]
 
     async def _tick(self) -> None:
-        """Advance everything that depends on time."""
+        """Advance all time-dependent components."""
         components = self._components
         while True:
             components.replica_host.tick()
@@ -57,9 +57,10 @@
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def _apply_view(self) -> None:
-        """Shard quotas by the view in force, and send nodes the replicas in it.
+        """Shard quotas by the current view, and publish its replicas to the nodes.
 
-        Without a view nobody has answered yet: the seeds in the settings file may have changed meanwhile.
+        Without a view no replica has responded yet; the seed addresses are refreshed, since the settings
+        file may have changed.
         """
         components = self._components
         view = components.replica.view
@@ -74,21 +75,21 @@
         )
 
     async def _relay_heartbeats(self) -> None:
-        """Relay servers' heartbeats to other replicas, and close connections to replicas that left."""
+        """Relay server heartbeats to other replicas, and close idle connections to departed replicas."""
         while True:
             await asyncio.sleep(HEARTBEAT_RELAY_INTERVAL_S)
             self._components.registrar.relay_heartbeats()
             self._components.peers.close_idle()
 
     async def _keep_alive(self) -> None:
-        """Show all subscribed nodes that this replica is there."""
+        """Send keep-alives to all subscribed nodes."""
         frame = message_stream.encode_frame(ControlKeepalive())
         while True:
             await asyncio.sleep(KEEPALIVE_INTERVAL_S)
             self._components.publisher.broadcast(frame)
 
     async def _exchange_nodes(self) -> None:
-        """Send other replicas the data-plane nodes known here."""
+        """Send other replicas the liveness of all known data-plane nodes."""
         components = self._components
         while True:
             await asyncio.sleep(NODE_EXCHANGE_INTERVAL_S)
@@ -99,7 +100,7 @@
                 components.peers.send_frame(address, frame)
 
     async def _cache_members(self) -> None:
-        """Write the servers and nodes known here to disk whenever there are others than before."""
+        """Write the known servers and nodes to disk whenever their set of names has changed."""
         components = self._components
         cached_names: set[str] = set()
         while True:
--- a/dunlinloft/controlplane/member_cache.py
+++ b/dunlinloft/controlplane/member_cache.py
@@ -1,8 +1,8 @@
-"""The servers and nodes known last, cached on disk so that a restart of the fleet need not wait for them.
+"""An on-disk cache of known servers and nodes, so that a full restart need not wait for them to register.
 
-This is soft state: two files written in turn, not synced, and what can't be read is done without. A server
-that ended meanwhile answers nothing, or 421 as its address belongs to another by now; it is dropped once its
-heartbeats have been missing for the registry's time-out.
+This is soft state: two files are written alternately without a sync, and unreadable files are ignored. A
+server that stopped in the meantime doesn't respond, or its address responds 421 because another server uses
+it now; it is dropped once its heartbeats have been missing for the registry's timeout.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 
 class CachedMembers(Struct, frozen=True):
-    """The servers and data-plane nodes that were known at one time."""
+    """A snapshot of the known servers and data-plane nodes."""
 
     servers: tuple[ServerRecord, ...] = ()
     nodes: tuple[NodeLiveness, ...] = ()
 
 
 class _CacheFile(Struct, frozen=True):
-    """The body of a cache file, which follows a line with the body's CRC-32."""
+    """The body of a cache file; the file starts with a line holding the body's CRC-32."""
 
     format: int
     generation: int
@@ -39,7 +39,7 @@
 
 
 class MemberCache:
-    """The cache files of one data directory. Its methods wait for the disk; `DiskWriter` calls them."""
+    """The cache files of one data directory. Methods block on disk I/O; `DiskWriter` calls them."""
 
     def __init__(self, directory: Path, files: FileSystem = OS_FILE_SYSTEM) -> None:
         self._files = files
@@ -47,16 +47,16 @@
         self._generation = 0
 
     def read(self) -> CachedMembers:
-        """The members of the newest file that can be read; none where there is no such file."""
-        found = []
+        """Return the members in the newest readable file; no members if no file is readable."""
+        readable = []
         for path in self._paths:
             try:
-                found.append(_read_file(path, self._files))
+                readable.append(_read_file(path, self._files))
             except MemberCacheError:
                 continue
-        if not found:
+        if not readable:
             return CachedMembers()
-        newest = max(found, key=lambda file: file.generation)
+        newest = max(readable, key=lambda file: file.generation)
         self._generation = newest.generation
         return newest.known
 
@@ -78,13 +78,13 @@
     try:
         data = files.read(path)
         if data is None:
-            raise MemberCacheError(path, "no such file")
+            raise MemberCacheError(path, "file not found")
         checksum, _, body = data.partition(b"\n")
         if int(checksum) != zlib.crc32(body):
-            raise MemberCacheError(path, "wrong checksum")
+            raise MemberCacheError(path, "checksum mismatch")
         file = _decoder.decode(body)
     except (OSError, ValueError, msgspec.DecodeError) as error:
         raise MemberCacheError(path, error) from error
     if file.format != FORMAT_VERSION:
-        raise MemberCacheError(path, f"format {file.format}, expected {FORMAT_VERSION}")
+        raise MemberCacheError(path, f"unsupported format {file.format}, expected {FORMAT_VERSION}")
     return file
--- a/dunlinloft/controlplane/node_publisher.py
+++ b/dunlinloft/controlplane/node_publisher.py
@@ -1,7 +1,7 @@
-"""What data-plane nodes are sent on their streams: configurations, servers, and the replicas there are.
+"""Publishes configurations, servers and the control plane's membership to data-plane nodes on their streams.
 
-A node's stream either receives configurations, as deltas where it has the one before, or is only notified of
-versions and fetches what it lacks (`NodeSubscription.receives_configurations`).
+A stream either receives configurations, as a delta if the node has the previous one, or only announcements
+of versions, in which case the node fetches what it lacks (`NodeSubscription.receives_configurations`).
 """
 
 from __future__ import annotations
@@ -28,30 +28,30 @@
 
     node: str
     writer: message_stream.MessageWriter
-    sent_id: ConfigurationId  # of the configuration sent last
-    acknowledged_id: ConfigurationId  # of the configuration that it said it has in force
-    receives_configurations: bool  # else versions alone
+    sent_id: ConfigurationId  # configuration sent last
+    acknowledged_id: ConfigurationId  # configuration that the node reported as applied
+    receives_configurations: bool  # if false, only version announcements
 
 
 class NodePublisher:
     """Keeps all subscribed nodes up to date.
 
-    Fed by `CommitHandler` (configurations), `ServerRegistrar` (servers) and the periodic loops (replicas,
-    confirmation); subscriptions come from `StreamSession`.
+    `CommitHandler` publishes configurations, `ServerRegistrar` servers, and the periodic loops the replicas
+    and the confirmation state; `StreamSession` adds and removes subscriptions.
     """
 
     def __init__(self) -> None:
-        self.subscriptions: dict[NodeSubscription, None] = {}  # in the order of subscribing
+        self.subscriptions: dict[NodeSubscription, None] = {}  # an ordered set, in subscription order
         self._state = ChainState()
         self._id = ConfigurationId()
-        self._base_id = ConfigurationId()  # of the configuration that `_update` changed
+        self._base_id = ConfigurationId()  # configuration that `_update` applies to
         self._update: LogEntry | None = None
         self._confirmed = False
-        self._frames_by_form: dict[bool, bytes] = {}  # of the state: True as a delta, False in full
+        self._frames_by_form: dict[bool, bytes] = {}  # encoded state; True: delta, False: full
         self._view: ControlPlaneView | None = None
 
     def subscribe(self, subscription: NodeSubscription, servers: ServerSnapshot) -> None:
-        """Add a node, and send it what it lacks: the replicas, servers, then the configuration."""
+        """Add a node and send it, in this order, the replicas, the servers and the configuration."""
         self.subscriptions[subscription] = None
         if self._view is not None:
             subscription.writer.send(self._view)
@@ -62,7 +62,7 @@
             subscription.writer.send(ConfigurationAnnouncement(self._id))
 
     def unsubscribe(self, subscription: NodeSubscription) -> None:
-        """Remove a node whose stream ended."""
+        """Remove a node whose stream has closed."""
         self.subscriptions.pop(subscription, None)
 
     def publish_state(self, state: ChainState, entry: LogEntry | None) -> None:
@@ -71,13 +71,13 @@
         Parameters
         ----------
         entry:
-            What made the state of the one before, where that is known: an update that directly follows the
-            state published last is sent as a delta.
+            The log entry that produced the state, if known. An update that directly follows the last
+            published state is sent as a delta.
         """
         if state.sequence <= self._state.sequence:
             return
         published_id = ConfigurationId(state.version, state.configuration_digest)
-        if published_id == self._id:  # the entry only recorded that a change was rejected
+        if published_id == self._id:  # the entry only records a rejected change
             self._state = state
             return
         is_next_state = state.sequence == self._state.sequence + 1
@@ -92,8 +92,8 @@
     def set_confirmed(self, confirmed: bool) -> None:
         """Set whether a majority confirms the state of this replica.
 
-        A node that starts may wait for a confirmed configuration, so what was sent unconfirmed and has not
-        been acknowledged is resent once it is confirmed.
+        A starting node may wait for a confirmed configuration. Therefore a configuration that was sent
+        unconfirmed and has not been acknowledged is resent once it is confirmed.
         """
         if confirmed == self._confirmed:
             return
@@ -106,23 +106,23 @@
             self._publish_current()
 
     def on_fetch(self, subscription: NodeSubscription, current_id: ConfigurationId) -> None:
-        """Send the state to a node that was notified of it, lacks it, and has `current_id` in force."""
+        """Send the state to a node that requested it and has applied `current_id`."""
         subscription.sent_id = current_id
         self._send_state(subscription)
 
     def publish_servers(self, update: ServerUpdates) -> None:
-        """Publish which servers were added, changed or removed, if any were."""
+        """Publish which servers were added, changed or removed, if any."""
         if update.changed or update.removed:
             self.broadcast(message_stream.encode_frame(update))
 
     def publish_view(self, view: ControlPlaneView) -> None:
-        """Publish the control plane's membership, where it changed."""
+        """Publish the control plane's membership if it has changed."""
         if view != self._view:
             self._view = view
             self.broadcast(message_stream.encode_frame(view))
 
     def publish_servers_complete(self) -> None:
-        """Publish that every live server has had the time to register here."""
+        """Publish that every live server has had enough time to register here."""
         self.broadcast(message_stream.encode_frame(ServerSnapshotComplete()))
 
     def broadcast(self, frame: bytes) -> None:
--- a/dunlinloft/controlplane/peer_connections.py
+++ b/dunlinloft/controlplane/peer_connections.py
@@ -1,6 +1,7 @@
-"""Outgoing connections to other replicas: one for each address, reconnected whenever it ends.
+"""Outgoing connections to other replicas: one per address, re-established when lost.
 
-Messages to a replica travel on the connection that this side opened, its answers on the one that it opened.
+Connections are one-way: messages to a replica use the connection that this side opened, and its responses
+use the one that it opened.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 from dunlinloft.transport.tasks import BackgroundTasks
 
 RECONNECT_INTERVAL_S = 0.08
-IDLE_TIMEOUT_S = 60.0  # a connection on which nothing was sent for longer is closed: its replica has left
-MAX_QUEUED_FRAMES = 64  # queued while the first attempt to connect is made
+IDLE_TIMEOUT_S = 60.0  # unused connections are closed after this, since the replica has left
+MAX_QUEUED_FRAMES = 64  # frames queued per connection during the first connection attempt
 
 
 class PeerConnection:
     """Sends messages to one replica.
 
-    Delivery is best effort: what can't be sent now is dropped, as the coordination protocols repeat whatever
-    matters.
+    Delivery is best effort: messages that can't be sent are dropped, because the coordination protocols
+    retransmit everything that has to arrive.
     """
 
     def __init__(self, address: str) -> None:
@@ -32,14 +33,14 @@
         self._queued_frames: list[bytes] = []
 
     def send_frame(self, frame: bytes) -> None:
-        """Send an encoded message, or queue it while the connection is being made."""
+        """Send an encoded message, or queue it while the connection is being established."""
         if self._writer is not None:
             self._writer.send_frame(frame)
         elif len(self._queued_frames) < MAX_QUEUED_FRAMES:
             self._queued_frames.append(frame)
 
     async def run(self) -> None:
-        """Keep the connection up until cancelled."""
+        """Maintain the connection until cancelled."""
         while True:
             try:
                 reader, writer = await message_stream.connect(self._address)
@@ -52,7 +53,7 @@
                 self._writer.send_frame(frame)
             self._queued_frames.clear()
             try:
-                await reader.read(1)  # the other side never writes here: this waits for the connection's end
+                await reader.read(1)  # the peer never writes here, so this returns when it closes
             except OSError:
                 pass
             finally:
@@ -62,7 +63,7 @@
 
 
 class _OpenConnection(msgspec.Struct):
-    """A connection, the task that runs it, and when it was last used (seconds of the event loop's clock)."""
+    """A connection, the task that runs it, and its last use in seconds on the event loop's clock."""
 
     connection: PeerConnection
     task: asyncio.Task[None]
@@ -70,7 +71,7 @@
 
 
 class PeerConnections:
-    """All connections to other replicas, by address; as a context manager, the owner of their tasks."""
+    """All connections to other replicas, by address; an async context manager that owns their tasks."""
 
     def __init__(self) -> None:
         self._open: dict[str, _OpenConnection] = {}
@@ -93,7 +94,7 @@
         self.send_frame(address, message_stream.encode_frame(message))
 
     def send_frame(self, address: str, frame: bytes) -> None:
-        """Send an encoded message to the replica at an address, opening a connection where there is none."""
+        """Send an encoded message to the replica at an address, opening a connection if there is none."""
         now_s = asyncio.get_running_loop().time()
         opened = self._open.get(address)
         if opened is None:
@@ -104,7 +105,7 @@
         opened.connection.send_frame(frame)
 
     def close_idle(self) -> None:
-        """Close connections that have not been used for `IDLE_TIMEOUT_S`."""
-        oldest_s = asyncio.get_running_loop().time() - IDLE_TIMEOUT_S
-        for address in [address for address, opened in self._open.items() if opened.last_used_s < oldest_s]:
+        """Close connections unused for `IDLE_TIMEOUT_S`."""
+        cutoff_s = asyncio.get_running_loop().time() - IDLE_TIMEOUT_S
+        for address in [address for address, opened in self._open.items() if opened.last_used_s < cutoff_s]:
             self._open.pop(address).task.cancel()
--- a/dunlinloft/controlplane/placement_service.py
+++ b/dunlinloft/controlplane/placement_service.py
@@ -1,7 +1,8 @@
-"""Placement advice as this control plane gives it to data-plane nodes: which server a request should go to.
+"""Placement decisions for data-plane nodes: which server a request should be sent to.
 
-Services are sharded over the chain by name. Advice needs no lease: two advisers at once do no harm. The rules
-are in `dunlinloft.coordination.placement`.
+Services are sharded over the chain by name. Decisions are advisory and need no lease: two replicas that
+decide for the same service at the same time do no harm. The rules are in
+`dunlinloft.coordination.placement`.
 """
 
 from __future__ import annotations
@@ -25,18 +26,18 @@
 class PlacementService:
     """Answers placement queries, and tracks which requests are in flight on which server.
 
-    A request is identified by the stream it came on (`stream_number`) and its number there.
+    A request is identified by the stream on which it arrived (`stream_number`) and its request ID there.
     """
 
     def __init__(self, placements: PlacementDirectory) -> None:
         self._placements = placements
 
     def configure(self, configuration: Configuration) -> None:
-        """Apply the size of the servers' prefix caches from a committed configuration."""
+        """Apply the prefix cache sizes of the servers from a committed configuration."""
         self._placements.set_kv_cache_tokens(_cache_tokens_by_service(configuration.services))
 
     def choose_server(self, stream_number: int, message: PlacementQuery) -> PlacementReply:
-        """Choose the server that a request should go to."""
+        """Choose the server for a request."""
         request = PlacementDemand(
             message.prompt_segments, message.max_output_tokens, message.wait_for_capacity
         )
@@ -47,14 +48,14 @@
         return PlacementReply(message.request_id, message.service, server_id or "", wait_ms)
 
     def on_local_placement(self, stream_number: int, message: LocalPlacement) -> None:
-        """Record that a node chose a server by itself, as no advice came in time."""
+        """Record that a node chose a server itself because no placement reply arrived in time."""
         request = PlacementDemand(message.prompt_segments, message.max_output_tokens)
         service = self._placements.service(message.service)
         placement_id = PlacementId(stream_number, message.request_id)
         service.on_local_placement(placement_id, request, message.server_id, now_ms())
 
     def on_prefill_completed(self, stream_number: int, message: PrefillCompleted) -> None:
-        """Record that the first token of a placed request's answer came: its prefill is over."""
+        """Record that a placed request produced its first token, which ends its prefill."""
         self._placements.service(message.service).on_prefill_completed(
             PlacementId(stream_number, message.request_id)
         )
@@ -65,11 +66,11 @@
         service.on_completed(PlacementId(stream_number, message.request_id), message.server_failed, now_ms())
 
     def on_stream_closed(self, stream_number: int) -> None:
-        """Drop the requests of a stream that ended: nothing more will be received about them."""
+        """Drop the requests of a closed stream, since no further messages about them can arrive."""
         self._placements.on_stream_lost(stream_number, now_ms())
 
 
 def _cache_tokens_by_service(services: tuple[Service, ...]) -> dict[str, int]:
-    """Tokens of KV cache of each service's servers, where its runtime states them."""
+    """KV cache size in tokens per server of each service whose runtime settings state it."""
     stated = {service.name: (service.runtime or {}).get("kv_cache_tokens") for service in services}
     return {name: tokens for name, tokens in stated.items() if isinstance(tokens, int) and tokens > 0}
--- a/dunlinloft/controlplane/process.py
+++ b/dunlinloft/controlplane/process.py
@@ -1,4 +1,4 @@
-"""The control-plane process: the order in which it starts, serves and ends."""
+"""The control-plane process: startup, serving and shutdown."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from dunlinloft.transport.clock import now_ms
 from dunlinloft.transport.live_settings import LiveSettings
 
-LEAVE_GRACE_FRACTION = 0.8  # of the grace period, for the others to go on without this replica
-HTTP_LISTEN_BACKLOG = 512  # connections not accepted yet: all servers may turn to this replica at once
+LEAVE_GRACE_FRACTION = 0.8  # share of the grace period for leaving the chain
+HTTP_LISTEN_BACKLOG = 512  # pending connections; all servers may fail over to this replica at once
 
 
 class ControlPlane:
-    """The program; everything it uses is opened in `run` and closed when that ends, in reverse order."""
+    """The program. `run` opens all resources and closes them in reverse order when it returns."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = LiveSettings(settings)
         self._started_ms = now_ms()
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then leave the chain.
+        """Serve until SIGTERM or SIGINT, then leave the chain gracefully.
 
         Raises
         ------
         StoreError
             The data directory was written in another format.
         OSError
-            A listener's address can't be used.
+            A listener can't bind its address.
         """
         stop = self._stop_event()
         async with AsyncExitStack() as stack:
@@ -43,7 +43,7 @@
             await components.replica_host.leave(LEAVE_GRACE_FRACTION * grace_period_s)
 
     def _stop_event(self) -> asyncio.Event:
-        """An event that SIGTERM or SIGINT sets; SIGHUP has the settings file read again."""
+        """Create an event that SIGTERM and SIGINT set; SIGHUP reloads the settings file."""
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, stop.set)
@@ -52,7 +52,7 @@
         return stop
 
     async def _start(self, stack: AsyncExitStack) -> Components:
-        """Open and start everything; the HTTP API comes last, as replicas and nodes wait for the rest."""
+        """Start all components. The HTTP API comes last, because replicas and nodes wait for the others."""
         components = await start_components(self._settings, self._started_ms, stack)
         control_plane = self._settings.current.listeners_config.control_plane
         assert control_plane is not None
@@ -62,10 +62,10 @@
 
 @asynccontextmanager
 async def _serve_http(components: Components, address: str) -> AsyncIterator[None]:
-    """Serve the HTTP API until the context ends; then open connections are closed without an answer.
+    """Serve the HTTP API until the context exits; then close open connections without a response.
 
-    Who called then doesn't know the outcome, and turns to another control plane. aiohttp is imported here, as
-    it takes long.
+    Callers without a response don't know the outcome and retry at another control plane. aiohttp is imported
+    here because its import is slow.
     """
     import_aiohttp()
     from aiohttp.web_server import Server
--- a/dunlinloft/controlplane/quota_service.py
+++ b/dunlinloft/controlplane/quota_service.py
@@ -1,7 +1,7 @@
-"""Tenants' quotas as this control plane serves them to data-plane nodes.
+"""Tenant quotas, served to data-plane nodes.
 
-Quotas are sharded over the chain by tenant; each has one owner, which grants only under its lease. The rules
-are in `dunlinloft.coordination.quota`.
+Quotas are sharded over the chain by tenant. Each has one owner, which grants quota only while it holds its
+lease. The rules are in `dunlinloft.coordination.quota`.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 
 
 class QuotaService:
-    """Answers nodes' requests for quota, and hands quotas over to their next owner when the chain changes.
+    """Answers quota requests of nodes, and transfers quotas to their new owner when the chain changes.
 
     Parameters
     ----------
     address:
-        This replica's internal listener, by which the chain names it.
+        Address of this replica's internal listener, which identifies it in the chain.
     started_ms:
-        When this process started.
+        Start time of this process on the `now_ms` clock.
     nodes:
-        The data-plane nodes known here, kept up to date by the caller.
+        The known data-plane nodes, kept up to date by the caller.
     send:
-        Sends a handover to the replica at an address, best effort.
+        Sends a handover to the replica at an address; delivery is best effort.
     """
 
     def __init__(
@@ -50,27 +50,27 @@
         self._owner = QuotaOwner(address, started_ms, quota_bounds(bounds), nodes, replica.lease_expired)
 
     def configure(self, configuration: Configuration) -> None:
-        """Apply the tenants' limits of a committed configuration."""
+        """Apply the tenant limits of a committed configuration."""
         tenants = (tenant for tenant in configuration.tenants if tenant.rate_per_s)
         limits = {tenant.name: QuotaLimit(tenant.rate_per_s, tenant.burst) for tenant in tenants}
         self._owner.set_limits(limits)
 
     def apply_view(self, view: View) -> None:
-        """Take over the quotas that this replica owns by a view, and hand over those it no longer owns."""
+        """Acquire the quotas that a view assigns to this replica, and hand over those it no longer owns."""
         chain = tuple(member.address for member in view.chain)
         for handover in self._owner.set_chain(view.epoch, chain, now_ms()):
             self._send(handover.new_owner, QuotaHandover(view.epoch, handover.levels))
 
     def refill(self) -> None:
-        """Refill quotas for the time that has passed; called with every tick."""
+        """Refill quotas for the elapsed time; called on every tick."""
         self._owner.refill(self._replica.has_lease(now_ms()), now_ms())
 
     def drop_expired(self) -> None:
-        """Drop shares and holdings that have ended; called every second or so."""
+        """Drop expired shares and holdings; called about once per second."""
         self._owner.expire(now_ms())
 
     def on_node_subscribed(self, node: str, uptime_ms: float, holdings: QuotaHoldingsReport) -> None:
-        """Register a node whose stream began."""
+        """Register a node that opened its stream."""
         self._owner.on_node_subscribed(uptime_ms, now_ms())
         self.on_holdings(node, holdings)
 
@@ -80,15 +80,15 @@
         self._owner.on_holdings(node, holdings, now_ms())
 
     def on_handover(self, message: QuotaHandover) -> None:
-        """Record the remaining levels of quotas that another replica owned until now."""
+        """Record the remaining levels of quotas received from their previous owner."""
         self._owner.on_handover(message.epoch, message.levels)
 
     def grant(self, node: str, message: QuotaRequest) -> QuotaGrant:
-        """Answer a node's request for a part of a tenant's quota."""
+        """Answer a node's request for a portion of a tenant's quota."""
         now = now_ms()
         view = self._replica.view
         if view is not None:
-            # The view may have been learned since the last tick: it ends what was owned by the one before.
+            # A view received since the last tick ends the ownership under the previous one.
             self.apply_view(view)
         request = QuotaDemand(
             node,
--- a/dunlinloft/controlplane/replica_host.py
+++ b/dunlinloft/controlplane/replica_host.py
@@ -1,4 +1,4 @@
-"""Hosts the replica's state machine: hands it messages, time and completed writes, performs its actions."""
+"""Drives the replica's state machine: feeds it messages, time and completed writes; performs its actions."""
 
 from __future__ import annotations
 
@@ -27,7 +27,8 @@
     Parameters
     ----------
     on_commit:
-        Called with each newly committed state, and the entry that made it where the replica still has that.
+        Called with each newly committed state and the log entry that produced it, or None if the replica no
+        longer has that entry.
     """
 
     def __init__(
@@ -41,19 +42,19 @@
         self._disk = disk
         self._peers = peers
         self._on_commit = on_commit
-        self._calls: dict[str, asyncio.Future[Reply]] = {}  # the operator's calls in flight, by token
+        self._calls: dict[str, asyncio.Future[Reply]] = {}  # operator requests in flight, by token
         self._call_numbers = itertools.count(1)
 
     def start(self, initial_view: View | None) -> None:
-        """Start the replica, with the view to begin with where this is the first start of all."""
+        """Start the replica; `initial_view` is given only at the first start of the control plane."""
         self._perform(self._replica.start(initial_view))
 
     def handle(self, message: ControlPlaneInbound) -> None:
-        """Hand the replica a message; it ignores those that are not from a replica."""
+        """Pass a message to the replica, which ignores messages that are not from a replica."""
         self._perform(self._replica.handle(cast(ReplicaMessage, message), now_ms()))
 
     def tick(self) -> None:
-        """Hand the replica the time; called every `TICK_INTERVAL_S`."""
+        """Advance the replica's clock; called every `TICK_INTERVAL_S`."""
         self._perform(self._replica.tick(now_ms()))
 
     def on_persisted(self, token: int) -> None:
@@ -61,7 +62,7 @@
         self._perform(self._replica.on_persisted(token, now_ms()))
 
     async def call(self, change: ConfigurationChange | None) -> Reply:
-        """Make an operator's call, a read where `change` is None; its outcome is 503 where time runs out."""
+        """Perform an operator request, a read if `change` is None; the reply is 503 on a timeout."""
         token = f"{self._replica.local_member.id}/{next(self._call_numbers)}/{secrets.token_hex(4)}"
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
         self._calls[token] = future
@@ -72,10 +73,10 @@
             self._calls.pop(token, None)
 
     async def leave(self, timeout_s: float) -> None:
-        """Leave the chain before this process ends, within a time limit.
+        """Leave the chain before this process exits, within a time limit.
 
-        The others then need not wait until they suspect this replica, and no copy of the state is lost before
-        enough others have it.
+        The other replicas then don't have to wait for their failure detection, and this copy of the state is
+        not removed before enough others have it.
         """
         self._perform(self._replica.leave(now_ms()))
         deadline_ms = now_ms() + 1_000.0 * timeout_s
--- a/dunlinloft/controlplane/server_registrar.py
+++ b/dunlinloft/controlplane/server_registrar.py
@@ -1,9 +1,9 @@
-"""Registration of servers: takes their heartbeats and deregistrations, and replicates them.
+"""Server registration: receives heartbeats and deregistrations of servers and replicates them.
 
-A heartbeat is acknowledged only by a replica in contact with a majority of the roster: one that is
-partitioned off, or was suspended, answers 503, and the server turns to the next. That a server drains or
-leaves is acknowledged once a majority of the roster has it in memory: any node that is in contact learns of
-it from one of these.
+A heartbeat is acknowledged only by a replica in contact with a majority of the roster. A partitioned or
+suspended replica responds 503, and the server retries at the next one. The draining state or deregistration
+of a server is acknowledged once a majority of the roster has it in memory, so that every node in contact
+with a majority learns of it from one of these replicas.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 from dunlinloft.coordination.views import View, majority_of
 from dunlinloft.transport.clock import now_ms
 
-REPLICATION_TIMEOUT_S = 0.8  # for a majority to take that a server leaves; the server waits a second
-REPLICATION_RETRY_INTERVAL_S = 0.15  # what a replica has not acknowledged by then is resent
+REPLICATION_TIMEOUT_S = 0.8  # for a majority to acknowledge; the server waits 1 s
+REPLICATION_RETRY_INTERVAL_S = 0.15  # resent to replicas that have not acknowledged by then
 
 
 @dataclass(slots=True)
 class _Replication:
-    """That a server drains or leaves, on its way to a majority of a view's roster."""
+    """The replication of one draining state or deregistration to a majority of a view's roster."""
 
     view: View
     acknowledged_by: set[str]  # addresses
     majority_reached: asyncio.Event = field(default_factory=asyncio.Event)
 
     def acknowledge(self, address: str) -> None:
-        """The replica at an address has it in memory."""
+        """Record that the replica at an address has the change in memory."""
         self.acknowledged_by.add(address)
         acknowledged = sum(member.address in self.acknowledged_by for member in self.view.roster)
         if acknowledged >= majority_of(self.view):
@@ -43,18 +43,18 @@
 
 
 class ServerRegistrar:
-    """Connects the registry of servers with their calls, the nodes and the other control planes.
+    """Updates the server registry from requests and relayed messages, and propagates its changes.
 
     Parameters
     ----------
     address:
-        This replica's internal listener.
+        Address of this replica's internal listener.
     view_with_majority_contact:
-        Returns the view while this replica is in contact with a majority of its roster, else None.
+        Returns the view while this replica is in contact with a majority of its roster, otherwise None.
     peer_addresses:
         Returns the addresses of all other control planes.
     send:
-        Sends a message to the replica at an address, best effort.
+        Sends a message to the replica at an address; delivery is best effort.
     """
 
     def __init__(
@@ -75,11 +75,11 @@
         self._peer_addresses = peer_addresses
         self._send = send
         self._replication_numbers = itertools.count(1)
-        self._replications: dict[int, _Replication] = {}  # under way, by number
-        self._replicated: set[str] = set()  # servers of which a majority knows that they drain
+        self._replications: dict[int, _Replication] = {}  # in progress, by number
+        self._replicated: set[str] = set()  # servers whose draining state a majority has
 
     async def heartbeat(self, record: ServerRecord) -> bool:
-        """Handle a server's heartbeat; True where it may be acknowledged."""
+        """Handle a server's heartbeat; True if it may be acknowledged."""
         self._registry.on_heartbeat(record, now_ms())
         self.publish_changes()
         view = self._view_with_majority_contact()
@@ -90,7 +90,7 @@
         return await self._replicate(view, record.id, (record,), ())
 
     async def deregister(self, server_id: str) -> bool:
-        """Handle a server's deregistration; True where it may be acknowledged."""
+        """Handle a server's deregistration; True if it may be acknowledged."""
         self._registry.on_deregistration(server_id, now_ms())
         self.publish_changes()
         view = self._view_with_majority_contact()
@@ -99,14 +99,14 @@
         return await self._replicate(view, server_id, (), (server_id,))
 
     async def _replicate(
-        self, view: View, server_id: str, records: tuple[ServerRecord, ...], left: tuple[str, ...]
+        self, view: View, server_id: str, records: tuple[ServerRecord, ...], removed: tuple[str, ...]
     ) -> bool:
-        """Send a change to the roster until a majority acknowledged it; False where time ran out first."""
+        """Send a change to the roster until a majority has acknowledged it; False on a timeout."""
         number = next(self._replication_numbers)
         replication = _Replication(view, set())
         self._replications[number] = replication
         replication.acknowledge(self._address)
-        message = ServerHeartbeats(records, left, self._address, number)
+        message = ServerHeartbeats(records, removed, self._address, number)
         try:
             async with asyncio.timeout(REPLICATION_TIMEOUT_S):
                 while not replication.majority_reached.is_set():
@@ -119,7 +119,7 @@
         return True
 
     async def _send_round(self, replication: _Replication, message: ServerHeartbeats) -> None:
-        """Send to all that have not acknowledged, and wait for a majority or the time to resend."""
+        """Send to all replicas that have not acknowledged; wait for a majority or the retry interval."""
         for member in replication.view.roster:
             if member.address not in replication.acknowledged_by:
                 self._send(member.address, message)
@@ -130,7 +130,7 @@
             return
 
     def on_relayed_heartbeats(self, message: ServerHeartbeats) -> None:
-        """Apply heartbeats that another control plane received, and acknowledge them where it wants that."""
+        """Apply heartbeats relayed by another control plane, and acknowledge them if it asked for that."""
         now = now_ms()
         for record in message.records:
             self._registry.on_heartbeat(record, now, relayed=True)
@@ -141,13 +141,13 @@
             self._send(message.sender, ServerHeartbeatsAck(self._address, message.announcement_id))
 
     def on_replication_acknowledged(self, message: ServerHeartbeatsAck) -> None:
-        """Record that another control plane has what was replicated to it."""
+        """Record that another control plane has received a replicated change."""
         replication = self._replications.get(message.announcement_id)
         if replication is not None:
             replication.acknowledge(message.sender)
 
     def publish_changes(self) -> None:
-        """Send nodes and other control planes what changed since the last call."""
+        """Send nodes and other control planes the changes since the last call."""
         changes = self._registry.drain_changes()
         if changes.changed or changes.removed:
             self._replicated &= self._registry.records.keys()
@@ -157,7 +157,7 @@
             self.relay_heartbeats()
 
     def relay_heartbeats(self) -> None:
-        """Send other control planes the heartbeats that were received here since the last call."""
+        """Send other control planes the heartbeats received here since the last call."""
         received = self._registry.drain_heartbeats()
         if received.records or received.deregistered:
             message = ServerHeartbeats(received.records, received.deregistered)
--- a/dunlinloft/controlplane/startup.py
+++ b/dunlinloft/controlplane/startup.py
@@ -1,4 +1,4 @@
-"""The order in which a control plane's parts are opened and started: all but the HTTP API."""
+"""Startup sequence of a control plane's components, except the HTTP API."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
     files: FileSystem = OS_FILE_SYSTEM,
     max_log_bytes: int = MAX_LOG_BYTES,
 ) -> Components:
-    """Open, build and start a control plane; `stack` closes everything in reverse order.
+    """Build and start a control plane's components; `stack` closes them in reverse order.
 
-    The order matters: nothing is sent before the durable state is recovered.
+    The order matters: no message may be sent before the durable state is recovered.
 
     Parameters
     ----------
     started_ms:
-        When the process started, on the clock of `now_ms`.
+        Start time of the process on the `now_ms` clock.
     files, max_log_bytes:
         See `ReplicaStore`.
 
@@ -43,7 +43,7 @@
     StoreError
         The data directory was written in another format.
     OSError
-        The internal listener's address can't be used.
+        The internal listener can't bind its address.
     """
     settings = live_settings.current
     counts_for_quorum = settings.counts_for_quorum
--- a/dunlinloft/controlplane/store.py
+++ b/dunlinloft/controlplane/store.py
@@ -23,15 +23,15 @@
 from dunlinloft.coordination.records import DurableState, Record, apply_record
 from dunlinloft.coordination.views import Member, View
 
-MAX_LOG_BYTES = 4 * 1024 * 1024  # a longer log is compacted into the other slot: it bounds time to recover
-NEW_EPOCHS_FILE = "begun-anew.log"  # one line for each epoch that an operator began from this directory
+MAX_LOG_BYTES = 4 * 1024 * 1024  # bounds recovery time; a longer log is compacted
+NEW_EPOCHS_FILE = "begun-anew.log"  # one line per epoch that an operator started here
 
 
 class ReplicaStore:
-    """A data directory in use.
+    """An open data directory.
 
-    Its methods wait for the disk: `DiskWriter` calls them on a thread of their own. As a context manager it
-    closes its file at the end.
+    Methods block on disk I/O; `DiskWriter` calls them on its thread. As a context manager, it closes its log
+    file on exit.
     """
 
     def __init__(
@@ -41,22 +41,22 @@
         files: FileSystem = OS_FILE_SYSTEM,
         max_log_bytes: int = MAX_LOG_BYTES,
     ) -> None:
-        """Recover the directory's state, or begin one, and write it to the other slot.
+        """Recover the state from the directory, or create one, and write it to the other slot.
 
         Parameters
         ----------
         first_incarnation:
-            The incarnation of a directory without a state at the very first start of the control plane.
-            None: such a directory begins a new incarnation, which has promised nothing.
+            Incarnation for an empty directory at the first start of the control plane. None: an empty
+            directory gets a new incarnation, which has made no promises to other replicas.
         files:
-            Makes the file operations.
+            Performs the file operations.
         max_log_bytes:
-            A longer log is compacted into the other slot.
+            Log size above which the log is compacted into the other slot.
 
         Raises
         ------
         OSError
-            The disk refuses.
+            A file operation failed.
         StoreError
             The directory was written in another format.
         """
@@ -87,15 +87,16 @@
         self.close()
 
     def close(self) -> None:
-        """Close the log. Everything appended is synced already."""
+        """Close the log. All appended records are already synced."""
         if self._log is not None:
             self._files.close(self._log)
             self._log = None
 
     def append(self, records: list[Record]) -> None:
-        """Make records durable, all of them or none, and apply them to `durable`.
+        """Write and sync records, then apply them to `durable`.
 
-        Raises `OSError` where the disk refuses; the same call may then be retried.
+        Raises `OSError` if a file operation fails; `durable` is then unchanged, and the same call may be
+        retried.
         """
         if self._log_bytes > self._max_log_bytes:
             self._switch_slot()
@@ -113,13 +114,14 @@
             apply_record(self.durable, record)
 
     def write_snapshot(self) -> None:
-        """Write `durable` as it is now to the other slot. Raises `OSError`."""
+        """Write the current `durable` to the other slot. Raises `OSError`."""
         self._switch_slot()
 
     def _switch_slot(self) -> None:
-        """Write the state to the other slot and begin an empty log after it.
+        """Write the state to the other slot and start an empty log there.
 
-        The slot in use stays as it is until the other one is synced: a crash at any point leaves one of them.
+        The slot in use is not modified before the other one is synced, so a crash at any point leaves at
+        least one valid slot.
         """
         slot = 1 - self._slot
         generation = self._generation + 1
@@ -141,7 +143,7 @@
         self._files.sync_directory(self._directory)
 
     def _write_file(self, path: Path, data: bytes) -> None:
-        """Replace a file's content and sync it."""
+        """Overwrite a file's content and sync it."""
         file = self._files.open(path)
         try:
             self._files.truncate(file)
@@ -152,15 +154,15 @@
 
 
 def begin_new_epoch(directory: Path, address: str, epoch: int) -> Member:
-    """Make a data directory the only member of a new epoch, in a new incarnation; return that member.
+    """Start a new epoch whose only member is this data directory in a new incarnation; return that member.
 
-    For an operator (`dunlinloft state begin`), after more disks were lost than the deployment tolerates: what
-    only they had is lost. Written down in `NEW_EPOCHS_FILE` there.
+    Used by the operator (`dunlinloft state begin`) after more disks were lost than the deployment tolerates;
+    state that only the lost disks had is gone. The epoch is recorded in the directory's `NEW_EPOCHS_FILE`.
 
     Raises
     ------
     OSError
-        The disk refuses.
+        A file operation failed.
     StoreError
         The directory was written in another format.
     """
--- a/dunlinloft/controlplane/stream_server.py
+++ b/dunlinloft/controlplane/stream_server.py
@@ -1,4 +1,4 @@
-"""The internal listener: accepts streams from data-plane nodes and other replicas."""
+"""The internal listener, which accepts streams from data-plane nodes and other replicas."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from dunlinloft.transport import message_stream
 from dunlinloft.transport.tasks import BackgroundTasks
 
-STREAM_IDLE_TIMEOUT_S = 2.0  # nodes and replicas send something each 0.3 s; a stream idle for longer is ended
-LISTEN_BACKLOG = 512  # connections not accepted yet: all nodes may reconnect at once
+STREAM_IDLE_TIMEOUT_S = 2.0  # nodes and replicas send at least every 0.3 s
+LISTEN_BACKLOG = 512  # pending connections; all nodes may reconnect at once
 
 _decoder = msgspec.json.Decoder(ControlPlaneInbound)
 
 
 class StreamServer:
-    """Runs one session for each accepted stream; its tasks belong to `tasks`."""
+    """Runs one session per accepted stream, each as a task in `tasks`."""
 
     def __init__(self, services: StreamServices, tasks: BackgroundTasks) -> None:
         self._services = services
@@ -30,7 +30,7 @@
         self._stream_numbers = itertools.count(1)
 
     def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a new connection."""
+        """Start a session for a new connection."""
         self._tasks.start(self._serve(reader, writer))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -50,9 +50,9 @@
 
 @asynccontextmanager
 async def serve_streams(services: StreamServices, host: str, port: int) -> AsyncIterator[None]:
-    """Accept streams until the context ends; then all are aborted.
+    """Accept streams until the context exits, then abort all of them.
 
-    Raises `OSError` where the address can't be listened on.
+    Raises `OSError` if the listener can't bind the address.
     """
     async with BackgroundTasks() as tasks:
         listener = await asyncio.start_server(
--- a/dunlinloft/controlplane/stream_session.py
+++ b/dunlinloft/controlplane/stream_session.py
@@ -1,4 +1,4 @@
-"""One accepted stream: dispatches the messages that a data-plane node or another replica sends on it."""
+"""One accepted stream: dispatches the messages of a data-plane node or another replica."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class StreamServices(Struct, frozen=True):
-    """What messages are handed to; shared by all sessions."""
+    """The services that handle messages, shared by all sessions."""
 
     replica_host: ReplicaHost
     nodes: NodeRegistry
@@ -47,15 +47,15 @@
 
 
 class StreamSession:
-    """Dispatches the messages of one stream; made by `StreamServer` for each connection that it accepts.
+    """Dispatches the messages of one stream; `StreamServer` creates one for each accepted connection.
 
-    A node's stream counts as one from its `Subscribe` on, which names the node. Any other message that comes
-    before is handed to the replica, which ignores it.
+    A stream becomes a node's stream with its `Subscribe` message, which names the node. Node messages that
+    arrive earlier are passed to the replica, which ignores them.
 
     Parameters
     ----------
     number:
-        Of the stream, unique in this process: requests placed on a stream are known by it.
+        Number of the stream, unique in this process; identifies the requests placed on this stream.
     """
 
     def __init__(self, number: int, writer: MessageWriter, services: StreamServices) -> None:
@@ -86,9 +86,10 @@
                 self._services.replica_host.handle(message)
 
     def close(self) -> None:
-        """End what the stream subscribed to and asked for.
+        """Remove the stream's subscription and its placed requests.
 
-        Requests may have been placed on it before it subscribed: a node subscribes late on further streams.
+        Requests may have been placed on the stream without a subscription, because a node subscribes only
+        later on its additional streams.
         """
         if self._subscription is not None:
             self._services.publisher.unsubscribe(self._subscription)
