--- a/dunlinloft/controlplane/http_api.py
+++ b/dunlinloft/controlplane/http_api.py
@@ -165,4 +165,4 @@
     """The response to a server; on 503 the server retries at another control plane."""
     if acknowledged:
         return json_response(200)
-    return json_response(503, "no confirmation by a majority of control planes")
+    return json_response(503, "not confirmed by a majority of control planes")
--- a/dunlinloft/controlplane/peer_connections.py
+++ b/dunlinloft/controlplane/peer_connections.py
@@ -17,7 +17,7 @@
 
 RECONNECT_INTERVAL_S = 0.08
 IDLE_TIMEOUT_S = 60.0  # unused connections are closed after this, since the replica has left
-MAX_QUEUED_FRAMES = 64  # frames queued per connection during the first connection attempt
+MAX_QUEUED_FRAMES = 64  # frames queued per connection while it is being established
 
 
 class PeerConnection:
--- a/tests/test_disk_writer.py
+++ b/tests/test_disk_writer.py
@@ -1,4 +1,4 @@
-"""The disk's thread: records are written in order, until the disk takes them, and before it is closed."""
+"""`DiskWriter`: write order, retries after disk errors, and completion of writes on close."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 from dunlinloft.coordination.stream import NodeLiveness
 
 
-async def _persisted(disk: DiskWriter, tokens: range) -> list[int]:
-    """Write a record for each token; the tokens that are reported, in order."""
-    reported: list[int] = []
-    writing = asyncio.create_task(disk.run(reported.append))
+async def _write_records(disk: DiskWriter, tokens: range) -> list[int]:
+    """Write a record for each token; return the tokens reported as persisted, in order."""
+    persisted_tokens: list[int] = []
+    writer_task = asyncio.create_task(disk.run(persisted_tokens.append))
     for token in tokens:
         disk.write(Persist(token, SyncedRecord(token)))
     async with asyncio.timeout(5.0):
-        while len(reported) < len(tokens):
+        while len(persisted_tokens) < len(tokens):
             await asyncio.sleep(0.001)
-    writing.cancel()
-    return reported
+    writer_task.cancel()
+    return persisted_tokens
 
 
-def test_records_are_reported_in_order_once_they_are_on_disk(tmp_path: Path) -> None:
+def test_records_are_reported_in_order_and_are_on_disk(tmp_path: Path) -> None:
     async def main() -> None:
         async with open_disk_writer(tmp_path, "0") as disk:
-            assert await _persisted(disk, range(1, 6)) == [1, 2, 3, 4, 5]
+            assert await _write_records(disk, range(1, 6)) == [1, 2, 3, 4, 5]
 
     asyncio.run(main())
     recovered = recover(tmp_path)
@@ -43,38 +43,38 @@
     assert (recovered.durable.incarnation, recovered.durable.synced_epoch) == ("0", 5)
 
 
-def test_a_write_that_the_disk_refuses_is_made_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    append = ReplicaStore.append
-    refusals = iter([True, True, False])
+def test_failed_write_is_retried(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    real_append = ReplicaStore.append
+    failures = iter([True, True, False])
 
-    def refuse_twice(self: ReplicaStore, records: list[Record]) -> None:
-        if next(refusals):
+    def fail_twice(self: ReplicaStore, records: list[Record]) -> None:
+        if next(failures):
             raise OSError(28, "No space left on device")
-        append(self, records)
+        real_append(self, records)
 
-    monkeypatch.setattr(ReplicaStore, "append", refuse_twice)
+    monkeypatch.setattr(ReplicaStore, "append", fail_twice)
     monkeypatch.setattr(disk_writer, "DISK_RETRY_INTERVAL_S", 0.001)
 
     async def main() -> None:
         async with open_disk_writer(tmp_path, "0") as disk:
-            assert await _persisted(disk, range(1, 2)) == [1]
+            assert await _write_records(disk, range(1, 2)) == [1]
 
     asyncio.run(main())
-    assert list(refusals) == []
+    assert list(failures) == []
 
 
-def test_a_disk_that_refuses_to_open_is_tried_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_open_is_retried(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     directory = tmp_path / "data"
-    directory.write_text("in the way")
+    directory.write_text("not a directory")
     monkeypatch.setattr(disk_writer, "DISK_RETRY_INTERVAL_S", 0.001)
 
     async def main() -> None:
-        opened = asyncio.create_task(_open_and_close())
+        open_task = asyncio.create_task(_open_and_close())
         await asyncio.sleep(0.02)
-        assert not opened.done()
+        assert not open_task.done()
         directory.unlink()
         async with asyncio.timeout(5.0):
-            await opened
+            await open_task
 
     async def _open_and_close() -> None:
         async with open_disk_writer(directory, "0"):
@@ -84,23 +84,23 @@
     assert recover(directory) is not None
 
 
-def test_closing_waits_for_the_write_in_progress(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    append = ReplicaStore.append
-    began = threading.Event()
+def test_close_waits_for_a_write_in_progress(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    real_append = ReplicaStore.append
+    write_started = threading.Event()
 
     def write_slowly(self: ReplicaStore, records: list[Record]) -> None:
-        began.set()
+        write_started.set()
         time.sleep(0.05)
-        append(self, records)
+        real_append(self, records)
 
     monkeypatch.setattr(ReplicaStore, "append", write_slowly)
 
     async def main() -> None:
         async with open_disk_writer(tmp_path, "0") as disk:
-            writing = asyncio.create_task(disk.run(lambda _: None))
+            writer_task = asyncio.create_task(disk.run(lambda _: None))
             disk.write(Persist(1, SyncedRecord(3)))
-            await asyncio.to_thread(began.wait, 5.0)
-            writing.cancel()
+            await asyncio.to_thread(write_started.wait, 5.0)
+            writer_task.cancel()
 
     asyncio.run(main())
     recovered = recover(tmp_path)
@@ -108,18 +108,18 @@
     assert recovered.durable.synced_epoch == 3
 
 
-def test_without_a_folder_records_count_as_durable_at_once() -> None:
+def test_without_a_directory_records_count_as_durable_immediately() -> None:
     async def main() -> None:
         async with open_disk_writer(None, None) as disk:
             assert disk.durable.incarnation == ""
-            assert await _persisted(disk, range(1, 3)) == [1, 2]
+            assert await _write_records(disk, range(1, 3)) == [1, 2]
             await disk.write_members(CachedMembers((), (NodeLiveness("n", 1.0),)))
             assert await disk.read_members() == CachedMembers()
 
     asyncio.run(main())
 
 
-def test_members_are_read_back_after_a_restart(tmp_path: Path) -> None:
+def test_cached_members_are_read_after_a_restart(tmp_path: Path) -> None:
     members = CachedMembers((), (NodeLiveness("n", 1.0),))
 
     async def main() -> None:
--- a/tests/test_server_registrar.py
+++ b/tests/test_server_registrar.py
@@ -1,4 +1,4 @@
-"""Control planes answer servers 503 where they can't pass it on, and to leaving once a majority has it."""
+"""`ServerRegistrar`: which requests are acknowledged, depending on contact with a majority."""
 
 from __future__ import annotations
 
@@ -26,23 +26,28 @@
     return ServerRecord("i-1", "pool", "10.0.9.1:80", "a", 4, state, sequence)
 
 
-class _Others:
-    """The other control planes: those that answer take what is announced, after so many messages."""
+class _SimulatedPeers:
+    """A registrar and its simulated peers.
 
-    def __init__(self, answering: tuple[str, ...], deaf_for: int = 0, me: str = ADDRESSES[0]) -> None:
+    Peers in `answering` acknowledge replicated changes; the first `ignored_count` messages are lost.
+    """
+
+    def __init__(
+        self, answering: tuple[str, ...], ignored_count: int = 0, local_address: str = ADDRESSES[0]
+    ) -> None:
         self.answering = answering
-        self.deaf_for = deaf_for
+        self.ignored_count = ignored_count
         self.view: View | None = VIEW
-        self.announced: list[str] = []
+        self.sent_to: list[str] = []
         rng: Any = None
         self.registry = ServerRegistry(1_000.0, 0.0)
         self.registrar = ServerRegistrar(
-            me,
+            local_address,
             self.registry,
             NodePublisher(),
             PlacementDirectory(rng, 3_000.0),
             lambda: self.view,
-            lambda: set(ADDRESSES) - {me},
+            lambda: set(ADDRESSES) - {local_address},
             self._send,
         )
 
@@ -50,12 +55,12 @@
         assert isinstance(message, ServerHeartbeats)
         if not message.announcement_id:
             return
-        self.announced.append(address)
-        if address in self.answering and len(self.announced) > self.deaf_for:
+        self.sent_to.append(address)
+        if address in self.answering and len(self.sent_to) > self.ignored_count:
             self.registrar.on_replication_acknowledged(ServerHeartbeatsAck(address, message.announcement_id))
 
 
-def _run(coroutine: Coroutine[Any, Any, None]) -> float:
+def _run_virtual(coroutine: Coroutine[Any, Any, None]) -> float:
     loop = VirtualLoop()
     try:
         loop.run_until_complete(coroutine)
@@ -64,76 +69,76 @@
         loop.close()
 
 
-def test_a_heartbeat_is_acknowledged_only_in_contact_with_a_majority() -> None:
-    async def play() -> None:
-        others = _Others(ADDRESSES)
-        assert await others.registrar.heartbeat(_record(1))
-        others.view = None
-        assert not await others.registrar.heartbeat(_record(2))
-        assert not await others.registrar.heartbeat(_record(3, "draining"))
-        assert not await others.registrar.deregister("i-1")
+def test_heartbeat_is_acknowledged_only_in_contact_with_a_majority() -> None:
+    async def scenario() -> None:
+        peers = _SimulatedPeers(ADDRESSES)
+        assert await peers.registrar.heartbeat(_record(1))
+        peers.view = None
+        assert not await peers.registrar.heartbeat(_record(2))
+        assert not await peers.registrar.heartbeat(_record(3, "draining"))
+        assert not await peers.registrar.deregister("i-1")
 
-    _run(play())
+    _run_virtual(scenario())
 
 
-def test_leaving_is_acknowledged_once_a_majority_has_it() -> None:
-    async def play() -> None:
-        others = _Others((ADDRESSES[2],))
-        assert await others.registrar.heartbeat(_record(1, "draining"))
-        told = len(others.announced)
-        assert await others.registrar.heartbeat(_record(2, "draining"))
-        assert len(others.announced) == told, "a majority knows it already"
+def test_draining_is_acknowledged_once_a_majority_has_it() -> None:
+    async def scenario() -> None:
+        peers = _SimulatedPeers((ADDRESSES[2],))
+        assert await peers.registrar.heartbeat(_record(1, "draining"))
+        sent_count = len(peers.sent_to)
+        assert await peers.registrar.heartbeat(_record(2, "draining"))
+        assert len(peers.sent_to) == sent_count, "a majority has it already"
 
-    assert _run(play()) == 0.0
+    assert _run_virtual(scenario()) == 0.0
 
 
-def test_a_lost_replication_is_resent() -> None:
-    async def play() -> None:
-        assert await _Others(ADDRESSES, deaf_for=3).registrar.deregister("i-1")
+def test_lost_replication_message_is_resent() -> None:
+    async def scenario() -> None:
+        assert await _SimulatedPeers(ADDRESSES, ignored_count=3).registrar.deregister("i-1")
 
-    assert 0.0 < _run(play()) < REPLICATION_TIMEOUT_S
+    assert 0.0 < _run_virtual(scenario()) < REPLICATION_TIMEOUT_S
 
 
 @pytest.mark.parametrize("answering", [(), ("10.9.9.9:7680",)])
-def test_leaving_without_a_majority_is_not_acknowledged(answering: tuple[str, ...]) -> None:
-    async def play() -> None:
-        assert not await _Others(answering).registrar.heartbeat(_record(1, "draining"))
+def test_draining_without_a_majority_is_not_acknowledged(answering: tuple[str, ...]) -> None:
+    async def scenario() -> None:
+        assert not await _SimulatedPeers(answering).registrar.heartbeat(_record(1, "draining"))
 
-    assert _run(play()) == pytest.approx(REPLICATION_TIMEOUT_S, abs=0.05)
+    assert _run_virtual(scenario()) == pytest.approx(REPLICATION_TIMEOUT_S, abs=0.05)
 
 
-def test_a_replica_without_a_vote_needs_a_majority_of_those_who_have_one() -> None:
-    async def play(answering: tuple[str, ...]) -> bool:
-        return await _Others(answering, me="10.0.0.9:7680").registrar.deregister("i-1")
+def test_replica_outside_the_roster_needs_a_majority_of_the_roster() -> None:
+    async def scenario(answering: tuple[str, ...]) -> bool:
+        return await _SimulatedPeers(answering, local_address="10.0.0.9:7680").registrar.deregister("i-1")
 
-    async def both() -> None:
-        assert not await play(ADDRESSES[:1])
-        assert await play(ADDRESSES[:2])
+    async def run_both() -> None:
+        assert not await scenario(ADDRESSES[:1])
+        assert await scenario(ADDRESSES[:2])
 
-    _run(both())
+    _run_virtual(run_both())
 
 
-def test_a_replica_acknowledges_and_applies_what_is_replicated_to_it() -> None:
+def test_replicated_change_is_applied_and_acknowledged() -> None:
     sent: list[tuple[str, Struct]] = []
-    others = _Others(())
-    others.registrar._send = lambda address, message: sent.append((address, message))
-    others.registrar.on_relayed_heartbeats(ServerHeartbeats((_record(1, "draining"),), (), ADDRESSES[1], 7))
+    peers = _SimulatedPeers(())
+    peers.registrar._send = lambda address, message: sent.append((address, message))
+    peers.registrar.on_relayed_heartbeats(ServerHeartbeats((_record(1, "draining"),), (), ADDRESSES[1], 7))
     assert (ADDRESSES[1], ServerHeartbeatsAck(ADDRESSES[0], 7)) in sent
-    assert others.registry.records["i-1"].draining
+    assert peers.registry.records["i-1"].draining
 
 
-def _ping(sender: Member, echoes: dict[str, float]) -> Heartbeat:
+def _heartbeat(sender: Member, echoes: dict[str, float]) -> Heartbeat:
     return Heartbeat(sender, True, True, False, 1, 1, 1, 0.0, echoes, ())
 
 
-def test_contact_is_counted_from_when_a_stamp_was_sent() -> None:
-    me, second, third = VIEW.roster
-    liveness = FailureDetector(me)
-    assert not liveness.has_majority_contact(VIEW, 0.0)
-    liveness.on_heartbeat(_ping(second, {me.id: 1_000.0}), 1_900.0)
-    assert liveness.has_majority_contact(VIEW, 1_900.0)
-    assert not liveness.has_majority_contact(VIEW, 1_000.0 + CONTACT_TIMEOUT_MS)
-    liveness.on_heartbeat(_ping(third, {me.id: 2_000.0}), 2_100.0)
-    assert liveness.has_majority_contact(VIEW, 2_900.0)
-    # Frozen for long, and awake again: it has heard nobody since.
-    assert not liveness.has_majority_contact(VIEW, 30_000.0)
+def test_majority_contact_is_measured_from_the_echoed_send_time() -> None:
+    local_member, second, third = VIEW.roster
+    detector = FailureDetector(local_member)
+    assert not detector.has_majority_contact(VIEW, 0.0)
+    detector.on_heartbeat(_heartbeat(second, {local_member.id: 1_000.0}), 1_900.0)
+    assert detector.has_majority_contact(VIEW, 1_900.0)
+    assert not detector.has_majority_contact(VIEW, 1_000.0 + CONTACT_TIMEOUT_MS)
+    detector.on_heartbeat(_heartbeat(third, {local_member.id: 2_000.0}), 2_100.0)
+    assert detector.has_majority_contact(VIEW, 2_900.0)
+    # After a long suspension: no heartbeat has been received since.
+    assert not detector.has_majority_contact(VIEW, 30_000.0)
--- a/tests/test_stream_session.py
+++ b/tests/test_stream_session.py
@@ -1,4 +1,4 @@
-"""One stream to a control plane: who is served what on it, and what its end means."""
+"""`StreamSession`: dispatch of messages before and after subscribing, and cleanup on close."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 )
 
 
-class _Recorder:
-    """Stands in for a service: keeps the name of each call and its last argument."""
+class _FakeService:
+    """A fake service that records the name and the last argument of each call."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[str, Any]] = []
@@ -47,8 +47,8 @@
         return record
 
 
-class _Writer:
-    """Keeps what a session sends."""
+class _FakeWriter:
+    """A fake stream writer that records the sent messages."""
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
@@ -57,14 +57,14 @@
         self.sent.append(message)
 
 
-class _Scene:
-    """A session with real nodes, registry, publisher and placement; the rest records its calls."""
+class _SessionFixture:
+    """A session with real nodes, registry, publisher and placement, and fakes for the other services."""
 
     def __init__(self) -> None:
-        self.writer = _Writer()
-        self.replica_host = _Recorder()
-        self.registrar = _Recorder()
-        self.quotas = _Recorder()
+        self.writer = _FakeWriter()
+        self.replica_host = _FakeService()
+        self.registrar = _FakeService()
+        self.quotas = _FakeService()
         self.nodes = NodeRegistry()
         self.publisher = NodePublisher()
         self.session = StreamSession(
@@ -82,10 +82,10 @@
         )
 
 
-NONE = ConfigurationId()
-SUBSCRIBE = Subscribe("n", "a", NONE, 5.0, True, (), QuotaHoldingsReport(0, {}))
-FROM_SUBSCRIBED = [
-    FetchConfiguration(NONE),
+NO_CONFIGURATION = ConfigurationId()
+SUBSCRIBE = Subscribe("n", "a", NO_CONFIGURATION, 5.0, True, (), QuotaHoldingsReport(0, {}))
+SUBSCRIBER_MESSAGES = [
+    FetchConfiguration(NO_CONFIGURATION),
     ConfigurationApplied(ConfigurationId(3, "x")),
     QuotaHoldingsReport(1, {}),
     NodeKeepalive(True),
@@ -94,65 +94,68 @@
 ]
 
 
-@pytest.mark.parametrize("message", FROM_SUBSCRIBED, ids=lambda message: type(message).__name__)
-def test_what_a_node_says_before_it_subscribed_reaches_no_service(message: Any) -> None:
-    scene = _Scene()
-    scene.session.handle(message)
-    assert scene.replica_host.calls == [("handle", message)]
-    assert scene.quotas.calls == []
-    assert scene.nodes.active_names() == ()
-
-
-@pytest.mark.parametrize("message", FROM_SUBSCRIBED, ids=lambda message: type(message).__name__)
-def test_what_a_subscribed_node_says_does_not_reach_the_replica(message: Any) -> None:
-    scene = _Scene()
-    scene.session.handle(SUBSCRIBE)
-    scene.session.handle(message)
-    assert scene.replica_host.calls == []
-
-
-def test_a_node_that_subscribes_is_known_and_sent_the_servers() -> None:
-    scene = _Scene()
-    scene.session.handle(SUBSCRIBE)
-    assert scene.nodes.active_names() == ("n",)
-    assert scene.quotas.calls == [("on_node_subscribed", SUBSCRIBE.quota_holdings)]
-    assert scene.registrar.calls == [("publish_changes", None)]
-    assert isinstance(scene.writer.sent[0], ServerSnapshot)
-    (subscription,) = scene.publisher.subscriptions
-    scene.session.handle(ConfigurationApplied(ConfigurationId(3, "x")))
+@pytest.mark.parametrize("message", SUBSCRIBER_MESSAGES, ids=lambda message: type(message).__name__)
+def test_node_message_before_subscribing_reaches_only_the_replica(message: Any) -> None:
+    fixture = _SessionFixture()
+    fixture.session.handle(message)
+    assert fixture.replica_host.calls == [("handle", message)]
+    assert fixture.quotas.calls == []
+    assert fixture.nodes.active_names() == ()
+
+
+@pytest.mark.parametrize("message", SUBSCRIBER_MESSAGES, ids=lambda message: type(message).__name__)
+def test_message_of_a_subscribed_node_does_not_reach_the_replica(message: Any) -> None:
+    fixture = _SessionFixture()
+    fixture.session.handle(SUBSCRIBE)
+    fixture.session.handle(message)
+    assert fixture.replica_host.calls == []
+
+
+def test_subscribing_registers_the_node_and_sends_the_servers() -> None:
+    fixture = _SessionFixture()
+    fixture.session.handle(SUBSCRIBE)
+    assert fixture.nodes.active_names() == ("n",)
+    assert fixture.quotas.calls == [("on_node_subscribed", SUBSCRIBE.quota_holdings)]
+    assert fixture.registrar.calls == [("publish_changes", None)]
+    assert isinstance(fixture.writer.sent[0], ServerSnapshot)
+    (subscription,) = fixture.publisher.subscriptions
+    fixture.session.handle(ConfigurationApplied(ConfigurationId(3, "x")))
     assert subscription.acknowledged_id == ConfigurationId(3, "x")
-    scene.session.handle(NodeShutdown())
-    assert scene.nodes.active_names() == ()
+    fixture.session.handle(NodeShutdown())
+    assert fixture.nodes.active_names() == ()
 
 
-def test_advice_needs_no_subscription() -> None:
-    scene = _Scene()
-    scene.session.handle(PlacementQuery(7, "pool", (), 1, ()))
-    assert [(type(message), message.request_id) for message in scene.writer.sent] == [(PlacementReply, 7)]
+def test_placement_query_needs_no_subscription() -> None:
+    fixture = _SessionFixture()
+    fixture.session.handle(PlacementQuery(7, "pool", (), 1, ()))
+    assert [(type(message), message.request_id) for message in fixture.writer.sent] == [(PlacementReply, 7)]
 
 
-def test_the_end_of_a_stream_ends_its_subscription() -> None:
-    scene = _Scene()
-    scene.session.handle(SUBSCRIBE)
-    scene.session.close()
-    assert not scene.publisher.subscriptions
+def test_closing_a_stream_removes_its_subscription() -> None:
+    fixture = _SessionFixture()
+    fixture.session.handle(SUBSCRIBE)
+    fixture.session.close()
+    assert not fixture.publisher.subscriptions
 
 
-def test_messages_of_other_control_planes_reach_the_registrar_and_the_nodes() -> None:
-    scene = _Scene()
-    scene.session.handle(ServerHeartbeats((), ("i-1",)))
-    assert scene.registrar.calls == [("on_relayed_heartbeats", ServerHeartbeats((), ("i-1",)))]
-    scene.session.handle(NodeLivenessUpdate((NodeLiveness("other", 0.0),)))
-    assert scene.nodes.active_names() == ("other",)
-    assert scene.replica_host.calls == []
+def test_messages_of_other_replicas_reach_the_registrar_and_the_nodes() -> None:
+    fixture = _SessionFixture()
+    fixture.session.handle(ServerHeartbeats((), ("i-1",)))
+    assert fixture.registrar.calls == [("on_relayed_heartbeats", ServerHeartbeats((), ("i-1",)))]
+    fixture.session.handle(NodeLivenessUpdate((NodeLiveness("other", 0.0),)))
+    assert fixture.nodes.active_names() == ("other",)
+    assert fixture.replica_host.calls == []
 
 
-def test_requests_placed_on_a_stream_that_ends_before_it_subscribed_are_dropped() -> None:
-    """Seed 20401: they stayed in flight at the owner for good."""
-    scene = _Scene()
-    service = scene.session._services.placement._placements.service("pool")
+def test_requests_placed_on_a_stream_closed_before_subscribing_are_dropped() -> None:
+    """Closing a stream without a subscription must also drop its requests (seed 20401).
+
+    Otherwise they remain in flight at the owner forever.
+    """
+    fixture = _SessionFixture()
+    service = fixture.session._services.placement._placements.service("pool")
     service.update_servers([ServerRecord("i-1", "pool", "10.0.9.1:80", "a", 4, "ready", 1)])
-    scene.session.handle(LocalPlacement(1, "pool", (), 10, "i-1"))
+    fixture.session.handle(LocalPlacement(1, "pool", (), 10, "i-1"))
     assert len(service._in_flight) == 1
-    scene.session.close()
+    fixture.session.close()
     assert not service._in_flight
