--- a/dunlinloft/coordination/quota/bucket.py
+++ b/dunlinloft/coordination/quota/bucket.py
@@ -57,7 +57,7 @@
         """Add what came in, up to the capacity."""
         self.level = min(self.capacity, self.level + amount)
 
-    def withdraw(self, amount: float, rate_per_s: float, required_multiple: float = 1.0) -> float:
+    def try_consume(self, amount: float, rate_per_s: float, required_multiple: float = 1.0) -> float:
         """Take an amount if `required_multiple` times as much is there.
 
         Returns 0 where the amount was taken, else the time in ms until it will be there at `rate_per_s`.
--- a/dunlinloft/coordination/quota/owner.py
+++ b/dunlinloft/coordination/quota/owner.py
@@ -222,7 +222,7 @@
             bucket.first_attempt_demand.add(demand.amount, now_ms)
         scarce = bucket.first_attempt_demand.rate_per_s(now_ms) > SCARCITY_DEMAND_MULTIPLE * limit.rate_per_s
         required_multiple = RETRY_LEVEL_MULTIPLE if demand.is_retry else 1.0
-        wait_ms = bucket.withdraw(demand.amount, limit.rate_per_s, required_multiple)
+        wait_ms = bucket.try_consume(demand.amount, limit.rate_per_s, required_multiple)
         reserve = 0.0 if wait_ms else bucket.draw_reserve(demand.wanted_reserve)
         spent = 0.0 if wait_ms else demand.amount
         # After a restart of the whole fleet nobody holds a share that its granter computed with more nodes.
--- a/tests/test_simulated_processes.py
+++ b/tests/test_simulated_processes.py
@@ -125,7 +125,7 @@
         "requests that are not in flight",
     ),
     "an owner grants what it does not have": (
-        _planted(QuotaBucket, "withdraw", lambda *_: 0.0),
+        _planted(QuotaBucket, "try_consume", lambda *_: 0.0),
         "were spent in a window",
     ),
     "a lone replica commits": (_planted(ChainReplica, "_on_progress", _commit_at_once), "with 1 copies"),
