--- a/dunlinloft/coordination/placement/demand.py
+++ b/dunlinloft/coordination/placement/demand.py
@@ -14,7 +14,7 @@
     the prefix that it ends.
     """
 
-    path_digest: bytes
+    prefix_digest: bytes
     tokens: int  # of this segment alone
 
 
@@ -60,11 +60,11 @@
         """Tokens of the complete prompt."""
         return sum(tokens for _, tokens in self.prompt_segments)
 
-    def keyed(self) -> KeyedRequest:
+    def with_cache_keys(self) -> KeyedRequest:
         """Return the request with the cache keys of its prompt's segments, to be computed once."""
         keys = []
-        path = hashlib.blake2b(digest_size=8)
+        prefix_hash = hashlib.blake2b(digest_size=8)
         for name, tokens in self.prompt_segments:
-            path.update(f"{name}:{tokens},".encode())
-            keys.append(SegmentKey(path.digest(), tokens))
+            prefix_hash.update(f"{name}:{tokens},".encode())
+            keys.append(SegmentKey(prefix_hash.digest(), tokens))
         return KeyedRequest(tuple(keys), self.prompt_tokens, self.max_output_tokens)
--- a/dunlinloft/coordination/placement/prefix_cache.py
+++ b/dunlinloft/coordination/placement/prefix_cache.py
@@ -27,7 +27,7 @@
     def hit_segments(self, keys: Sequence[SegmentKey]) -> int:
         """Return how many of a prompt's leading segments are cached."""
         for index, key in enumerate(keys):
-            if key.path_digest not in self._segment_tokens:
+            if key.prefix_digest not in self._segment_tokens:
                 return index
         return len(keys)
 
@@ -38,10 +38,10 @@
     def insert(self, keys: Sequence[SegmentKey]) -> None:
         """Cache a prompt's segments, and evict those that were unused for longest."""
         for key in keys:
-            if key.path_digest in self._segment_tokens:
-                self._segment_tokens.move_to_end(key.path_digest)
+            if key.prefix_digest in self._segment_tokens:
+                self._segment_tokens.move_to_end(key.prefix_digest)
             else:
-                self._segment_tokens[key.path_digest] = key.tokens
+                self._segment_tokens[key.prefix_digest] = key.tokens
                 self._cached_tokens += key.tokens
         while self._cached_tokens > self.capacity_tokens and self._segment_tokens:
             _, tokens = self._segment_tokens.popitem(last=False)
--- a/dunlinloft/coordination/placement/recent_segments.py
+++ b/dunlinloft/coordination/placement/recent_segments.py
@@ -30,11 +30,11 @@
         """
         recent = 0
         for index, key in enumerate(keys[:-1]):
-            last_used_ms = self._last_used_ms.get(key.path_digest)
+            last_used_ms = self._last_used_ms.get(key.prefix_digest)
             if last_used_ms is not None and now_ms - last_used_ms <= self.reuse_window_ms:
                 recent = index + 1
-            self._last_used_ms[key.path_digest] = now_ms
-            self._last_used_ms.move_to_end(key.path_digest)
+            self._last_used_ms[key.prefix_digest] = now_ms
+            self._last_used_ms.move_to_end(key.prefix_digest)
         while len(self._last_used_ms) > MAX_TRACKED_SEGMENTS:
             self._last_used_ms.popitem(last=False)
         return recent
--- a/dunlinloft/coordination/placement/service.py
+++ b/dunlinloft/coordination/placement/service.py
@@ -22,7 +22,7 @@
 # `NEAR_BEST_TOKENS`.
 NEAR_BEST_FRACTION = 0.15
 # Fraction of its shared tokens by which a prompt prefers its home, the first server in rendezvous order.
-HOME_PREFERENCE_FRACTION = 0.5
+PREFIX_AFFINITY_FRACTION = 0.5
 # Requests in flight that are counted; beyond, there is no advice.
 MAX_IN_FLIGHT_REQUESTS = 100_000
 
@@ -85,13 +85,13 @@
         ]
         if not loads or len(self._in_flight) >= MAX_IN_FLIGHT_REQUESTS:
             return None
-        request = demand.keyed()
+        request = demand.with_cache_keys()
         costs = self._costs(loads, request, demand.shared_prefix, now_ms)
-        lowest = min(costs)
-        if demand.wait_for_capacity and lowest >= FULL_SERVER_COST_TOKENS / 2.0:
+        lowest_cost = min(costs)
+        if demand.wait_for_capacity and lowest_cost >= FULL_SERVER_COST_TOKENS / 2.0:
             return None
-        bound = lowest + NEAR_BEST_FRACTION * abs(lowest) + NEAR_BEST_TOKENS
-        near_best = [load for load, cost in zip(loads, costs, strict=True) if cost <= bound]
+        max_cost = lowest_cost + NEAR_BEST_FRACTION * abs(lowest_cost) + NEAR_BEST_TOKENS
+        near_best = [load for load, cost in zip(loads, costs, strict=True) if cost <= max_cost]
         chosen = self._rotation.pick((load, max(1.0, load.free_capacity)) for load in near_best)
         assert chosen is not None, "the server of the lowest cost is among them"
         self._in_flight[placement_id] = chosen.on_sent(request, now_ms)
@@ -107,7 +107,7 @@
         recent_segments = self._recent_segments.record_use(request.keys, now_ms)
         costs = [placement_cost(load, request, recent_segments, now_ms) for load in loads]
         if shared_prefix is not None:
-            costs[_home(loads, shared_prefix)] -= HOME_PREFERENCE_FRACTION * shared_prefix.tokens
+            costs[_affinity_index(loads, shared_prefix)] -= PREFIX_AFFINITY_FRACTION * shared_prefix.tokens
         return costs
 
     def on_local_placement(
@@ -117,7 +117,7 @@
         load = self._loads.get(server_id)
         if load is None or len(self._in_flight) >= MAX_IN_FLIGHT_REQUESTS:
             return
-        request = demand.keyed()
+        request = demand.with_cache_keys()
         self._recent_segments.record_use(request.keys, now_ms)
         self._in_flight[placement_id] = load.on_sent(request, now_ms)
 
@@ -139,7 +139,7 @@
             self.on_completed(placement_id, False, now_ms)
 
 
-def _home(loads: Sequence[ServerLoad], shared_prefix: SharedPrefix) -> int:
+def _affinity_index(loads: Sequence[ServerLoad], shared_prefix: SharedPrefix) -> int:
     """Return the index of a shared prefix's home.
 
     It is the same at every owner and node: after a change of owner segments are where they were.
--- a/dunlinloft/coordination/quota/bounds.py
+++ b/dunlinloft/coordination/quota/bounds.py
@@ -23,16 +23,16 @@
     """Under which circumstances an owner opens a tenant's bucket, which decides its first level."""
 
     FLEET_RESTART = auto()  # no node runs longer than the owner: all had been down
-    AFTER_WAIT = auto()  # the previous owner's lease was waited for in full
+    AFTER_LEASE_TIMEOUT = auto()  # the previous owner's lease was waited for in full
     AFTER_LEASE_EXPIRED = auto()  # a majority showed that the previous owner's lease had expired
-    REPEATED = auto()  # another owner began within the same window, or may have
+    REPEATED_TAKEOVER = auto()  # another owner began within the same window, or may have
 
 
 INITIAL_LEVEL_S = {
     BucketStart.FLEET_RESTART: FLEET_RESTART_LEVEL_S,
-    BucketStart.AFTER_WAIT: TAKEOVER_LEVEL_S,
+    BucketStart.AFTER_LEASE_TIMEOUT: TAKEOVER_LEVEL_S,
     BucketStart.AFTER_LEASE_EXPIRED: EARLY_TAKEOVER_LEVEL_S,
-    BucketStart.REPEATED: 0.0,
+    BucketStart.REPEATED_TAKEOVER: 0.0,
 }
 
 
@@ -77,7 +77,7 @@
         That level comes out of what the rule permits beyond rate and burst, which is enough for one owner in
         a window: a second one begins with nothing.
         """
-        if start is BucketStart.REPEATED:
+        if start is BucketStart.REPEATED_TAKEOVER:
             return 0.0
         level = INITIAL_LEVEL_S[start] * limit.rate_per_s + INITIAL_TOLERANCE_FRACTION * self.tolerance
         return min(level, self.base_capacity(limit))
--- a/dunlinloft/coordination/quota/owner.py
+++ b/dunlinloft/coordination/quota/owner.py
@@ -76,7 +76,7 @@
         if self._fleet_restarted:
             self._fleet_restarted = False
             for tenant, bucket in self._buckets.items():
-                level = self._bounds.initial_level(self._limits[tenant], self._start_of(tenant, now_ms))
+                level = self._bounds.initial_level(self._limits[tenant], self._bucket_start(tenant, now_ms))
                 bucket.level = min(bucket.level, level)
 
     def set_limits(self, limits: dict[str, QuotaLimit]) -> None:
@@ -124,14 +124,14 @@
             return
         self._holdings[node] = holdings
         for tenant, bucket in self._buckets.items():
-            self._account(tenant, bucket, node, holdings, now_ms)
+            self._apply_holdings(tenant, bucket, node, holdings, now_ms)
 
-    def _account(
+    def _apply_holdings(
         self, tenant: str, bucket: QuotaBucket, node: str, holdings: QuotaHoldings, now_ms: float
     ) -> None:
         """Count a node's holdings in a bucket, unless the report is from before the tenant came here."""
-        owned_since = self._ownership.owned_since(tenant)
-        if holdings.epoch >= (self._ownership.epoch if owned_since is None else owned_since):
+        owned_since_epoch = self._ownership.owned_since_epoch(tenant)
+        if holdings.epoch >= (self._ownership.epoch if owned_since_epoch is None else owned_since_epoch):
             bucket.shares.on_report(node, holdings.shares.get(tenant, 0.0), False, now_ms)
             # Only the first report counts: whatever the node holds beyond it was drawn here since.
             bucket.reported_reserves.setdefault(node, holdings.reserves.get(tenant, 0.0))
@@ -162,7 +162,7 @@
                 continue
             level = self._ownership.handed_over_level(tenant)
             if level is None:
-                level = self._bounds.initial_level(limit, self._start_of(tenant, now_ms))
+                level = self._bounds.initial_level(limit, self._bucket_start(tenant, now_ms))
             pool = self._bounds.reserve_pool(limit)
             unreported = 0.0 if self._fleet_restarted else pool
             bucket = QuotaBucket(
@@ -174,28 +174,28 @@
             )
             self._buckets[tenant] = bucket
             for node, holdings in self._holdings.items():
-                self._account(tenant, bucket, node, holdings, now_ms)
+                self._apply_holdings(tenant, bucket, node, holdings, now_ms)
 
-    def _start_of(self, tenant: str, now_ms: float) -> BucketStart:
+    def _bucket_start(self, tenant: str, now_ms: float) -> BucketStart:
         """Return how a bucket starts: with a level of its own only where no other owner had one lately."""
         if self._fleet_restarted:
             return BucketStart.FLEET_RESTART
         window_ms = 1_000.0 * self._bounds.window_s
         if now_ms - self._started_ms < window_ms:
-            return BucketStart.REPEATED  # who owned it before this process is not known
-        return self._ownership.start_of(tenant, window_ms)
+            return BucketStart.REPEATED_TAKEOVER  # who owned it before this process is not known
+        return self._ownership.bucket_start(tenant, window_ms)
 
     def _update_unreported(self, now_ms: float) -> None:
         """Bound what those nodes may hold that have not reported since a tenant's quota came here."""
         nodes = self._nodes.active_names()
         self._node_count = max(1, len(nodes))
         self._node_counts.record(self._node_count, now_ms)
-        fewest = self._node_counts.fewest(now_ms)
+        min_count = self._node_counts.min_count(now_ms)
         reported = [self._holdings[node].epoch if node in self._holdings else -1 for node in nodes]
         for tenant, bucket in self._buckets.items():
-            since = self._ownership.owned_since(tenant) or 0
-            missing = 0 if self._fleet_restarted else sum(epoch < since for epoch in reported)
-            bucket.shares.max_unreported = min(1.0, MAX_SHARE_MULTIPLE * missing / fewest)
+            since_epoch = self._ownership.owned_since_epoch(tenant) or 0
+            unreported_nodes = 0 if self._fleet_restarted else sum(epoch < since_epoch for epoch in reported)
+            bucket.shares.max_unreported = min(1.0, MAX_SHARE_MULTIPLE * unreported_nodes / min_count)
             bucket.unreported_reserves = bucket.reserve_pool * bucket.shares.max_unreported
 
     def expire(self, now_ms: float) -> None:
@@ -226,6 +226,6 @@
         reserve = 0.0 if wait_ms else bucket.draw_reserve(demand.wanted_reserve)
         spent = 0.0 if wait_ms else demand.amount
         # After a restart of the whole fleet nobody holds a share that its granter computed with more nodes.
-        may_grow = self._fleet_restarted or self._node_counts.knows_nodes(now_ms)
+        may_grow = self._fleet_restarted or self._node_counts.has_discovered_nodes(now_ms)
         share = bucket.shares.grant(demand.node, spent, self._node_count, now_ms, may_grow)
         return QuotaDecision(wait_ms, reserve, share, scarce)
--- a/dunlinloft/coordination/quota/ownership.py
+++ b/dunlinloft/coordination/quota/ownership.py
@@ -58,11 +58,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnerMoves:
+class TransferTimes:
     """When a tenant's quota last moved to another owner, and when before that; in ms."""
 
-    last_ms: float
-    before_ms: float
+    latest_ms: float
+    previous_ms: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,9 +93,9 @@
         self._owned_since: dict[str, int] = {}  # by tenant: the epoch in which it came over
         self._previous_owner: dict[str, str] = {}  # by tenant: whose lease is waited for; "" if not known
         self._grants_from_ms: dict[str, float] = {}  # by tenant
-        self._lease_shown_expired: set[str] = set()  # tenants whose wait ended early
+        self._lease_confirmed_expired: set[str] = set()  # tenants whose wait ended early
         self._handed_over: dict[str, HandedOverLevel] = {}  # by tenant
-        self._moves: dict[str, OwnerMoves] = {}  # by tenant
+        self._transfers: dict[str, TransferTimes] = {}  # by tenant
 
     def set_chain(
         self, epoch: int, chain: tuple[str, ...], tenants: Iterable[str], now_ms: float
@@ -112,7 +112,7 @@
         gained: list[str] = []
         for tenant in tenants:
             owner = quota_owner_address(tenant, chain)
-            self._note_move(
+            self._record_transfer(
                 tenant, epoch_skipped or owner != quota_owner_address(tenant, previous_chain), now_ms
             )
             if owner != self._address:
@@ -125,15 +125,17 @@
                 self._owned_since[tenant] = epoch
                 if not first_chain:
                     self._grants_from_ms[tenant] = now_ms + HANDOVER_WAIT_MS
-                    self._lease_shown_expired.discard(tenant)
+                    self._lease_confirmed_expired.discard(tenant)
                     self._previous_owner[tenant] = "" if epoch_skipped else previous_owner or ""
         return OwnershipChange(lost, tuple(gained), first_chain, epoch_skipped)
 
-    def _note_move(self, tenant: str, moved: bool, now_ms: float) -> None:
+    def _record_transfer(self, tenant: str, transferred: bool, now_ms: float) -> None:
         """Note when a tenant's quota moved to another owner, whoever that is."""
-        if moved:
-            moves = self._moves.get(tenant)
-            self._moves[tenant] = OwnerMoves(now_ms, -math.inf if moves is None else moves.last_ms)
+        if transferred:
+            transfers = self._transfers.get(tenant)
+            self._transfers[tenant] = TransferTimes(
+                now_ms, -math.inf if transfers is None else transfers.latest_ms
+            )
 
     def on_handover(self, epoch: int, levels: dict[str, float]) -> None:
         """Take what a previous owner gave up for an epoch, which may not be known here yet."""
@@ -149,16 +151,16 @@
             return None
         return handed_over.level
 
-    def start_of(self, tenant: str, window_ms: float) -> BucketStart:
+    def bucket_start(self, tenant: str, window_ms: float) -> BucketStart:
         """Return how a tenant that came over with no level handed over is started."""
-        moves = self._moves.get(tenant)
-        if moves is not None and moves.last_ms - moves.before_ms < window_ms:
-            return BucketStart.REPEATED
-        if tenant in self._lease_shown_expired:
+        transfers = self._transfers.get(tenant)
+        if transfers is not None and transfers.latest_ms - transfers.previous_ms < window_ms:
+            return BucketStart.REPEATED_TAKEOVER
+        if tenant in self._lease_confirmed_expired:
             return BucketStart.AFTER_LEASE_EXPIRED
-        return BucketStart.AFTER_WAIT
+        return BucketStart.AFTER_LEASE_TIMEOUT
 
-    def owned_since(self, tenant: str) -> int | None:
+    def owned_since_epoch(self, tenant: str) -> int | None:
         """Return the epoch in which a tenant came here; None where it did not."""
         return self._owned_since.get(tenant)
 
@@ -177,5 +179,5 @@
         if not handed_over and not self._lease_expired(self._previous_owner.get(tenant, ""), now_ms):
             return False
         self._grants_from_ms[tenant] = now_ms
-        self._lease_shown_expired.add(tenant)
+        self._lease_confirmed_expired.add(tenant)
         return True
--- a/dunlinloft/coordination/quota/shares.py
+++ b/dunlinloft/coordination/quota/shares.py
@@ -85,20 +85,20 @@
         node_share.usage.add(spent, now_ms)
         self._usage.add(spent, now_ms)
         outstanding_before = node_share.outstanding
-        free = 1.0 - (self._outstanding - outstanding_before) - self._unreported()
+        unallocated = 1.0 - (self._outstanding - outstanding_before) - self._unreported_share()
         # What the node holds already may stay: that counts as outstanding in any case.
-        permitted = max(free, node_share.reported) if may_grow else node_share.reported
-        node_share.granted = max(0.0, min(self._target(node_share, node_count, now_ms), permitted))
+        max_share = max(unallocated, node_share.reported) if may_grow else node_share.reported
+        node_share.granted = max(0.0, min(self._target_share(node_share, node_count, now_ms), max_share))
         self._outstanding += node_share.outstanding - outstanding_before
         return node_share.granted
 
-    def _target(self, node_share: _NodeShare, node_count: int, now_ms: float) -> float:
+    def _target_share(self, node_share: _NodeShare, node_count: int, now_ms: float) -> float:
         total_usage = self._usage.value(now_ms)
-        even = 1.0 / node_count
-        by_usage = node_share.usage.value(now_ms) / total_usage if total_usage else even
+        even_share = 1.0 / node_count
+        usage_share = node_share.usage.value(now_ms) / total_usage if total_usage else even_share
         return min(
-            MAX_SHARE_MULTIPLE * even,
-            EVEN_SPLIT_FRACTION * even + (1.0 - EVEN_SPLIT_FRACTION) * by_usage,
+            MAX_SHARE_MULTIPLE * even_share,
+            EVEN_SPLIT_FRACTION * even_share + (1.0 - EVEN_SPLIT_FRACTION) * usage_share,
         )
 
     def autonomous_fraction(self, disconnected: Iterable[str]) -> float:
@@ -110,9 +110,9 @@
         node_shares = (self._by_node.get(node) for node in self._autonomous.union(disconnected))
         # Exact, and so the same in whatever order the set is visited.
         outstanding = math.fsum(each.outstanding for each in node_shares if each is not None)
-        return min(1.0, outstanding + self._unreported())
+        return min(1.0, outstanding + self._unreported_share())
 
-    def _unreported(self) -> float:
+    def _unreported_share(self) -> float:
         """Return what a previous owner may have granted to nodes that have not reported yet."""
         return max(0.0, min(self.max_unreported, 1.0 - self._accounted))
 
--- a/tests/test_quota_owner.py
+++ b/tests/test_quota_owner.py
@@ -117,7 +117,7 @@
     granted = 0
     while not decision(successor, demand(1_000.0), now).wait_ms:
         granted += 1
-    initial_level = BOUNDS.initial_level(LIMIT, BucketStart.AFTER_WAIT)
+    initial_level = BOUNDS.initial_level(LIMIT, BucketStart.AFTER_LEASE_TIMEOUT)
     assert 0.9 * initial_level < 1_000.0 * granted <= initial_level
 
 
@@ -153,7 +153,7 @@
 def test_a_node_that_ran_before_takes_back_what_a_restart_of_the_fleet_would_grant(owner: QuotaOwner) -> None:
     assert decision(owner, demand(10_000.0), 500.0)
     owner.on_node_subscribed(60_000.0, 600.0)
-    amount = BOUNDS.initial_level(LIMIT, BucketStart.AFTER_WAIT) + 11_000.0
+    amount = BOUNDS.initial_level(LIMIT, BucketStart.AFTER_LEASE_TIMEOUT) + 11_000.0
     assert decision(owner, demand(amount), 600.0).wait_ms > 0.0
 
 
--- a/tests/test_quota_takeovers.py
+++ b/tests/test_quota_takeovers.py
@@ -9,7 +9,7 @@
 from dunlinloft.coordination.node_registry import NodeRegistry
 from dunlinloft.coordination.quota.bounds import BucketStart
 from dunlinloft.coordination.quota.demand import QuotaDemand, QuotaHoldings
-from dunlinloft.coordination.quota.node_counts import HISTORY_MS, NODE_LEARNING_MS, NodeCountHistory
+from dunlinloft.coordination.quota.node_counts import HISTORY_MS, NODE_DISCOVERY_MS, NodeCountHistory
 from dunlinloft.coordination.quota.owner import QuotaOwner
 from dunlinloft.coordination.quota.ownership import HANDOVER_WAIT_MS
 from dunlinloft.coordination.quota.shares import MAX_SHARE_MULTIPLE, TenantShares
@@ -37,7 +37,7 @@
 
 def test_the_first_owner_in_a_window_begins_with_a_level() -> None:
     level = _level_after_takeovers([WINDOW_MS + 1_000.0])
-    assert level == pytest.approx(BOUNDS.initial_level(LIMIT, BucketStart.AFTER_WAIT))
+    assert level == pytest.approx(BOUNDS.initial_level(LIMIT, BucketStart.AFTER_LEASE_TIMEOUT))
 
 
 @pytest.mark.parametrize("gap_ms", [1_000.0, WINDOW_MS - 1.0])
@@ -82,16 +82,16 @@
         history.record(count, now)
         counts.append((now, count))
         if now < HISTORY_MS:
-            assert history.fewest(now) == 1
+            assert history.min_count(now) == 1
             continue
         expected = min(count for at, count in counts if at >= now - HISTORY_MS)
-        assert history.fewest(now) == expected
+        assert history.min_count(now) == expected
 
 
 def test_a_new_process_does_not_know_the_nodes_yet() -> None:
     history = NodeCountHistory(5_000.0)
-    assert not history.knows_nodes(5_000.0 + NODE_LEARNING_MS - 1.0)
-    assert history.knows_nodes(5_000.0 + NODE_LEARNING_MS)
+    assert not history.has_discovered_nodes(5_000.0 + NODE_DISCOVERY_MS - 1.0)
+    assert history.has_discovered_nodes(5_000.0 + NODE_DISCOVERY_MS)
 
 
 def test_a_share_that_may_not_grow_stays_at_most_what_the_node_reported() -> None:
@@ -176,7 +176,7 @@
 
 def test_a_bound_by_the_present_number_of_nodes_is_too_small(monkeypatch: pytest.MonkeyPatch) -> None:
     """The bug that the history mends, planted: 3/N with the N of now."""
-    monkeypatch.setattr(NodeCountHistory, "fewest", lambda self, _: self._counts[-1].nodes)
+    monkeypatch.setattr(NodeCountHistory, "min_count", lambda self, _: self._counts[-1].nodes)
     results = [_unreported_share(seed) for seed in range(12)]
     assert any(counted < held - 1e-9 for held, counted in results)
 
