--- a/dunlinloft/coordination/quota/bucket.py
+++ b/dunlinloft/coordination/quota/bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket of one tenant at the owner of its quota."""
+"""The token bucket that a quota's owner keeps for one tenant."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from dunlinloft.coordination.decaying_sum import DecayingSum
 from dunlinloft.coordination.quota.shares import USAGE_DECAY_MS, TenantShares
 
-# A reserve is filled only while the bucket is above this fraction of its capacity.
+# Nodes may draw reserves only while the bucket is above this fraction of its capacity.
 RESERVE_MIN_LEVEL_FRACTION = 0.3
-# The wait that a node is given where its tenant has no rate, so that none can be computed.
+# Returned to a node as the wait if the tenant's rate is zero, so that none can be computed.
 NO_RATE_WAIT_MS = 1_000.0
 # Added to each computed wait.
 WAIT_MARGIN_MS = 1.0
@@ -17,25 +17,26 @@
 
 @dataclass(slots=True)
 class QuotaBucket:
-    """What is left of a tenant's quota, and what of its reserve pool nodes may hold.
+    """A tenant's remaining quota, and the part of its reserve pool that nodes may hold.
 
     Attributes
     ----------
     base_capacity
-        Capacity while nodes have drawn the full reserve pool.
+        Capacity when the reserve pool has been drawn completely.
     reserve_pool
-        What nodes' reserves may hold together; what no node holds adds to the bucket's capacity.
+        Maximum amount that all nodes' reserves may hold together. The part that no node holds adds to the
+        bucket's capacity.
     level
-        What is left now.
+        Amount currently available.
     reported_reserves
-        By node: the reserve that it reported when this bucket opened.
+        Reserve by node, as first reported to this bucket.
     unreported_reserves
-        What nodes may hold that have not reported yet.
+        Upper bound on the reserves of nodes that have not reported yet.
     drawn_reserves
-        What was drawn into reserves since the bucket opened. None of it is ever taken off, as reserves may
-        still be full of it.
+        Total drawn into reserves since the bucket opened. Never decreases, since the reserves may still hold
+        all of it.
     first_attempt_demand
-        Amounts requested by first attempts recently, granted or not.
+        Amounts recently requested by first attempts, whether granted or not.
     """
 
     base_capacity: float
@@ -49,19 +50,19 @@
 
     @property
     def capacity(self) -> float:
-        """What the bucket may hold now: less, the more of the pool nodes may hold."""
+        """Current capacity, which shrinks as nodes draw on the reserve pool."""
         outstanding = self.unreported_reserves + sum(self.reported_reserves.values()) + self.drawn_reserves
         return self.base_capacity + max(0.0, self.reserve_pool - outstanding)
 
     def fill(self, amount: float) -> None:
-        """Add what came in, up to the capacity."""
+        """Add an amount, up to the capacity."""
         self.level = min(self.capacity, self.level + amount)
 
     def try_consume(self, amount: float, rate_per_s: float, required_multiple: float = 1.0) -> float:
-        """Take an amount if `required_multiple` times as much is there.
+        """Consume an amount if at least `required_multiple` times the amount is available.
 
-        Returns 0 where the amount was taken, else the time in ms until it will be there at `rate_per_s`.
-        A request larger than the capacity needs a full bucket.
+        Returns 0 if the amount was consumed, otherwise the time in ms until the bucket will have refilled
+        far enough at `rate_per_s`. A request larger than the capacity requires a full bucket.
         """
         needed = min(required_multiple * amount, self.capacity)
         if self.level >= needed:
@@ -72,7 +73,7 @@
         return WAIT_MARGIN_MS + 1_000.0 * (needed - self.level) / rate_per_s
 
     def draw_reserve(self, wanted: float) -> float:
-        """Take up to `wanted` for a node's reserve, of what is not short here; return the amount."""
+        """Draw up to `wanted` for a node's reserve from the bucket's surplus; return the drawn amount."""
         surplus = self.level - RESERVE_MIN_LEVEL_FRACTION * self.capacity
         drawn = max(0.0, min(wanted, surplus))
         self.level -= drawn
--- a/dunlinloft/coordination/quota/node_counts.py
+++ b/dunlinloft/coordination/quota/node_counts.py
@@ -1,8 +1,8 @@
-"""The fewest nodes that any standing share which is still valid may have been computed with.
+"""Recent node counts, and the minimum from which any standing share that is still valid may derive.
 
-A share is at most a multiple of an even split among the nodes that its granter knew. While nodes join, an
-owner that knows more of them must not bound earlier grants by its own, larger number. Times are in
-milliseconds of a steady clock.
+A share is at most a multiple of an even split among the nodes known to the owner that granted it. While nodes
+join, an owner that knows more nodes must not derive the upper bound of earlier grants from its own, larger
+count. Times are in milliseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 
 from dunlinloft.coordination.quota.shares import SHARE_ACCOUNTING_MS
 
-# Longest time by which another replica learns of a node later: two exchanges of nodes between replicas.
+# Maximum delay until all replicas know a node: two rounds of node exchange between replicas.
 NODE_DISCOVERY_MS = 2_000.0
 HISTORY_MS = SHARE_ACCOUNTING_MS + NODE_DISCOVERY_MS
 
 
 class _CountSample(NamedTuple):
-    """A number of nodes, and until when it was the present one."""
+    """A node count, and the time when it was last recorded."""
 
     nodes: int
     until_ms: float
 
 
 class NodeCountHistory:
-    """The numbers of nodes of the last `HISTORY_MS`; owned by `QuotaOwner`."""
+    """The node counts of the last `HISTORY_MS`; owned by `QuotaOwner`."""
 
     def __init__(self, started_ms: float) -> None:
-        """Begin at the start of the process: what was there before is not known."""
+        """Start an empty history at the start of the process; earlier counts are unknown."""
         self._started_ms = started_ms
-        self._counts: deque[_CountSample] = deque()  # rising numbers: only those that are the smallest since
+        self._counts: deque[_CountSample] = deque()  # ascending; each is the minimum recorded since
 
     def record(self, nodes: int, now_ms: float) -> None:
-        """Take the present number of nodes."""
+        """Record the current node count."""
         while self._counts and self._counts[-1].nodes >= nodes:
             self._counts.pop()
         self._counts.append(_CountSample(nodes, now_ms))
@@ -41,11 +41,11 @@
             self._counts.popleft()
 
     def min_count(self, now_ms: float) -> int:
-        """Return the smallest number; 1 while the history does not reach back far enough."""
+        """Return the minimum node count; 1 while the process is younger than `HISTORY_MS`."""
         if not self._counts or now_ms - self._started_ms < HISTORY_MS:
             return 1
         return max(1, self._counts[0].nodes)
 
     def has_discovered_nodes(self, now_ms: float) -> bool:
-        """Return whether the process has been up for long enough to have learned of all nodes."""
+        """Return whether the process has been up long enough to know all nodes."""
         return now_ms - self._started_ms >= NODE_DISCOVERY_MS
--- a/dunlinloft/coordination/quota/owner.py
+++ b/dunlinloft/coordination/quota/owner.py
@@ -1,6 +1,6 @@
-"""The owner's side of tenants' quotas: refills buckets, grants nodes' requests, accounts for what nodes hold.
+"""Owner side of tenant quotas: refills buckets, grants requests and accounts for what nodes hold.
 
-See the package for why the bound on each window holds.
+The package docstring explains why usage in each window stays within its bound.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 from dunlinloft.coordination.quota.ownership import OwnershipChange, QuotaOwnership, ReleasedQuotas
 from dunlinloft.coordination.quota.shares import MAX_SHARE_MULTIPLE, TenantShares
 
-# A node that started no earlier than so long before its owner started together with it.
+# A node that started at most this long before the owner counts as restarted together with it.
 FLEET_RESTART_WINDOW_MS = 2_000.0
-# Buckets are refilled in steps of at least so long: what that takes grows with nodes, not with requests.
+# Minimum time between refills, so that their cost depends on the number of nodes and not on the request rate.
 REFILL_INTERVAL_MS = 10.0
-# Multiple of its amount that has to be there for a retry: that request is late, and whatever is short goes to
-# first attempts, which can be answered in time (docs/deciding.md, round 11).
+# A retry is granted only if this multiple of its amount is available: it is late already, and a scarce quota
+# goes to first attempts, which can still be answered in time (docs/deciding.md, round 11).
 RETRY_LEVEL_MULTIPLE = 4.0
-# Multiple of a tenant's rate that first attempts alone request, from where on waiting is of no use.
+# A quota is scarce, and waiting for it useless, if first attempts alone request this multiple of the rate.
 SCARCITY_DEMAND_MULTIPLE = 1.15
 
 
 class QuotaOwner:
     """The quotas that one control plane owns.
 
-    Owned by the control plane's `QuotaService`, which calls it with each message of a node or replica and
-    with each tick. It holds no clock: every call says the time. The `NodeRegistry` is kept up to date by the
-    host.
+    Owned by the control plane's `QuotaService`, which calls it for each message from a node or replica and on
+    each tick. It has no clock of its own: the caller passes the current time. The host keeps the
+    `NodeRegistry` up to date.
     """
 
     def __init__(
@@ -42,35 +42,35 @@
         nodes: NodeRegistry,
         lease_expired: Callable[[str, float], bool] = lambda *_: False,
     ) -> None:
-        """Start without limits, and without a chain.
+        """Start without limits and without a chain.
 
         Parameters
         ----------
         address
-            This control plane's.
+            Address of this control plane.
         started_ms
-            When its process started.
+            Time when its process started.
         lease_expired
-            Tells whether the previous owner, at an address, can grant no more at a time in ms.
+            Returns whether the lease of the previous owner, given by address, has expired at a time in ms.
         """
         self._started_ms = started_ms
         self._bounds = bounds
         self._nodes = nodes
         self._ownership = QuotaOwnership(address, lease_expired)
         self._limits: dict[str, QuotaLimit] = {}  # by tenant
-        self._buckets: dict[str, QuotaBucket] = {}  # by tenant that may be granted from
+        self._buckets: dict[str, QuotaBucket] = {}  # by tenant; only of quotas that this owner may grant
         self._holdings: dict[str, QuotaHoldings] = {}  # by node
-        # Owner and nodes started together, as far as is known: nothing was spent while they were down.
+        # As far as known, the owner and all nodes started together: nothing was spent while they were down.
         self._fleet_restarted = True
         self._refilled_ms = started_ms
-        self._was_leased = False  # at the last refill
+        self._was_leased = False  # whether the lease was held at the last refill
         self._node_count = 1
         self._node_counts = NodeCountHistory(started_ms)
 
-    # What the host learns: nodes, limits, chains.
+    # Updates from the host: nodes, limits and chains.
 
     def on_node_subscribed(self, uptime_ms: float, now_ms: float) -> None:
-        """Take a node's subscription. One that ran before this owner may have spent meanwhile."""
+        """Handle a node's subscription; a node older than this owner may have spent in the meantime."""
         if now_ms - uptime_ms >= self._started_ms - FLEET_RESTART_WINDOW_MS:
             return
         if self._fleet_restarted:
@@ -80,7 +80,7 @@
                 bucket.level = min(bucket.level, level)
 
     def set_limits(self, limits: dict[str, QuotaLimit]) -> None:
-        """Take the limits of all tenants that have one."""
+        """Replace the limits; a tenant without an entry has none."""
         self._limits = limits
         for tenant in [name for name in self._buckets if name not in limits]:
             del self._buckets[tenant]
@@ -90,9 +90,10 @@
             bucket.level = min(bucket.level, bucket.capacity)
 
     def set_chain(self, epoch: int, chain: tuple[str, ...], now_ms: float) -> list[ReleasedQuotas]:
-        """Take the control planes among which quotas are sharded now.
+        """Set the control planes among which quotas are sharded from now on.
 
-        Returns what this owner has to hand over to others; what came over is waited for.
+        Returns the quotas that this owner has to hand over to others. Gained quotas are granted only
+        after the handover wait.
         """
         change = self._ownership.set_chain(epoch, chain, self._limits, now_ms)
         if change is None:
@@ -114,11 +115,11 @@
         return list(by_owner.values())
 
     def on_handover(self, epoch: int, levels: dict[str, float]) -> None:
-        """Take quotas that the previous owner gave up for an epoch, which may not be known here yet."""
+        """Accept quotas that the previous owner handed over for an epoch, which may still be unknown here."""
         self._ownership.on_handover(epoch, levels)
 
     def on_holdings(self, node: str, holdings: QuotaHoldings, now_ms: float) -> None:
-        """Take a node's report of what it holds; an older one than is known is ignored."""
+        """Handle a node's report of what it holds; a report from an older epoch is ignored."""
         known = self._holdings.get(node)
         if known is not None and known.epoch > holdings.epoch:
             return
@@ -129,20 +130,20 @@
     def _apply_holdings(
         self, tenant: str, bucket: QuotaBucket, node: str, holdings: QuotaHoldings, now_ms: float
     ) -> None:
-        """Count a node's holdings in a bucket, unless the report is from before the tenant came here."""
+        """Count a node's holdings in a bucket, unless the report predates this owner's gain of the quota."""
         owned_since_epoch = self._ownership.owned_since_epoch(tenant)
         if holdings.epoch >= (self._ownership.epoch if owned_since_epoch is None else owned_since_epoch):
             bucket.shares.on_report(node, holdings.shares.get(tenant, 0.0), False, now_ms)
-            # Only the first report counts: whatever the node holds beyond it was drawn here since.
+            # Only the first report counts: any later increase was drawn from this bucket.
             bucket.reported_reserves.setdefault(node, holdings.reserves.get(tenant, 0.0))
 
-    # Time.
+    # Periodic work.
 
     def refill(self, leased: bool, now_ms: float) -> None:
-        """Fill the buckets for the time since the last call, and open those that may be; called each tick.
+        """Refill the buckets for the time since the last call and open new ones; called on each tick.
 
-        Time counts only where the lease was valid at both its ends: without an owner, nodes spend the full
-        rate.
+        An interval counts only if the lease was held at its start and its end: without an owner, nodes may
+        spend the full rate.
         """
         elapsed_s = max(0.0, now_ms - self._refilled_ms) / 1_000.0
         if leased and self._was_leased:
@@ -177,16 +178,16 @@
                 self._apply_holdings(tenant, bucket, node, holdings, now_ms)
 
     def _bucket_start(self, tenant: str, now_ms: float) -> BucketStart:
-        """Return how a bucket starts: with a level of its own only where no other owner had one lately."""
+        """Return how a bucket starts; only the first new owner in a window gets an initial level."""
         if self._fleet_restarted:
             return BucketStart.FLEET_RESTART
         window_ms = 1_000.0 * self._bounds.window_s
         if now_ms - self._started_ms < window_ms:
-            return BucketStart.REPEATED_TAKEOVER  # who owned it before this process is not known
+            return BucketStart.REPEATED_TAKEOVER  # owners before this process are unknown
         return self._ownership.bucket_start(tenant, window_ms)
 
     def _update_unreported(self, now_ms: float) -> None:
-        """Bound what those nodes may hold that have not reported since a tenant's quota came here."""
+        """Update the upper bounds on what nodes hold that have not reported since a quota was gained."""
         nodes = self._nodes.active_names()
         self._node_count = max(1, len(nodes))
         self._node_counts.record(self._node_count, now_ms)
@@ -199,18 +200,18 @@
             bucket.unreported_reserves = bucket.reserve_pool * bucket.shares.max_unreported
 
     def expire(self, now_ms: float) -> None:
-        """Drop shares that have expired, and holdings of nodes that left; called periodically."""
+        """Drop expired shares and the holdings of nodes that have left; called periodically."""
         names = set(self._nodes.active_names())
         self._holdings = {node: holdings for node, holdings in self._holdings.items() if node in names}
         for bucket in self._buckets.values():
             bucket.shares.expire(now_ms)
 
-    # Requests.
+    # Requests of nodes.
 
     def handle_request(
         self, demand: QuotaDemand, leased: bool, now_ms: float
     ) -> QuotaDecision | NotQuotaOwner:
-        """Decide on a node's request; `leased` tells whether this replica holds its lease now."""
+        """Decide on a node's request; `leased` is whether this replica currently holds its lease."""
         limit = self._limits.get(demand.tenant)
         if limit is None or not leased or not self._ownership.may_grant(demand.tenant, now_ms):
             return NotQuotaOwner()
@@ -225,7 +226,7 @@
         wait_ms = bucket.try_consume(demand.amount, limit.rate_per_s, required_multiple)
         reserve = 0.0 if wait_ms else bucket.draw_reserve(demand.wanted_reserve)
         spent = 0.0 if wait_ms else demand.amount
-        # After a restart of the whole fleet nobody holds a share that its granter computed with more nodes.
+        # After a restart of the whole fleet, no node holds a share from an owner that knew more nodes.
         may_grow = self._fleet_restarted or self._node_counts.has_discovered_nodes(now_ms)
         share = bucket.shares.grant(demand.node, spent, self._node_count, now_ms, may_grow)
         return QuotaDecision(wait_ms, reserve, share, scarce)
--- a/dunlinloft/coordination/quota/ownership.py
+++ b/dunlinloft/coordination/quota/ownership.py
@@ -1,7 +1,8 @@
-"""Which control plane owns a tenant's quota, and from when a new owner may grant.
+"""Ownership of tenant quotas: which control plane owns a quota, and when a new owner may start to grant.
 
-Ownership follows the chain by rendezvous hashing. Two owners must never grant at once, so a replica to which
-a quota came over waits until the previous owner's lease has ended, unless that one handed the quota over.
+Rendezvous hashing over the chain determines the owner. Two owners must never grant at the same time, so a
+replica that gains a quota waits until the previous owner's lease has expired, unless the previous owner
+handed the quota over.
 """
 
 from __future__ import annotations
@@ -13,21 +14,21 @@
 from dunlinloft.coordination.quota.bounds import BucketStart
 from dunlinloft.fleet.rendezvous import rank
 
-# A new owner waits for so long after it learned of its chain. The previous owner stops `LEASE_MS` (600 ms,
-# `failure_detector`) after a majority last confirmed it; the rest is margin.
+# Wait of a new owner after it has received the new chain. The previous owner stops granting `LEASE_MS`
+# (600 ms, `failure_detector`) after a majority last confirmed its lease; the rest is a safety margin.
 HANDOVER_WAIT_MS = 750.0
 
 
 def quota_owner_address(tenant: str, addresses: Sequence[str]) -> str | None:
-    """Return the address of the control plane that owns a tenant's quota; None where there is none."""
+    """Return the address of the control plane that owns a tenant's quota; None if there are no addresses."""
     return max(addresses, key=lambda address: rank(f"quota/{tenant}", address), default=None)
 
 
 @dataclass(frozen=True, slots=True)
 class HandedOverLevel:
-    """What the previous owner had left of a tenant's quota when it gave it up; it has granted nothing since.
+    """Bucket level that the previous owner handed over; it has granted nothing since.
 
-    `epoch` is that of the chain for which it gave the quota up; it was the owner in the epoch before.
+    `epoch` is the epoch of the chain that moved the quota. The sender owned the quota in the epoch before.
     """
 
     epoch: int
@@ -36,19 +37,21 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnershipChange:
-    """What a new chain changes for one replica.
+    """The effect of a new chain on the quotas of one replica.
 
     Attributes
     ----------
     lost
-        By tenant that this replica does not own: the present owner's address, None where there is none.
+        Address of the current owner by tenant, for all quotas that this replica does not own; None if there
+        is no owner.
     gained
-        Tenants that came over, each with the wait before the first grant already under way.
+        Tenants whose quotas this replica has gained; the wait before their first grant has started.
     first_chain
-        This replica has just started: nobody but itself owned in this epoch what it gained.
+        Whether this is the first chain since the replica started: no other replica owned the gained quotas in
+        this epoch.
     epoch_skipped
-        This replica missed an epoch, in which there may have been another owner: nothing that it has may be
-        kept or handed over.
+        Whether this replica missed an epoch. Another replica may have been the owner in it, so no bucket may
+        be kept or handed over.
     """
 
     lost: dict[str, str | None]
@@ -59,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferTimes:
-    """When a tenant's quota last moved to another owner, and when before that; in ms."""
+    """Times in ms of the latest two transfers of a tenant's quota to another owner."""
 
     latest_ms: float
     previous_ms: float
@@ -67,31 +70,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleasedQuotas:
-    """Tenants' quotas that moved to another owner, to be handed over to it with what is left of each."""
+    """Quotas that moved to another owner, with the remaining bucket levels to hand over to it."""
 
-    new_owner: str  # its address
+    new_owner: str  # address
     levels: dict[str, float] = field(default_factory=dict)  # by tenant
 
 
 class QuotaOwnership:
-    """The tenants' quotas that one replica owns, and from when it may grant of each; used by `QuotaOwner`."""
+    """The quotas that one replica owns, and the time from which it may grant each; used by `QuotaOwner`."""
 
     def __init__(self, address: str, lease_expired: Callable[[str, float], bool]) -> None:
-        """Own nothing until the first chain.
+        """Start without any quotas; the first chain assigns them.
 
         Parameters
         ----------
         address
-            This replica's.
+            Address of this replica.
         lease_expired
-            Tells whether a majority shows that the owner at an address can grant no more at a time in ms.
+            Returns whether a majority confirms that the lease of the owner at an address has expired at a
+            time in ms.
         """
         self._address = address
         self._lease_expired = lease_expired
         self._epoch = 0
         self._chain: tuple[str, ...] = ()
-        self._owned_since: dict[str, int] = {}  # by tenant: the epoch in which it came over
-        self._previous_owner: dict[str, str] = {}  # by tenant: whose lease is waited for; "" if not known
+        self._owned_since: dict[str, int] = {}  # epoch in which the quota was gained, by tenant
+        self._previous_owner: dict[str, str] = {}  # address by tenant; "" if unknown
         self._grants_from_ms: dict[str, float] = {}  # by tenant
         self._lease_confirmed_expired: set[str] = set()  # tenants whose wait ended early
         self._handed_over: dict[str, HandedOverLevel] = {}  # by tenant
@@ -100,7 +104,7 @@
     def set_chain(
         self, epoch: int, chain: tuple[str, ...], tenants: Iterable[str], now_ms: float
     ) -> OwnershipChange | None:
-        """Take the chain of an epoch; None where the epoch is the present one."""
+        """Set the chain of an epoch and return the changes; None if the epoch is the current one."""
         if epoch == self._epoch:
             return None
         first_chain = not self._chain
@@ -130,7 +134,7 @@
         return OwnershipChange(lost, tuple(gained), first_chain, epoch_skipped)
 
     def _record_transfer(self, tenant: str, transferred: bool, now_ms: float) -> None:
-        """Note when a tenant's quota moved to another owner, whoever that is."""
+        """Record the time of a transfer between any two owners, if the tenant's quota was transferred."""
         if transferred:
             transfers = self._transfers.get(tenant)
             self._transfers[tenant] = TransferTimes(
@@ -138,21 +142,21 @@
             )
 
     def on_handover(self, epoch: int, levels: dict[str, float]) -> None:
-        """Take what a previous owner gave up for an epoch, which may not be known here yet."""
+        """Store levels that a previous owner handed over for an epoch, which may still be unknown here."""
         for tenant, level in levels.items():
             known = self._handed_over.get(tenant)
             if known is None or known.epoch < epoch:
                 self._handed_over[tenant] = HandedOverLevel(epoch, level)
 
     def handed_over_level(self, tenant: str) -> float | None:
-        """Return the level handed over for the epoch in which a tenant came here; None without one."""
+        """Return the level handed over for the epoch in which the quota was gained; None if there is none."""
         handed_over = self._handed_over.get(tenant)
         if handed_over is None or handed_over.epoch != self._owned_since.get(tenant):
             return None
         return handed_over.level
 
     def bucket_start(self, tenant: str, window_ms: float) -> BucketStart:
-        """Return how a tenant that came over with no level handed over is started."""
+        """Return how the bucket starts of a gained quota for which no level was handed over."""
         transfers = self._transfers.get(tenant)
         if transfers is not None and transfers.latest_ms - transfers.previous_ms < window_ms:
             return BucketStart.REPEATED_TAKEOVER
@@ -161,16 +165,16 @@
         return BucketStart.AFTER_LEASE_TIMEOUT
 
     def owned_since_epoch(self, tenant: str) -> int | None:
-        """Return the epoch in which a tenant came here; None where it did not."""
+        """Return the epoch in which this replica gained the quota; None if it does not own it."""
         return self._owned_since.get(tenant)
 
     @property
     def epoch(self) -> int:
-        """The present chain's epoch."""
+        """Epoch of the current chain."""
         return self._epoch
 
     def may_grant(self, tenant: str, now_ms: float) -> bool:
-        """Return whether this replica owns a tenant's quota and no earlier owner can grant any more."""
+        """Return whether this replica owns the quota and no previous owner can still grant from it."""
         if quota_owner_address(tenant, self._chain) != self._address:
             return False
         if now_ms >= self._grants_from_ms.get(tenant, 0.0):
--- a/dunlinloft/coordination/quota/shares.py
+++ b/dunlinloft/coordination/quota/shares.py
@@ -1,13 +1,13 @@
-"""Standing shares of one tenant's rate: which fraction each node may spend without the quota's owner.
+"""Standing shares of one tenant's rate: the fraction that each node may spend without the quota's owner.
 
-The shares that are outstanding never add up to more than one:
+The outstanding shares never add up to more than one:
 
-- A share expires on its node's clock `SHARE_LIFETIME_MS` after the node sent the request that the owner last
-  answered; the owner counts it as outstanding for `SHARE_ACCOUNTING_MS` after it received that request.
-- A share that shrinks counts with its old size until the node reports the new one.
-- What a previous owner may have granted counts until every node has reported what it holds.
+- A share expires, by the node's clock, `SHARE_LIFETIME_MS` after the node sent the request that the owner
+  answered last. The owner counts it as outstanding for `SHARE_ACCOUNTING_MS` after it received that request.
+- A reduced share counts with its old size until the node reports the new one.
+- Shares that a previous owner may have granted count until every node has reported what it holds.
 
-Shares follow what nodes spend. Times are in milliseconds of a steady clock.
+Shares follow the nodes' usage. Times are in milliseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from dunlinloft.coordination.decaying_sum import DecayingSum
 
 SHARE_LIFETIME_MS = 15_000.0
-SHARE_ACCOUNTING_MS = 20_000.0  # longer: a message may be delayed for long, and clocks drift apart
+SHARE_ACCOUNTING_MS = 20_000.0  # longer than the lifetime, for message delay and clock drift
 # Time constant with which recent usage decays.
 USAGE_DECAY_MS = 4_000.0
-# Fraction of the rate that is split evenly, so that a node whose traffic has just begun has something.
+# Fraction of the rate that is split evenly, so that a node with new traffic gets a share.
 EVEN_SPLIT_FRACTION = 0.25
-# A share is at most this multiple of an even split, so that one that was not reported is bounded.
+# A share is at most this multiple of an even split, which bounds the shares that were not reported.
 MAX_SHARE_MULTIPLE = 3.0
 
 
 @dataclass(slots=True)
 class _NodeShare:
-    """One node's share: as the owner granted it last, and as the node reported it last."""
+    """One node's share as last granted by the owner and as last reported by the node."""
 
     usage: DecayingSum
     granted: float = 0.0
@@ -39,17 +39,18 @@
 
     @property
     def outstanding(self) -> float:
-        """What the node may be spending: a grant may not have arrived, or not be reported yet."""
+        """Upper bound on the node's share: a grant may not have arrived or been reported yet."""
         return max(self.granted, self.reported)
 
 
 class TenantShares:
-    """The shares of one tenant's rate, as its quota's owner counts them.
+    """The owner's accounting of the shares of one tenant's rate.
 
     Attributes
     ----------
     max_unreported
-        Upper bound of what a previous owner granted to nodes that have not reported; set by the owner.
+        Upper bound on the shares that a previous owner granted to nodes that have not reported; set by the
+        owner.
     """
 
     def __init__(self) -> None:
@@ -57,11 +58,11 @@
         self._autonomous: set[str] = set()
         self._usage = DecayingSum(USAGE_DECAY_MS)  # of all nodes
         self._outstanding = 0.0  # of all nodes
-        self._accounted = 0.0  # of a previous owner's shares: those whose nodes have reported
+        self._accounted = 0.0  # sum of the shares in nodes' first reports: granted by a previous owner
         self.max_unreported = 1.0
 
     def on_report(self, node: str, share: float, autonomous: bool, now_ms: float) -> None:
-        """Take a node's report of the share that it holds, and whether it spends that without this owner."""
+        """Handle a node's report of the share it holds and whether it spends the share without this owner."""
         node_share = self._by_node.get(node)
         if node_share is None:
             node_share = _NodeShare(DecayingSum(USAGE_DECAY_MS))
@@ -77,16 +78,16 @@
         self._outstanding += node_share.outstanding - outstanding_before
 
     def grant(self, node: str, spent: float, node_count: int, now_ms: float, may_grow: bool = True) -> float:
-        """Return the share that a node holds from now on; it has just reported, and spent an amount.
+        """Record usage of a node that has just reported, and return the share that it holds from now on.
 
-        Where it may not grow, the owner does not know yet how many nodes there are.
+        `may_grow` is False while the owner does not know yet how many nodes there are.
         """
         node_share = self._by_node[node]
         node_share.usage.add(spent, now_ms)
         self._usage.add(spent, now_ms)
         outstanding_before = node_share.outstanding
         unallocated = 1.0 - (self._outstanding - outstanding_before) - self._unreported_share()
-        # What the node holds already may stay: that counts as outstanding in any case.
+        # The node may keep the share it holds, which counts as outstanding in any case.
         max_share = max(unallocated, node_share.reported) if may_grow else node_share.reported
         node_share.granted = max(0.0, min(self._target_share(node_share, node_count, now_ms), max_share))
         self._outstanding += node_share.outstanding - outstanding_before
@@ -102,18 +103,18 @@
         )
 
     def autonomous_fraction(self, disconnected: Iterable[str]) -> float:
-        """Return the fraction of the rate that nodes may spend without the owner now.
+        """Return the fraction of the rate that nodes may currently spend without the owner.
 
-        That is the shares of the `disconnected` nodes, of those that reported to spend theirs, and of those
-        that have not reported.
+        This is the sum of the shares of `disconnected` nodes, of nodes that reported autonomous spending, and
+        of nodes that have not reported.
         """
         node_shares = (self._by_node.get(node) for node in self._autonomous.union(disconnected))
-        # Exact, and so the same in whatever order the set is visited.
+        # fsum is exact, so the result does not depend on the iteration order of the set.
         outstanding = math.fsum(each.outstanding for each in node_shares if each is not None)
         return min(1.0, outstanding + self._unreported_share())
 
     def _unreported_share(self) -> float:
-        """Return what a previous owner may have granted to nodes that have not reported yet."""
+        """Return the share that a previous owner may have granted to nodes that have not reported yet."""
         return max(0.0, min(self.max_unreported, 1.0 - self._accounted))
 
     def expire(self, now_ms: float) -> None:
