--- a/dunlinloft/coordination/placement/__init__.py
+++ b/dunlinloft/coordination/placement/__init__.py
@@ -1,13 +1,14 @@
-"""Placement: which server a request should go to, decided in one place for a whole service.
+"""Placement: chooses the server for each request of a service in one central place.
 
-A node knows only what it sent itself; of a service whose requests come through many nodes that says little of
-what a server has to process. So each service has one owner among the control planes, by rendezvous hashing
-(`directory`), which is notified of each request before it is sent and when it completes. It only advises: a
-node that gets no answer in time chooses by itself, and two owners at once do no harm.
+A node knows only the requests that it sent itself. If a service's requests arrive through many nodes, that
+says little about a server's actual load. Therefore rendezvous hashing assigns each service to one owner among
+the control planes (`directory`), which is notified of each request before it is sent and when it completes.
+The owner only advises: a node that gets no reply in time chooses a server itself, and two owners at the same
+time do no harm.
 
-The advice (`service`): the servers on which a request would wait for the fewest prompt tokens, by an estimate
-of each server's load and prefix cache (`server_load`, `prefix_cache`, `cost`); among those about as good,
-smooth weighted rotation by free capacity.
+The owner (`service`) prefers the servers on which a request would wait for the fewest prompt tokens,
+estimated from each server's load and prefix cache (`server_load`, `prefix_cache`, `cost`). Among servers of
+about the same cost it uses a smooth weighted round robin by free capacity.
 
-Costs are in prompt tokens to process, times in milliseconds of a steady clock.
+Costs are in prompt tokens to process, times in milliseconds of a monotonic clock.
 """
--- a/dunlinloft/coordination/placement/cost.py
+++ b/dunlinloft/coordination/placement/cost.py
@@ -1,22 +1,22 @@
-"""What a request would wait for, and waste, at a server, in prompt tokens to process."""
+"""Cost of sending a request to a server: waiting time and wasted work, in prompt tokens to process."""
 
 from __future__ import annotations
 
 from dunlinloft.coordination.placement.demand import KeyedRequest
 from dunlinloft.coordination.placement.server_load import LONG_PROMPT_TOKENS, ServerLoad
 
-# Fraction of its tokens to prefill that a long prompt costs for each short prompt that it slows down.
+# Cost of a long prompt for each short prompt that it slows down, as a fraction of its tokens to prefill.
 INTERFERENCE_FRACTION = 0.15
-# Fraction of a server's recent long prefill that a short prompt expects to be slowed down by.
+# Cost of a short prompt's expected slowdown, as a fraction of the server's recent prefill of long prompts.
 RECENT_PREFILL_FRACTION = 0.25
-# Times its tokens that a shared segment costs where it was used a moment ago and would be prefilled again.
+# Cost of prefilling a recently used shared segment again, as a multiple of its tokens.
 REPEATED_PREFILL_MULTIPLE = 4.0
-# A server whose cost exceeds the lowest by no more than this is about as good (`service`). In tokens.
+# Margin in tokens above the lowest cost within which servers count as equally good (`service`).
 NEAR_BEST_TOKENS = 400.0
-# For each request in flight, where nothing is known of the prompt. In tokens.
+# Cost in tokens of each request in flight, for a request whose prompt is unknown.
 UNKNOWN_PROMPT_COST_TOKENS = 2.0 * NEAR_BEST_TOKENS
-# Of a server without free capacity, and of one that failed within `FAILURE_PENALTY_MS`: so high that others
-# are preferred. In tokens.
+# Costs in tokens of a server without free capacity, and of one that failed within `FAILURE_PENALTY_MS`: so
+# high that other servers are preferred.
 FULL_SERVER_COST_TOKENS = 1e6
 FAILED_SERVER_COST_TOKENS = 1e5
 FAILURE_PENALTY_MS = 1_000.0
@@ -25,7 +25,7 @@
 def placement_cost(load: ServerLoad, request: KeyedRequest, recent_segments: int, now_ms: float) -> float:
     """Return the cost of a request at a server, in prompt tokens.
 
-    `recent_segments` is how many leading segments of its prompt were used a moment ago somewhere in the
+    `recent_segments` is the number of leading segments of its prompt that were recently used anywhere in the
     service.
     """
     cached_segments = load.prefix_cache.hit_segments(request.keys)
--- a/dunlinloft/coordination/placement/demand.py
+++ b/dunlinloft/coordination/placement/demand.py
@@ -1,4 +1,4 @@
-"""What placement has to know of a request, and the cache keys of its prompt."""
+"""The properties of a request that placement uses, and the cache keys of its prompt."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class SegmentKey(NamedTuple):
-    """Key of a prompt segment together with all before it.
+    """Cache key of a prompt segment together with all preceding segments.
 
-    A server's attention state of a segment depends on everything before it, so a segment is only cached for
+    The attention state of a segment depends on everything before it, so a cached segment is only valid for
     the prefix that it ends.
     """
 
@@ -19,37 +19,37 @@
 
 
 class SharedPrefix(NamedTuple):
-    """The prefix of a prompt that other requests share: all but its last segment."""
+    """The prefix of a prompt that other requests share: all segments but the last."""
 
-    name: str  # of the prefix's last segment
-    tokens: int  # up to the end of that segment
+    name: str  # of the last segment of the prefix
+    tokens: int  # of the whole prefix
 
 
 @dataclass(frozen=True, slots=True)
 class KeyedRequest:
-    """A request as it is compared with each server's load and prefix cache."""
+    """A request with its cache keys, to be compared with each server's load and prefix cache."""
 
-    keys: tuple[SegmentKey, ...]  # of its prompt's segments, in order
+    keys: tuple[SegmentKey, ...]  # of the prompt segments, in order
     prompt_tokens: int
     max_output_tokens: int
 
     @property
     def total_tokens(self) -> int:
-        """KV cache memory that it may take, in tokens."""
+        """Maximum KV cache memory that the request may use, in tokens."""
         return self.prompt_tokens + self.max_output_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementDemand:
-    """What a request needs of a server; the fields are those of the message `PlacementQuery`."""
+    """A request's resource demand; its fields are those of the `PlacementQuery` message."""
 
-    prompt_segments: tuple[tuple[str, int], ...]  # in order: name and tokens
+    prompt_segments: tuple[tuple[str, int], ...]  # name and tokens of each segment, in order
     max_output_tokens: int
-    wait_for_capacity: bool = False  # it accepts no server without free capacity
+    wait_for_capacity: bool = False  # accept only a server with free capacity
 
     @property
     def shared_prefix(self) -> SharedPrefix | None:
-        """The prefix that others share; None where there is only one segment, or none."""
+        """The prefix that other requests share; None if the prompt has fewer than two segments."""
         if len(self.prompt_segments) < 2:
             return None
         name, _ = self.prompt_segments[-2]
@@ -61,7 +61,7 @@
         return sum(tokens for _, tokens in self.prompt_segments)
 
     def with_cache_keys(self) -> KeyedRequest:
-        """Return the request with the cache keys of its prompt's segments, to be computed once."""
+        """Return the request with the cache keys of its prompt; call it only once per request."""
         keys = []
         prefix_hash = hashlib.blake2b(digest_size=8)
         for name, tokens in self.prompt_segments:
--- a/dunlinloft/coordination/placement/directory.py
+++ b/dunlinloft/coordination/placement/directory.py
@@ -1,4 +1,4 @@
-"""All services that a control plane may advise on, and which control plane owns a service."""
+"""The placement state of all services, and the ownership of services by control planes."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 def placement_owner_address(service: str, addresses: Collection[str]) -> str | None:
-    """Return the address of the control plane that advises on a service; None where there is none."""
+    """Return the address of the control plane that owns a service's placement; None without addresses."""
     return max(addresses, key=lambda address: rank(f"placement/{service}", address), default=None)
 
 
 class PlacementDirectory:
-    """The placement of each service; owned by the control plane's components."""
+    """The `ServicePlacement` of each service; owned by the control plane's components."""
 
     def __init__(self, rng: random.Random, reuse_window_ms: float) -> None:
-        """Start without services; for `reuse_window_ms` see `RecentSegments`."""
+        """Start without services; see `RecentSegments` for `reuse_window_ms`."""
         self._rng = rng
         self._reuse_window_ms = reuse_window_ms
         self._services: dict[str, ServicePlacement] = {}
 
     def service(self, name: str) -> ServicePlacement:
-        """Return a service's placement, which begins without servers where the service is new."""
+        """Return a service's placement; that of a new service is created without servers."""
         placement = self._services.get(name)
         if placement is None:
             placement = ServicePlacement(self._rng, self._reuse_window_ms)
@@ -33,7 +33,7 @@
         return placement
 
     def update_servers(self, records: Iterable[ServerRecord]) -> None:
-        """Take all servers that there are now, of all services."""
+        """Replace the servers of all services by `records`."""
         by_service: dict[str, list[ServerRecord]] = {name: [] for name in self._services}
         for record in records:
             by_service.setdefault(record.service, []).append(record)
@@ -41,11 +41,11 @@
             self.service(name).update_servers(service_records)
 
     def set_kv_cache_tokens(self, tokens_by_service: dict[str, int]) -> None:
-        """Take the KV cache memory of services' servers, where the configuration states it."""
+        """Set the KV cache memory per server for services whose configuration specifies it."""
         for name, tokens in tokens_by_service.items():
             self.service(name).set_kv_cache_tokens(tokens)
 
     def on_stream_lost(self, stream: int, now_ms: float) -> None:
-        """Drop the requests of a node's stream that ended."""
+        """Drop the requests in flight of a node's stream that ended."""
         for service in self._services.values():
             service.on_stream_lost(stream, now_ms)
--- a/dunlinloft/coordination/placement/prefix_cache.py
+++ b/dunlinloft/coordination/placement/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Estimate of a server's prefix cache: which prompt segments it holds, least recently used evicted first."""
+"""Model of a server's prefix cache: an LRU cache of prompt segments."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class PrefixCache:
-    """The prompt segments that a server is taken to have in its KV cache; owned by its `ServerLoad`.
+    """The prompt segments that a server is assumed to have in its KV cache; owned by its `ServerLoad`.
 
-    It is an estimate: servers report nothing of their cache, so what was sent to one counts as cached there.
+    Servers do not report what they have cached, so each prompt sent to a server counts as cached there.
     """
 
     def __init__(self, capacity_tokens: float) -> None:
@@ -25,18 +25,18 @@
         return self._cached_tokens
 
     def hit_segments(self, keys: Sequence[SegmentKey]) -> int:
-        """Return how many of a prompt's leading segments are cached."""
+        """Return the number of a prompt's leading segments that are cached."""
         for index, key in enumerate(keys):
             if key.prefix_digest not in self._segment_tokens:
                 return index
         return len(keys)
 
     def miss_tokens(self, keys: Sequence[SegmentKey]) -> int:
-        """Return the tokens of a prompt that the server would have to prefill."""
+        """Return the number of a prompt's tokens that the server would have to prefill."""
         return sum(key.tokens for key in keys[self.hit_segments(keys) :])
 
     def insert(self, keys: Sequence[SegmentKey]) -> None:
-        """Cache a prompt's segments, and evict those that were unused for longest."""
+        """Add a prompt's segments and evict the least recently used ones beyond the capacity."""
         for key in keys:
             if key.prefix_digest in self._segment_tokens:
                 self._segment_tokens.move_to_end(key.prefix_digest)
--- a/dunlinloft/coordination/placement/recent_segments.py
+++ b/dunlinloft/coordination/placement/recent_segments.py
@@ -1,4 +1,4 @@
-"""When shared prompt segments were last used anywhere in the service."""
+"""Time of the last use of shared prompt segments anywhere in a service."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from dunlinloft.coordination.placement.demand import SegmentKey
 
-MAX_TRACKED_SEGMENTS = 100_000  # bounds the memory; those unused for longest are forgotten first
+MAX_TRACKED_SEGMENTS = 100_000  # limits memory use; the least recently used are dropped first
 
 
 class RecentSegments:
@@ -16,7 +16,8 @@
     Attributes
     ----------
     reuse_window_ms
-        Prefilling a shared segment again within so long of its last use is a waste: it is cached somewhere.
+        Time after its last use during which prefilling a shared segment again is wasted work, since it is
+        still cached on some server.
     """
 
     def __init__(self, reuse_window_ms: float) -> None:
@@ -24,9 +25,9 @@
         self._last_used_ms: OrderedDict[bytes, float] = OrderedDict()  # least recently used first
 
     def record_use(self, keys: Sequence[SegmentKey], now_ms: float) -> int:
-        """Note the use of a prompt's shared segments, which are all but its last.
+        """Record the use of a prompt's shared segments: all but the last.
 
-        Returns how many of its leading segments were used within the reuse window before.
+        Returns the number of leading segments that were last used within the reuse window.
         """
         recent = 0
         for index, key in enumerate(keys[:-1]):
--- a/dunlinloft/coordination/placement/service.py
+++ b/dunlinloft/coordination/placement/service.py
@@ -1,4 +1,4 @@
-"""The choice of a server for each request of one service."""
+"""Server selection for the requests of one service."""
 
 from __future__ import annotations
 
@@ -18,30 +18,31 @@
 from dunlinloft.coordination.stream import ServerRecord
 from dunlinloft.fleet.rendezvous import rank
 
-# A server takes part in the rotation if its cost exceeds the lowest by at most this fraction of it, and
-# `NEAR_BEST_TOKENS`.
+# A server takes part in the rotation if its cost exceeds the lowest cost by at most this fraction of the
+# lowest cost plus `NEAR_BEST_TOKENS`.
 NEAR_BEST_FRACTION = 0.15
-# Fraction of its shared tokens by which a prompt prefers its home, the first server in rendezvous order.
+# Cost reduction at the affinity server of a shared prefix (the first in rendezvous order), as a fraction of
+# the prefix's tokens.
 PREFIX_AFFINITY_FRACTION = 0.5
-# Requests in flight that are counted; beyond, there is no advice.
+# Maximum number of requests in flight that are tracked; beyond it no server is advised.
 MAX_IN_FLIGHT_REQUESTS = 100_000
 
 
 class PlacementId(NamedTuple):
-    """Identifies a placed request: the stream that its query came on, and the request's number there."""
+    """Identifies a placed request by the stream of its query and the request id within that stream."""
 
     stream: int
     request_id: int
 
 
 class ServicePlacement:
-    """The servers of one service, and the requests in flight at them; owned by `PlacementDirectory`.
+    """The servers of one service and their requests in flight; owned by `PlacementDirectory`.
 
-    Called with each placement message of a node, and with each change of the servers.
+    Called for each placement message from a node and on each change of the servers.
     """
 
     def __init__(self, rng: random.Random, reuse_window_ms: float = 0.0) -> None:
-        """Start without servers; for `reuse_window_ms` see `RecentSegments`."""
+        """Start without servers; see `RecentSegments` for `reuse_window_ms`."""
         self._kv_cache_tokens = DEFAULT_KV_CACHE_TOKENS
         self._recent_segments = RecentSegments(reuse_window_ms)
         self._loads: dict[str, ServerLoad] = {}  # by server id
@@ -49,13 +50,13 @@
         self._rotation = Rotation(rng)
 
     def set_kv_cache_tokens(self, tokens: int) -> None:
-        """Take the KV cache memory of each server, in tokens."""
+        """Set the KV cache memory of each server, in tokens."""
         self._kv_cache_tokens = tokens
         for load in self._loads.values():
             load.set_kv_cache_tokens(tokens)
 
     def update_servers(self, records: Iterable[ServerRecord]) -> None:
-        """Take all servers that there are now."""
+        """Replace the servers by `records`; known servers keep their load."""
         current = {record.id: record for record in records}
         for server_id in self._loads.keys() - current.keys():
             del self._loads[server_id]
@@ -73,10 +74,10 @@
         excluded_servers: Collection[str],
         now_ms: float,
     ) -> str | None:
-        """Choose a server for a request, which counts as in flight there from now on.
+        """Choose a server for a request and count the request as in flight there.
 
-        Returns the server's id; None where there is no server to advise, or none with free capacity for a
-        request that waits for it.
+        Returns the server's id. Returns None if there is no server to advise, or if the request waits for
+        capacity and no server has any.
         """
         loads = [
             load
@@ -93,7 +94,7 @@
         max_cost = lowest_cost + NEAR_BEST_FRACTION * abs(lowest_cost) + NEAR_BEST_TOKENS
         near_best = [load for load, cost in zip(loads, costs, strict=True) if cost <= max_cost]
         chosen = self._rotation.pick((load, max(1.0, load.free_capacity)) for load in near_best)
-        assert chosen is not None, "the server of the lowest cost is among them"
+        assert chosen is not None, "the server with the lowest cost is always a candidate"
         self._in_flight[placement_id] = chosen.on_sent(request, now_ms)
         return chosen.record.id
 
@@ -113,7 +114,7 @@
     def on_local_placement(
         self, placement_id: PlacementId, demand: PlacementDemand, server_id: str, now_ms: float
     ) -> None:
-        """Count a request that a node sent to a server of its own choice."""
+        """Count a request for which the node chose the server itself."""
         load = self._loads.get(server_id)
         if load is None or len(self._in_flight) >= MAX_IN_FLIGHT_REQUESTS:
             return
@@ -122,26 +123,26 @@
         self._in_flight[placement_id] = load.on_sent(request, now_ms)
 
     def on_prefill_completed(self, placement_id: PlacementId) -> None:
-        """Note that the first output of a request came."""
+        """Record the first output of a request."""
         request = self._in_flight.get(placement_id)
         if request is not None:
             request.server.on_prefill_completed(request)
 
     def on_completed(self, placement_id: PlacementId, server_failed: bool, now_ms: float) -> None:
-        """Note that a request is no longer in flight; a second call for it does nothing."""
+        """Record the end of a request; has no effect if the request is not in flight."""
         request = self._in_flight.pop(placement_id, None)
         if request is not None:
             request.server.on_completed(request, server_failed, now_ms)
 
     def on_stream_lost(self, stream: int, now_ms: float) -> None:
-        """Drop the requests of a node's stream that ended: nothing more will be received of them."""
+        """Drop the requests of a node's stream that ended: no further messages about them can arrive."""
         for placement_id in [each for each in self._in_flight if each.stream == stream]:
             self.on_completed(placement_id, False, now_ms)
 
 
 def _affinity_index(loads: Sequence[ServerLoad], shared_prefix: SharedPrefix) -> int:
-    """Return the index of a shared prefix's home.
+    """Return the index of the affinity server of a shared prefix.
 
-    It is the same at every owner and node: after a change of owner segments are where they were.
+    All owners and nodes compute the same server, so cached segments stay useful after a change of owner.
     """
     return max(range(len(loads)), key=lambda index: rank(shared_prefix.name, loads[index].record.id))
--- a/dunlinloft/coordination/quota/owner.py
+++ b/dunlinloft/coordination/quota/owner.py
@@ -22,7 +22,8 @@
 # A retry is granted only if this multiple of its amount is available: it is late already, and a scarce quota
 # goes to first attempts, which can still be answered in time (docs/deciding.md, round 11).
 RETRY_LEVEL_MULTIPLE = 4.0
-# A quota is scarce, and waiting for it useless, if first attempts alone request this multiple of the rate.
+# A quota is scarce, and waiting for it useless, if first attempts alone request more than this multiple of
+# the tenant's rate.
 SCARCITY_DEMAND_MULTIPLE = 1.15
 
 
