--- a/tests/test_quota_client.py
+++ b/tests/test_quota_client.py
@@ -13,7 +13,7 @@
 from dunlinloft.coordination.stream import ControlPlaneView, QuotaGrant, QuotaRequest
 from dunlinloft.dataplane.quota_charge import MAX_RETRY_DURATION_MS, Granted, OverQuota, quota_charge
 from dunlinloft.dataplane.quota_client import QuotaClient
-from tests.quotas import BOUNDS, CHAIN, LIMIT, owner_address, owner_at
+from tests.quotas import BOUNDS, CHAIN, LIMIT, make_owner, owner_address
 from tests.virtual_time import run_in_virtual_time
 
 FEW_NODES = ControlPlaneView(1, CHAIN, CHAIN, 2)
@@ -24,7 +24,7 @@
     """Control streams to an owner that responds at once or is unreachable."""
 
     def __init__(self) -> None:
-        self.owner = owner_at(owner_address())
+        self.owner = make_owner(owner_address())
         self.reachable = True
         self.now = 0.0
         self.view = ControlPlaneView(1, CHAIN, CHAIN, 10)
--- a/tests/test_quota_reserves.py
+++ b/tests/test_quota_reserves.py
@@ -1,4 +1,4 @@
-"""Reserves of quotas: their size, what the owner counts for them, what a node spends without an owner."""
+"""Tests of quota reserves: their size, the owner's accounting, and spending without an owner."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from dunlinloft.coordination.quota.ownership import HANDOVER_WAIT_MS
 from dunlinloft.coordination.quota.reserves import AUTONOMY_DELAY_MS, NodeReserves
 from dunlinloft.coordination.quota.shares import SHARE_LIFETIME_MS
-from tests.quotas import BOUNDS, CHAIN, LIMIT, owner_address, owner_at
+from tests.quotas import BOUNDS, CHAIN, LIMIT, make_owner, owner_address
 
 
 @pytest.fixture
 def reserves() -> NodeReserves:
-    """A node that has drawn nothing yet."""
+    """The reserves of a node that has drawn nothing yet."""
     return NodeReserves(BOUNDS)
 
 
-def test_without_its_owner_a_node_spends_its_reserve_first_and_its_share_later(
+def test_node_without_owner_spends_its_reserve_then_its_share(
     reserves: NodeReserves,
 ) -> None:
     capacity = BOUNDS.reserve_pool(LIMIT) / 10.0
@@ -33,7 +33,7 @@
     assert reserves.spend_without_owner("tenant", LIMIT, 100.0, later_ms) > 0.0
 
 
-def test_a_share_expires_on_its_nodes_clock(reserves: NodeReserves) -> None:
+def test_share_expires_by_the_nodes_clock(reserves: NodeReserves) -> None:
     reserves.on_grant("tenant", LIMIT, 0.0, 0.1, 0.0, 0.0)
     reserves.on_owner_unavailable("owner", "tenant", 0.0)
     now, last_spent_ms = 0.0, 0.0
@@ -45,34 +45,36 @@
     assert reserves.current_share("tenant", SHARE_LIFETIME_MS) == 0.0
 
 
-def test_no_reserve_is_requested_that_is_too_small_for_a_usual_request(reserves: NodeReserves) -> None:
+def test_reserve_too_small_for_a_typical_request_is_not_requested(reserves: NodeReserves) -> None:
     reserves.on_grant("tenant", LIMIT, 0.0, 1.0 / 72.0, 0.0, 0.0)
     capacity = BOUNDS.reserve_pool(LIMIT) / 72.0
     assert reserves.wanted_reserve("tenant", LIMIT, 0.9 * capacity, 1.0) == pytest.approx(capacity)
     assert reserves.wanted_reserve("tenant", LIMIT, 1.5 * capacity, 1.0) == pytest.approx(capacity), (
-        "one that is larger is no matter"
+        "a single large request hardly changes the mean"
     )
     for _ in range(10):
         wanted = reserves.wanted_reserve("tenant", LIMIT, 1.5 * capacity, 1.0)
     assert wanted == 0.0
-    assert reserves.wanted_reserve("tenant", LIMIT, 1.0, 1.0) == 0.0, "nor is one that is smaller"
+    assert reserves.wanted_reserve("tenant", LIMIT, 1.0, 1.0) == 0.0, "one small request does not change that"
 
 
-def test_a_bucket_holds_what_is_in_no_reserve() -> None:
-    owner = owner_at(owner_address())
+def test_bucket_capacity_excludes_drawn_and_reported_reserves() -> None:
+    owner = make_owner(owner_address())
     owner.refill(True, 0.0)
     bucket = owner._buckets["tenant"]
-    full = BOUNDS.base_capacity(LIMIT) + BOUNDS.reserve_pool(LIMIT)
-    assert bucket.capacity == full
+    full_capacity = BOUNDS.base_capacity(LIMIT) + BOUNDS.reserve_pool(LIMIT)
+    assert bucket.capacity == full_capacity
     bucket.level = bucket.capacity
     reserve = bucket.draw_reserve(5_000.0)
     assert reserve == 5_000.0
-    assert bucket.capacity == full - reserve
-    remaining = tuple(address for address in CHAIN if address != owner_address())
-    successor = owner_at(owner_address(remaining))
-    successor.set_chain(2, remaining, 1_000.0)
+    assert bucket.capacity == full_capacity - reserve
+    remaining_chain = tuple(address for address in CHAIN if address != owner_address())
+    successor = make_owner(owner_address(remaining_chain))
+    successor.set_chain(2, remaining_chain, 1_000.0)
     successor.refill(True, 1_000.0 + HANDOVER_WAIT_MS)
-    assert successor._buckets["tenant"].capacity < full, "its node has not reported what it holds since"
+    assert successor._buckets["tenant"].capacity < full_capacity, (
+        "its node has not reported its holdings since the takeover"
+    )
     successor.on_holdings("node", QuotaHoldings(2, {}, {"tenant": reserve}), 1_800.0)
     successor.refill(True, 1_810.0)
-    assert successor._buckets["tenant"].capacity == full - reserve
+    assert successor._buckets["tenant"].capacity == full_capacity - reserve
--- a/tests/test_quota_windows.py
+++ b/tests/test_quota_windows.py
@@ -1,4 +1,4 @@
-"""Quotas in the simulated cluster: under faults drawn by seed no window exceeds the limit."""
+"""Quotas in the simulated cluster: usage stays within the bound of each window under random faults."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from dunlinloft.coordination.views import Member, View
 from lab.control.invariants import InvariantViolation
 from lab.control.quota_cluster import QuotaCluster, traffic
-from tests.quotas import BOUNDS, CHAIN, LARGE, LIMIT, SMALL, owner_address
+from tests.quotas import BOUNDS, CHAIN, LARGE_LIMIT, LIMIT, SMALL_LIMIT, owner_address
 
 
 class Fault(Enum):
-    """What may befall replicas and nodes. A seed draws by position: the order decides what it brings."""
+    """Faults of replicas and nodes. Seeds select faults by position, so the order of members matters."""
 
     KILL = auto()  # a control plane
     FREEZE = auto()  # a control plane
@@ -35,7 +35,7 @@
 
 
 def _inject_fault(cluster: QuotaCluster, rng: random.Random) -> Callable[[], object]:
-    """Inject a fault that is drawn; return what ends it."""
+    """Inject a random fault; return the function that ends it."""
     control = rng.choice(cluster.seeds)
     others = [address for address in cluster.seeds if address != control]
     nodes = sorted(cluster.nodes)
@@ -72,13 +72,13 @@
 
 
 def _run_with_faults(seed: int, limit: QuotaLimit, demand: float) -> QuotaCluster:
-    """Run for half a minute with faults, one after the other."""
+    """Run for about half a minute with one fault after the other."""
     cluster = QuotaCluster(seed, BOUNDS, limit)
     rng = random.Random(seed)
     traffic(cluster, (300.0, 9_190.0))
     cluster.run(8_000.0)
     for _ in range(8):
-        cluster.demand = demand if rng.random() < 0.7 else 0.2  # then buckets and reserves fill
+        cluster.demand = demand if rng.random() < 0.7 else 0.2  # low demand lets buckets and reserves fill up
         end_fault = _inject_fault(cluster, rng)
         cluster.run(rng.uniform(100.0, 4_000.0))
         end_fault()
@@ -86,15 +86,15 @@
     return cluster
 
 
-@pytest.mark.parametrize("limit", [LARGE, LIMIT, SMALL])
+@pytest.mark.parametrize("limit", [LARGE_LIMIT, LIMIT, SMALL_LIMIT])
 @pytest.mark.parametrize("seed", range(8))
-def test_no_window_exceeds_the_limit(seed: int, limit: QuotaLimit) -> None:
+def test_usage_stays_within_the_window_bound_under_faults(seed: int, limit: QuotaLimit) -> None:
     cluster = _run_with_faults(seed, limit, 3.0)
     assert cluster.window.total > 0.3 * limit.rate_per_s * cluster.now / 1_000.0
 
 
-def test_hardly_anything_below_the_limit_is_rejected_when_the_owner_is_lost() -> None:
-    cluster = QuotaCluster(5, BOUNDS, LARGE)
+def test_few_requests_are_rejected_after_the_owner_crashes() -> None:
+    cluster = QuotaCluster(5, BOUNDS, LARGE_LIMIT)
     traffic(cluster, (300.0, 9_190.0))
     cluster.run(6_000.0)
     refused = sum(node.refused for node in cluster.nodes.values())
@@ -106,8 +106,8 @@
     assert lost <= 0.08 * (lost + served), f"{lost} refused, {served} served"
 
 
-def test_an_owner_that_returns_takes_over_without_a_pause() -> None:
-    cluster = QuotaCluster(9, BOUNDS, LARGE)
+def test_restarted_owner_takes_over_without_interruption() -> None:
+    cluster = QuotaCluster(9, BOUNDS, LARGE_LIMIT)
     traffic(cluster, (300.0, 9_190.0))
     cluster.run(6_000.0)
     owner = owner_address(cluster.seeds)
@@ -119,12 +119,12 @@
     replica = cluster.machines[owner].replica
     assert replica is not None
     assert replica.view is not None
-    assert replica.view.position_of(replica.local_member.id) is not None, "it is in the chain again"
+    assert replica.view.position_of(replica.local_member.id) is not None, "the owner is in the chain again"
     assert sum(node.refused for node in cluster.nodes.values()) - refused <= 3
 
 
-def _partition_half_of_the_nodes() -> None:
-    cluster = QuotaCluster(7, BOUNDS, LARGE)
+def _partition_half_of_nodes() -> None:
+    cluster = QuotaCluster(7, BOUNDS, LARGE_LIMIT)
     traffic(cluster, (300.0, 9_190.0))
     cluster.run(8_000.0)
     cluster.demand = 8.0
@@ -136,18 +136,20 @@
     cluster.run(3_000.0)
 
 
-def test_partitioned_nodes_spend_no_more_than_the_others_leave() -> None:
-    _partition_half_of_the_nodes()
+def test_usage_stays_bounded_while_half_of_the_nodes_are_partitioned() -> None:
+    _partition_half_of_nodes()
 
 
-def test_shares_spent_beside_the_full_rate_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_refilling_at_the_full_rate_beside_autonomous_shares_is_detected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(TenantShares, "autonomous_fraction", lambda *_: 0.0)
     with pytest.raises(InvariantViolation, match="were spent"):
-        _partition_half_of_the_nodes()
+        _partition_half_of_nodes()
 
 
-def _lose_owners_one_after_the_other() -> None:
-    cluster = QuotaCluster(3, BOUNDS, LARGE)
+def _crash_successive_owners() -> None:
+    cluster = QuotaCluster(3, BOUNDS, LARGE_LIMIT)
     traffic(cluster, (300.0, 9_190.0))
     cluster.run(6_000.0)
     cluster.demand = 8.0
@@ -159,31 +161,32 @@
         cluster.run(900.0)
 
 
-def test_owners_lost_one_after_the_other_stay_within_the_limit() -> None:
-    _lose_owners_one_after_the_other()
+def test_usage_stays_bounded_over_successive_owner_crashes() -> None:
+    _crash_successive_owners()
 
 
-def test_an_owner_that_starts_with_a_full_bucket_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    # With the wait alone or the level alone, nodes spend so much less meanwhile that the sum still holds.
+def test_new_owner_that_starts_with_a_full_bucket_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Only disabling the wait or only raising the level is not enough: nodes then spend so much less during
+    # the change that the bound still holds.
     monkeypatch.setattr(ownership, "HANDOVER_WAIT_MS", 0.0)
     monkeypatch.setattr(QuotaBounds, "initial_level", lambda self, limit, *_: 2.0 * self.base_capacity(limit))
     monkeypatch.setattr(ownership.QuotaOwnership, "handed_over_level", lambda *_: None)
     with pytest.raises(InvariantViolation, match="were spent"):
-        _lose_owners_one_after_the_other()
+        _crash_successive_owners()
 
 
-def test_a_node_that_spends_without_bound_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unbounded_spending_by_nodes_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def granted(self: NodeReserves, *_: object) -> float:
         return 0.0
 
     monkeypatch.setattr(NodeReserves, "spend_without_owner", granted)
     with pytest.raises(InvariantViolation, match="were spent"):
-        _partition_half_of_the_nodes()
+        _partition_half_of_nodes()
 
 
-def _partition_an_owner_that_left_the_chain() -> None:
-    """The others are cut off from it and go on without it at once, while it still holds its lease."""
-    cluster = QuotaCluster(12, BOUNDS, LARGE)
+def _partition_owner_removed_from_chain() -> None:
+    """Partition the owner and remove it from the chain immediately, while it still holds its lease."""
+    cluster = QuotaCluster(12, BOUNDS, LARGE_LIMIT)
     traffic(cluster, (300.0, 9_190.0))
     cluster.run(3_000.0)
     owner = owner_address(cluster.seeds)
@@ -202,24 +205,24 @@
     assert proposer.view != view
 
 
-def test_a_successor_waits_for_the_lease_of_an_owner_that_left_the_chain() -> None:
-    _partition_an_owner_that_left_the_chain()
+def test_successor_waits_for_the_lease_of_an_owner_removed_from_the_chain() -> None:
+    _partition_owner_removed_from_chain()
 
 
-def test_a_successor_that_does_not_wait_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_successor_that_does_not_wait_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ownership, "HANDOVER_WAIT_MS", 0.0)
     with pytest.raises(InvariantViolation, match="granted after epoch"):
-        _partition_an_owner_that_left_the_chain()
+        _partition_owner_removed_from_chain()
 
 
-def test_a_lease_taken_for_expired_too_early_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_premature_lease_expiry_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(FailureDetector, "lease_expired", lambda *_: True)
     with pytest.raises(InvariantViolation, match="granted after epoch"):
-        _partition_an_owner_that_left_the_chain()
+        _partition_owner_removed_from_chain()
 
 
-def test_a_lease_has_expired_once_a_majority_of_the_next_epoch_receives_nothing_from_its_owner() -> None:
-    cluster = QuotaCluster(11, BOUNDS, LARGE)
+def test_lease_expires_once_a_majority_of_the_next_epoch_hears_nothing_from_its_owner() -> None:
+    cluster = QuotaCluster(11, BOUNDS, LARGE_LIMIT)
     cluster.run(3_000.0)
     owner = owner_address(cluster.seeds)
     others = [address for address in cluster.seeds if address != owner]
@@ -228,7 +231,7 @@
     assert before.view is not None
     epoch = before.view.epoch
     cluster.kill(owner)
-    over: dict[str, float] = {}
+    expired_after_ms: dict[str, float] = {}
     for _ in range(1_500):
         cluster.run(1.0)
         for address in others:
@@ -237,13 +240,13 @@
             if replica.lease_expired(owner, cluster.now):
                 assert replica.view is not None
                 assert replica.view.epoch > epoch
-                over.setdefault(address, cluster.now - 3_000.0)
-    assert len(over) == 2
-    assert 600.0 < min(over.values()) < max(over.values()) < 1_200.0
+                expired_after_ms.setdefault(address, cluster.now - 3_000.0)
+    assert len(expired_after_ms) == 2
+    assert 600.0 < min(expired_after_ms.values()) < max(expired_after_ms.values()) < 1_200.0
 
 
 @pytest.mark.parametrize(("uptime_ms", "proven"), [(50.0, False), (5_000.0, True)])
-def test_a_voter_that_has_just_restarted_proves_nothing_of_a_lease(uptime_ms: float, proven: bool) -> None:
+def test_recently_restarted_voter_does_not_confirm_lease_expiry(uptime_ms: float, proven: bool) -> None:
     local_member, voter, owner = (Member(address, "0") for address in CHAIN)
     before = View(1, (local_member, voter, owner), (local_member, voter, owner), 3)
     detector = FailureDetector(local_member)
