--- a/dunlinloft/coordination/quota/owner.py
+++ b/dunlinloft/coordination/quota/owner.py
@@ -94,7 +94,7 @@
         """Set the control planes among which quotas are sharded from now on.
 
         Returns the quotas that this owner has to hand over to others. Gained quotas are granted only
-        after the handover wait.
+        once the previous owner has stopped granting.
         """
         change = self._ownership.set_chain(epoch, chain, self._limits, now_ms)
         if change is None:
@@ -193,17 +193,19 @@
         self._node_count = max(1, len(nodes))
         self._node_counts.record(self._node_count, now_ms)
         min_count = self._node_counts.min_count(now_ms)
-        reported = [self._holdings[node].epoch if node in self._holdings else -1 for node in nodes]
+        reported_epochs = [self._holdings[node].epoch if node in self._holdings else -1 for node in nodes]
         for tenant, bucket in self._buckets.items():
             since_epoch = self._ownership.owned_since_epoch(tenant) or 0
-            unreported_nodes = 0 if self._fleet_restarted else sum(epoch < since_epoch for epoch in reported)
+            unreported_nodes = (
+                0 if self._fleet_restarted else sum(epoch < since_epoch for epoch in reported_epochs)
+            )
             bucket.shares.max_unreported = min(1.0, MAX_SHARE_MULTIPLE * unreported_nodes / min_count)
             bucket.unreported_reserves = bucket.reserve_pool * bucket.shares.max_unreported
 
     def expire(self, now_ms: float) -> None:
         """Drop expired shares and the holdings of nodes that have left; called periodically."""
-        names = set(self._nodes.active_names())
-        self._holdings = {node: holdings for node, holdings in self._holdings.items() if node in names}
+        active_names = set(self._nodes.active_names())
+        self._holdings = {node: holdings for node, holdings in self._holdings.items() if node in active_names}
         for bucket in self._buckets.values():
             bucket.shares.expire(now_ms)
 
