--- a/dunlinloft/coordination/quota/ownership.py
+++ b/dunlinloft/coordination/quota/ownership.py
@@ -94,10 +94,10 @@
         self._lease_expired = lease_expired
         self._epoch = 0
         self._chain: tuple[str, ...] = ()
-        self._owned_since: dict[str, int] = {}  # epoch in which the quota was gained, by tenant
-        self._previous_owner: dict[str, str] = {}  # address by tenant; "" if unknown
+        self._owned_since_epoch: dict[str, int] = {}  # by tenant
+        self._previous_owner: dict[str, str] = {}  # by tenant: whose lease must expire; "" if unknown
         self._grants_from_ms: dict[str, float] = {}  # by tenant
-        self._lease_confirmed_expired: set[str] = set()  # tenants whose wait ended early
+        self._wait_ended_early: set[str] = set()  # tenants granted before the full handover wait had passed
         self._handed_over: dict[str, HandedOverLevel] = {}  # by tenant
         self._transfers: dict[str, TransferTimes] = {}  # by tenant
 
@@ -121,15 +121,15 @@
             )
             if owner != self._address:
                 lost[tenant] = owner
-                self._owned_since.pop(tenant, None)
+                self._owned_since_epoch.pop(tenant, None)
                 continue
             previous_owner = quota_owner_address(tenant, previous_chain)
             if epoch_skipped or previous_owner != self._address:
                 gained.append(tenant)
-                self._owned_since[tenant] = epoch
+                self._owned_since_epoch[tenant] = epoch
                 if not first_chain:
                     self._grants_from_ms[tenant] = now_ms + HANDOVER_WAIT_MS
-                    self._lease_confirmed_expired.discard(tenant)
+                    self._wait_ended_early.discard(tenant)
                     self._previous_owner[tenant] = "" if epoch_skipped else previous_owner or ""
         return OwnershipChange(lost, tuple(gained), first_chain, epoch_skipped)
 
@@ -151,7 +151,7 @@
     def handed_over_level(self, tenant: str) -> float | None:
         """Return the level handed over for the epoch in which the quota was gained; None if there is none."""
         handed_over = self._handed_over.get(tenant)
-        if handed_over is None or handed_over.epoch != self._owned_since.get(tenant):
+        if handed_over is None or handed_over.epoch != self._owned_since_epoch.get(tenant):
             return None
         return handed_over.level
 
@@ -160,13 +160,13 @@
         transfers = self._transfers.get(tenant)
         if transfers is not None and transfers.latest_ms - transfers.previous_ms < window_ms:
             return BucketStart.REPEATED_TAKEOVER
-        if tenant in self._lease_confirmed_expired:
+        if tenant in self._wait_ended_early:
             return BucketStart.AFTER_LEASE_EXPIRED
         return BucketStart.AFTER_LEASE_TIMEOUT
 
     def owned_since_epoch(self, tenant: str) -> int | None:
         """Return the epoch in which this replica gained the quota; None if it does not own it."""
-        return self._owned_since.get(tenant)
+        return self._owned_since_epoch.get(tenant)
 
     @property
     def epoch(self) -> int:
@@ -183,5 +183,5 @@
         if not handed_over and not self._lease_expired(self._previous_owner.get(tenant, ""), now_ms):
             return False
         self._grants_from_ms[tenant] = now_ms
-        self._lease_confirmed_expired.add(tenant)
+        self._wait_ended_early.add(tenant)
         return True
