--- a/dunlinloft/node/http/__init__.py
+++ b/dunlinloft/node/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP on the node's own sockets: connections of callers and to servers, bodies, handing over sockets."""
+"""HTTP server for clients, HTTP connections to servers, request bodies and handover between processes."""
--- a/dunlinloft/node/http/sockets.py
+++ b/dunlinloft/node/http/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets asked directly: the loop reads once a turn, and has not heard yet of what came since."""
+"""Polls sockets for events that the event loop has not reported yet: it reads once per iteration."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 import select
 
 
-def shows(fd: int, event: int = select.POLLIN) -> bool:
-    """Whether a socket shows an event now, or an error, without waiting."""
+def has_event(fd: int, event: int = select.POLLIN) -> bool:
+    """Return whether a socket has an event or an error pending, without blocking."""
     poll = select.poll()
     poll.register(fd, event)
     return bool(poll.poll(0))
 
 
-def descriptor(transport: asyncio.BaseTransport) -> int:
-    """The file descriptor of a transport that is open."""
+def file_descriptor(transport: asyncio.BaseTransport) -> int:
+    """Return the file descriptor of an open transport."""
     fd: int = transport.get_extra_info("socket").fileno()
     return fd
--- a/dunlinloft/node/http/upstream.py
+++ b/dunlinloft/node/http/upstream.py
@@ -18,7 +18,7 @@
 from dunlinloft.node.addresses import Address
 from dunlinloft.node.clock import now_ms
 from dunlinloft.node.http.bodies import CHUNK_BYTES, MAX_BODY_BYTES, MAX_BUFFERED_BYTES, Body, Memory
-from dunlinloft.node.http.sockets import descriptor, shows
+from dunlinloft.node.http.sockets import file_descriptor, has_event
 
 MAX_HEAD_BYTES = 16 * 1024
 IDLE_LIMIT_FRACTION = 0.5  # of the servers' idle limit: a request that crosses their close ends as a reset
@@ -350,7 +350,7 @@
         """
         if self._lost or self._transport.is_closing():
             return False
-        return not shows(descriptor(self._transport))
+        return not has_event(file_descriptor(self._transport))
 
     def carry(self, attempt: Attempt) -> None:
         """Write an attempt's request and wait for its answer."""
