--- a/dunlinloft/node/http/frontend.py
+++ b/dunlinloft/node/http/frontend.py
@@ -325,7 +325,7 @@
         """Close the connection after its last response so that the client receives all of that response.
 
         Closing a socket with unread input resets the connection, which discards what the client has not read
-        yet. So only the sending side is closed first; input is read and discarded until the client closes too.
+        yet. So only the sending side is closed first; input is discarded until the client closes too.
         """
         self._closing = self._ignores_input = self._lingering = True
         self._phase_start_ms = self._last_progress_ms = now_ms()
