--- a/dunlinloft/node/http/upstream.py
+++ b/dunlinloft/node/http/upstream.py
@@ -1,7 +1,7 @@
-"""Connections to servers: attempts go out on them and end in exactly one outcome each.
+"""HTTP client for servers: sends attempts over pooled connections; each ends with exactly one result.
 
-What an outcome says about whether the attempt ran decides what may be sent again, so the line
-between 'never ran' and 'may have run' is drawn at the last byte written, as the protocol draws it.
+The result tells whether the server may have executed the request, which decides whether it may be retried. A
+server executes nothing before the last byte of a request, so an attempt may have run once that was written.
 """
 
 from __future__ import annotations
@@ -21,154 +21,151 @@
 from dunlinloft.node.http.sockets import file_descriptor, has_event
 
 MAX_HEAD_BYTES = 16 * 1024
-IDLE_LIMIT_FRACTION = 0.5  # of the servers' idle limit: a request that crosses their close ends as a reset
-IDLE_LIMIT_GROWTH = 1.05  # a sweep: how soon idle connections are trusted for longer again
-MIN_IDLE_LIMIT_MS = 1.0  # what it grows from
-CLOSE_AFTER_RESPONSE_MS = 50.0  # a close that soon after an answer is the server's way to end that exchange
-REUSE_DELAY_MS = (
-    20.0  # before a connection is used again, while servers are known to send what nobody asked for:
-)
-REUSE_DELAY_PERIOD_MS = (
-    60_000.0  # so long after the last such bytes. A second answer comes some milliseconds late
-)
-SWEEP_INTERVAL_S = 1.0  # how often connections that have idled too long are looked for
-REQUEST_STALL_TIMEOUT_MS = (
-    5_000.0  # for a server to take what is written to it, while its request is not out whole
-)
-RESPONSE_STALL_TIMEOUT_MS = 30_000.0  # for a server to go on with an answer that is being passed on
-BUFFERING_TIMEOUT_S = (
-    0.1  # for an answer of unknown length to come whole, before what there is of it is passed on
-)
+# Share of the servers' idle limit at which a connection is closed: a request that crosses the server's own
+# close ends with a reset.
+IDLE_LIMIT_FRACTION = 0.5
+IDLE_LIMIT_GROWTH = 1.05  # factor per sweep by which a lowered idle limit recovers
+MIN_IDLE_LIMIT_MS = 1.0
+# A server's close this soon after a response ends that exchange and says nothing of its idle limit.
+CLOSE_AFTER_RESPONSE_MS = 50.0
+# Idle time before a connection is reused, for a period after the last unsolicited data. A duplicate response
+# arrives some milliseconds late, and would be taken for the response to the next request.
+REUSE_DELAY_MS = 20.0
+REUSE_DELAY_PERIOD_MS = 60_000.0
+SWEEP_INTERVAL_S = 1.0  # between checks for stalled and idle connections
+REQUEST_STALL_TIMEOUT_MS = 5_000.0  # for a server to read more of a request
+RESPONSE_STALL_TIMEOUT_MS = 30_000.0  # for a server to send more of a streamed response
+BUFFERING_TIMEOUT_S = 0.1  # for a response of unknown length to complete, before it is streamed
 
 
 @dataclass(slots=True)
 class ServerResponse:
-    """What a server answered; one that is passed on as it comes has no body here."""
+    """A server's response; the body of a streamed one is not included."""
 
     status: int
     body: bytes
     content_type: bytes | None
     load_report: dict[str, float] | None
-    length: int | None = None  # of one that is passed on; None: unknown
+    length: int | None = None  # of a streamed body; None: unknown
 
 
 class AttemptOwner(Protocol):
-    """Who sent an attempt, and hears of it. `ended` comes once, and last."""
+    """The sender of an attempt, which is notified of its progress; `attempt_ended` is called once, last."""
 
     def may_send(self) -> bool:
-        """Whether it should still go out: asked when its connection has come up."""
+        """Return whether to send the attempt still; called when its connection is established."""
 
-    def response_started(self, answer: ServerResponse, flow: FlowControl) -> None:
-        """An answer comes that is passed on: from now on the request is bound to it."""
+    def response_started(self, response: ServerResponse, flow_control: FlowControl) -> None:
+        """Start forwarding a streamed response; from now on the request can't be retried."""
 
     def forward_body(self, data: bytes) -> None:
-        """A part of it."""
+        """Forward a part of the streamed body."""
 
-    def attempt_ended(self, result: Result, answer: ServerResponse | None) -> None:
-        """The outcome."""
+    def attempt_ended(self, result: Result, response: ServerResponse | None) -> None:
+        """Take the attempt's result."""
 
 
 class FlowControl(Protocol):
-    """Where an answer comes from that is passed on."""
+    """Pauses and resumes the source of a streamed response."""
 
     def pause(self) -> None: ...
 
     def resume(self) -> None: ...
 
 
-class _Nobody:
+class _NullOwner:
     def may_send(self) -> bool:
         return False
 
-    def response_started(self, answer: ServerResponse, flow: FlowControl) -> None:
+    def response_started(self, response: ServerResponse, flow_control: FlowControl) -> None:
         pass
 
     def forward_body(self, data: bytes) -> None:
         pass
 
-    def attempt_ended(self, result: Result, answer: ServerResponse | None) -> None:
+    def attempt_ended(self, result: Result, response: ServerResponse | None) -> None:
         pass
 
 
-NOBODY = _Nobody()
+NULL_OWNER = _NullOwner()
 
 
 class Attempt:
-    """One copy of a request on its way to one server; reports its outcome exactly once."""
+    """One try of a request at one server; reports its result exactly once."""
 
     __slots__ = (
-        "_cancel_io", "_expires_ms", "_expiry", "_timer",
+        "_cancel_io", "_send_deadline_ms", "_send_timer", "_timeout_timer",
         "body", "chunked", "finished", "head", "owner", "streaming", "written",
     )  # fmt: skip
 
     def __init__(self, head: bytes, body: Body, chunked: bool, owner: AttemptOwner) -> None:
         self.head, self.body, self.chunked, self.owner = head, body, chunked, owner
         self.written = self.finished = False
-        self.streaming = False  # whether its answer is being passed on
-        self._timer: asyncio.TimerHandle | None = None
-        self._expiry: asyncio.TimerHandle | None = None
-        self._expires_ms = math.inf  # from then on it may not go out any more
+        self.streaming = False  # its response is being forwarded as it arrives
+        self._timeout_timer: asyncio.TimerHandle | None = None
+        self._send_timer: asyncio.TimerHandle | None = None
+        self._send_deadline_ms = math.inf
         self._cancel_io: Callable[[], object] | None = None
 
-    def give_up_after(self, timer: asyncio.TimerHandle) -> None:
-        self._timer = timer
+    def set_timeout_timer(self, timer: asyncio.TimerHandle) -> None:
+        self._timeout_timer = timer
 
-    def expire_after(self, loop: asyncio.AbstractEventLoop, within_ms: float) -> None:
-        """Let it go out no later than that: a repeat beyond its window may run a second time."""
-        self._expires_ms = now_ms() + within_ms
-        self._expiry = loop.call_later(max(0.0, within_ms) / 1000.0, self._expire)
+    def set_send_window(self, loop: asyncio.AbstractEventLoop, send_window_ms: float) -> None:
+        """Allow sending only within a window: a retry sent later may be executed a second time."""
+        self._send_deadline_ms = now_ms() + send_window_ms
+        self._send_timer = loop.call_later(max(0.0, send_window_ms) / 1000.0, self._on_send_deadline)
 
-    def expired(self) -> bool:
-        """Whether it is too late to send it; the clock is asked, as timers may come late."""
-        return now_ms() >= self._expires_ms
+    def is_expired(self) -> bool:
+        """Return whether the send window is over; reads the clock, as the timer may be late."""
+        return now_ms() >= self._send_deadline_ms
 
-    def _expire(self) -> None:
-        if not self.written:  # the server can't have begun, as it waits for the last byte
+    def _on_send_deadline(self) -> None:
+        if not self.written:  # the server executes nothing before the last byte
             self.terminate(Result.NOT_SENT)
 
-    def carried_by(self, cancel_io: Callable[[], object]) -> None:
-        """Note what stops the attempt where it is: its dial, or its connection."""
+    def set_cancel_io(self, cancel_io: Callable[[], object]) -> None:
+        """Set what stops the attempt's connect or closes its connection."""
         self._cancel_io = cancel_io
 
-    def begin(self, answer: ServerResponse, flow: FlowControl) -> None:
-        """Pass its answer on as it comes: no time-out cuts it off any more."""
+    def start_streaming(self, response: ServerResponse, flow_control: FlowControl) -> None:
+        """Start forwarding the response as it arrives, from now on without a timeout."""
         self.streaming = True
-        if self._timer is not None:
-            self._timer.cancel()
-        self.owner.response_started(answer, flow)
+        if self._timeout_timer is not None:
+            self._timeout_timer.cancel()
+        self.owner.response_started(response, flow_control)
 
-    def end(self, result: Result, answer: ServerResponse | None = None) -> None:
-        """Report the outcome, unless one was reported before."""
+    def end(self, result: Result, response: ServerResponse | None = None) -> None:
+        """Report the result, unless one was reported before."""
         if self.finished:
             return
         self.finished, self._cancel_io = True, None
-        for timer in (self._timer, self._expiry):
+        for timer in (self._timeout_timer, self._send_timer):
             if timer is not None:
                 timer.cancel()
-        self.body.on_data = _nothing
-        # What they remember leads back here: a circle would wait for a full collection.
-        owner, self.owner = self.owner, NOBODY
-        owner.attempt_ended(result, answer)
+        self.body.on_data = _ignore
+        # Breaks a reference cycle, which would last until a full garbage collection.
+        owner, self.owner = self.owner, NULL_OWNER
+        owner.attempt_ended(result, response)
 
     def terminate(self, result: Result) -> None:
-        """Stop waiting: closing the connection is what tells the server."""
+        """Stop the attempt and report the result; the closed connection tells the server."""
         if not self.finished:
             cancel_io = self._cancel_io
             if cancel_io is not None:
                 cancel_io()
             self.end(result)
 
-    def timed_out(self) -> None:
-        # Not all of it written: the server can't have begun, as it waits for the last byte.
+    def on_timeout(self) -> None:
+        # The server executes nothing before the last byte.
         self.terminate(Result.TIMEOUT if self.written else Result.UNREACHABLE)
 
 
-def _nothing() -> None:
+def _ignore() -> None:
     pass
 
 
 def parse_load_report(text: bytes) -> dict[str, float] | None:
-    """A load report; one that can't be read counts as none, negative values (they are noisy) as 0."""
+    """Parse a load report; return None if it is malformed. Negative values, which are noise, become 0."""
     try:
         pairs = [part.split("=") for part in text.decode("ascii").split(",")]
         load_report = {name.strip(): float(value) for name, value in pairs}
@@ -180,342 +177,351 @@
 
 
 class ServerConnection(asyncio.BufferedProtocol):
-    """A connection to a server, which carries one attempt at a time."""
+    """A connection to a server, used by one attempt at a time."""
 
     def __init__(self, pool: Upstream, server: int, address: Address) -> None:
-        self.server, self.address, self.idle_since = server, address, 0.0
+        self.server, self.address, self.idle_since_ms = server, address, 0.0
         self._pool = pool
-        self._idled_ms: float | None = None  # how long before what it carries; None: it is new
+        self._idle_before_ms: float | None = None  # before the current attempt; None: not used before
         self._transport: asyncio.Transport
         self._attempt: Attempt | None = None
-        self.fresh = True  # it has carried nothing yet
-        self._paused = self._lost = self._closed = False
-        self._stopped = False  # reading waits for the caller
-        self._sent = 0  # of the body that it carries
-        self._out = True  # all of the request has been given to the transport
-        self._moved_ms = 0.0  # when its transfer last went on
-        self._hold: asyncio.TimerHandle | None = None
-        self._start_answer()
-
-    def _start_answer(self) -> None:
+        self.is_new = True  # not used by any attempt yet
+        self._writing_paused = self._lost = self._closed = False
+        self._reading_paused = False  # while the client reads too slowly
+        self._sent_bytes = 0  # of the request body
+        self._request_written = True  # to the transport, which may still buffer a part
+        self._last_progress_ms = 0.0
+        self._buffering_timer: asyncio.TimerHandle | None = None
+        self._reset_response()
+
+    def _reset_response(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._body: list[bytes] = []
-        self._size = self._held = self._head = self._status = 0
-        self._type: bytes | None = None
-        self._report: dict[str, float] | None = None
+        self._body_bytes = self._buffered_bytes = self._head_bytes = self._status = 0
+        self._content_type: bytes | None = None
+        self._load_report: dict[str, float] | None = None
         self._length: int | None = None
-        self._rejected = self._complete = self._in_body = self._spoilt = self._keep = self._chunked = False
+        self._rejected = self._response_complete = self._in_body = self._invalid = self._keep_alive = (
+            self._chunked
+        ) = False
 
-    # The socket
+    # Transport events
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is none by class
-        # Nothing may wait in the transport unseen: at a limit of 0 a write goes out at once, and
-        # `pause_writing` tells of what did not fit.
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's class does not derive from it
+        # With a limit of 0 the transport writes at once and calls `pause_writing` while anything is left in
+        # its buffer, so it is always known whether a request is fully written.
         self._transport.set_write_buffer_limits(0)
 
     def pause_writing(self) -> None:
-        self._paused, self._moved_ms = True, now_ms()
+        self._writing_paused, self._last_progress_ms = True, now_ms()
 
     def resume_writing(self) -> None:
-        self._paused = False
+        self._writing_paused = False
         if self._attempt is not None:
-            self._pump()
+            self._write_body()
 
-    def _written(self, attempt: Attempt) -> None:
-        """Its last byte is out: from now on it may run."""
+    def _mark_written(self, attempt: Attempt) -> None:
+        """Note that the last byte was written: from now on the request may be executed."""
         if not attempt.written:
             attempt.written = True
-            self._pool.written()
+            self._pool.on_request_written()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self._pool.buffer  # one for all: what is read is worked through before the next read
+        return self._pool.read_buffer  # shared: data is parsed before any connection's next read
 
     def buffer_updated(self, nbytes: int) -> None:
-        if self._attempt is None:  # nobody asked: the next answer on it could be somebody else's
-            self._pool.spoke_unasked()
+        if self._attempt is None:  # unsolicited: the next response could belong to another request
+            self._pool.on_unsolicited_data()
             return self.close()
-        self._moved_ms = now_ms()
+        self._last_progress_ms = now_ms()
         try:
             if not self._in_body:
-                self._head += nbytes
-            self._parser.feed_data(self._pool.buffer[:nbytes])
+                self._head_bytes += nbytes
+            self._parser.feed_data(self._pool.read_buffer[:nbytes])
         except httptools.HttpParserUpgrade:
-            self._spoilt = True
+            self._invalid = True
         except httptools.HttpParserError:
-            self._spoilt = self._spoilt or not self._complete
-            self._beyond()
-        self._go_on()
+            self._invalid = self._invalid or not self._response_complete
+            self._on_excess_data()
+        self._process_input()
 
-    def _go_on(self) -> None:
-        """Do what has come allows: pass it on, end, or wait for more."""
+    def _process_input(self) -> None:
+        """Forward the parsed data, finish the attempt, or wait for more data."""
         attempt = self._attempt
         if attempt is None:
             return
-        if self._spoilt or (not self._in_body and not self._complete and self._head > MAX_HEAD_BYTES):
+        if self._invalid or (
+            not self._in_body and not self._response_complete and self._head_bytes > MAX_HEAD_BYTES
+        ):
             return self._end(Result.RESET if attempt.streaming else Result.ERROR, reuse=False)
-        if not attempt.streaming and self._in_body and not self._complete and self._status == 200:
+        if not attempt.streaming and self._in_body and not self._response_complete and self._status == 200:
             if (
-                self._size > MAX_BUFFERED_BYTES
+                self._body_bytes > MAX_BUFFERED_BYTES
                 or (self._length or 0) > MAX_BUFFERED_BYTES
                 or self._pool.memory.is_exhausted()
             ):
-                self._begin()
-            elif self._length is None and self._hold is None:
-                self._hold = self._pool.loop.call_later(BUFFERING_TIMEOUT_S, self._held_long)
+                self._start_streaming()
+            elif self._length is None and self._buffering_timer is None:
+                self._buffering_timer = self._pool.loop.call_later(
+                    BUFFERING_TIMEOUT_S, self._on_buffering_timeout
+                )
         if attempt.streaming and self._body:
-            data = self._taken()
+            data = self._take_body()
             attempt.owner.forward_body(data)
-        if self._complete and self._attempt is attempt:
-            self._answered()
+        if self._response_complete and self._attempt is attempt:
+            self._finish_response()
 
-    def _held_long(self) -> None:
-        if self._attempt is not None and not self._complete and not self._attempt.streaming:
-            self._begin()
-            self._go_on()
+    def _on_buffering_timeout(self) -> None:
+        if self._attempt is not None and not self._response_complete and not self._attempt.streaming:
+            self._start_streaming()
+            self._process_input()
 
-    def _begin(self) -> None:
+    def _start_streaming(self) -> None:
         assert self._attempt is not None
-        self._attempt.begin(ServerResponse(self._status, b"", self._type, self._report, self._length), self)
+        self._attempt.start_streaming(
+            ServerResponse(self._status, b"", self._content_type, self._load_report, self._length), self
+        )
 
-    def _taken(self) -> bytes:
-        """What has come of the body and is held."""
+    def _take_body(self) -> bytes:
+        """Return the buffered part of the body and release its memory."""
         data = b"".join(self._body)
         self._body.clear()
-        self._pool.memory.used_bytes -= self._held
-        self._held = 0
+        self._pool.memory.used_bytes -= self._buffered_bytes
+        self._buffered_bytes = 0
         return data
 
     def pause(self) -> None:
-        """Read no more until the caller has taken what came."""
-        if not self._stopped and not self._lost and not self._transport.is_closing():
-            self._stopped = True
+        """Pause reading until the client has read what was forwarded."""
+        if not self._reading_paused and not self._lost and not self._transport.is_closing():
+            self._reading_paused = True
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
-        if self._stopped:
-            self._stopped, self._moved_ms = False, now_ms()
+        """Resume reading."""
+        if self._reading_paused:
+            self._reading_paused, self._last_progress_ms = False, now_ms()
             if not self._lost and not self._transport.is_closing():
                 self._transport.resume_reading()
 
     def eof_received(self) -> None:
-        # Without a length and without chunks the end of the connection ends the answer.
-        if self._in_body and not self._complete and self._length is None and not self._chunked:
-            self._complete, self._keep = True, False
-            self._go_on()
-        return None  # closes, and `connection_lost` reports
+        # A response with neither a length nor chunks ends with the connection.
+        if self._in_body and not self._response_complete and self._length is None and not self._chunked:
+            self._response_complete, self._keep_alive = True, False
+            self._process_input()
+        return None  # closes the transport; `connection_lost` ends the attempt
 
     def connection_lost(self, exc: Exception | None) -> None:
         closed_here, self._lost = self._closed, True
-        self._pool.forget(self)
-        idled_ms = now_ms() - self.idle_since
+        self._pool.unregister(self)
+        idled_ms = now_ms() - self.idle_since_ms
         if self._attempt is None and not closed_here and idled_ms > CLOSE_AFTER_RESPONSE_MS:
-            self._pool.closed_early(self.server, idled_ms)
-        elif self._attempt is not None and self._idled_ms is not None and not self._head:
-            self._pool.closed_early(self.server, self._idled_ms)
+            self._pool.on_early_close(self.server, idled_ms)
+        elif self._attempt is not None and self._idle_before_ms is not None and not self._head_bytes:
+            self._pool.on_early_close(self.server, self._idle_before_ms)
         if self._attempt is not None:
             self._end(Result.RESET if self._attempt.written else Result.UNREACHABLE, reuse=False)
-        del self._parser  # it knows its connection: a circle would wait for a full collection
+        del self._parser  # breaks a reference cycle, which would last until a full garbage collection
 
     def close(self) -> None:
-        """Close now, whatever it carries."""
-        self._pool.forget(self)
-        self._let_go()
+        """Close at once, even in the middle of an attempt."""
+        self._pool.unregister(self)
+        self._detach_attempt()
         self._closed = True
         self._transport.abort()
 
-    def stalled(self, now: float) -> None:
-        """End what has not gone on for too long, though nothing here holds it up."""
-        attempt, waited_ms = self._attempt, now - self._moved_ms
+    def check_stall(self, now: float) -> None:
+        """Terminate an attempt that the server has stalled for too long."""
+        attempt, waited_ms = self._attempt, now - self._last_progress_ms
         if attempt is None:
             return
         if (
-            self._paused
+            self._writing_paused
             and not attempt.written
             and not attempt.body.is_replayable()
             and waited_ms > REQUEST_STALL_TIMEOUT_MS
         ):
             attempt.terminate(Result.UNREACHABLE)
-        elif attempt.streaming and not self._stopped and waited_ms > RESPONSE_STALL_TIMEOUT_MS:
+        elif attempt.streaming and not self._reading_paused and waited_ms > RESPONSE_STALL_TIMEOUT_MS:
             attempt.terminate(Result.RESET)
 
     # Attempts
 
     def is_usable(self) -> bool:
-        """Whether a request may be written: open as far as known, and nothing unread.
+        """Return whether a request may be written: the connection is open and has no unread input.
 
-        The loop reads only once a turn. An end or a stray byte that has come in since would turn a
-        request written now into a reset that may have run, so the socket itself is asked.
+        The socket itself is polled, as the event loop reads once per iteration. A request written after an
+        unnoticed close or stray byte would end with a reset, and might have been executed.
         """
         if self._lost or self._transport.is_closing():
             return False
         return not has_event(file_descriptor(self._transport))
 
-    def carry(self, attempt: Attempt) -> None:
-        """Write an attempt's request and wait for its answer."""
-        self._attempt, self._sent, self._out = attempt, 0, False
-        self.fresh = False
-        self._moved_ms = now_ms()
-        self._idled_ms = self._moved_ms - self.idle_since if self.idle_since else None
-        self._start_answer()
-        attempt.carried_by(self.close)
+    def start_attempt(self, attempt: Attempt) -> None:
+        """Write an attempt's request and wait for its response."""
+        self._attempt, self._sent_bytes, self._request_written = attempt, 0, False
+        self.is_new = False
+        self._last_progress_ms = now_ms()
+        self._idle_before_ms = self._last_progress_ms - self.idle_since_ms if self.idle_since_ms else None
+        self._reset_response()
+        attempt.set_cancel_io(self.close)
         body = attempt.body
-        if body.complete and not attempt.chunked:  # in one piece
-            self._sent, self._out = body.size, True
+        if body.complete and not attempt.chunked:  # head and body in one write
+            self._sent_bytes, self._request_written = body.size, True
             self._transport.write(attempt.head + body.data_from(0))
             body.on_forwarded()
         else:
             self._transport.write(attempt.head)
-            body.on_data = self._pump
-        if self._transport.is_closing():  # the write itself failed
+            body.on_data = self._write_body
+        if self._transport.is_closing():  # the write failed
             self._end(Result.UNREACHABLE, reuse=False)
         else:
-            self._pump()
+            self._write_body()
 
-    def _pump(self) -> None:
-        """Write what has come of the body, as fast as the server takes it."""
+    def _write_body(self) -> None:
+        """Write what was received of the body, as fast as the server reads it."""
         attempt = self._attempt
-        if attempt is None or attempt.finished or self._paused:
+        if attempt is None or attempt.finished or self._writing_paused:
             return
         body = attempt.body
-        while not self._out and not self._paused and not self._transport.is_closing():
-            data = body.data_from(self._sent) if self._sent < body.size else b""
-            self._out = body.complete and self._sent + len(data) == body.size
-            self._sent += len(data)
+        while not self._request_written and not self._writing_paused and not self._transport.is_closing():
+            data = body.data_from(self._sent_bytes) if self._sent_bytes < body.size else b""
+            self._request_written = body.complete and self._sent_bytes + len(data) == body.size
+            self._sent_bytes += len(data)
             if attempt.chunked:
                 data = b"%x\r\n%b\r\n" % (len(data), data) if data else b""
-                data += b"0\r\n\r\n" if self._out else b""
+                data += b"0\r\n\r\n" if self._request_written else b""
             if not data:
                 break
-            self._moved_ms = now_ms()
+            self._last_progress_ms = now_ms()
             self._transport.write(data)
             body.on_forwarded()
-        if self._out and not self._paused and not self._transport.is_closing():
-            self._written(attempt)
+        if self._request_written and not self._writing_paused and not self._transport.is_closing():
+            self._mark_written(attempt)
 
-    def _answered(self) -> None:
+    def _finish_response(self) -> None:
         assert self._attempt is not None
-        body = b"" if self._attempt.streaming else self._taken()
-        answer = ServerResponse(self._status, body, self._type, self._report)
+        body = b"" if self._attempt.streaming else self._take_body()
+        response = ServerResponse(self._status, body, self._content_type, self._load_report)
         if self._status == 200:
             result = Result.SERVED
         else:
             refused = self._status in (503, 504) and self._rejected
             result = Result.REJECTED if refused else Result.ERROR
-        self._end(result, self._keep and self._attempt.written, answer)
+        self._end(result, self._keep_alive and self._attempt.written, response)
 
-    def _let_go(self) -> Attempt | None:
-        """Carry nothing from now on; what it carried."""
+    def _detach_attempt(self) -> Attempt | None:
+        """Detach the current attempt and return it."""
         attempt, self._attempt = self._attempt, None
-        self._taken()
+        self._take_body()
         if attempt is not None:
-            attempt.body.on_data = _nothing
-        if self._hold is not None:
-            self._hold.cancel()
-            self._hold = None
+            attempt.body.on_data = _ignore
+        if self._buffering_timer is not None:
+            self._buffering_timer.cancel()
+            self._buffering_timer = None
         return attempt
 
-    def _end(self, result: Result, reuse: bool, answer: ServerResponse | None = None) -> None:
-        attempt = self._let_go()
+    def _end(self, result: Result, reuse: bool, response: ServerResponse | None = None) -> None:
+        attempt = self._detach_attempt()
         self.resume()
-        if reuse and not self._paused and self.is_usable():
-            self._pool.put_back(self)  # first: what the outcome sets off may use it
+        if reuse and not self._writing_paused and self.is_usable():
+            self._pool.release(self)  # before reporting: an attempt that the result triggers can use it
         else:
             self.close()
         if attempt is not None:
-            attempt.end(result, answer)
+            attempt.end(result, response)
 
-    # The parser's calls
+    # Parser callbacks
 
     def on_message_begin(self) -> None:
-        if self._complete:
-            self._beyond()
+        if self._response_complete:
+            self._on_excess_data()
 
-    def _beyond(self) -> None:
-        """More than the answer has come: the connection is of no further use."""
-        self._keep = False
-        if self._complete:
-            self._pool.spoke_unasked()
+    def _on_excess_data(self) -> None:
+        """Prevent reuse of a connection that sent more than the response."""
+        self._keep_alive = False
+        if self._response_complete:
+            self._pool.on_unsolicited_data()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self._complete or self._in_body:  # trailers say nothing that is used
+        if self._response_complete or self._in_body:  # trailers are ignored
             return
         match name.lower():
             case b"content-length":
                 self._length = int(value)
-                self._spoilt = self._spoilt or self._length > MAX_BODY_BYTES
+                self._invalid = self._invalid or self._length > MAX_BODY_BYTES
             case b"transfer-encoding":
                 self._chunked = True
-                self._spoilt = self._spoilt or value.strip().lower() != b"chunked"
+                self._invalid = self._invalid or value.strip().lower() != b"chunked"
             case b"content-type":
-                self._type = value
+                self._content_type = value
             case b"x-rejected":
                 self._rejected = value.strip() == b"1"
             case b"x-load-report":
-                self._report = parse_load_report(value)
+                self._load_report = parse_load_report(value)
 
     def on_headers_complete(self) -> None:
-        if not self._complete:
+        if not self._response_complete:
             self._status, self._in_body = self._parser.get_status_code(), True
 
     def on_body(self, body: bytes) -> None:
-        if self._complete or self._spoilt:
+        if self._response_complete or self._invalid:
             return
-        self._size += len(body)
-        if self._size > MAX_BODY_BYTES:
-            self._spoilt = True
-        elif self._status == 200 or self._size <= MAX_BUFFERED_BYTES:  # of a long error nothing more is used
+        self._body_bytes += len(body)
+        if self._body_bytes > MAX_BODY_BYTES:
+            self._invalid = True
+        elif self._status == 200 or self._body_bytes <= MAX_BUFFERED_BYTES:
+            # The rest of a long error response is not used.
             self._body.append(body)
-            self._held += len(body)
+            self._buffered_bytes += len(body)
             self._pool.memory.used_bytes += len(body)
 
     def on_message_complete(self) -> None:
-        if self._complete:
+        if self._response_complete:
             return
-        if 100 <= self._status < 200:  # an interim answer: the real one follows
-            self._in_body, self._rejected, self._report, self._length = False, False, None, None
-            self._head = 0
+        if 100 <= self._status < 200:  # an interim response: the final one follows
+            self._in_body, self._rejected, self._load_report, self._length = False, False, None, None
+            self._head_bytes = 0
             return
-        self._complete, self._keep = True, self._parser.should_keep_alive()
+        self._response_complete, self._keep_alive = True, self._parser.should_keep_alive()
 
 
 class Upstream:
-    """All connections to servers."""
+    """The pool of connections to all servers."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         connect_timeout_ms: float,
         keepalive_ms: float,
-        room: Callable[[], int],
-        make_room: Callable[[], bool],
-        written: Callable[[], None],
+        free_sockets: Callable[[], int],
+        reclaim_socket: Callable[[], bool],
+        on_request_written: Callable[[], None],
         memory: Memory,
     ) -> None:
-        self.loop, self._room, self._make_room = loop, room, make_room
-        self.written, self.memory = written, memory
-        self.buffer = memoryview(bytearray(CHUNK_BYTES))
+        self.loop, self._free_sockets, self._reclaim_socket = loop, free_sockets, reclaim_socket
+        self.on_request_written, self.memory = on_request_written, memory
+        self.read_buffer = memoryview(bytearray(CHUNK_BYTES))
         self.configure_timeouts(connect_timeout_ms, keepalive_ms)
-        self._trust_ms: dict[int, float] = {}  # less than that, for servers that closed earlier
+        self._learned_idle_limits_ms: dict[int, float] = {}  # of servers that closed earlier
         self._idle: dict[int, list[ServerConnection]] = {}
-        self._open: set[ServerConnection] = set()
+        self._connections: set[ServerConnection] = set()
         self._connecting: set[asyncio.Task[None]] = set()
         self._reuse_delay_until_ms = -math.inf
         loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def spoke_unasked(self) -> None:
-        """Bytes came that nobody asked for: connections have to rest for a while."""
+    def on_unsolicited_data(self) -> None:
+        """Delay the reuse of connections for a while, as a server sent more than was asked for."""
         self._reuse_delay_until_ms = now_ms() + REUSE_DELAY_PERIOD_MS
 
     def configure_timeouts(self, connect_timeout_ms: float, keepalive_ms: float) -> None:
-        """Take what the settings say of connections."""
+        """Apply the configured connect timeout and the servers' idle limit."""
         self._connect_timeout_s = connect_timeout_ms / 1000.0
         self._idle_limit_ms = keepalive_ms * IDLE_LIMIT_FRACTION
 
     def count(self) -> int:
-        """Sockets in use, those that are being opened too."""
-        return len(self._open) + len(self._connecting)
+        """Return the number of sockets in use, including those that are being connected."""
+        return len(self._connections) + len(self._connecting)
 
     def send(
         self,
@@ -526,55 +532,57 @@
         chunked: bool,
         timeout_ms: float,
         owner: AttemptOwner,
-        within_ms: float = math.inf,
+        send_window_ms: float = math.inf,
     ) -> Attempt:
-        """Start an attempt; it may end before this returns. Time runs once its body is whole.
+        """Start an attempt; it may end before this returns. Its timeout starts once its body is complete.
 
-        What is not out whole `within_ms` from now never goes out.
+        A request that is not fully written within `send_window_ms` is never completed.
         """
         attempt = Attempt(head, body, chunked, owner)
-        if within_ms < math.inf:
-            attempt.expire_after(self.loop, within_ms)
+        if send_window_ms < math.inf:
+            attempt.set_send_window(self.loop, send_window_ms)
         if body.complete:
             self.limit(attempt, timeout_ms)
         idle = self._idle.get(server, [])
-        while (rested := self._rested(idle)) is not None:
-            connection = idle.pop(rested)
-            idled_ms = now_ms() - connection.idle_since
+        while (index := self._find_reusable(idle)) is not None:
+            connection = idle.pop(index)
+            idled_ms = now_ms() - connection.idle_since_ms
             if not connection.is_usable():
                 if idled_ms > CLOSE_AFTER_RESPONSE_MS:
-                    self.closed_early(server, idled_ms)
-            elif connection.address == address and idled_ms <= self._trusted(server):
-                connection.carry(attempt)
+                    self.on_early_close(server, idled_ms)
+            elif connection.address == address and idled_ms <= self._idle_limit(server):
+                connection.start_attempt(attempt)
                 return attempt
             connection.close()
-        if self._room() <= 0 and not self._make_room():
+        if self._free_sockets() <= 0 and not self._reclaim_socket():
             attempt.end(Result.UNREACHABLE)
             return attempt
-        dial = self.loop.create_task(self._dial(attempt, server, address))
-        self._connecting.add(dial)
-        dial.add_done_callback(self._connecting.discard)
-        attempt.carried_by(dial.cancel)
+        connecting = self.loop.create_task(self._connect(attempt, server, address))
+        self._connecting.add(connecting)
+        connecting.add_done_callback(self._connecting.discard)
+        attempt.set_cancel_io(connecting.cancel)
         return attempt
 
-    def _rested(self, idle: list[ServerConnection]) -> int | None:
-        """Which of a server's idle connections to use: the last used, so that the others can grow old and go.
+    def _find_reusable(self, idle: list[ServerConnection]) -> int | None:
+        """Return the index of the idle connection to use, if any.
 
-        While servers send twice, not at once: a second answer would be taken for that to the next request.
+        The most recently used one comes first, so that the others reach their idle limit. While servers send
+        duplicate responses, a connection is not reused at once: the duplicate would be taken for the response
+        to the next request.
         """
         now = now_ms()
         before = now - REUSE_DELAY_MS if now < self._reuse_delay_until_ms else now
         for n in reversed(range(len(idle))):
-            if idle[n].fresh or idle[n].idle_since <= before:
+            if idle[n].is_new or idle[n].idle_since_ms <= before:
                 return n
         return None
 
     def limit(self, attempt: Attempt, timeout_ms: float) -> None:
-        """Give an attempt up after so long, unless its answer is being passed on by then."""
+        """Set an attempt's timeout, which no longer applies once its response is streamed."""
         if not attempt.finished and not attempt.streaming:
-            attempt.give_up_after(self.loop.call_later(max(0.0, timeout_ms) / 1000.0, attempt.timed_out))
+            attempt.set_timeout_timer(self.loop.call_later(max(0.0, timeout_ms) / 1000.0, attempt.on_timeout))
 
-    async def _dial(self, attempt: Attempt, server: int, address: Address) -> None:
+    async def _connect(self, attempt: Attempt, server: int, address: Address) -> None:
         try:
             async with asyncio.timeout(self._connect_timeout_s):
                 _, connection = await self.loop.create_connection(
@@ -582,54 +590,55 @@
                 )
         except (OSError, TimeoutError):
             return attempt.end(Result.UNREACHABLE)
-        if not connection.is_usable():  # came up and broke at once
+        if not connection.is_usable():  # established and closed at once
             return attempt.end(Result.UNREACHABLE)
-        self._open.add(connection)
-        # Connecting took time: the request may have ended, its server may have been called off.
-        if attempt.finished or attempt.expired() or not attempt.owner.may_send():
-            self.put_back(connection)
+        self._connections.add(connection)
+        # Meanwhile the request may have ended, or its server may have left service.
+        if attempt.finished or attempt.is_expired() or not attempt.owner.may_send():
+            self.release(connection)
             attempt.end(Result.NOT_SENT)
         else:
-            connection.carry(attempt)
+            connection.start_attempt(attempt)
 
-    def closed_early(self, server: int, idled_ms: float) -> None:
-        """Trust a server's idle connections for less: it ended one after so long.
+    def on_early_close(self, server: int, idled_ms: float) -> None:
+        """Lower a server's idle limit, as it closed a connection that was idle for `idled_ms`.
 
-        The stated limit is the latest. Servers, and what lies between, also close sooner; a request
-        written meanwhile ends as a reset that may have run, which costs far more than a handshake.
+        The configured limit is only an upper bound: servers and middleboxes also close sooner. A request
+        written at that moment ends with a reset and may have been executed, which costs far more than a
+        handshake.
         """
-        self._trust_ms[server] = max(
-            MIN_IDLE_LIMIT_MS, min(self._trusted(server), IDLE_LIMIT_FRACTION * idled_ms)
+        self._learned_idle_limits_ms[server] = max(
+            MIN_IDLE_LIMIT_MS, min(self._idle_limit(server), IDLE_LIMIT_FRACTION * idled_ms)
         )
 
-    def _trusted(self, server: int) -> float:
-        return self._trust_ms.get(server, self._idle_limit_ms)
+    def _idle_limit(self, server: int) -> float:
+        return self._learned_idle_limits_ms.get(server, self._idle_limit_ms)
 
-    def put_back(self, connection: ServerConnection) -> None:
-        """Keep a connection that carries nothing for the next attempt."""
-        connection.idle_since = now_ms()
+    def release(self, connection: ServerConnection) -> None:
+        """Return a connection to the pool for the next attempt."""
+        connection.idle_since_ms = now_ms()
         self._idle.setdefault(connection.server, []).append(connection)
 
-    def forget(self, connection: ServerConnection) -> None:
-        """Count a connection out."""
-        self._open.discard(connection)
+    def unregister(self, connection: ServerConnection) -> None:
+        """Remove a connection from the pool."""
+        self._connections.discard(connection)
         idle = self._idle.get(connection.server)
         if idle and connection in idle:
             idle.remove(connection)
 
     def close_idle(self, server: int) -> None:
-        """Close what carries nothing to a server."""
+        """Close the idle connections to a server."""
         for connection in self._idle.pop(server, []):
             connection.close()
 
     def forget_server(self, server: int) -> None:
-        """Keep nothing of a server that is gone: what it closed when it ended tells nothing of the next."""
+        """Drop the state of a removed server: what it closed at its end doesn't apply to its successor."""
         self.close_idle(server)
-        self._trust_ms.pop(server, None)
+        self._learned_idle_limits_ms.pop(server, None)
 
     def close_oldest_idle(self) -> bool:
-        """Give back a socket, if one carries nothing."""
-        oldest = min((idle[0] for idle in self._idle.values() if idle), key=_age, default=None)
+        """Close the connection that has been idle longest; return whether there was one."""
+        oldest = min((idle[0] for idle in self._idle.values() if idle), key=_idle_since, default=None)
         if oldest is not None:
             oldest.close()
         return oldest is not None
@@ -637,17 +646,21 @@
     def _sweep(self) -> None:
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = now_ms()
-        for connection in list(self._open):
-            connection.stalled(now)
-        grown = {server: trust_ms * IDLE_LIMIT_GROWTH for server, trust_ms in self._trust_ms.items()}
-        self._trust_ms = {server: ms for server, ms in grown.items() if ms < self._idle_limit_ms}
+        for connection in list(self._connections):
+            connection.check_stall(now)
+        raised = {
+            server: limit_ms * IDLE_LIMIT_GROWTH for server, limit_ms in self._learned_idle_limits_ms.items()
+        }
+        self._learned_idle_limits_ms = {
+            server: ms for server, ms in raised.items() if ms < self._idle_limit_ms
+        }
         for server, idle in list(self._idle.items()):
-            before = now_ms() - self._trusted(server)
-            while idle and idle[0].idle_since < before:
+            before = now_ms() - self._idle_limit(server)
+            while idle and idle[0].idle_since_ms < before:
                 idle[0].close()
             if not idle:
                 del self._idle[server]
 
 
-def _age(connection: ServerConnection) -> float:
-    return connection.idle_since
+def _idle_since(connection: ServerConnection) -> float:
+    return connection.idle_since_ms
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -403,7 +403,7 @@
             assert (await scene.ask("a")).status == 200
             assert scene.node is not None
             ends = [caller._transport for caller in scene.node.frontend._connections]
-            ends += [connection._transport for connection in scene.node._upstream._open]
+            ends += [connection._transport for connection in scene.node._upstream._connections]
             assert len(ends) == 2
             for end in ends:
                 own = end.get_extra_info("socket")
@@ -437,7 +437,7 @@
                 )  # by then they are known as silent
             await until(lambda: node._room() <= 0 and node.frontend.count() < 60)
             server.hang_up()
-            await until(lambda: not node._upstream._open)
+            await until(lambda: not node._upstream._connections)
             assert (await asker.ask("second")).status == 200  # its attempt needs a new connection
             busy = [await scene.caller() for _ in range(3)]
             server.gate.clear()
