--- a/dunlinloft/node/__main__.py
+++ b/dunlinloft/node/__main__.py
@@ -21,7 +21,7 @@
 
 from dunlinloft.node import logs
 from dunlinloft.node.config import BadConfig, read_change, read_config
-from dunlinloft.node.http.handover import Siblings, handed_socket
+from dunlinloft.node.http.handover import Siblings, inherited_socket
 from dunlinloft.node.node import Node
 
 ACCEPT_ON_S = 0.45  # after SIGTERM: connections go on coming for up to 0.4 s
@@ -45,7 +45,7 @@
     address = config.listen
     siblings = None
     try:
-        handed = handed_socket(os.environ.get("NODE_ACCEPT_FD"))
+        handed = inherited_socket(os.environ.get("NODE_ACCEPT_FD"))
         if config.management is not None:
             address = config.management
             await node.admin.listen(address)
--- a/dunlinloft/node/http/bodies.py
+++ b/dunlinloft/node/http/bodies.py
@@ -1,17 +1,17 @@
-"""Request bodies on their way through the node, and the memory that all of them together may use.
+"""Buffered request bodies, and the memory that all bodies together may use.
 
 A body of up to `MAX_BUFFERED_BYTES` is buffered until its request has ended, so that it can be replayed. A
-larger one is streamed: what was forwarded is released, and its caller is read no faster than the server takes
-it. While memory is exhausted smaller ones are streamed as well.
+larger one is streamed: what was forwarded is released, and it is read from the client no faster than the server
+reads it. While memory is exhausted, smaller ones are streamed as well.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-MAX_BUFFERED_BYTES = 64 * 1024  # of one body, or of one response, that is buffered complete
+MAX_BUFFERED_BYTES = 64 * 1024  # of one request or response body that is buffered completely
 MAX_BODY_BYTES = 32 * 1024 * 1024
-CHUNK_BYTES = 32 * 1024  # read at once, and buffered for a peer that takes it slowly
+CHUNK_BYTES = 32 * 1024  # per read, and buffered for a peer that reads slowly
 BYTES_PER_MB = 1024 * 1024
 PROGRAM_MB = 24  # memory that the program itself takes
 BODIES_MEMORY_SHARE = 0.4  # of the remaining memory
@@ -19,7 +19,7 @@
 
 
 class Memory:
-    """Bytes of bodies that are buffered now; beyond the budget nothing is buffered that can be streamed."""
+    """Memory used by buffered bodies; once its budget is used up, bodies are streamed where possible."""
 
     __slots__ = ("budget_bytes", "used_bytes")
 
@@ -28,7 +28,7 @@
         self.set_limit(limit_mb)
 
     def set_limit(self, limit_mb: float) -> None:
-        """Take the process's memory limit (MB), of which bodies get a share."""
+        """Set the budget to a share of the process's memory limit (MB)."""
         budget_mb = min(max(BODIES_MEMORY_SHARE * (limit_mb - PROGRAM_MB), 1.0), MAX_BODIES_MB)
         self.budget_bytes = int(budget_mb * BYTES_PER_MB)
 
@@ -42,24 +42,24 @@
 
 
 class Body:
-    """A request's body: what its caller has sent, less what was forwarded and released.
+    """A request's body: what the client has sent, less what was forwarded and released.
 
     Attributes
     ----------
     length
-        In bytes, as the caller declared it; None for a chunked body.
+        In bytes, as the client declared it; None for a chunked body.
     size
         Bytes received so far.
     released_bytes
-        Of them, those at the start that are no longer buffered.
+        Bytes at the start that are no longer buffered.
     complete
-        All of it was received.
+        Whether all of it was received.
     streaming
-        It is forwarded as it comes; what was forwarded is released.
+        Whether it is forwarded as it arrives; what was forwarded is released.
     on_data
         Called when more was received.
     on_drained
-        Called when what was received has been forwarded.
+        Called when all that was received has been forwarded.
     """
 
     __slots__ = (
@@ -88,7 +88,7 @@
         self.on_drained: Callable[[], None] = _ignore
 
     def feed(self, data: bytes) -> None:
-        """Take bytes that were received."""
+        """Append received bytes."""
         self._chunks.append(data)
         self.size += len(data)
         self._buffered_bytes += len(data)
@@ -97,37 +97,37 @@
         self.on_data()
 
     def finish(self) -> None:
-        """Note that all of it was received."""
+        """Mark the body as complete."""
         self.complete = True
         self.on_data()
 
     def is_full(self) -> bool:
-        """Return whether no more should be read for now.
+        """Return whether to stop reading for now.
 
-        Never before it is streamed, as nothing would drain it.
+        Never before the body is streamed, as nothing would drain it.
         """
         limit = CHUNK_BYTES if self._memory.is_exhausted() else MAX_BUFFERED_BYTES
         return self.streaming and self._buffered_bytes >= limit
 
     def data_from(self, offset: int) -> bytes:
-        """Return what is buffered from an offset on, which must not have been released."""
+        """Return the received bytes from an offset on, which must not have been released."""
         if len(self._chunks) > 1:
             self._chunks = [b"".join(self._chunks)]
         return self._chunks[0][offset - self.released_bytes :] if self._chunks else b""
 
     def on_forwarded(self) -> None:
-        """Note that all that was received has been forwarded: a streamed body releases it."""
+        """Note that all received bytes were forwarded; a streamed body releases them."""
         if self.streaming:
             self.released_bytes = self.size
             self._release()
             self.on_drained()
 
     def is_replayable(self) -> bool:
-        """Return whether it can be sent once more from its start."""
+        """Return whether the body can be sent again from its start."""
         return not self.released_bytes
 
     def close(self) -> None:
-        """Release everything: nobody needs it any more."""
+        """Release all buffered bytes, which are no longer needed."""
         self.released_bytes = self.size
         self._release()
         self.on_data = _ignore
--- a/dunlinloft/node/http/handover.py
+++ b/dunlinloft/node/http/handover.py
@@ -1,7 +1,7 @@
-"""Two processes of one node during an upgrade: how each knows that the other is alive.
+"""Liveness and socket counts of a node's processes, several of which run at once during an upgrade.
 
-Each locks a file of its own in the folder that they share, and writes there how many sockets it has open.
-The kernel releases the lock however the process ends, so a file left behind means nothing.
+Each process locks a file of its own in a shared directory, and writes its number of open sockets there. The
+kernel releases the lock however the process ends, so a file without a lock means nothing.
 """
 
 from __future__ import annotations
@@ -12,44 +12,44 @@
 import socket
 from pathlib import Path
 
-MAX_PROCESSES = 8  # of one node at once: an upgrade may be tried again while others still end
-LOCK_FILE_NAME = "orchidferry.{}.lock"  # by slot; an older release beside this one uses the same name
+MAX_PROCESSES = 8  # of one node at once: an upgrade may be retried while earlier processes still drain
+LOCK_FILE_NAME = "orchidferry.{}.lock"  # by slot; shared with an older release that runs at the same time
 NO_FILE = -1
 SOCKET_COUNT_WIDTH = 8  # characters
 
 
-def handed_socket(value: str | None) -> socket.socket | None:
-    """Return the listening socket that the platform holds for all processes; None where it holds none.
+def inherited_socket(value: str | None) -> socket.socket | None:
+    """Return the listening socket whose descriptor `NODE_ACCEPT_FD` gives; None if that is not set.
 
-    Raises `OSError` where the value names no socket.
+    Raises `OSError` if the descriptor is not a socket.
     """
     if not value:
         return None
     try:
         return socket.socket(fileno=int(value))
-    except (ValueError, OSError) as problem:
-        raise OSError(f"NODE_ACCEPT_FD {value!r:.20} is no socket: {problem}") from None
+    except (ValueError, OSError) as error:
+        raise OSError(f"NODE_ACCEPT_FD {value!r:.20} is not a socket: {error}") from None
 
 
 class Siblings:
-    """This process among those of its node, each with a slot of its own."""
+    """The processes of this node, each with a slot of its own, as seen by one of them."""
 
-    def __init__(self, folder: Path) -> None:
-        self._folder = folder
+    def __init__(self, directory: Path) -> None:
+        self._directory = directory
         self._own_slot = NO_FILE
-        self._own_file = NO_FILE  # open while its lock is held
+        self._own_lock = NO_FILE  # descriptor, which is open while the lock is held
         for slot in range(MAX_PROCESSES):
             file = self._lock(slot, fcntl.LOCK_EX, os.O_CREAT)
             if file != NO_FILE:
                 self._own_slot = slot
-                self._own_file = file
+                self._own_lock = file
                 break
 
     def _path(self, slot: int) -> Path:
-        return self._folder / LOCK_FILE_NAME.format(slot)
+        return self._directory / LOCK_FILE_NAME.format(slot)
 
     def _lock(self, slot: int, kind: int, flags: int = 0) -> int:
-        """Lock a slot's file; `NO_FILE` if it isn't there or another process has the lock."""
+        """Lock a slot's file; return `NO_FILE` if it doesn't exist or another process holds the lock."""
         try:
             file = os.open(self._path(slot), os.O_RDWR | os.O_CLOEXEC | flags, 0o600)
         except OSError:
@@ -62,13 +62,13 @@
         return file
 
     def publish_socket_count(self, sockets: int) -> None:
-        """Show the others how many sockets are open here."""
-        if self._own_file != NO_FILE:
+        """Publish this process's number of open sockets to the others."""
+        if self._own_lock != NO_FILE:
             with contextlib.suppress(OSError):
-                os.pwrite(self._own_file, f"{sockets:<{SOCKET_COUNT_WIDTH}}".encode(), 0)
+                os.pwrite(self._own_lock, f"{sockets:<{SOCKET_COUNT_WIDTH}}".encode(), 0)
 
     def others(self) -> list[int]:
-        """Return the others that are alive now: how many sockets each says it has open."""
+        """Return the published number of open sockets of each other live process."""
         alive: list[int] = []
         for slot in range(MAX_PROCESSES):
             if slot == self._own_slot or not self._path(slot).exists():
@@ -84,11 +84,11 @@
         try:
             return int(self._path(slot).read_bytes()[:SOCKET_COUNT_WIDTH])
         except (OSError, ValueError):
-            return 0  # it has only just begun
+            return 0  # it has just started and not published a count yet
 
     def leave(self) -> None:
-        """Count as ended from now on."""
-        if self._own_file != NO_FILE:
+        """Release the lock, so that the others no longer count this process."""
+        if self._own_lock != NO_FILE:
             with contextlib.suppress(OSError):
-                os.close(self._own_file)
-            self._own_file = NO_FILE
+                os.close(self._own_lock)
+            self._own_lock = NO_FILE
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 
 from dunlinloft.balancer import interface as api
 from dunlinloft.node.http import frontend
-from dunlinloft.node.http.handover import Siblings, handed_socket
+from dunlinloft.node.http.handover import Siblings, inherited_socket
 from tests.helpers import Node
 from tests.peers import LIMIT_S, Server, World, request, run, until, world
 from tests.test_wire import ROOT
@@ -94,9 +94,9 @@
 
 @pytest.mark.parametrize("value", ["x", "987654"])
 def test_a_descriptor_that_is_no_socket_is_named(value: str) -> None:
-    assert handed_socket(None) is None
+    assert inherited_socket(None) is None
     with pytest.raises(OSError, match=value):
-        handed_socket(value)
+        inherited_socket(value)
 
 
 def test_processes_of_one_node_split_the_budgets_of_cold_servers_and_repeats() -> None:
