--- a/dunlinloft/node/http/bodies.py
+++ b/dunlinloft/node/http/bodies.py
@@ -1,8 +1,8 @@
 """Buffered request bodies, and the memory that all bodies together may use.
 
 A body of up to `MAX_BUFFERED_BYTES` is buffered until its request has ended, so that it can be replayed. A
-larger one is streamed: what was forwarded is released, and it is read from the client no faster than the server
-reads it. While memory is exhausted, smaller ones are streamed as well.
+larger one is streamed: what was forwarded is released, and it is read from the client no faster than the
+server reads it. While memory is exhausted, smaller ones are streamed as well.
 """
 
 from __future__ import annotations
