--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -135,7 +135,8 @@
                 sys.executable, "-m", "dunlinloft.node", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
                 pass_fds=(listener.fileno(),),
                 env=os.environ | {
-                    "NODE_CONFIG": str(path), "NODE_ACCEPT_FD": str(listener.fileno()), "TMPDIR": str(lock_directory)
+                    "NODE_CONFIG": str(path), "NODE_ACCEPT_FD": str(listener.fileno()),
+                    "TMPDIR": str(lock_directory),
                 },
             )
         )  # fmt: skip
