--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -34,7 +34,7 @@
     until,
     world,
 )
-from tests.test_bodies import Raw
+from tests.test_bodies import RawServer
 from tests.test_node import Program
 from tests.virtual_time import run_virtually
 
@@ -542,7 +542,7 @@
                     await asyncio.wait({asyncio.ensure_future(second.wait())}, timeout=LIMIT_S)
                     writer.write(answer(body=b"a"))
 
-        server = Raw(twice)
+        server = RawServer(twice)
         async with world(tmp_path, server) as scene:
             caller = await scene.caller()
             assert (await caller.ask("first")).body == b"first"  # from now on the node knows
