--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -47,7 +47,7 @@
 }
 
 
-@pytest.mark.parametrize("spoilt", MAY_HAVE_RUN.values(), ids=MAY_HAVE_RUN.keys())
+@pytest.mark.parametrize("response", MAY_HAVE_RUN.values(), ids=MAY_HAVE_RUN.keys())
 def test_unsafe_request_that_may_have_run_fails_and_is_not_retried(response: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(response)
@@ -60,7 +60,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("turned_away", NEVER_RAN.values(), ids=NEVER_RAN.keys())
+@pytest.mark.parametrize("rejection", NEVER_RAN.values(), ids=NEVER_RAN.keys())
 def test_unsafe_request_that_the_server_rejected_is_retried(rejection: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(rejection)
@@ -289,7 +289,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("told", [True, False], ids=["closed", "reset"])
+@pytest.mark.parametrize("closes", [True, False], ids=["closed", "reset"])
 def test_idle_limit_adapts_to_when_a_server_really_closes_connections(
     closes: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
