--- a/tests/test_discovery_bound.py
+++ b/tests/test_discovery_bound.py
@@ -17,7 +17,7 @@
 from dunlinloft.node.discovery import CALL_MS, GRACE_MS, WATCH_MS
 from dunlinloft.node.node import PUSHED_RETRY_S
 from tests.peers import CLOSE, HANG, RESET, Registry, Seen, Server, World, answer, world
-from tests.test_rare_moments import hanging
+from tests.test_rare_moments import hanging_server
 from tests.virtual_time import run_virtually
 
 MOST_MS, MOVED_MS = 6_000.0, 4_000.0  # counts as told: in general, and after SIGHUP
@@ -135,7 +135,7 @@
     async def test() -> None:
         server, other = Server(), Server(name="other")
         await other.start()
-        async with hanging() as slow, world(tmp_path, server, start=False) as scene:
+        async with hanging_server() as slow, world(tmp_path, server, start=False) as scene:
             scene.config["discovery"] = slow.entry(server)["address"]
             scene.path.write_text(json.dumps(scene.config))
             await scene.begin()
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -1,4 +1,4 @@
-"""Rare moments on real connections: each test forces the bad order, so that it happens every time."""
+"""Tests of race conditions on real connections; each test forces the rare order of events."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 
 
 class HangingServer:
-    """Listens, but no handshake comes to its end before `accept` is called."""
+    """Listens with a full backlog, so that no handshake completes before `accept` is called."""
 
     def __init__(self) -> None:
         self._listener, self._filler = socket.socket(), socket.socket()
         self._listener.bind(("127.0.0.1", 0))
-        self._listener.listen(0)  # its queue is full with one
+        self._listener.listen(0)  # one connection fills the backlog
         self._listener.setblocking(False)
         self._accepted: list[socket.socket] = []
 
@@ -56,15 +56,16 @@
         address = f"127.0.0.1:{self._listener.getsockname()[1]}"
         return server.entry(name="hanging", address=address) | changes
 
-    async def accept(self, waits: Callable[[], bool] = lambda: True) -> socket.socket | None:
-        """Let the waiting handshake come to its end: the node's connection, if it `waits` for one still."""
+    async def accept(self, expects_connection: Callable[[], bool] = lambda: True) -> socket.socket | None:
+        """Let the pending handshake complete; return the node's connection, if it still expects one."""
         async with asyncio.timeout(LIMIT_S):
             while len(self._accepted) < 2:
-                more = not self._accepted or waits()  # first: it may come up meanwhile, and is there then
+                # Asked before `accept`: a connection that is established in between is then there.
+                try_again = not self._accepted or expects_connection()
                 try:
                     connection, _ = self._listener.accept()
                 except BlockingIOError:
-                    if not more:
+                    if not try_again:
                         return None
                     await asyncio.sleep(0.005)
                 else:
@@ -73,12 +74,12 @@
         return self._accepted[1]
 
     def close(self) -> None:
-        for one in (self._listener, self._filler, *self._accepted):
-            one.close()
+        for item in (self._listener, self._filler, *self._accepted):
+            item.close()
 
 
 @contextlib.asynccontextmanager
-async def hanging() -> AsyncIterator[HangingServer]:
+async def hanging_server() -> AsyncIterator[HangingServer]:
     server = HangingServer()
     await server.start()
     try:
@@ -87,8 +88,8 @@
         server.close()
 
 
-def came(connection: socket.socket | None) -> bytes:
-    """What has come on it; nothing, if that is so."""
+def received(connection: socket.socket | None) -> bytes:
+    """Return the bytes that have arrived on a connection, if any."""
     if connection is None:
         return b""
     try:
@@ -97,13 +98,13 @@
         return b""
 
 
-def dials(scene: World) -> int:
+def pending_connects(scene: World) -> int:
     assert scene.node is not None
     return len(scene.node._upstream._connecting)
 
 
-async def listed(scene: World, *entries: dict[str, Any]) -> None:
-    """Have discovery tell of these, and wait until the node has taken it."""
+async def list_servers(scene: World, *entries: dict[str, Any]) -> None:
+    """Publish entries through discovery, and wait until the node has received them."""
     before = len(scene.registry.seen)
     scene.registry.tell(*entries)
     await until(lambda: len(scene.registry.seen) > before)
@@ -113,61 +114,65 @@
     return [cls | changes for cls in settings()["classes"]]
 
 
-async def retry_at(scene: World, server: Server, other: dict[str, Any], id: str, cls: str) -> Any:
-    """Ask; the first attempt fails at `server`, the next can go to `other` alone. The answer to come."""
+async def retry_elsewhere(scene: World, server: Server, other: dict[str, Any], id: str, cls: str) -> Any:
+    """Send a request whose first attempt fails at `server` and whose retry can only go to `other`.
+
+    Returns the future response.
+    """
     server.gate.clear()
-    asked = asyncio.ensure_future(scene.ask(id, cls))
+    response = asyncio.ensure_future(scene.ask(id, cls))
     await until(lambda: len(server.seen) == 1)
-    await listed(scene, other, server.entry(status="leaving"))
+    await list_servers(scene, other, server.entry(status="leaving"))
     server.gate.set()
-    return asked
+    return response
 
 
-# A repeat and its window
+# Retry windows
 
 
-def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_sent(tmp_path: Path) -> None:
-    """zone+brink, seeds 4 and 22: the module let it out in time, and the handshake outlasted the window."""
+def test_retry_whose_connect_outlasts_its_send_window_is_not_sent(tmp_path: Path) -> None:
+    """zone+brink, seeds 4 and 22: the balancer sent the retry in time, but the handshake took too long."""
 
     async def test() -> None:
         server = Server(answer(500))
-        async with hanging() as slow, world(tmp_path, server, classes=classes(window_ms=1500.0)) as scene:
-            asked = await retry_at(scene, server, slow.entry(server), "a", "save")
-            await until(lambda: dials(scene) == 1)
+        async with (
+            hanging_server() as slow,
+            world(tmp_path, server, classes=classes(window_ms=1500.0)) as scene,
+        ):
+            response = await retry_elsewhere(scene, server, slow.entry(server), "a", "save")
+            await until(lambda: pending_connects(scene) == 1)
             await asyncio.sleep(1.6)
-            connection = await slow.accept(lambda: dials(scene) > 0)
-            assert (await asked).status == 502
-            assert came(connection) == b""
+            connection = await slow.accept(lambda: pending_connects(scene) > 0)
+            assert (await response).status == 502
+            assert received(connection) == b""
 
     run(test())
 
 
-# A caller that has gone
+# Clients that disconnect
 
 
-# So many behind the first that the node reads no further.
-AHEAD = b"".join(request(f"ahead-{n}") for n in range(40))
+# Enough requests behind the first one that the node pauses reading.
+PIPELINED_REQUESTS = b"".join(request(f"ahead-{n}") for n in range(40))
 
 
 @pytest.mark.parametrize("reset", [False, True], ids=["ended", "reset"])
-def test_nothing_is_sent_for_a_caller_that_left_while_its_connection_was_not_read(
-    reset: bool, tmp_path: Path
-) -> None:
-    """join+brink: many bad clients, also such that send much at once and go."""
+def test_nothing_is_sent_for_a_client_that_left_while_reading_was_paused(reset: bool, tmp_path: Path) -> None:
+    """join+brink: many misbehaving clients, some of which pipeline requests and disconnect."""
 
     async def test() -> None:
         server = Server()
         server.gate.clear()
         async with world(tmp_path, server) as scene:
             caller = await scene.caller()
-            caller.write(request("first") + AHEAD)
+            caller.write(request("first") + PIPELINED_REQUESTS)
             await until(lambda: len(server.seen) == 1)
             if reset:
                 caller.writer.transport.abort()
             else:
                 caller.writer.write_eof()
             await asyncio.sleep(0)
-            server.gate.set()  # its answer ends the wait of those behind it
+            server.gate.set()  # the first response lets the pipelined requests proceed
             assert (await scene.ask("other")).status == 200
             assert scene.node is not None
             await until(lambda: scene.node is not None and scene.node.frontend.count() == 1)
@@ -176,16 +181,16 @@
     run(test())
 
 
-def test_no_retry_goes_out_for_a_caller_that_left_with_bytes_behind(tmp_path: Path) -> None:
+def test_no_retry_is_sent_for_a_client_that_left_with_unread_requests(tmp_path: Path) -> None:
     async def test() -> None:
         server, other = Server(answer(500)), Server(name="other")
         await other.start()
         async with world(tmp_path, server) as scene:
             server.gate.clear()
             caller = await scene.caller()
-            caller.write(request("a") + AHEAD)
+            caller.write(request("a") + PIPELINED_REQUESTS)
             await until(lambda: len(server.seen) == 1)
-            await listed(scene, other.entry(), server.entry(status="leaving"))
+            await list_servers(scene, other.entry(), server.entry(status="leaving"))
             caller.writer.transport.abort()
             await asyncio.sleep(0)
             server.gate.set()
@@ -197,60 +202,63 @@
     run(test())
 
 
-def test_no_attempt_begins_on_a_connection_that_comes_up_after_its_caller_left(tmp_path: Path) -> None:
+def test_no_attempt_starts_on_a_connection_established_after_the_client_left(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(answer(500))
-        async with hanging() as slow, world(tmp_path, server) as scene:
+        async with hanging_server() as slow, world(tmp_path, server) as scene:
             server.gate.clear()
             caller = await scene.caller()
-            caller.write(request("a") + AHEAD)  # its connection is not read on
+            caller.write(request("a") + PIPELINED_REQUESTS)  # reading is paused
             await until(lambda: len(server.seen) == 1)
-            await listed(scene, slow.entry(server), server.entry(status="leaving"))
+            await list_servers(scene, slow.entry(server), server.entry(status="leaving"))
             server.gate.set()
-            await until(lambda: dials(scene) == 1)
+            await until(lambda: pending_connects(scene) == 1)
             caller.writer.transport.abort()
             connection = await slow.accept()
-            await until(lambda: dials(scene) == 0)
+            await until(lambda: pending_connects(scene) == 0)
             assert scene.node is not None
             await until(lambda: scene.node is not None and not scene.node._live)
-            assert came(connection) == b""
+            assert received(connection) == b""
 
     run(test())
 
 
 @pytest.mark.parametrize("reset", [False, True], ids=["ended", "reset"])
-def test_nothing_is_sent_for_callers_that_left_with_their_bodies_half_read(
+def test_nothing_is_sent_for_clients_that_left_with_partially_read_bodies(
     reset: bool, tmp_path: Path
 ) -> None:
-    """They wait for a connection with bodies that fill what may be held, so nobody reads on. Many at once."""
+    """Many requests wait for a connection; their bodies fill the buffers, so reading is paused."""
 
     async def test() -> None:
         server = Server()
-        async with hanging() as slow, world(tmp_path, server) as scene:
+        async with hanging_server() as slow, world(tmp_path, server) as scene:
             node = scene.node
             assert node is not None
-            await listed(scene, slow.entry(server), server.entry(status="leaving"))
+            await list_servers(scene, slow.entry(server), server.entry(status="leaving"))
             callers = [await scene.caller() for _ in range(3)]
             for n, caller in enumerate(callers):
                 caller.write(request(f"{n}", "pay", body=bytes(3_000_000))[:-1])
             await until(
-                lambda: dials(scene) == 3 and all(one._reading_paused for one in node.frontend._connections)
+                lambda: (
+                    pending_connects(scene) == 3
+                    and all(item._reading_paused for item in node.frontend._connections)
+                )
             )
             for caller in callers:
                 if reset:
                     caller.writer.transport.abort()
-                else:  # what is still to be sent would hold the end back: the peer's kernel has it all
-                    own = caller.writer.get_extra_info("socket")
-                    socket.socket(fileno=os.dup(own.fileno())).shutdown(socket.SHUT_WR)
+                else:  # `write_eof` would wait for unsent data, so the socket is shut down directly
+                    raw_socket = caller.writer.get_extra_info("socket")
+                    socket.socket(fileno=os.dup(raw_socket.fileno())).shutdown(socket.SHUT_WR)
             await until(lambda: not node._live)
-            assert came(await slow.accept(lambda: dials(scene) > 0)) == b""
+            assert received(await slow.accept(lambda: pending_connects(scene) > 0)) == b""
             assert node.memory.used_bytes == 0
 
     run(test())
 
 
-def test_a_caller_that_ends_while_its_answer_is_stuck_is_not_served_on(tmp_path: Path) -> None:
-    """What is still to be written keeps the connection: what was asked behind it must end all the same."""
+def test_request_ends_when_its_client_half_closes_with_the_response_unread(tmp_path: Path) -> None:
+    """Unsent output keeps the connection open, but the client's requests must end all the same."""
 
     async def test() -> None:
         server = Server(answer(body=bytes(20_000_000)))
@@ -267,20 +275,20 @@
     run(test())
 
 
-# Closes
+# Connection close
 
 
-def connected(scene: World, *data: bytes) -> socket.socket:
-    """A caller's connection, made and written to before the loop turns: nothing of it is accepted yet."""
+def connect_client(scene: World, *data: bytes) -> socket.socket:
+    """Connect and send data without running the event loop, so that the node has not accepted it yet."""
     connection = socket.create_connection(scene.address)
-    for one in data:
-        connection.sendall(one)
+    for item in data:
+        connection.sendall(item)
     connection.setblocking(False)
     return connection
 
 
-async def all_of(connection: socket.socket) -> bytes:
-    """All that comes until the node ends the connection in order; a reset raises."""
+async def read_to_end(connection: socket.socket) -> bytes:
+    """Read until the node closes the connection; a reset raises."""
     loop, data = asyncio.get_running_loop(), b""
     async with asyncio.timeout(LIMIT_S):
         while piece := await loop.sock_recv(connection, 65536):
@@ -289,31 +297,31 @@
     return data
 
 
-def shutting_down(scene: World) -> asyncio.Task[None]:
+def start_shutdown(scene: World) -> asyncio.Task[None]:
     assert scene.node is not None
     return asyncio.ensure_future(scene.node.frontend.shut_down())
 
 
-def test_the_last_answer_is_not_taken_along_by_a_close_over_unread_bytes(tmp_path: Path) -> None:
-    """A close with bytes unread resets the connection; what the peer has not had of the answer is lost."""
+def test_last_response_survives_a_close_with_unread_input(tmp_path: Path) -> None:
+    """Closing a socket with unread input resets the connection and discards what the client has not read."""
 
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
             assert scene.node is not None
             scene.node.frontend.quiesce()
             probe = b"GET /-/ready HTTP/1.1\r\n\r\n"
-            data = await all_of(connected(scene, probe * 4000))  # more than is read at once
+            data = await read_to_end(connect_client(scene, probe * 4000))  # more than one read returns
             assert data.startswith(b"HTTP/1.1 500") and data.endswith(b"not ready")
 
     run(test())
 
 
-def test_a_large_answer_is_whole_whatever_comes_behind_its_request(tmp_path: Path) -> None:
+def test_large_response_is_complete_although_the_client_keeps_sending(tmp_path: Path) -> None:
     async def test() -> None:
         body = bytes(range(256)) * 40_000
         async with world(tmp_path, Server(answer(body=body))) as scene:
             assert scene.node is not None
-            connection = connected(scene, request("a", extra="Connection: close\r\n"))
+            connection = connect_client(scene, request("a", extra="Connection: close\r\n"))
             await until(lambda: scene.node is not None and bool(scene.node._live))
             got = 0
             loop = asyncio.get_running_loop()
@@ -326,43 +334,43 @@
     run(test())
 
 
-def test_what_the_machine_has_accepted_is_answered_when_the_node_shuts_down(tmp_path: Path) -> None:
-    """Closing the listener resets connections that were not accepted yet, whole requests included."""
+def test_shutdown_answers_requests_on_connections_in_the_backlog(tmp_path: Path) -> None:
+    """Closing the listening socket resets connections in the backlog, also with complete requests."""
 
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
-            waiting = [connected(scene, request(f"{n}")) for n in range(5)]
-            shutting_down(scene)
-            answers = [await all_of(connection) for connection in waiting]
+            waiting = [connect_client(scene, request(f"{n}")) for n in range(5)]
+            start_shutdown(scene)
+            answers = [await read_to_end(connection) for connection in waiting]
             assert all(data.startswith(b"HTTP/1.1 200") for data in answers)
 
     run(test())
 
 
-def test_a_newcomer_whose_request_is_on_its_way_is_answered_when_the_node_shuts_down(tmp_path: Path) -> None:
+def test_shutdown_answers_a_new_client_whose_first_request_is_in_transit(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
-            newcomer, silent, resting = connected(scene), connected(scene), await scene.caller()
+            new_client, silent, resting = connect_client(scene), connect_client(scene), await scene.caller()
             assert (await resting.ask("before")).status == 200
-            ending = shutting_down(scene)
+            ending = start_shutdown(scene)
             assert await resting.closed()
-            newcomer.sendall(request("late"))
-            assert (await all_of(newcomer)).startswith(b"HTTP/1.1 200")
-            await asyncio.wait_for(ending, LIMIT_S)  # nobody who asks nothing holds it up
+            new_client.sendall(request("late"))
+            assert (await read_to_end(new_client)).startswith(b"HTTP/1.1 200")
+            await asyncio.wait_for(ending, LIMIT_S)  # an unused connection does not delay it
             silent.close()
 
     run(test())
 
 
-def test_a_request_that_crosses_the_end_of_a_pause_is_answered(
+def test_request_that_arrives_at_the_idle_timeout_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It has come, and the loop has not read it, in the moment in which the connection has idled enough."""
+    """The request has arrived, but the event loop has not read it when the idle timeout is checked."""
 
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
             assert scene.node is not None
-            connection = connected(scene, request("a"))
+            connection = connect_client(scene, request("a"))
             loop = asyncio.get_running_loop()
             assert (await loop.sock_recv(connection, 65536)).startswith(b"HTTP/1.1 200")
             connection.setblocking(True)
@@ -377,37 +385,37 @@
     run(test())
 
 
-def test_a_cut_answer_that_only_its_end_would_end_is_reset(tmp_path: Path) -> None:
-    """To an old caller an answer without a length is whole when its connection closes."""
+def test_incomplete_response_that_ends_with_the_connection_is_reset(tmp_path: Path) -> None:
+    """An HTTP/1.0 client takes the close of the connection for the end of a response without a length."""
 
     async def test() -> None:
         head = b"HTTP/1.1 200 X\r\nContent-Length: 1000000\r\n\r\n"
         server = Server(head + bytes(200_000) + CLOSE)
         async with world(tmp_path, server) as scene:
-            old = request("a").replace(b"HTTP/1.1", b"HTTP/1.0")
+            http_1_0_request = request("a").replace(b"HTTP/1.1", b"HTTP/1.0")
             with pytest.raises(ConnectionResetError):
-                await all_of(connected(scene, old))
-        endless = Server(b"HTTP/1.1 200 X\r\n\r\n" + bytes(200_000) + RESET)
-        async with world(tmp_path, endless) as scene:
+                await read_to_end(connect_client(scene, http_1_0_request))
+        unterminated = Server(b"HTTP/1.1 200 X\r\n\r\n" + bytes(200_000) + RESET)
+        async with world(tmp_path, unterminated) as scene:
             with pytest.raises(ConnectionResetError):
-                await all_of(connected(scene, old))
+                await read_to_end(connect_client(scene, http_1_0_request))
 
     run(test())
 
 
-def test_small_writes_are_not_held_back_on_either_side(tmp_path: Path) -> None:
-    """What the system still holds back goes with a reset."""
+def test_nagle_algorithm_is_disabled_on_all_connections(tmp_path: Path) -> None:
+    """A reset discards what the kernel has delayed."""
 
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
             assert (await scene.ask("a")).status == 200
             assert scene.node is not None
-            ends = [caller._transport for caller in scene.node.frontend._connections]
-            ends += [connection._transport for connection in scene.node._upstream._connections]
-            assert len(ends) == 2
-            for end in ends:
-                own = end.get_extra_info("socket")
-                assert own.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+            transports = [caller._transport for caller in scene.node.frontend._connections]
+            transports += [connection._transport for connection in scene.node._upstream._connections]
+            assert len(transports) == 2
+            for end in transports:
+                raw_socket = end.get_extra_info("socket")
+                assert raw_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     run(test())
 
@@ -415,8 +423,8 @@
 # Descriptors
 
 
-def test_idle_callers_that_fill_the_descriptors_keep_nobody_from_what_is_owed(tmp_path: Path) -> None:
-    """Discovery is down meanwhile: it is heard at its return, servers and staff are reached."""
+def test_idle_clients_that_use_all_descriptors_do_not_block_other_connections(tmp_path: Path) -> None:
+    """Discovery is down meanwhile. Requests, its return and the management endpoint all need new sockets."""
 
     async def test() -> None:
         server, other = Server(), Server(name="other")
@@ -427,18 +435,17 @@
             admin = await node.admin.listen(("127.0.0.1", 0))
             await until(lambda: len(scene.registry.seen) == 1)
             await scene.registry.stop()
-            asker = await scene.caller()
-            assert (await asker.ask("first")).status == 200
+            active = await scene.caller()
+            assert (await active.ask("first")).status == 200
             idle: list[socket.socket] = []
             for _ in range(6):
-                idle += [connected(scene) for _ in range(20)]
-                await asyncio.sleep(
-                    2.0 * frontend.FIRST_REQUEST_GRACE_MS / 1000.0
-                )  # by then they are known as silent
+                idle += [connect_client(scene) for _ in range(20)]
+                # By then they count as unused.
+                await asyncio.sleep(2.0 * frontend.FIRST_REQUEST_GRACE_MS / 1000.0)
             await until(lambda: node._room() <= 0 and node.frontend.count() < 60)
             server.hang_up()
             await until(lambda: not node._upstream._connections)
-            assert (await asker.ask("second")).status == 200  # its attempt needs a new connection
+            assert (await active.ask("second")).status == 200  # its attempt needs a new connection
             busy = [await scene.caller() for _ in range(3)]
             server.gate.clear()
             for n, caller in enumerate(busy):
@@ -449,7 +456,7 @@
             host, port = scene.registry.address.split(":")
             scene.registry.whole = [server.entry(), other.entry()]
             scene.registry._server = await asyncio.start_server(scene.registry._serve, host, int(port))
-            for _ in range(2):  # the call that the end of discovery cut off waits for news as well
+            for _ in range(2):  # the watch that was cut off when discovery stopped takes one update as well
                 scene.registry.tell(other.entry())
             await until(lambda: len(node._addresses) == 2)
             reader, writer = await asyncio.open_connection(*admin)
@@ -463,27 +470,29 @@
     run(test())
 
 
-# Faults inside
+# Internal errors
 
 
-def test_an_action_that_raises_takes_no_other_along(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What one event ends may be many requests: a fault with one of them is not to cost the others."""
+def test_action_that_raises_does_not_prevent_the_others(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """One event may end many requests, and an error in one of them must not affect the others."""
     finish = Node._finish
 
-    def broken(self: Node, id: str, reply: Response) -> None:
+    def failing_finish(self: Node, id: str, response: Response) -> None:
         if id == "first":
-            raise RuntimeError("a fault")
-        finish(self, id, reply)
+            raise RuntimeError("injected failure")
+        finish(self, id, response)
 
-    monkeypatch.setattr(Node, "_finish", broken)
+    monkeypatch.setattr(Node, "_finish", failing_finish)
     handle = Balancer.handle
 
-    def both(self: Balancer, event: api.Event, now_ms: float) -> list[api.Action]:
+    def handle_with_two_failures(self: Balancer, event: api.Event, now_ms: float) -> list[api.Action]:
         if isinstance(event, api.Request):
             return [api.Fail("first"), api.Fail("second")] if event.id == "second" else []
         return handle(self, event, now_ms)
 
-    monkeypatch.setattr(Balancer, "handle", both)
+    monkeypatch.setattr(Balancer, "handle", handle_with_two_failures)
 
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
@@ -498,8 +507,10 @@
 # Readiness
 
 
-@pytest.mark.parametrize("empty", [True, False], ids=["no list", "all of it drains"])
-def test_a_restarted_process_is_ready_in_time_though_discovery_is_silent(empty: bool, tmp_path: Path) -> None:
+@pytest.mark.parametrize("empty", [True, False], ids=["no servers", "all servers draining"])
+def test_restarted_process_becomes_ready_although_discovery_does_not_answer(
+    empty: bool, tmp_path: Path
+) -> None:
     async def test() -> None:
         server = Server()
         async with world(tmp_path, server, start=False) as scene:
@@ -510,42 +521,42 @@
             assert scene.node is not None and not scene.node.serves()
             await asyncio.sleep(UNHEARD_S + 0.1)
             assert UNHEARD_S < 10.0 and scene.node.serves()
-            assert (await scene.ask("a", budget="2")).status == 503  # harmless, as there is nobody
+            assert (await scene.ask("a", budget="2")).status == 503  # harmless, as there is no server
             scene.registry.spoil.clear()
             scene.registry.whole = [server.entry(status="leaving")]
             scene.registry.tell(server.entry(status="leaving"))
             await asyncio.sleep(3.0)
-            assert not scene.node.serves()  # now it is known that there is nobody
+            assert not scene.node.serves()  # now discovery has confirmed that there is no server
 
     run_virtually(test())
 
 
-# Answers
+# Responses
 
 
-def test_a_second_answer_that_comes_late_is_not_taken_for_the_next(tmp_path: Path) -> None:
-    """join+mass: a second answer may come some milliseconds late. The next request is on its way by then."""
+def test_late_duplicate_response_is_not_taken_for_the_next_response(tmp_path: Path) -> None:
+    """join+mass: a duplicate may arrive some milliseconds late, when the next request has been sent."""
 
     async def test() -> None:
-        second = asyncio.Event()
+        duplicate_due = asyncio.Event()
 
-        async def twice(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve_duplicates(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while (message := await read_message(reader)) is not None:
                 server.seen.append(message)
                 if message.id == "b":
-                    second.set()  # it has come while the twin of the answer before was still on its way
+                    duplicate_due.set()  # received before the duplicate of the previous response
                     await asyncio.sleep(0.05)
                 writer.write(answer(body=message.id.encode()))
                 if message.id == "first":
                     writer.write(answer(body=b"first"))
                 if message.id == "a":
-                    await asyncio.wait({asyncio.ensure_future(second.wait())}, timeout=LIMIT_S)
+                    await asyncio.wait({asyncio.ensure_future(duplicate_due.wait())}, timeout=LIMIT_S)
                     writer.write(answer(body=b"a"))
 
-        server = RawServer(twice)
+        server = RawServer(serve_duplicates)
         async with world(tmp_path, server) as scene:
             caller = await scene.caller()
-            assert (await caller.ask("first")).body == b"first"  # from now on the node knows
+            assert (await caller.ask("first")).body == b"first"  # now the node has seen a duplicate
             assert scene.node is not None
             upstream = scene.node._upstream
             await until(lambda: upstream._reuse_delay_until_ms > 0.0)
@@ -555,21 +566,21 @@
     run(test())
 
 
-def test_an_answer_for_an_attempt_that_was_given_up_reaches_nobody(tmp_path: Path) -> None:
-    """Its connection comes up, or its answer arrives, in the moment in which the attempt is called off."""
+def test_response_to_a_cancelled_attempt_is_discarded(tmp_path: Path) -> None:
+    """The connection is established, or the response arrives, just as the attempt is cancelled."""
 
     async def test() -> None:
         server = Server()
-        async with hanging() as slow, world(tmp_path, server) as scene:
-            await listed(scene, slow.entry(server), server.entry(status="leaving"))
+        async with hanging_server() as slow, world(tmp_path, server) as scene:
+            await list_servers(scene, slow.entry(server), server.entry(status="leaving"))
             assert (await scene.ask("a", "pay", budget="0.3")).status in (502, 503, 504)
-            assert came(await slow.accept(lambda: dials(scene) > 0)) == b""
-            await listed(scene, server.entry(), slow.entry(server, status="left"))
+            assert received(await slow.accept(lambda: pending_connects(scene) > 0)) == b""
+            await list_servers(scene, server.entry(), slow.entry(server, status="left"))
             server.gate.clear()
             caller = await scene.caller()
             caller.write(request("b"))
             await until(lambda: len(server.seen) == 1)
-            server.gate.set()  # the answer is written while its caller leaves
+            server.gate.set()  # the response is sent while the client disconnects
             caller.writer.transport.abort()
             assert (await scene.ask("c")).body == b"done"
             assert scene.node is not None
@@ -583,28 +594,30 @@
 
 
 @pytest.mark.parametrize("first", [signal.SIGTERM, signal.SIGHUP])
-def test_signals_in_any_order_cost_no_answer_and_no_bad_end(first: signal.Signals, tmp_path: Path) -> None:
-    """A new configuration may come while the process ends, and an end while it takes one."""
+def test_signals_in_any_order_lose_no_response_and_exit_cleanly(
+    first: signal.Signals, tmp_path: Path
+) -> None:
+    """SIGHUP may arrive during a shutdown, and SIGTERM during a reload."""
 
     async def test() -> None:
         server = Server()
         server.gate.clear()
         async with world(tmp_path, server, start=False) as scene:
             process = (await Program.start(scene)).process
-            held, resting = await scene.caller(), await scene.caller()
+            pending, resting = await scene.caller(), await scene.caller()
             server.gate.set()
             assert (await resting.ask("before")).status == 200
             server.gate.clear()
-            held.write(request("held", "pay"))
+            pending.write(request("held", "pay"))
             await until(lambda: len(server.seen) == 2)
-            for sign in (first, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
-                process.send_signal(sign)
+            for signal_number in (first, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
+                process.send_signal(signal_number)
             assert await resting.closed()
-            for sign in (signal.SIGHUP, signal.SIGTERM):
-                process.send_signal(sign)
+            for signal_number in (signal.SIGHUP, signal.SIGTERM):
+                process.send_signal(signal_number)
             server.gate.set()
-            assert (await held.read()).status == 200
-            while process.returncode is None:  # up to the very last moment
+            assert (await pending.read()).status == 200
+            while process.returncode is None:  # until the process has exited
                 with contextlib.suppress(ProcessLookupError):
                     process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.003)
@@ -613,21 +626,21 @@
     run(test())
 
 
-# Time-outs
+# Timeouts
 
 
-def test_a_connection_that_does_not_come_up_in_time_proves_that_nothing_ran(tmp_path: Path) -> None:
-    """Its attempt ends long before its request does, and even what must not be repeated goes elsewhere."""
+def test_unsafe_request_is_retried_after_a_connect_timeout(tmp_path: Path) -> None:
+    """The attempt ends long before the request's deadline, and nothing ran, so any class may be retried."""
 
     async def test() -> None:
         server = Server()
         allow = {"connect_timeout_ms": 200.0}
-        async with hanging() as slow, world(tmp_path, server, permissions=allow) as scene:
-            await listed(scene, slow.entry(server), server.entry(status="leaving"))
-            asked = asyncio.ensure_future(scene.ask("a", "pay", budget="600"))
-            await until(lambda: dials(scene) == 1)
-            await listed(scene, server.entry())
-            assert (await asyncio.wait_for(asked, LIMIT_S)).status == 200
-            assert came(await slow.accept(lambda: dials(scene) > 0)) == b""
+        async with hanging_server() as slow, world(tmp_path, server, permissions=allow) as scene:
+            await list_servers(scene, slow.entry(server), server.entry(status="leaving"))
+            response = asyncio.ensure_future(scene.ask("a", "pay", budget="600"))
+            await until(lambda: pending_connects(scene) == 1)
+            await list_servers(scene, server.entry())
+            assert (await asyncio.wait_for(response, LIMIT_S)).status == 200
+            assert received(await slow.accept(lambda: pending_connects(scene) > 0)) == b""
 
     run(test())
