--- a/dunlinloft/node/http/frontend.py
+++ b/dunlinloft/node/http/frontend.py
@@ -161,9 +161,9 @@
         self._phase_start_ms = 0.0  # start of the current request, idle period or close
         self._last_progress_ms = self._head_complete_ms = 0.0
         self._unsent_bytes = 0  # at the last check
-        self._start_message()
+        self._reset_message()
 
-    def _start_message(self) -> None:
+    def _reset_message(self) -> None:
         self._target = b""
         self._headers: dict[bytes, bytes] = {}
         self._body_chunks: list[bytes] = []  # not yet added to the body
@@ -389,7 +389,7 @@
         self._receiving = True
         if self._had_request:  # the first request's timeout runs from accept, so its sender can't delay it
             self._phase_start_ms = now_ms()
-        self._start_message()
+        self._reset_message()
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -412,8 +412,8 @@
         length = headers.get(b"content-length", b"0")
         if not length.isdigit() or len(length) > 18 or int(length) > MAX_BODY_BYTES:
             self._reject(413, "body over 32 MB")
-        expected = headers.get(b"expect")
-        if expected is not None and expected.lower() != b"100-continue":
+        expect_header = headers.get(b"expect")
+        if expect_header is not None and expect_header.lower() != b"100-continue":
             self._reject(417, "this can't be expected")
         if self._ignores_input:
             return
@@ -422,13 +422,13 @@
         except InvalidRequest as error:
             self._incoming = Response(400, str(error).encode())
         if isinstance(self._incoming, Response) and (
-            expected is not None or int(length) > MAX_BUFFERED_BYTES
+            expect_header is not None or int(length) > MAX_BUFFERED_BYTES
         ):
             self._reject(self._incoming.status, self._incoming.body.decode())
         if isinstance(self._incoming, ClientRequest):
             self._body = self._incoming.body
             self._body.on_drained = self._update_reading
-            self._awaits_continue = expected is not None and self._parser.get_http_version() != "1.0"
+            self._awaits_continue = expect_header is not None and self._parser.get_http_version() != "1.0"
             if self._awaits_continue and not self._busy and not self._queue:
                 self._send_continue()
 
@@ -659,7 +659,7 @@
     def __init__(
         self,
         accept: RequestHandler,
-        ready: Callable[[], bool],
+        is_serving: Callable[[], bool],
         free_sockets: Callable[[], int],
         has_spare_sockets: Callable[[], bool],
         reclaim_socket: Callable[[], bool],
@@ -669,7 +669,7 @@
         self.memory, self.read_buffer = memory, memoryview(bytearray(CHUNK_BYTES))
         self.accept, self.on_refused = accept, on_refused
         self._is_serving, self._free_sockets, self._has_spare_sockets, self._reclaim_socket = (
-            ready,
+            is_serving,
             free_sockets,
             has_spare_sockets,
             reclaim_socket,
@@ -679,25 +679,25 @@
         self._closing = self._rejecting_requests = False
         # The successor is another process of this node that goes on serving.
         self._stopped_accepting = self._has_successor = False
-        self._drain_start_ms: float | None = None  # when the drain began
+        self._drain_start_ms: float | None = None
         self._all_closed = asyncio.Event()
 
     async def listen(self, loop: asyncio.AbstractEventLoop, address: Address) -> Address:
         """Listen and accept clients; return the address, with the port that port 0 resolved to."""
-        return await self._serve(
+        return await self._start_server(
             loop, loop.create_server(lambda: ClientConnection(self), *address, backlog=BACKLOG)
         )
 
     async def accept_from(self, loop: asyncio.AbstractEventLoop, listener: socket.socket) -> Address:
         """Accept clients on a listening socket that other processes may share; return its address."""
-        return await self._serve(
+        return await self._start_server(
             loop, loop.create_server(lambda: ClientConnection(self), sock=listener, backlog=BACKLOG)
         )
 
-    async def _serve(
-        self, loop: asyncio.AbstractEventLoop, opening: Coroutine[Any, Any, asyncio.Server]
+    async def _start_server(
+        self, loop: asyncio.AbstractEventLoop, creation: Coroutine[Any, Any, asyncio.Server]
     ) -> Address:
-        self._server = server = await opening
+        self._server = server = await creation
         self._sweep(loop)
         host, port = server.sockets[0].getsockname()[:2]
         return host, port
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -136,13 +136,13 @@
     async def test() -> None:
         server = Server(answer(500))
         async with (
-            hanging_server() as slow,
+            hanging_server() as hanging,
             world(tmp_path, server, classes=classes(window_ms=1500.0)) as scene,
         ):
-            response = await retry_elsewhere(scene, server, slow.entry(server), "a", "save")
+            response = await retry_elsewhere(scene, server, hanging.entry(server), "a", "save")
             await until(lambda: pending_connects(scene) == 1)
             await asyncio.sleep(1.6)
-            connection = await slow.accept(lambda: pending_connects(scene) > 0)
+            connection = await hanging.accept(lambda: pending_connects(scene) > 0)
             assert (await response).status == 502
             assert received(connection) == b""
 
@@ -205,16 +205,16 @@
 def test_no_attempt_starts_on_a_connection_established_after_the_client_left(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(answer(500))
-        async with hanging_server() as slow, world(tmp_path, server) as scene:
+        async with hanging_server() as hanging, world(tmp_path, server) as scene:
             server.gate.clear()
             caller = await scene.caller()
             caller.write(request("a") + PIPELINED_REQUESTS)  # reading is paused
             await until(lambda: len(server.seen) == 1)
-            await list_servers(scene, slow.entry(server), server.entry(status="leaving"))
+            await list_servers(scene, hanging.entry(server), server.entry(status="leaving"))
             server.gate.set()
             await until(lambda: pending_connects(scene) == 1)
             caller.writer.transport.abort()
-            connection = await slow.accept()
+            connection = await hanging.accept()
             await until(lambda: pending_connects(scene) == 0)
             assert scene.node is not None
             await until(lambda: scene.node is not None and not scene.node._live)
@@ -231,10 +231,10 @@
 
     async def test() -> None:
         server = Server()
-        async with hanging_server() as slow, world(tmp_path, server) as scene:
+        async with hanging_server() as hanging, world(tmp_path, server) as scene:
             node = scene.node
             assert node is not None
-            await list_servers(scene, slow.entry(server), server.entry(status="leaving"))
+            await list_servers(scene, hanging.entry(server), server.entry(status="leaving"))
             callers = [await scene.caller() for _ in range(3)]
             for n, caller in enumerate(callers):
                 caller.write(request(f"{n}", "pay", body=bytes(3_000_000))[:-1])
@@ -251,7 +251,7 @@
                     raw_socket = caller.writer.get_extra_info("socket")
                     socket.socket(fileno=os.dup(raw_socket.fileno())).shutdown(socket.SHUT_WR)
             await until(lambda: not node._live)
-            assert received(await slow.accept(lambda: pending_connects(scene) > 0)) == b""
+            assert received(await hanging.accept(lambda: pending_connects(scene) > 0)) == b""
             assert node.memory.used_bytes == 0
 
     run(test())
@@ -352,11 +352,11 @@
         async with world(tmp_path, Server()) as scene:
             new_client, silent, resting = connect_client(scene), connect_client(scene), await scene.caller()
             assert (await resting.ask("before")).status == 200
-            ending = start_shutdown(scene)
+            shutdown_task = start_shutdown(scene)
             assert await resting.closed()
             new_client.sendall(request("late"))
             assert (await read_to_end(new_client)).startswith(b"HTTP/1.1 200")
-            await asyncio.wait_for(ending, LIMIT_S)  # an unused connection does not delay it
+            await asyncio.wait_for(shutdown_task, LIMIT_S)  # an unused connection does not delay it
             silent.close()
 
     run(test())
@@ -571,11 +571,11 @@
 
     async def test() -> None:
         server = Server()
-        async with hanging_server() as slow, world(tmp_path, server) as scene:
-            await list_servers(scene, slow.entry(server), server.entry(status="leaving"))
+        async with hanging_server() as hanging, world(tmp_path, server) as scene:
+            await list_servers(scene, hanging.entry(server), server.entry(status="leaving"))
             assert (await scene.ask("a", "pay", budget="0.3")).status in (502, 503, 504)
-            assert received(await slow.accept(lambda: pending_connects(scene) > 0)) == b""
-            await list_servers(scene, server.entry(), slow.entry(server, status="left"))
+            assert received(await hanging.accept(lambda: pending_connects(scene) > 0)) == b""
+            await list_servers(scene, server.entry(), hanging.entry(server, status="left"))
             server.gate.clear()
             caller = await scene.caller()
             caller.write(request("b"))
@@ -635,12 +635,12 @@
     async def test() -> None:
         server = Server()
         allow = {"connect_timeout_ms": 200.0}
-        async with hanging_server() as slow, world(tmp_path, server, permissions=allow) as scene:
-            await list_servers(scene, slow.entry(server), server.entry(status="leaving"))
+        async with hanging_server() as hanging, world(tmp_path, server, permissions=allow) as scene:
+            await list_servers(scene, hanging.entry(server), server.entry(status="leaving"))
             response = asyncio.ensure_future(scene.ask("a", "pay", budget="600"))
             await until(lambda: pending_connects(scene) == 1)
             await list_servers(scene, server.entry())
             assert (await asyncio.wait_for(response, LIMIT_S)).status == 200
-            assert received(await slow.accept(lambda: pending_connects(scene) > 0)) == b""
+            assert received(await hanging.accept(lambda: pending_connects(scene) > 0)) == b""
 
     run(test())
