--- a/dunlinloft/node/__main__.py
+++ b/dunlinloft/node/__main__.py
@@ -20,11 +20,11 @@
 import uvloop
 
 from dunlinloft.node import logs
-from dunlinloft.node.config import BadConfig, read_change, read_config
+from dunlinloft.node.config import ConfigFileError, read_config, reread_config
 from dunlinloft.node.http.handover import Siblings, handed_socket
 from dunlinloft.node.node import Node
 
-ACCEPT_ON_S = 0.45  # after SIGTERM: connections go on coming for up to 0.4 s
+ACCEPT_AFTER_SIGTERM_S = 0.45  # after SIGTERM: connections go on coming for up to 0.4 s
 SIBLINGS_S = 0.1  # how often the other processes of this node are looked for
 LAG_EVERY_S, LAG_S = 1.0, 0.1  # how often the event loop's lag is looked at, and what is worth a line
 
@@ -33,7 +33,7 @@
     """Serve until SIGTERM; the exit status."""
     try:
         config = read_config(path)
-    except BadConfig as problem:
+    except ConfigFileError as problem:
         print(f"dunlinloft.node: {problem}", file=sys.stderr)
         return 2
     logs.setup(config.name, config.log)
@@ -57,7 +57,7 @@
         return 2
     if handed is not None:
         siblings = Siblings(Path(os.environ.get("TMPDIR") or tempfile.gettempdir()))
-        node.share(siblings.others())
+        node.share_sockets(siblings.others())
     node.start()
     # What was made at the start lives to the end: full collections need not look at it.
     gc.collect()
@@ -67,8 +67,8 @@
         logs.info("started", "started, listening on %(address)s", address=f"{address[0]}:{address[1]}")
         await stopping.wait()
         logs.info("stopping", "stopping")
-        node.depart(handing_over=False)
-        await asyncio.sleep(ACCEPT_ON_S)
+        node.leave_fleet(handing_over=False)
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
         await node.stop()
     else:
         await serve_with_others(node, loop, handed, siblings, stopping)
@@ -107,7 +107,7 @@
         if 1 + len(others) != processes:
             processes = 1 + len(others)
             logs.info("processes", "%(processes)d processes are this node", processes=processes)
-        node.share(others)
+        node.share_sockets(others)
 
     async def watch() -> None:
         """Look for other processes at intervals."""
@@ -118,7 +118,7 @@
     watching = loop.create_task(watch())
     while not stopping.is_set():
         # Whoever is first accepts at once: nobody else would say that the node isn't ready.
-        if not accepting and (processes == 1 or node.serves()):
+        if not accepting and (processes == 1 or node.can_serve()):
             accepting = True
             await node.frontend.accept_from(loop, handed)
             text = "started, accepting at descriptor %(descriptor)d"
@@ -127,9 +127,9 @@
             await asyncio.wait_for(stopping.wait(), None if accepting else SIBLINGS_S / 2.0)
     update_processes()
     logs.info("stopping", "stopping, %(others)d others serve on", others=processes - 1)
-    node.depart(handing_over=processes > 1)
+    node.leave_fleet(handing_over=processes > 1)
     node.frontend.stop_accepting(processes > 1)
-    await asyncio.sleep(ACCEPT_ON_S)
+    await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
     await node.stop()
     watching.cancel()
     siblings.leave()
@@ -138,9 +138,9 @@
 def reload(node: Node, path: str) -> None:
     """Read the file again; one that is no good changes nothing."""
     try:
-        config = read_change(path, node.config)
-    except BadConfig as problem:
-        node.figures.reconfig_failed += 1
+        config = reread_config(path, node.config)
+    except ConfigFileError as problem:
+        node.metrics.reconfig_failed += 1
         logs.warning("settings refused", "the configuration stays as it was: %(why)s", why=str(problem))
     else:
         node.reload(config)
--- a/dunlinloft/node/config.py
+++ b/dunlinloft/node/config.py
@@ -35,7 +35,7 @@
 T = TypeVar("T")
 
 
-class BadConfig(Exception):
+class ConfigFileError(Exception):
     """A configuration that no node can be started with; its text is one line for operators."""
 
 
@@ -88,17 +88,17 @@
     return _read_file(path, parse_config)
 
 
-def read_directory(path: str) -> DirectoryConfig:
+def read_directory_config(path: str) -> DirectoryConfig:
     """Read the file of a directory's process. Raises `BadConfig`."""
     return _read_file(path, parse_directory)
 
 
-def read_change(path: str, old: Config) -> Config:
+def reread_config(path: str, old: Config) -> Config:
     """Read the file again; it must have all keys of the one in force. Raises `BadConfig`."""
     config = read_config(path)
     missing = sorted(old.keys - config.keys)
     if missing:
-        raise BadConfig(f"{path}: {missing[0]!r} is missing")
+        raise ConfigFileError(f"{path}: {missing[0]!r} is missing")
     return config
 
 
@@ -107,17 +107,17 @@
         with open(path, encoding="utf-8") as file:
             obj = json.load(file)
     except OSError as problem:
-        raise BadConfig(f"can't read the configuration: {problem}") from None
+        raise ConfigFileError(f"can't read the configuration: {problem}") from None
     except (ValueError, RecursionError) as problem:
-        raise BadConfig(f"{path}: not JSON: {problem!s:.100}") from None
+        raise ConfigFileError(f"{path}: not JSON: {problem!s:.100}") from None
     if not isinstance(obj, dict):
-        raise BadConfig(f"{path}: must be an object")
+        raise ConfigFileError(f"{path}: must be an object")
     try:
         return parse(obj)
     except Malformed as problem:
-        raise BadConfig(f"{path}: {_located(obj, problem)}") from None
+        raise ConfigFileError(f"{path}: {_located(obj, problem)}") from None
     except ValueError as problem:
-        raise BadConfig(f"{path}: {problem}") from None
+        raise ConfigFileError(f"{path}: {problem}") from None
 
 
 def _located(root: Json, problem: Malformed) -> str:
@@ -215,5 +215,5 @@
 
 
 def _log_form(obj: Json) -> str:
-    form: str = choice(optional(obj, "log", dict, {"form": logs.TEXT}), "form", logs.FORMS)
+    form: str = choice(optional(obj, "log", dict, {"form": logs.TEXT}), "form", logs.FORMATS)
     return form
--- a/dunlinloft/node/discovery.py
+++ b/dunlinloft/node/discovery.py
@@ -19,10 +19,10 @@
 from dunlinloft.node.addresses import Address
 from dunlinloft.node.server_list import ServerList, read_server_list
 
-WATCH_MS = 1_000  # how long discovery may keep a watch open: a broken one is noticed no sooner
-GRACE_MS = 500  # what it gets beyond that: 2 s after the wait a change counts as published
-CALL_MS = 750  # for a call that need not wait for a change: the agent is on the node's own machine
-POLL_MS = 1  # the wait of a call that is to return at once
+WATCH_WAIT_MS = 1_000  # how long discovery may keep a watch open: a broken one is noticed no sooner
+WATCH_GRACE_MS = 500  # what it gets beyond that: 2 s after the wait a change counts as published
+CALL_TIMEOUT_MS = 750  # for a call that need not wait for a change: the agent is on the node's own machine
+POLL_WAIT_MS = 1  # the wait of a call that is to return at once
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 OK_STATUS = 200
 
@@ -130,7 +130,7 @@
         if self._in_flight is None:
             self._call(full=False)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Go on at another address, from its full list: the old one takes no calls any more."""
         if address != self._address:
             self._end_call()
@@ -148,12 +148,12 @@
     def _call(self, full: bool) -> None:
         # A broken watch shows only once its time is over: what was missed since the last response is asked
         # for without one.
-        wait_ms = POLL_MS if self._last_call_failed else WATCH_MS
+        wait_ms = POLL_WAIT_MS if self._last_call_failed else WATCH_WAIT_MS
         query = "" if full else f"?index={self._index}&wait={wait_ms}"
         request = (
             f"GET /api/targets{query} HTTP/1.1\r\nHost: {self._address[0]}:{self._address[1]}\r\n\r\n"
         ).encode()
-        timeout_ms = CALL_MS if full or self._last_call_failed else WATCH_MS + GRACE_MS
+        timeout_ms = CALL_TIMEOUT_MS if full or self._last_call_failed else WATCH_WAIT_MS + WATCH_GRACE_MS
         # A partitioned link says nothing, not even on TCP: without this the watch would wait for ever.
         self._timer = self._loop.call_later(timeout_ms / 1000.0, self._on_timeout)
         if self._connection is not None:
--- a/dunlinloft/node/figures.py
+++ b/dunlinloft/node/figures.py
@@ -15,7 +15,7 @@
 BUSY_STATUSES = (429, 503)  # the caller may retry
 
 
-class Figures:
+class NodeMetrics:
     """The counts of one process."""
 
     def __init__(self, classes: Iterable[str]) -> None:
--- a/dunlinloft/node/fleet/cells.py
+++ b/dunlinloft/node/fleet/cells.py
@@ -22,7 +22,7 @@
 from dunlinloft.node.fleet_config import CellsConfig, FleetConfig
 
 if TYPE_CHECKING:
-    from dunlinloft.node.fleet.peers import Own
+    from dunlinloft.node.fleet.peers import MemberIdentity
 
 
 class CellMember(CellMembership):
@@ -40,17 +40,21 @@
 
     def __init__(
         self,
-        own: Own,
+        identity: MemberIdentity,
         fleet: FleetConfig,
         cells: CellsConfig,
         uid: int,
         incarnation: int,
         rng: random.Random,
-        facts: dict[str, MetadataValue],
+        metadata: dict[str, MetadataValue],
     ) -> None:
         settings = CellSettings(cells.service, cells.region, cells.max_members, list(cells.directory))
-        self.core = CellMember(own.name, fleet.advertise, fleet.seeds, uid, incarnation, rng, facts, settings)
-        self.member_count = self.core.member_count = CellMemberCount(own.name, own.number, own.nodes)
+        self.core = CellMember(
+            identity.name, fleet.advertise, fleet.seeds, uid, incarnation, rng, metadata, settings
+        )
+        self.member_count = self.core.member_count = CellMemberCount(
+            identity.name, identity.number, identity.nodes
+        )
         self.wire = CellWire(fleet.name, cells.service, cells.region, lambda: self.core.partition)
         self._fallback: bool | None = None
 
@@ -74,7 +78,7 @@
 
     # What operators see
 
-    def figures(self) -> dict[str, Callable[[], int]]:
+    def gauges(self) -> dict[str, Callable[[], int]]:
         """Gauges beside the fleet's."""
         return {
             "fleet_cuts": lambda: self.core.partition_changes,
--- a/dunlinloft/node/fleet/directory.py
+++ b/dunlinloft/node/fleet/directory.py
@@ -28,8 +28,8 @@
 from dunlinloft.node import logs
 from dunlinloft.node.admin_reply import AdminReply, JsonObject
 from dunlinloft.node.clock import now_ms
-from dunlinloft.node.config import BadConfig, DirectoryConfig, read_directory
-from dunlinloft.node.fleet.peers import GOODBYE_S, Own, Peers
+from dunlinloft.node.config import ConfigFileError, DirectoryConfig, read_directory_config
+from dunlinloft.node.fleet.peers import LEAVE_GRACE_S, MemberIdentity, Peers
 from dunlinloft.node.management import AdminEndpoint
 
 OBSERVE_INTERVAL_S = 1.0  # how often it is looked at which other processes are there
@@ -42,10 +42,10 @@
     def __init__(self, config: DirectoryConfig, loop: asyncio.AbstractEventLoop) -> None:
         self._loop, self.config = loop, config
         fleet = replace(config.fleet, name=OWN_FLEET.format(config.fleet.name))
-        own = Own(config.name, config.seed, config.zone)
-        self.peers = Peers(loop, own, fleet, lambda number, nodes: None, lambda: 0)
-        self.peers.aside = self._datagram
-        self.peers.listeners.append(self._on_message)
+        identity = MemberIdentity(config.name, config.seed, config.zone)
+        self.peers = Peers(loop, identity, fleet, lambda number, nodes: None, lambda: 0)
+        self.peers.intercept_datagram = self._datagram
+        self.peers.message_listeners.append(self._on_message)
         self.wire = DirectoryWire(config.fleet.name)
         incarnation = self.peers.core.incarnation
         self.core = cells.Directory(config.name, incarnation, random.Random(config.seed), now_ms())
@@ -66,8 +66,8 @@
     async def stop(self) -> None:
         """Say goodbye to the other processes."""
         self._closed = True
-        self.peers.depart(handing_over=False)
-        await asyncio.sleep(2.0 * GOODBYE_S)
+        self.peers.leave_fleet(handing_over=False)
+        await asyncio.sleep(2.0 * LEAVE_GRACE_S)
 
     def _observe_peers(self) -> None:
         if self._closed:
@@ -106,7 +106,7 @@
         try:
             message = self.wire.read(data)
         except MessageRejected as reason:
-            self.peers.refuse(str(reason))
+            self.peers.count_rejection(str(reason))
             return True
         if not isinstance(message, LookupResponse):
             self._handle(cells.MemberMessageReceived(message, source))
@@ -130,7 +130,7 @@
             "learning": not core.is_ready(now),
             "processes": self.peers.core.alive_count(),
             "counts": dict(core.counts) | {"records": sum(1 for _ in core.reports.all())},
-            "refused_for": self.peers.reasons,
+            "refused_for": self.peers.rejection_counts,
             "bound_s": MAX_REPORT_AGE_MS / 1000.0,
             "services": {
                 name: _service(service, now) for name, service in sorted(core.index.services.items())
@@ -156,8 +156,8 @@
 async def run(path: str) -> int:
     """Serve until SIGTERM; the exit status."""
     try:
-        config = read_directory(path)
-    except BadConfig as problem:
+        config = read_directory_config(path)
+    except ConfigFileError as problem:
         print(f"dunlinloft directory: {problem}", file=sys.stderr)
         return 2
     logs.setup(config.name, config.log)
--- a/dunlinloft/node/fleet/peers.py
+++ b/dunlinloft/node/fleet/peers.py
@@ -18,7 +18,7 @@
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.cells.messages import Message as CellMessage
 from dunlinloft.fleet.cells.partition import CellPartition
-from dunlinloft.fleet.leases import messages as duties
+from dunlinloft.fleet.leases import messages as leases
 from dunlinloft.fleet.leases.table_rows import STATE_TABLE_ROLE
 from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
@@ -49,26 +49,26 @@
     from dunlinloft.fleet.cells.member_count import CellMemberCount
     from dunlinloft.node.fleet.cells import CellHost
 
-SOCKETS = 28  # of the node's limit: two of its own, and what follows
-MOST_IN, MOST_OUT = 16, 8  # streams at a time
-WHOLE_S = 2.5  # for a stream to come whole; a peer that says nothing is closed within 3 s
-CALL_S = 1.5  # for an exchange or a probe over a stream
-BIND_AGAIN_S = 0.2  # while the address is another process's, as at an upgrade
-COUNT_S = 1.0  # how often it is looked at who counts, and what the rates are
-LOAD_S = 10.0  # how often the load is told, where it has changed
-GOODBYE_S = 0.1  # between saying goodbye and closing the socket
-STATE, PROBE = b"S", b"P"  # what a stream begins with
-RECORDED_MS = 3_600_000.0  # how long one that left is shown
+FLEET_SOCKETS = 28  # of the node's limit: two of its own, and what follows
+MAX_INBOUND_STREAMS, MAX_OUTBOUND_STREAMS = 16, 8  # streams at a time
+INBOUND_TIMEOUT_S = 2.5  # for a stream to come whole; a peer that says nothing is closed within 3 s
+OUTBOUND_TIMEOUT_S = 1.5  # for an exchange or a probe over a stream
+BIND_RETRY_S = 0.2  # while the address is another process's, as at an upgrade
+COUNT_INTERVAL_S = 1.0  # how often it is looked at who counts, and what the rates are
+LOAD_INTERVAL_S = 10.0  # how often the load is told, where it has changed
+LEAVE_GRACE_S = 0.1  # between saying goodbye and closing the socket
+PUSH_PULL_STREAM, PROBE_STREAM = b"S", b"P"  # what a stream begins with
+DEPARTED_RETENTION_MS = 3_600_000.0  # how long one that left is shown
 
 
-def of_tier(members: Membership, tier: float) -> set[str]:
+def alive_in_tier(members: Membership, tier: float) -> set[str]:
     """Those there that send to the same tier, this process too: they part its budgets."""
-    here = {m.name for m in members.view.members.values() if m.is_alive() and m.metadata.get("tier") == tier}
-    return here | {members.name}
+    alive = {m.name for m in members.view.members.values() if m.is_alive() and m.metadata.get("tier") == tier}
+    return alive | {members.name}
 
 
 @dataclass(slots=True)
-class Own:
+class MemberIdentity:
     """Who this process is among the others."""
 
     name: str
@@ -79,7 +79,7 @@
     nodes: int = 1
 
     @classmethod
-    def of(cls, config: Config) -> Own:
+    def from_config(cls, config: Config) -> MemberIdentity:
         """A node, by its configuration."""
         settings = config.settings
         return cls(
@@ -87,12 +87,12 @@
         )  # fmt: skip
 
 
-class _Ear(asyncio.DatagramProtocol):
+class _DatagramProtocol(asyncio.DatagramProtocol):
     def __init__(self, peers: Peers) -> None:
         self._peers = peers
 
     def datagram_received(self, data: bytes, sender: Address) -> None:
-        self._peers.received(data, sender)
+        self._peers.on_datagram(data, sender)
 
     def error_received(self, exc: Exception) -> None:
         self._peers.counts["unsent"] += 1
@@ -104,22 +104,27 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        own: Own,
+        identity: MemberIdentity,
         fleet: FleetConfig,
-        placed: Callable[[int, int], None],
+        on_position_changed: Callable[[int, int], None],
         load: Callable[[], int],
         balancer: Balancer | None = None,
-        told: Callable[[Event], None] = lambda event: None,
+        notify_balancer: Callable[[Event], None] = lambda event: None,
         settings: Settings | None = None,
     ) -> None:
-        self._loop, self._fleet, self._placed, self._load = loop, fleet, placed, load
-        self._flat = Wire(fleet.name)
+        self._loop, self._fleet, self._on_position_changed, self._load = (
+            loop,
+            fleet,
+            on_position_changed,
+            load,
+        )
+        self._flat_wire = Wire(fleet.name)
         # A life begins with the process: by the wall's clock, corrected by what others remember of us.
         wall_ms = int(time.time() * 1000.0)
-        rng = random.Random(own.seed)
-        facts: dict[str, MetadataValue] = {
-            "zone": own.zone, "tier": float(own.tier), "program": VERSION,
-            "number": float(own.number), "load": 0.0, "draining": False,
+        rng = random.Random(identity.seed)
+        metadata: dict[str, MetadataValue] = {
+            "zone": identity.zone, "tier": float(identity.tier), "program": VERSION,
+            "number": float(identity.number), "load": 0.0, "draining": False,
         }  # fmt: skip
         uid = wall_ms << 16 | rng.getrandbits(16)
         self.cells: CellHost | None = None
@@ -128,47 +133,47 @@
         if fleet.cells is not None:
             from dunlinloft.node.fleet.cells import CellHost
 
-            self.cells = CellHost(own, fleet, fleet.cells, uid, wall_ms, rng, facts)
+            self.cells = CellHost(identity, fleet, fleet.cells, uid, wall_ms, rng, metadata)
             self.core, self.member_count = self.cells.core, self.cells.member_count
         else:
-            self.core = Membership(own.name, fleet.advertise, fleet.seeds, uid, wall_ms, rng, facts)
-            self.member_count = MemberCount(own.name, own.number, own.nodes)
-        self._tier = float(own.tier)
+            self.core = Membership(identity.name, fleet.advertise, fleet.seeds, uid, wall_ms, rng, metadata)
+            self.member_count = MemberCount(identity.name, identity.number, identity.nodes)
+        self._tier = float(identity.tier)
         # Who else wants what comes; and who wants datagrams that are not for the members.
-        self.listeners: list[Callable[[Message], None]] = []
-        self.aside: Callable[[bytes, str], bool] = lambda data, source: False
-        self.work: RoleHost | None = None
+        self.message_listeners: list[Callable[[Message], None]] = []
+        self.intercept_datagram: Callable[[bytes, str], bool] = lambda data, source: False
+        self.roles: RoleHost | None = None
         if fleet.voters:
-            self.work = RoleHost(loop, self, own.name, own.zone, fleet.voters, rng)
-            self.listeners.append(self.work.on_message)
+            self.roles = RoleHost(loop, self, identity.name, identity.zone, fleet.voters, rng)
+            self.message_listeners.append(self.roles.on_message)
         self.shared: SharedHost | None = None
         if fleet.share and balancer is not None and settings is not None:
-            self.shared = SharedHost(loop, self, fleet, settings, balancer, told, rng)
-            self.listeners.append(self.shared.on_message)
-            if self.work is not None:
-                self.work.on_limits_read = self.shared.on_operator_limits
+            self.shared = SharedHost(loop, self, fleet, settings, balancer, notify_balancer, rng)
+            self.message_listeners.append(self.shared.on_message)
+            if self.roles is not None:
+                self.roles.on_limits_read = self.shared.on_operator_limits
         self.releases: Releases | None = None
-        if self.shared is not None and self.work is not None and RELEASES in fleet.share:
-            work = self.work
+        if self.shared is not None and self.roles is not None and RELEASES in fleet.share:
+            roles = self.roles
             self.releases = Releases(
                 self.shared.core,
-                work.writes,
+                roles.writes,
                 self.shared.on_release_order,
-                lambda: work.owner_of(STATE_TABLE_ROLE),
+                lambda: roles.owner_of(STATE_TABLE_ROLE),
                 now_ms,
             )
-            self.work.on_open, self.work.on_close = (
+            self.roles.on_open, self.roles.on_close = (
                 self.releases.on_table_opened,
                 self.releases.on_table_closed,
             )
         self._udp: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._in = self._out = 0
-        self._over = False
-        self._place = own.number, own.nodes
-        self._rates = (0.0, 0.0)
-        self._seen = (0, 0, loop.time())
+        self._inbound_streams = self._outbound_streams = 0
+        self._closed = False
+        self._position = identity.number, identity.nodes
+        self._send_rates = (0.0, 0.0)
+        self._last_sent = (0, 0, loop.time())
         self.counts = dict.fromkeys(
             (
                 "sent", "received", "sent_bytes", "received_bytes", "refused", "unsent", "errors", "streams",
@@ -176,57 +181,57 @@
             ),
             0,
         )  # fmt: skip
-        self.reasons: dict[str, int] = {}
+        self.rejection_counts: dict[str, int] = {}
 
     def start(self) -> None:
         """Join, as soon as the address is to be had."""
-        self._spawn(self._begin())
+        self._spawn(self._bind_and_start())
 
-    async def _begin(self) -> None:
+    async def _bind_and_start(self) -> None:
         host, port = parse_address(self._fleet.bind)
-        told = False
+        reported = False
         while True:
             try:
                 # First the one that is refused while another process has the address.
                 self._server = await asyncio.start_server(
-                    self._serve, host, port, limit=MAX_STATE_BYTES + 1024
+                    self._serve_stream, host, port, limit=MAX_STATE_BYTES + 1024
                 )
                 transport, _ = await self._loop.create_datagram_endpoint(
-                    lambda: _Ear(self), local_addr=(host, port)
+                    lambda: _DatagramProtocol(self), local_addr=(host, port)
                 )
             except OSError as problem:
                 if self._server is not None:
                     self._server.close()
-                if not told:
+                if not reported:
                     logs.info(
                         "fleet waits", "the fleet's address is not to be had: %(why)s", why=str(problem)
                     )
-                    told = True
-                await asyncio.sleep(BIND_AGAIN_S)
+                    reported = True
+                await asyncio.sleep(BIND_RETRY_S)
                 continue
             break
         self._udp = transport
         logs.info("fleet", "a member of %(fleet)s at %(bind)s", fleet=self._fleet.name, bind=self._fleet.bind)
         self.handle(api.Started())
-        if self.work is not None:
-            self.work.begin()
+        if self.roles is not None:
+            self.roles.begin()
         if self.shared is not None:
             self.shared.begin()
-        self._loop.call_later(COUNT_S, self._count)
-        self._loop.call_later(LOAD_S, self._tell_load)
+        self._loop.call_later(COUNT_INTERVAL_S, self._update_counts)
+        self._loop.call_later(LOAD_INTERVAL_S, self._publish_load)
         if self.releases is not None:
-            self._loop.call_later(LOOK_INTERVAL_MS / 1000.0, self._look)
+            self._loop.call_later(LOOK_INTERVAL_MS / 1000.0, self._tick_releases)
 
-    def _look(self) -> None:
+    def _tick_releases(self) -> None:
         """Let the steward of releases look, if that is this process."""
-        if self._over or self.releases is None or self.work is None:
+        if self._closed or self.releases is None or self.roles is None:
             return
         try:
-            self.releases.tick(self.work.holds(STATE_TABLE_ROLE))
+            self.releases.tick(self.roles.holds(STATE_TABLE_ROLE))
         except Exception:
             self.counts["errors"] += 1
             logs.exception("fleet error", "the releases' part")
-        self._loop.call_later(LOOK_INTERVAL_MS / 1000.0, self._look)
+        self._loop.call_later(LOOK_INTERVAL_MS / 1000.0, self._tick_releases)
 
     def releases_status(self) -> AdminReply:
         """All that the admin endpoint tells of releases."""
@@ -236,29 +241,29 @@
 
     def handle(self, event: api.Event) -> None:
         """Give the core an event and do what it says; an error here is the fleet's and not the node's."""
-        if self._over:
+        if self._closed:
             return
         try:
             actions = self.core.handle(event, now_ms())
             for action in actions:
-                self._do(action)
+                self._perform(action)
             # Once for all that one event has changed: a whole view that comes in changes every member.
             if any(isinstance(action, api.MemberChanged) for action in actions):
-                self._recount()
+                self._update_member_count()
         except Exception:
             self.counts["errors"] += 1
             logs.exception("fleet error", "the fleet's part, handling %(what)s", what=type(event).__name__)
 
-    def _do(self, action: api.Action) -> None:
+    def _perform(self, action: api.Action) -> None:
         match action:
             case api.SendDatagram():
                 self.send(self._write(action.message), action.address)
             case api.SetTimer():
                 self._loop.call_later(action.delay_ms / 1000.0, self.handle, api.TimerFired(action.token))
             case api.PushPull():
-                self._call(action.address, self._exchange(action))
+                self._start_call(action.address, self._push_pull(action))
             case api.ProbeOverStream():
-                self._call(action.address, self._probe(action))
+                self._start_call(action.address, self._probe(action))
             case api.MemberChanged():
                 if self.cells is not None and action.change is api.MemberChange.CELL:
                     self.cells.on_partition_changed()
@@ -280,59 +285,59 @@
         self.counts["sent"] += 1
         self.counts["sent_bytes"] += len(data)
 
-    def received(self, data: bytes, sender: Address) -> None:
+    def on_datagram(self, data: bytes, sender: Address) -> None:
         """A datagram has come, from anybody."""
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(data)
         source = f"{sender[0]}:{sender[1]}"
-        if self.aside(data, source):
+        if self.intercept_datagram(data, source):
             return
         try:
-            message, cut = self._read(data)
+            message, partition = self._read(data)
         except MessageRejected as reason:
-            return self.refuse(str(reason))
-        self.handle(api.MessageReceived(message, source, cut))
+            return self.count_rejection(str(reason))
+        self.handle(api.MessageReceived(message, source, partition))
         if not self.core.muted and not isinstance(message, CellMessage):
-            for heard in self.listeners:
-                heard(message)
+            for listener in self.message_listeners:
+                listener(message)
 
     # Bytes, of a flat fleet or of one with cells
 
     def _write(self, message: api.AnyMessage) -> bytes:
         if self.cells is not None:
             return self.cells.wire.write(message)
-        return self._flat.write(cast(Message, message))  # a flat core says nothing else
+        return self._flat_wire.write(cast(Message, message))  # a flat core says nothing else
 
     def _read(self, data: bytes) -> tuple[api.AnyMessage, CellPartition | None]:
-        return self.cells.wire.read(data) if self.cells is not None else (self._flat.read(data), None)
+        return self.cells.wire.read(data) if self.cells is not None else (self._flat_wire.read(data), None)
 
     def _write_state(self, state: State) -> bytes:
-        return (self.cells.wire if self.cells is not None else self._flat).write_state(state)
+        return (self.cells.wire if self.cells is not None else self._flat_wire).write_state(state)
 
     def _read_state(self, data: bytes) -> tuple[State, CellPartition | None]:
         if self.cells is not None:
             return self.cells.wire.read_state(data)
-        return self._flat.read_state(data), None
+        return self._flat_wire.read_state(data), None
 
-    def refuse(self, reason: str) -> None:
+    def count_rejection(self, reason: str) -> None:
         """Count what says nothing to this process."""
         self.counts["refused"] += 1
-        self.reasons[reason] = self.reasons.get(reason, 0) + 1
+        self.rejection_counts[reason] = self.rejection_counts.get(reason, 0) + 1
 
     # Streams
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = self._loop.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _call(self, target: str, work: Coroutine[Any, Any, None]) -> None:
-        if self._out >= MOST_OUT or self._over:
-            work.close()
+    def _start_call(self, target: str, coroutine: Coroutine[Any, Any, None]) -> None:
+        if self._outbound_streams >= MAX_OUTBOUND_STREAMS or self._closed:
+            coroutine.close()
             self.counts["unsent"] += 1
             return
-        self._out += 1
-        self._spawn(work)
+        self._outbound_streams += 1
+        self._spawn(coroutine)
 
     async def _open(self, target: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         local = (parse_address(self._fleet.bind)[0], 0)
@@ -341,140 +346,140 @@
             *parse_address(target), local_addr=local, limit=MAX_STATE_BYTES + 1024
         )
 
-    async def _exchange(self, action: api.PushPull) -> None:
-        data = await self._ask(action.address, STATE, self._write_state(action.state))
+    async def _push_pull(self, action: api.PushPull) -> None:
+        data = await self._call_peer(action.address, PUSH_PULL_STREAM, self._write_state(action.state))
         if data is None:
             return self.handle(api.PushPullFailed(action.address))
         try:
-            state, cut = self._read_state(data)
+            state, partition = self._read_state(data)
         except MessageRejected as reason:
-            self.refuse(str(reason))
+            self.count_rejection(str(reason))
             return self.handle(api.PushPullFailed(action.address))
-        self.handle(api.PushPullReceived(state, action.address, True, cut))
+        self.handle(api.PushPullReceived(state, action.address, True, partition))
 
     async def _probe(self, action: api.ProbeOverStream) -> None:
         ping = Ping(self.core.header(), action.number, "", [])
-        data = await self._ask(action.address, PROBE, self._write(ping))
+        data = await self._call_peer(action.address, PROBE_STREAM, self._write(ping))
         if data is None:
             return
         try:
             message, _ = self._read(data)
         except MessageRejected as reason:
-            return self.refuse(str(reason))
+            return self.count_rejection(str(reason))
         if isinstance(message, Ack):
             self.handle(api.StreamProbeAcked(action.number, message.target, message.incarnation))
 
-    async def _ask(self, target: str, kind: bytes, data: bytes) -> bytes | None:
+    async def _call_peer(self, target: str, kind: bytes, data: bytes) -> bytes | None:
         """Say something over a stream; the answer, or None where there is none in time."""
         writer = None
         try:
-            async with asyncio.timeout(CALL_S):
+            async with asyncio.timeout(OUTBOUND_TIMEOUT_S):
                 reader, writer = await self._open(target)
-                self._pour(writer, kind + len(data).to_bytes(4, "big") + data)
+                self._write_counted(writer, kind + len(data).to_bytes(4, "big") + data)
                 size = int.from_bytes(await reader.readexactly(4), "big")
                 return await reader.readexactly(size) if size <= MAX_STATE_BYTES else None
         except (OSError, TimeoutError, EOFError, ValueError):
             return None
         finally:
-            self._out -= 1
+            self._outbound_streams -= 1
             if writer is not None:
                 writer.close()
 
-    def _pour(self, writer: asyncio.StreamWriter, data: bytes) -> None:
+    def _write_counted(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         self.counts["stream_bytes"] += len(data)
         writer.write(data)
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer a peer, or whoever connects: within `WHOLE_S` it has asked, or it is closed."""
-        if self._in >= MOST_IN:
-            self.refuse("crowd")
+        if self._inbound_streams >= MAX_INBOUND_STREAMS:
+            self.count_rejection("crowd")
             return writer.close()
-        self._in += 1
+        self._inbound_streams += 1
         try:
-            async with asyncio.timeout(WHOLE_S):
+            async with asyncio.timeout(INBOUND_TIMEOUT_S):
                 kind = await reader.readexactly(1)
                 size = int.from_bytes(await reader.readexactly(4), "big")
-                if kind not in (STATE, PROBE) or size > MAX_STATE_BYTES:
+                if kind not in (PUSH_PULL_STREAM, PROBE_STREAM) or size > MAX_STATE_BYTES:
                     raise MessageRejected(
                         RejectReason.FOREIGN if size <= MAX_STATE_BYTES else RejectReason.LONG
                     )
-                answer = self._answer(kind, await reader.readexactly(size), writer)
-                self._pour(writer, len(answer).to_bytes(4, "big") + answer)
-                await writer.drain()
+                answer = self._respond(kind, await reader.readexactly(size), writer)
+                self._write_counted(writer, len(answer).to_bytes(4, "big") + answer)
+                await writer.set_draining()
         except MessageRejected as reason:
-            self.refuse(str(reason))
+            self.count_rejection(str(reason))
         except (OSError, TimeoutError, EOFError):
-            self.refuse("short")
+            self.count_rejection("short")
         finally:
-            self._in -= 1
+            self._inbound_streams -= 1
             writer.close()
 
-    def _answer(self, kind: bytes, data: bytes, writer: asyncio.StreamWriter) -> bytes:
-        if kind == PROBE:
+    def _respond(self, kind: bytes, data: bytes, writer: asyncio.StreamWriter) -> bytes:
+        if kind == PROBE_STREAM:
             message, _ = self._read(data)
             number = message.number if isinstance(message, Ping) else 0
             return self._write(Ack(self.core.header(), number, self.core.name, self.core.incarnation, []))
-        state, cut = self._read_state(data)
+        state, partition = self._read_state(data)
         answer = self._write_state(self.core.state_for(state))
         sender = next((r.address for r in state.records if r.name == state.header.name), "")
-        self.handle(api.PushPullReceived(state, sender, False, cut))
+        self.handle(api.PushPullReceived(state, sender, False, partition))
         return answer
 
     # What the node takes from it
 
-    def _recount(self) -> None:
-        here = of_tier(self.core, self._tier)
+    def _update_member_count(self) -> None:
+        alive = alive_in_tier(self.core, self._tier)
         if self.cells is not None:
-            self.cells.observe_members(here, now_ms())
+            self.cells.observe_members(alive, now_ms())
         else:
-            self.member_count.observe(here, now_ms())
-        place = self.member_count.position()
-        if place != self._place:
-            self._place = place
-            logs.info("place", "number %(number)d of %(nodes)d now", number=place[0], nodes=place[1])
-            self._placed(*place)
-
-    def told(self, number: int, nodes: int) -> None:
+            self.member_count.observe(alive, now_ms())
+        position = self.member_count.position()
+        if position != self._position:
+            self._position = position
+            logs.info("place", "number %(number)d of %(nodes)d now", number=position[0], nodes=position[1])
+            self._on_position_changed(*position)
+
+    def on_settings_changed(self, number: int, nodes: int) -> None:
         """The file has new settings; what is in force follows from both."""
         self.member_count.reconfigure(number, nodes)
-        self._place = number, nodes
-        self._recount()
+        self._position = number, nodes
+        self._update_member_count()
 
-    def _count(self) -> None:
-        if self._over:
+    def _update_counts(self) -> None:
+        if self._closed:
             return
-        self._recount()
-        now, (messages, size, before) = self._loop.time(), self._seen
-        self._seen = self.counts["sent"], self.counts["sent_bytes"], now
+        self._update_member_count()
+        now, (messages, size, before) = self._loop.time(), self._last_sent
+        self._last_sent = self.counts["sent"], self.counts["sent_bytes"], now
         passed = max(1e-3, now - before)
-        self._rates = (self._seen[0] - messages) / passed, (self._seen[1] - size) / passed
-        self._loop.call_later(COUNT_S, self._count)
+        self._send_rates = (self._last_sent[0] - messages) / passed, (self._last_sent[1] - size) / passed
+        self._loop.call_later(COUNT_INTERVAL_S, self._update_counts)
 
-    def _tell_load(self) -> None:
-        if not self._over:
+    def _publish_load(self) -> None:
+        if not self._closed:
             # To the nearest power of two: news of the load costs all members, so only great changes are news.
             load = self._load()
             self.handle(api.MetadataUpdated({"load": float(1 << load.bit_length() >> 1)}))
-            self._loop.call_later(LOAD_S, self._tell_load)
+            self._loop.call_later(LOAD_INTERVAL_S, self._publish_load)
 
-    def drain(self, draining: bool) -> None:
+    def set_draining(self, draining: bool) -> None:
         """Let others know; who drains holds no duty."""
         self.handle(api.MetadataUpdated({"draining": draining}))
-        if draining and self.work is not None:
-            self.work.release_all()
+        if draining and self.roles is not None:
+            self.roles.release_all()
 
-    def depart(self, handing_over: bool) -> None:
+    def leave_fleet(self, handing_over: bool) -> None:
         """The process goes: another of this node goes on as this member, or all are told."""
-        if self._over:
+        if self._closed:
             return
-        if self.work is not None:
-            self.work.release_all()
+        if self.roles is not None:
+            self.roles.release_all()
         if not handing_over:
             self.handle(api.LeaveRequested())
-        self._over = True
+        self._closed = True
         if self._server is not None:
             self._server.close()
-        self._loop.call_later(0.0 if handing_over else GOODBYE_S, self._close)
+        self._loop.call_later(0.0 if handing_over else LEAVE_GRACE_S, self._close)
 
     def _close(self) -> None:
         if self._udp is not None:
@@ -484,11 +489,11 @@
         for task in self._tasks:
             task.cancel()
 
-    def send_to_member(self, name: str, content: duties.Message | shared.Message) -> None:
+    def send_to_member(self, name: str, content: leases.Message | shared.Message) -> None:
         """Say something about a duty or shared state to a member, or of a duty to this process itself."""
         if name == self.core.name:
-            if self.work is not None and isinstance(content, duties.Message):
-                self._loop.call_soon(self.work.on_content, content, name)
+            if self.roles is not None and isinstance(content, leases.Message):
+                self._loop.call_soon(self.roles.on_content, content, name)
             return
         member = self.core.view.get(name)
         if member is not None and member.is_alive() and not self.core.muted:
@@ -502,17 +507,17 @@
 
     # What operators see
 
-    def figures(self) -> dict[str, Callable[[], int]]:
+    def gauges(self) -> dict[str, Callable[[], int]]:
         """Gauges beside the node's own."""
         core = self.core
-        more = self.shared.figures() if self.shared is not None else {}
-        more |= self.cells.figures() if self.cells is not None else {}
+        more = self.shared.gauges() if self.shared is not None else {}
+        more |= self.cells.gauges() if self.cells is not None else {}
         return more | {
             "fleet_members": core.alive_count,
             "fleet_suspects": lambda: sum(m.status == 1 for m in core.view.members.values()),
             "fleet_divergent": lambda: core.divergence(now_ms())[0],
             "fleet_health": lambda: core.health.score,
-            "fleet_nodes": lambda: self._place[1],
+            "fleet_nodes": lambda: self._position[1],
             "fleet_conflicts": lambda: core.name_conflicts,
             "fleet_refused": lambda: self.counts["refused"],
             "fleet_errors": lambda: self.counts["errors"],
@@ -537,7 +542,7 @@
                 "facts": m.metadata,
             }
             for m in sorted(core.view.members.values(), key=lambda m: m.name)
-            if m.is_alive() or now - m.status_since_ms < RECORDED_MS
+            if m.is_alive() or now - m.status_since_ms < DEPARTED_RETENTION_MS
         ]
         return AdminReply(200, {
             "fleet": self._fleet.name,
@@ -551,10 +556,10 @@
                 "rival": core.conflicting_address,
             },
             "members_alive": core.alive_count(),
-            "place": {"number": self._place[0], "nodes": self._place[1]},
+            "place": {"number": self._position[0], "nodes": self._position[1]},
             "divergence": {"members": differ, "longest_s": round(longest / 1000.0, 1)},
             "health": core.health.score,
             "refuted": core.refutations, "buried": core.deaths_declared, "conflicts": core.name_conflicts,
-            "messages_s": round(self._rates[0], 1), "bytes_s": round(self._rates[1], 1),
-            "counts": self.counts, "refused_for": self.reasons, "members": members,
+            "messages_s": round(self._send_rates[0], 1), "bytes_s": round(self._send_rates[1], 1),
+            "counts": self.counts, "refused_for": self.rejection_counts, "members": members,
         })  # fmt: skip
--- a/dunlinloft/node/fleet/shared.py
+++ b/dunlinloft/node/fleet/shared.py
@@ -244,7 +244,7 @@
 
     # What operators see
 
-    def figures(self) -> dict[str, Callable[[], int]]:
+    def gauges(self) -> dict[str, Callable[[], int]]:
         """Gauges beside the node's own."""
         core = self.core
         return {
--- a/dunlinloft/node/logs.py
+++ b/dunlinloft/node/logs.py
@@ -13,7 +13,7 @@
 from typing import TypeAlias
 
 TEXT, JSON = "text", "json"
-FORMS = {TEXT: TEXT, JSON: JSON}
+FORMATS = {TEXT: TEXT, JSON: JSON}
 
 Fields: TypeAlias = Mapping[str, object]
 
--- a/dunlinloft/node/node.py
+++ b/dunlinloft/node/node.py
@@ -22,7 +22,7 @@
 from dunlinloft.node.clock import now_ms
 from dunlinloft.node.config import Config
 from dunlinloft.node.discovery import Discovery
-from dunlinloft.node.figures import Figures
+from dunlinloft.node.figures import NodeMetrics
 from dunlinloft.node.fleet_config import FleetConfig
 from dunlinloft.node.http.bodies import Memory
 from dunlinloft.node.http.frontend import Answering, Frontend, Message, Reply, Unacceptable
@@ -34,24 +34,26 @@
     from dunlinloft.node.fleet.peers import Peers
     from dunlinloft.node.fleet.shared import SharedHost
 
-MARGIN_MS = 10.0  # of a budget: it ran before the request was read, and the answer takes its time
-SPARE_SOCKETS = 24  # of the limit: listener, discovery, event loop, log, and sockets half closed
-PLENTY_SHARE = 0.25  # of the limit: with so much room idle callers may stay
-UNHEARD_S = 5.0  # for discovery to answer a process that knows no server: it is ready within 10 s anyway
-KNOWN_AGAIN_S = 0.5  # what is advised to a repeat whose place is not known yet
-PUSHED_RETRY_S = 0.25  # on average after a failure of the node's own agent, where lists come unasked
+DEADLINE_MARGIN_MS = 10.0  # of a budget: it ran before the request was read, and the answer takes its time
+RESERVED_SOCKETS = 24  # of the limit: listener, discovery, event loop, log, and sockets half closed
+AMPLE_SOCKET_SHARE = 0.25  # of the limit: with so much room idle callers may stay
+DISCOVERY_WAIT_S = (
+    5.0  # for discovery to answer a process that knows no server: it is ready within 10 s anyway
+)
+UNKNOWN_ZONE_RETRY_S = 0.5  # what is advised to a repeat whose place is not known yet
+DISCOVERY_RETRY_S = 0.25  # on average after a failure of the node's own agent, where lists come unasked
 
 
-class Live:
+class OpenRequest:
     """A request that is owed its answer, with its attempts."""
 
     __slots__ = ("_node", "answering", "attempts", "backstop", "ends_ms", "message", "whole_ms")
 
     def __init__(self, node: Node, message: Message, answering: Answering) -> None:
         self._node, self.message, self.answering = node, message, answering
-        self.whole_ms = self.ends_ms = math.inf  # its time runs once it has come whole
+        self.complete_ms = self.deadline_ms = math.inf  # its time runs once it has come whole
         self.attempts: list[Attempt] = []
-        self.backstop: asyncio.TimerHandle | None = None
+        self.deadline_timer: asyncio.TimerHandle | None = None
 
     def whole(self) -> None:
         self._node.whole(self)
@@ -60,37 +62,37 @@
         self._node.caller_gone(self)
 
 
-class Sending:
+class AttemptHandler:
     """An attempt of a request as the node follows it."""
 
-    __slots__ = ("_id", "_live", "_node", "_number", "_sent_ms", "_server", "timeout_ms")
+    __slots__ = ("_id", "_request", "_node", "_number", "_sent_ms", "_server", "timeout_ms")
 
-    def __init__(self, node: Node, live: Live, server: int, timeout_ms: float) -> None:
-        self._node, self._live, self._id = node, live, live.message.id
-        self._number, self._server, self._sent_ms = len(live.attempts), server, now_ms()
+    def __init__(self, node: Node, request: OpenRequest, server: int, timeout_ms: float) -> None:
+        self._node, self._request, self._id = node, request, request.message.id
+        self._number, self._server, self._sent_ms = len(request.attempts), server, now_ms()
         self.timeout_ms = timeout_ms
 
-    def _taken_ms(self) -> float:
+    def _elapsed_ms(self) -> float:
         """Since it was sent, or since its request was there whole, where that came later."""
-        began_ms = max(self._sent_ms, self._live.whole_ms)
+        began_ms = max(self._sent_ms, self._request.complete_ms)
         return max(0.0, now_ms() - began_ms) if began_ms < math.inf else 0.0
 
     def may_send(self) -> bool:
-        return self._node.may_send(self._live, self._server)
+        return self._node.may_send(self._request, self._server)
 
     def began(self, answer: Answer, flow: Flow) -> None:
-        event = api.StreamStarted(self._id, self._number, self._server, self._taken_ms(), answer.report)
-        self._node.began(self._live, event, answer, flow)
+        event = api.StreamStarted(self._id, self._number, self._server, self._elapsed_ms(), answer.report)
+        self._node.began(self._request, event, answer, flow)
 
     def more(self, data: bytes) -> None:
-        self._live.answering.more(data)
+        self._request.answering.more(data)
 
     def ended(self, result: Result, answer: Answer | None) -> None:
         self._node.ended(
-            self._live,
+            self._request,
             api.AttemptCompleted(
-                self._id, self._number, self._server, result, self._taken_ms(), False,
-                answer.report if answer is not None else None, self._live.message.body.is_replayable(),
+                self._id, self._number, self._server, result, self._elapsed_ms(), False,
+                answer.report if answer is not None else None, self._request.message.body.is_replayable(),
             ),
             answer,
         )  # fmt: skip
@@ -123,72 +125,75 @@
         settings = config.settings
         self._balancer = Balancer(settings, config.seed)
         self._rng = random.Random(config.seed)
-        self._processes = 1  # that are this node, and share its limits
-        self._part = config.sockets  # of them, for this process
+        self._process_count = 1  # that are this node, and share its limits
+        self._socket_limit = config.sockets  # of them, for this process
         self._events: deque[api.Event] = deque()
         self._handling = False
-        self._live: dict[str, Live] = {}
+        self._open_requests: dict[str, OpenRequest] = {}
         self._attempts: dict[tuple[str, int], Attempt] = {}  # those that are out
         self.memory = Memory(config.memory_mb)
         self._addresses: dict[int, Address] = {}
         self._in_service: set[int] = set()
-        self._unheard = False  # discovery has been silent for so long that nobody waits for it
-        self.figures = Figures(self._balancer.classes)
-        self.figures.gauge("inflight", lambda: sum(live.whole_ms < math.inf for live in self._live.values()))
-        self.figures.gauge("hosts_listed", lambda: len(self._addresses))
-        self.figures.gauge("hosts_down", lambda: self._balancer.excluded_count(now_ms()))
+        self._discovery_overdue = False  # discovery has been silent for so long that nobody waits for it
+        self.metrics = NodeMetrics(self._balancer.classes)
+        self.metrics.gauge(
+            "inflight",
+            lambda: sum(request.complete_ms < math.inf for request in self._open_requests.values()),
+        )
+        self.metrics.gauge("hosts_listed", lambda: len(self._addresses))
+        self.metrics.gauge("hosts_down", lambda: self._balancer.excluded_count(now_ms()))
         self._upstream = Upstream(
             loop,
             settings.connect_timeout_ms,
             settings.keepalive_ms,
-            self._room,
-            self._make_room,
-            self.figures.on_attempt_written,
+            self._available_sockets,
+            self._free_socket,
+            self.metrics.on_attempt_written,
             self.memory,
         )
         self._discovery = Discovery(loop, config.discovery, config.known.index, self._on_server_list)
         self.frontend = Frontend(
             self.accept,
-            self.serves,
-            self._room,
-            lambda: self._room() > PLENTY_SHARE * config.sockets,
-            self._make_room,
-            lambda cls: self.figures.on_request_completed(cls, 503),
+            self.can_serve,
+            self._available_sockets,
+            lambda: self._available_sockets() > AMPLE_SOCKET_SHARE * config.sockets,
+            self._free_socket,
+            lambda cls: self.metrics.on_request_completed(cls, 503),
             self.memory,
         )
         self.admin = AdminEndpoint(loop)
         self.admin.add("/admin/health", "GET", self._health)
-        self.admin.add("/admin/stats", "GET", lambda: AdminReply(200, self.figures.to_json()))
+        self.admin.add("/admin/stats", "GET", lambda: AdminReply(200, self.metrics.to_json()))
         self.admin.add("/admin/quiesce", "POST", self._quiesce)
         self.admin.add("/admin/resume", "POST", self._resume)
-        self._reserved = SPARE_SOCKETS + (MAX_CALLERS if config.management is not None else 0)
+        self._reserved_sockets = RESERVED_SOCKETS + (MAX_CALLERS if config.management is not None else 0)
         self._peers: Peers | None = None
         self._shared: SharedHost | None = None  # what is shared with them
         if config.fleet is not None:
-            self._meet(config.fleet)
+            self._join_fleet(config.fleet)
 
-    def _meet(self, fleet: FleetConfig) -> None:
+    def _join_fleet(self, fleet: FleetConfig) -> None:
         """Become a member of a fleet; a node alone does not even load what that needs."""
         from dunlinloft.node.fleet import peers
 
         self._peers = peers.Peers(
-            self._loop, peers.Own.of(self.config), fleet, self._placed, self._live.__len__, self._balancer,
-            self._handle, self.config.settings,
+            self._loop, peers.MemberIdentity.from_config(self.config), fleet, self._on_position_changed,
+            self._open_requests.__len__, self._balancer, self._handle, self.config.settings,
         )  # fmt: skip
         self._shared = self._peers.shared
-        self._reserved += peers.SOCKETS
-        for name, read in self._peers.figures().items():
-            self.figures.gauge(name, read)
+        self._reserved_sockets += peers.FLEET_SOCKETS
+        for name, read in self._peers.gauges().items():
+            self.metrics.gauge(name, read)
         self.admin.add("/admin/fleet", "GET", self._peers.status)
         if self._peers.cells is not None:
             self.admin.add("/admin/fleet/cell", "GET", self._peers.cells.status)
-        if self._peers.work is not None:
-            self.admin.add("/admin/duties", "GET", self._peers.work.status)
-            self.admin.add_query("/admin/duties/hand-over", "POST", self._peers.work.hand_over)
-            self.admin.add("/admin/ledger", "GET", self._peers.work.table_status)
-            self.admin.add_query("/admin/ledger/enter", "POST", self._peers.work.write_row)
-            self.admin.add("/admin/voters", "GET", self._peers.work.voters_status)
-            self.admin.add_query("/admin/voters/change", "POST", self._peers.work.change_voters)
+        if self._peers.roles is not None:
+            self.admin.add("/admin/duties", "GET", self._peers.roles.status)
+            self.admin.add_query("/admin/duties/hand-over", "POST", self._peers.roles.hand_over)
+            self.admin.add("/admin/ledger", "GET", self._peers.roles.table_status)
+            self.admin.add_query("/admin/ledger/enter", "POST", self._peers.roles.write_row)
+            self.admin.add("/admin/voters", "GET", self._peers.roles.voters_status)
+            self.admin.add_query("/admin/voters/change", "POST", self._peers.roles.change_voters)
         if self._shared is not None:
             self.admin.add("/admin/shared", "GET", self._shared.status)
         if self._peers.releases is not None:
@@ -196,73 +201,73 @@
             self.admin.add_query("/admin/releases/start", "POST", self._peers.releases.start)
             self.admin.add_query("/admin/releases/say", "POST", self._peers.releases.command)
 
-    def _placed(self, number: int, nodes: int) -> None:
+    def _on_position_changed(self, number: int, nodes: int) -> None:
         """The fleet has this node at another place: its part of servers and budgets follows."""
         self._handle(api.Reconfigured(replace(self.config.settings, replica_index=number, replicas=nodes)))
 
-    def depart(self, handing_over: bool) -> None:
+    def leave_fleet(self, handing_over: bool) -> None:
         """Tell the fleet that this process goes, before it drains."""
         if self._peers is not None:
-            self._peers.depart(handing_over)
+            self._peers.leave_fleet(handing_over)
 
     def start(self) -> None:
         """Let the module begin, with the list as this node last had it."""
         if self._peers is not None:
             self._peers.start()
-        self._take_listing(self.config.known, api.ListUpdateKind.CACHED)
+        self._apply_server_list(self.config.known, api.ListUpdateKind.CACHED)
         self._handle(api.Started())
         if not self.config.settings.subscribes:
             self._discovery.subscribe()
-        self._loop.call_later(UNHEARD_S, self._wait_no_more)
+        self._loop.call_later(DISCOVERY_WAIT_S, self._stop_waiting_for_discovery)
 
-    def _wait_no_more(self) -> None:
+    def _stop_waiting_for_discovery(self) -> None:
         """Serve without a word from discovery: whoever waits for this process can't wait for that too."""
         if not self._discovery.has_answered and not self._in_service:
             logs.warning("unheard", "discovery has not answered and no server is known: serving all the same")
-            self._unheard = True
+            self._discovery_overdue = True
 
     def reload(self, config: Config) -> None:
         """Take over what may change while the node runs: where discovery is, and the settings."""
         settings = config.settings
         self.config = replace(self.config, settings=settings, discovery=config.discovery, keys=config.keys)
-        self.figures.add_classes(cls.name for cls in settings.classes)
+        self.metrics.add_classes(cls.name for cls in settings.classes)
         self._upstream.set_times(settings.connect_timeout_ms, settings.keepalive_ms)
         self._handle(api.Reconfigured(settings))
         if self._peers is not None:
-            self._peers.told(settings.replica_index, settings.replicas)
+            self._peers.on_settings_changed(settings.replica_index, settings.replicas)
         if self._shared is not None:
             self._shared.reconfigure(settings)
-        self.figures.reconfig_ok += 1
-        self._discovery.move(config.discovery)
+        self.metrics.reconfig_ok += 1
+        self._discovery.change_address(config.discovery)
 
-    def share(self, others: list[int]) -> None:
+    def share_sockets(self, others: list[int]) -> None:
         """Other processes are this node too, and hold so many sockets: keep to a part of what all may use."""
         processes = 1 + len(others)
         limit = self.config.sockets
         # What another holds beyond its part is not to be had before it has let go of it.
-        self._part = min(limit // processes, limit - sum(others)) if others else limit
-        if processes != self._processes:
-            self._processes = processes
+        self._socket_limit = min(limit // processes, limit - sum(others)) if others else limit
+        if processes != self._process_count:
+            self._process_count = processes
             self.memory.set_limit(self.config.memory_mb / processes)
             self._handle(api.ProcessCount(processes))
-        while self._room() < 0 and self._upstream.close_oldest_idle():
+        while self._available_sockets() < 0 and self._upstream.close_oldest_idle():
             pass
-        self.frontend.shed(-self._room())
+        self.frontend.shed(-self._available_sockets())
 
     def sockets(self) -> int:
         """How many are in use here, with what else is open."""
-        return SPARE_SOCKETS + self.admin.count() + self.frontend.count() + self._upstream.count()
+        return RESERVED_SOCKETS + self.admin.count() + self.frontend.count() + self._upstream.count()
 
-    def serves(self) -> bool:
+    def can_serve(self) -> bool:
         """Whether it knows a server to send to, or can't know soon: then it refuses, which is harmless."""
-        return bool(self._in_service) or (self._unheard and not self._discovery.has_answered)
+        return bool(self._in_service) or (self._discovery_overdue and not self._discovery.has_answered)
 
     async def stop(self) -> None:
         """Finish all that is held and close."""
         await self.frontend.shut_down()
         self._discovery.close()
         self.admin.close()
-        self.depart(handing_over=False)
+        self.leave_fleet(handing_over=False)
 
     def _health(self) -> AdminReply:
         ready = self.frontend.ready()
@@ -273,50 +278,50 @@
         logs.info("draining", "draining")
         self.frontend.quiesce()
         if self._peers is not None:
-            self._peers.drain(True)
+            self._peers.set_draining(True)
         return AdminReply(200, {"draining": True})
 
     def _resume(self) -> AdminReply:
         logs.info("resumed", "the drain ends")
         self.frontend.resume()
         if self._peers is not None:
-            self._peers.drain(False)
+            self._peers.set_draining(False)
         return AdminReply(200, {"draining": False})
 
-    def _make_room(self) -> bool:
+    def _free_socket(self) -> bool:
         """Give back a socket that nothing depends on: whoever is least likely to need it goes first."""
         silent = self.frontend.close_one_at_rest(silent=True)
         return silent or self._upstream.close_oldest_idle() or self.frontend.close_one_at_rest()
 
-    def _room(self) -> int:
-        return self._part - self._reserved - self.frontend.count() - self._upstream.count()
+    def _available_sockets(self) -> int:
+        return self._socket_limit - self._reserved_sockets - self.frontend.count() - self._upstream.count()
 
     # Requests
 
-    def accept(self, message: Message, answering: Answering) -> Live:
+    def accept(self, message: Message, answering: Answering) -> OpenRequest:
         """Take a request, whose body may still be coming; from now on it is owed exactly one answer."""
         if message.cls not in self._balancer.classes:
             raise Unacceptable("no such class")
         if self._balancer.classes[message.cls].idempotency is api.Idempotency.KEYED and message.key is None:
             raise Unacceptable("Idempotency-Key is missing")  # servers could not drop its repeats
-        if message.id in self._live:
+        if message.id in self._open_requests:
             raise Unacceptable("a request with this X-Call-Id is open")
-        pin, key, known = self._bound(message)
-        live = self._live[message.id] = Live(self, message, answering)
+        pin, key, known = self._affinity_of(message)
+        request = self._open_requests[message.id] = OpenRequest(self, message, answering)
         whole = message.body.complete
         if whole:
-            self._run_time(live)
-        ttl_ms = max(0.0, message.budget_ms - MARGIN_MS)
+            self._start_deadline(request)
+        ttl_ms = max(0.0, message.budget_ms - DEADLINE_MARGIN_MS)
         if not known:  # it may have run in a zone that only another node knows of
             self._finish(
-                message.id, Reply(503, b"not known yet where it belongs", retry_after_s=KNOWN_AGAIN_S)
+                message.id, Reply(503, b"not known yet where it belongs", retry_after_s=UNKNOWN_ZONE_RETRY_S)
             )
-            return live
+            return request
         event = api.Request(message.id, message.cls, ttl_ms, message.tenant, message.again, whole, pin, key)
         self._handle(event)
-        return live
+        return request
 
-    def _bound(self, message: Message) -> tuple[str | None, int | None, bool]:
+    def _affinity_of(self, message: Message) -> tuple[str | None, int | None, bool]:
         """The zone and the key that a request is bound to, if it is to any; whether that can be known."""
         cls, pin, known = self._balancer.classes[message.cls], None, True
         if self._shared is not None:
@@ -328,60 +333,64 @@
             pin, known = self._shared.zone_of_key(cls, key, message.again)
         return pin, key, known
 
-    def _run_time(self, live: Live, limited: bool = True) -> None:
-        live.whole_ms = now_ms()
-        live.ends_ms = live.whole_ms + live.message.budget_ms
-        if limited:  # an answer that has begun to flow meanwhile is not
-            live.backstop = self._loop.call_later(live.message.budget_ms / 1000.0, self._overdue, live)
+    def _start_deadline(self, request: OpenRequest, with_timer: bool = True) -> None:
+        request.complete_ms = now_ms()
+        request.deadline_ms = request.complete_ms + request.message.budget_ms
+        if with_timer:  # an answer that has begun to flow meanwhile is not
+            request.deadline_timer = self._loop.call_later(
+                request.message.budget_ms / 1000.0, self._on_deadline, request
+            )
 
-    def whole(self, live: Live) -> None:
+    def whole(self, request: OpenRequest) -> None:
         """A request taken before has come whole: its time runs."""
-        if self._live.get(live.message.id) is not live:
+        if self._open_requests.get(request.message.id) is not request:
             return
-        attempt = live.attempts[-1] if live.attempts else None
-        self._run_time(live, limited=attempt is None or not attempt.flowing)
-        self._handle(api.RequestComplete(live.message.id))
-        if attempt is not None and isinstance(attempt.owner, Sending):
-            left_ms = live.ends_ms - MARGIN_MS - now_ms()
-            self._upstream.limit(attempt, min(attempt.owner.timeout_ms, left_ms))
-
-    def caller_gone(self, live: Live) -> None:
+        attempt = request.attempts[-1] if request.attempts else None
+        self._start_deadline(request, with_timer=attempt is None or not attempt.flowing)
+        self._handle(api.RequestComplete(request.message.id))
+        if attempt is not None and isinstance(attempt.owner, AttemptHandler):
+            remaining_ms = request.deadline_ms - DEADLINE_MARGIN_MS - now_ms()
+            self._upstream.limit(attempt, min(attempt.owner.timeout_ms, remaining_ms))
+
+    def caller_gone(self, request: OpenRequest) -> None:
         """Nobody waits any more."""
-        if not self._drop(live):
+        if not self._remove_request(request):
             return
-        self._handle(api.ClientDisconnected(live.message.id))
+        self._handle(api.ClientDisconnected(request.message.id))
         # What is still coming in or going out has nowhere to come from or to go.
-        for attempt in live.attempts:
-            if attempt.flowing or not live.message.body.complete:
+        for attempt in request.attempts:
+            if attempt.flowing or not request.message.body.complete:
                 attempt.break_off(Result.CANCELLED)
 
-    def _drop(self, live: Live) -> bool:
+    def _remove_request(self, request: OpenRequest) -> bool:
         """Forget a request, if it is still owed: whoever gets True has its one answer to give."""
-        if self._live.get(live.message.id) is not live:
+        if self._open_requests.get(request.message.id) is not request:
             return False
-        del self._live[live.message.id]
-        if live.backstop is not None:
-            live.backstop.cancel()
+        del self._open_requests[request.message.id]
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
         return True
 
     def _finish(self, id: str, reply: Reply) -> None:
-        live = self._live.get(id)
-        if live is not None and self._drop(live):
-            self.figures.on_request_completed(live.message.cls, reply.status)
-            live.answering.answer(reply)
-            live.message.body.close()
+        request = self._open_requests.get(id)
+        if request is not None and self._remove_request(request):
+            self.metrics.on_request_completed(request.message.cls, reply.status)
+            request.answering.answer(reply)
+            request.message.body.close()
 
-    def _overdue(self, live: Live) -> None:
+    def _on_deadline(self, request: OpenRequest) -> None:
         """Fail a request that the module has not ended by its deadline, whatever the reason."""
-        left_ms = live.ends_ms - now_ms()
-        if left_ms > 0.0:  # the loop's clock may run ahead: failing early would be a broken promise
-            live.backstop = self._loop.call_later(left_ms / 1000.0 + 0.001, self._overdue, live)
-        elif self._drop(live):
-            logs.warning("overdue", "request %(id)s was not ended by its deadline", id=live.message.id)
-            self.figures.on_request_completed(live.message.cls, 504)
-            live.answering.answer(Reply(504, b"no answer in time"))
-            self._handle(api.ClientDisconnected(live.message.id))
-            live.message.body.close()
+        remaining_ms = request.deadline_ms - now_ms()
+        if remaining_ms > 0.0:  # the loop's clock may run ahead: failing early would be a broken promise
+            request.deadline_timer = self._loop.call_later(
+                remaining_ms / 1000.0 + 0.001, self._on_deadline, request
+            )
+        elif self._remove_request(request):
+            logs.warning("overdue", "request %(id)s was not ended by its deadline", id=request.message.id)
+            self.metrics.on_request_completed(request.message.cls, 504)
+            request.answering.answer(Reply(504, b"no answer in time"))
+            self._handle(api.ClientDisconnected(request.message.id))
+            request.message.body.close()
 
     # The module
 
@@ -400,18 +409,18 @@
                     logs.exception("error", "handling %(what)s", what=type(event).__name__)
                     continue
                 for action in actions:
-                    self._try(action)
+                    self._perform_guarded(action)
         finally:
             self._handling = False
 
-    def _try(self, action: api.Action) -> None:
+    def _perform_guarded(self, action: api.Action) -> None:
         """Do one thing; where that fails, the others that were asked for with it are done all the same."""
         try:
-            self._do(action)
+            self._perform(action)
         except Exception:
             logs.exception("error", "doing %(what)s", what=type(action).__name__)
 
-    def _do(self, action: api.Action) -> None:
+    def _perform(self, action: api.Action) -> None:
         match action:
             case api.Send():
                 self._send(action)
@@ -435,75 +444,81 @@
     # Attempts
 
     def _send(self, action: api.Send) -> None:
-        live, server = self._live.get(action.id), action.server
-        if live is not None and self._left(live):
-            live = None
-        if live is None or server not in self._in_service or not live.message.body.is_replayable():
-            number = len(live.attempts) if live is not None else 0
-            repeatable = live is not None and live.message.body.is_replayable()
-            settled = live is None
+        request, server = self._open_requests.get(action.id), action.server
+        if request is not None and self._caller_has_left(request):
+            request = None
+        if request is None or server not in self._in_service or not request.message.body.is_replayable():
+            number = len(request.attempts) if request is not None else 0
+            repeatable = request is not None and request.message.body.is_replayable()
+            settled = request is None
             event = api.AttemptCompleted(
                 action.id, number, server, Result.NOT_SENT, 0.0, settled, None, repeatable
             )
             return self._handle(event)
         # Cut to what is left: an outcome must come before the answer is due.
-        timeout_ms = max(0.0, min(action.timeout_ms, live.ends_ms - MARGIN_MS - now_ms()))
-        address, body = self._addresses[server], live.message.body
+        timeout_ms = max(0.0, min(action.timeout_ms, request.deadline_ms - DEADLINE_MARGIN_MS - now_ms()))
+        address, body = self._addresses[server], request.message.body
         chunked = not body.complete and body.length is None
-        sending, number = Sending(self, live, server, timeout_ms), len(live.attempts)
-        head = request_head(live.message, address, timeout_ms, chunked)
+        sending, number = AttemptHandler(self, request, server, timeout_ms), len(request.attempts)
+        head = request_head(request.message, address, timeout_ms, chunked)
         attempt = self._upstream.send(
             server, address, head, body, chunked, timeout_ms, sending, action.send_window_ms
         )
-        live.attempts.append(attempt)
+        request.attempts.append(attempt)
         if not attempt.over:
             self._attempts[action.id, number] = attempt
 
-    def may_send(self, live: Live, server: int) -> bool:
+    def may_send(self, request: OpenRequest, server: int) -> bool:
         """Whether an attempt should still go out."""
-        return self._live.get(live.message.id) is live and server in self._in_service and not self._left(live)
+        return (
+            self._open_requests.get(request.message.id) is request
+            and server in self._in_service
+            and not self._caller_has_left(request)
+        )
 
-    def _left(self, live: Live) -> bool:
+    def _caller_has_left(self, request: OpenRequest) -> bool:
         """Whether a request's caller has gone: asked in the moment in which an attempt would begin."""
-        if live.answering.gone():
-            self.caller_gone(live)
+        if request.answering.gone():
+            self.caller_gone(request)
             return True
         return False
 
-    def began(self, live: Live, event: api.StreamStarted, answer: Answer, flow: Flow) -> None:
+    def began(self, request: OpenRequest, event: api.StreamStarted, answer: Answer, flow: Flow) -> None:
         """An answer flows: the request is bound to it, and no deadline cuts it off."""
-        if self._live.get(live.message.id) is not live:  # nobody waits for it
+        if self._open_requests.get(request.message.id) is not request:  # nobody waits for it
             attempt = self._attempts.get((event.id, event.attempt))
             if attempt is not None:
                 self._loop.call_soon(attempt.break_off, Result.CANCELLED)
             return
-        if live.backstop is not None:
-            live.backstop.cancel()
-        live.answering.begin(answer.content_type, answer.length, flow)
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+        request.answering.begin(answer.content_type, answer.length, flow)
         self._handle(event)
 
-    def ended(self, live: Live, event: api.AttemptCompleted, answer: Answer | None) -> None:
+    def ended(self, request: OpenRequest, event: api.AttemptCompleted, answer: Answer | None) -> None:
         """An attempt is over; with a whole answer the request is, and with a broken one that flowed."""
         attempt = self._attempts.pop((event.id, event.attempt), None)
-        owed = self._live.get(event.id) is live
-        if owed and attempt is not None and attempt.flowing:
-            self._drop(live)
+        is_open = self._open_requests.get(event.id) is request
+        if is_open and attempt is not None and attempt.flowing:
+            self._remove_request(request)
             served = event.result is Result.SERVED
-            self.figures.on_request_completed(live.message.cls, 200 if served else 502)
-            live.answering.finish() if served else live.answering.break_off()
-            live.message.body.close()
-        elif owed and event.result is Result.SERVED and answer is not None:
+            self.metrics.on_request_completed(request.message.cls, 200 if served else 502)
+            request.answering.finish() if served else request.answering.break_off()
+            request.message.body.close()
+        elif is_open and event.result is Result.SERVED and answer is not None:
             self._finish(event.id, Reply(200, answer.body, answer.content_type))
-        event.final = self._live.get(event.id) is not live
+        event.final = self._open_requests.get(event.id) is not request
         self._handle(event)
         if self._shared is not None:
-            self._shared.on_attempt_completed(event.server, live.message.cls, event.result, event.duration_ms)
+            self._shared.on_attempt_completed(
+                event.server, request.message.cls, event.result, event.duration_ms
+            )
 
     # Discovery
 
     def _on_server_list(self, listing: ServerList | None, why: str) -> None:
         if listing is not None:
-            self._take_listing(
+            self._apply_server_list(
                 listing, api.ListUpdateKind.SNAPSHOT if listing.is_snapshot else api.ListUpdateKind.DELTA
             )
             return
@@ -511,19 +526,19 @@
         if self.config.settings.subscribes:
             self._handle(api.ServerListUpdate(api.ListUpdateKind.FAILED))
         else:
-            self._loop.call_later(self.pause_s(), self._discovery.subscribe)
+            self._loop.call_later(self.retry_delay_s(), self._discovery.subscribe)
 
-    def pause_s(self) -> float:
+    def retry_delay_s(self) -> float:
         """With jitter: what fails at one node often fails at all of them in the same moment."""
-        return PUSHED_RETRY_S * (0.5 + self._rng.random())
+        return DISCOVERY_RETRY_S * (0.5 + self._rng.random())
 
-    def _take_listing(self, listing: ServerList, kind: api.ListUpdateKind) -> None:
+    def _apply_server_list(self, listing: ServerList, kind: api.ListUpdateKind) -> None:
         if kind is not api.ListUpdateKind.DELTA:
             for server in self._addresses.keys() - listing.addresses.keys():
-                self._forget(server)
+                self._forget_server(server)
         for entry in listing.entries:
             if entry.health is api.Health.TERMINATED:
-                self._forget(entry.server)
+                self._forget_server(entry.server)
                 continue
             self._addresses[entry.server] = listing.addresses[entry.server]
             if entry.health is api.Health.IN_SERVICE:
@@ -534,7 +549,7 @@
         if self._shared is not None:
             self._shared.on_server_list(listing)
 
-    def _forget(self, server: int) -> None:
+    def _forget_server(self, server: int) -> None:
         self._in_service.discard(server)
         self._addresses.pop(server, None)
         self._upstream.forget_server(server)
--- a/lab/capacity/membership.py
+++ b/lab/capacity/membership.py
@@ -16,7 +16,7 @@
 from dunlinloft.fleet.messages import Header, Ping, State
 from dunlinloft.fleet.wire import Wire
 from dunlinloft.node.config import parse_config
-from dunlinloft.node.fleet.peers import Own, Peers
+from dunlinloft.node.fleet.peers import MemberIdentity, Peers
 from dunlinloft.node.fleet.shared import membership_update
 from dunlinloft.node.fleet.singleton_roles import MEMBERSHIP_INTERVAL_S
 from dunlinloft.node.fleet_config import FleetConfig
@@ -50,12 +50,12 @@
         share = frozenset(("verdicts", "limits"))
         fleet = FleetConfig(FLEET, "127.0.0.1:7400", sizes.address(0), [sizes.address(1)], voters, share)
         self.peers = Peers(
-            cast(Any, self.loop), Own.of(config), fleet, lambda *place: None, lambda: 8,
+            cast(Any, self.loop), MemberIdentity.from_config(config), fleet, lambda *place: None, lambda: 8,
             Balancer(config.settings, 1), settings=config.settings,
         )  # fmt: skip
         self.peers.handle(fleet_api.Started())
-        assert self.peers.work is not None and self.peers.shared is not None
-        self.peers.work.begin()
+        assert self.peers.roles is not None and self.peers.shared is not None
+        self.peers.roles.begin()
         self.peers.shared.begin()
 
     @property
@@ -120,7 +120,7 @@
     peers.member_count.observe({sizes.name(0)}, 0.0)
     count = len(core.view.members)
     # As each second, and at each change of the view.
-    found = {"recount": best_ms(partial(peers.told, 0, count + 1))}
+    found = {"recount": best_ms(partial(peers.on_settings_changed, 0, count + 1))}
     found["shared"] = best_ms(
         lambda: peers.shared and peers.shared.core.handle(membership_update(core, peers.member_count), 0.0)
     )
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -12,7 +12,7 @@
 
 from dunlinloft.fleet import interface as api
 from dunlinloft.node.config import Config, parse_config
-from dunlinloft.node.fleet.peers import Own, Peers
+from dunlinloft.node.fleet.peers import MemberIdentity, Peers
 from lab.scale import talk
 
 TURN_S = 0.05  # how often it is looked whether this process is late
@@ -23,13 +23,15 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, deaths: list[talk.Death]) -> None:
         assert config.fleet is not None
-        super().__init__(loop, Own.of(config), config.fleet, lambda number, nodes: None, lambda: 0)
+        super().__init__(
+            loop, MemberIdentity.from_config(config), config.fleet, lambda number, nodes: None, lambda: 0
+        )
         self._deaths = deaths
 
-    def _do(self, action: api.Action) -> None:
+    def _perform(self, action: api.Action) -> None:
         if isinstance(action, api.MemberChanged) and action.change is api.MemberChange.DEAD:
             self._deaths.append(talk.Death(self.core.name, action.name, time.monotonic()))
-        super()._do(action)
+        super()._perform(action)
 
     def holds(self, name: str) -> bool:
         """Whether it takes this member to be there."""
@@ -66,7 +68,7 @@
             case talk.Drop():
                 member = self._members.pop(command.name)
                 self._gone.update(member.counts)
-                member.depart(handing_over=True)
+                member.leave_fleet(handing_over=True)
             case talk.Holders():
                 return talk.Holding(sum(member.holds(command.name) for member in self._members.values()))
         return self._look()
--- a/lab/scale/limits.py
+++ b/lab/scale/limits.py
@@ -7,7 +7,7 @@
 
 import socket
 
-from dunlinloft.node.fleet.peers import MOST_IN, MOST_OUT
+from dunlinloft.node.fleet.peers import MAX_INBOUND_STREAMS, MAX_OUTBOUND_STREAMS
 from dunlinloft.node.fleet_config import MIN_CELL_SIZE
 from lab.scale.plan import CELLS_APART_S, Machine, Plan
 
@@ -23,7 +23,7 @@
 VIRTUAL_ENTRY_US, VIRTUAL_MEMBER_MS = 30.0, 0.6  # of a core: an entry at the start, a member and second
 START_S, JOIN_S, KNOWN_S = 2.0, 10.0, 4.0  # about what a start, an agreement and a crash take
 OWN_FILES = 64  # descriptors of a process beside its members' own
-MEMBER_FILES = 2 + MOST_IN + MOST_OUT
+MEMBER_FILES = 2 + MAX_INBOUND_STREAMS + MAX_OUTBOUND_STREAMS
 
 
 class Refused(Exception):
--- a/lab/virtual/member.py
+++ b/lab/virtual/member.py
@@ -17,7 +17,7 @@
 from dunlinloft.fleet.releases.controller import LOOK_INTERVAL_MS
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.shared_state.core import AFFINITY, RELEASES, SharedState, class_hash
-from dunlinloft.node.fleet.peers import COUNT_S, of_tier
+from dunlinloft.node.fleet.peers import COUNT_INTERVAL_S, alive_in_tier
 from dunlinloft.node.fleet.releases import Releases
 from dunlinloft.node.fleet.shared import (
     ATTEMPT_OUTCOMES,
@@ -185,11 +185,11 @@
 
     def _count(self) -> None:
         self.recount()
-        self.later(1000.0 * COUNT_S, self._count)
+        self.later(1000.0 * COUNT_INTERVAL_S, self._count)
 
     def recount(self) -> None:
         """As a node does: its place among those that count."""
-        self.census.observe(of_tier(self.core, self._tier), self.now())
+        self.census.observe(alive_in_tier(self.core, self._tier), self.now())
         at = self.census.position()
         if at != self._place:
             self._place = at
--- a/lab/virtual/node.py
+++ b/lab/virtual/node.py
@@ -16,9 +16,9 @@
 from dunlinloft.balancer.interface import Result
 from dunlinloft.balancer.settings import read_settings
 from dunlinloft.fleet import interface as fleet_api
-from dunlinloft.node.__main__ import ACCEPT_ON_S
+from dunlinloft.node.__main__ import ACCEPT_AFTER_SIGTERM_S
 from dunlinloft.node.http.upstream import IDLE_SHARE
-from dunlinloft.node.node import KNOWN_AGAIN_S, MARGIN_MS
+from dunlinloft.node.node import DEADLINE_MARGIN_MS, UNKNOWN_ZONE_RETRY_S
 from dunlinloft.node.server_list import STATUSES, start_id
 from lab import records
 from lab.callers import Done, Order
@@ -129,7 +129,9 @@
 
     def come(self, order: Order, done: Done) -> None:
         """A request's last byte has come to its machine: it is worked on when there is a core for it."""
-        if not self.alive or (self.ending and self._host.now() >= self.draining_ms + 1000.0 * ACCEPT_ON_S):
+        if not self.alive or (
+            self.ending and self._host.now() >= self.draining_ms + 1000.0 * ACCEPT_AFTER_SIGTERM_S
+        ):
             return self._host.answer(self.name, order, done, UNREACHED, "", 0.0)
         now = self._host.now()
         self._busy_ms = max(self._busy_ms, now) + self._cpu_ms / self.share
@@ -147,10 +149,10 @@
         now = self.now()
         live = self._live[order.id] = Live(order, now + order.budget_ms, done)
         self.after(order.budget_ms, self._overdue, order.id, live)
-        ttl = max(0.0, order.budget_ms - MARGIN_MS)
+        ttl = max(0.0, order.budget_ms - DEADLINE_MARGIN_MS)
         pin, known = self._bound(order)
         if not known:
-            return self._finish(order.id, 503, "", 1000.0 * KNOWN_AGAIN_S)
+            return self._finish(order.id, 503, "", 1000.0 * UNKNOWN_ZONE_RETRY_S)
         self.handle(api.Request(order.id, order.name, ttl, order.tenant or None, False, pinned_group=pin))
 
     def _bound(self, order: Order) -> tuple[str | None, bool]:
@@ -187,7 +189,7 @@
 
     def end_if_done(self) -> None:
         """End, once told to, when all that was taken is answered."""
-        over = self._host.now() >= self.draining_ms + 1000.0 * ACCEPT_ON_S
+        over = self._host.now() >= self.draining_ms + 1000.0 * ACCEPT_AFTER_SIGTERM_S
         if self.ending and self.alive and over and not self._live:
             self._host.ended(self)
 
@@ -241,7 +243,7 @@
             event = api.AttemptCompleted(id, count, number, Result.NOT_SENT, 0.0, live is None)
             return self.handle(event)
         now = self._host.now()
-        timeout_ms = max(0.0, min(timeout_ms, live.ends_ms - MARGIN_MS - self.now()))
+        timeout_ms = max(0.0, min(timeout_ms, live.ends_ms - DEADLINE_MARGIN_MS - self.now()))
         new = not self._reuse(server, now)
         attempt = Attempt(self, live, server, now, new)
         live.attempts.append(attempt)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -137,12 +137,12 @@
             message = request("a", "pay", budget="0.2", body=BIG)
             caller.write(message[:-1000])
             await until(lambda: arrived > 500_000)
-            assert scene.node.figures.to_json()["inflight"] == 0
+            assert scene.node.metrics.to_json()["inflight"] == 0
             await asyncio.sleep(0.3)  # longer than it will wait once it is whole
             caller.write(message[-1000:])
             first, body = await got(caller)
             assert ("200" in first, body) == (True, b"OK")
-            assert scene.node.figures.to_json()["calls"]["pay"]["success"] == 1
+            assert scene.node.metrics.to_json()["calls"]["pay"]["success"] == 1
 
     run(test())
 
@@ -201,8 +201,8 @@
                 first, body = await got(caller)
                 assert "200" in first and body == expected
             assert scene.node is not None and held(scene) == 0
-            assert scene.node.figures.to_json()["calls"]["read"]["success"] == 2
-            assert scene.node.figures.to_json()["inflight"] == 0
+            assert scene.node.metrics.to_json()["calls"]["read"]["success"] == 2
+            assert scene.node.metrics.to_json()["inflight"] == 0
 
     run(test())
 
@@ -258,7 +258,7 @@
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
                 await got(caller)
             assert scene.node is not None and held(scene) == 0
-            assert scene.node.figures.to_json()["calls"]["read"] == {"success": 0, "busy": 0, "failure": 1}
+            assert scene.node.metrics.to_json()["calls"]["read"] == {"success": 0, "busy": 0, "failure": 1}
             assert served == 1, "an answer that has begun binds its request"
 
     run(test())
@@ -492,7 +492,7 @@
             caller.write(message[-1000:])
             assert await body_of(caller.reader, head) == BIG
             assert scene.node is not None
-            assert scene.node.figures.to_json()["calls"]["pay"] == {"success": 1, "busy": 0, "failure": 0}
+            assert scene.node.metrics.to_json()["calls"]["pay"] == {"success": 1, "busy": 0, "failure": 0}
 
     run(test())
 
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -20,9 +20,9 @@
 from dunlinloft.cli.handlers.cells import cell_lines, render_directory
 from dunlinloft.cli.handlers.config_check import check_file
 from dunlinloft.fleet.cells.partition import name_path
-from dunlinloft.node.config import BadConfig, DirectoryConfig, read_directory
+from dunlinloft.node.config import ConfigFileError, DirectoryConfig, read_directory_config
 from dunlinloft.node.fleet.directory import DirectoryHost
-from dunlinloft.node.fleet.peers import Own, Peers
+from dunlinloft.node.fleet.peers import MemberIdentity, Peers
 from dunlinloft.node.fleet_config import CellsConfig, FleetConfig
 from lab.processes.block import Block, text
 from tests.peers import LIMIT_S, run, settings, until
@@ -61,7 +61,7 @@
         at = text(self.block.peer(n))
         fleet = FleetConfig("linz", at, at, self._seeds, [])
         fleet.cells = CellsConfig("booking", "east", MOST, self._places)
-        own = Own(f"m{n}", n, "z1", 0, n, self._first)
+        own = MemberIdentity(f"m{n}", n, "z1", 0, n, self._first)
         peers = Peers(asyncio.get_running_loop(), own, fleet, lambda number, nodes: None, lambda: 2)
         self.members[own.name] = peers
         peers.start()
@@ -81,7 +81,7 @@
 
     async def close(self) -> None:
         for peers in self.members.values():
-            peers.depart(handing_over=True)
+            peers.leave_fleet(handing_over=True)
         for host in self.directory:
             await host.stop()
         self.block.release()
@@ -167,7 +167,7 @@
     fleet = {"name": "linz", "bind": "127.0.0.1:7400", "seeds": []}
     made = config(tmp_path, fleet=fleet | {"cells": good})
     assert made.fleet is not None and made.fleet.cells is not None and made.fleet.cells.max_members == 100
-    with pytest.raises(BadConfig) as caught:
+    with pytest.raises(ConfigFileError) as caught:
         config(tmp_path, fleet=fleet | more | {"cells": good | cells})
     said = str(caught.value)
     assert line in said and "\n" not in said
@@ -181,7 +181,7 @@
 
 
 def test_a_directorys_invalid_settings_are_rejected_in_one_line_with_their_path(tmp_path: Path) -> None:
-    assert read_directory(str(directory_file(tmp_path))).fleet.name == "linz"
+    assert read_directory_config(str(directory_file(tmp_path))).fleet.name == "linz"
     assert check_file(directory_file(tmp_path), of_directory=True) == []
     cases: list[tuple[dict[str, Any], str]] = [
         ({"fleet": None}, "'fleet' is missing"),
@@ -192,8 +192,8 @@
         ),
     ]
     for more, line in cases:
-        with pytest.raises(BadConfig) as caught:
-            read_directory(str(directory_file(tmp_path, **more)))
+        with pytest.raises(ConfigFileError) as caught:
+            read_directory_config(str(directory_file(tmp_path, **more)))
         assert line in str(caught.value) and "\n" not in str(caught.value)
         assert len(check_file(directory_file(tmp_path, **more), of_directory=True)) >= 1
 
--- a/tests/test_discovery_bound.py
+++ b/tests/test_discovery_bound.py
@@ -14,8 +14,8 @@
 
 from dunlinloft.balancer.balancer import RESUBSCRIBE_MAX_MS
 from dunlinloft.node.addresses import parse_address
-from dunlinloft.node.discovery import CALL_MS, GRACE_MS, WATCH_MS
-from dunlinloft.node.node import PUSHED_RETRY_S
+from dunlinloft.node.discovery import CALL_TIMEOUT_MS, WATCH_GRACE_MS, WATCH_WAIT_MS
+from dunlinloft.node.node import DISCOVERY_RETRY_S
 from tests.peers import CLOSE, HANG, RESET, Registry, Seen, Server, World, answer, world
 from tests.test_rare_moments import hanging
 from tests.virtual_time import run_virtually
@@ -96,9 +96,9 @@
 
 def test_the_worst_case_adds_up_to_less_than_the_bound() -> None:
     """A silent watch, then three calls in a row that fail as late as they can, each after its pause."""
-    for pause_ms, in_a_row in ((1_500.0 * PUSHED_RETRY_S, 3), (1.5 * RESUBSCRIBE_MAX_MS, 2)):
-        assert WATCH_MS + GRACE_MS + pause_ms + in_a_row * (CALL_MS + pause_ms) < MOST_MS
-    assert 3 * (CALL_MS + 1_500.0 * PUSHED_RETRY_S) < MOVED_MS
+    for pause_ms, in_a_row in ((1_500.0 * DISCOVERY_RETRY_S, 3), (1.5 * RESUBSCRIBE_MAX_MS, 2)):
+        assert WATCH_WAIT_MS + WATCH_GRACE_MS + pause_ms + in_a_row * (CALL_TIMEOUT_MS + pause_ms) < MOST_MS
+    assert 3 * (CALL_TIMEOUT_MS + 1_500.0 * DISCOVERY_RETRY_S) < MOVED_MS
 
 
 @pytest.mark.parametrize("mode", [PUSHED, ASKED])
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -53,15 +53,15 @@
             callers = [await scene.caller() for _ in range(40)]
             for n, caller in enumerate(callers):
                 assert (await caller.ask(f"{n}")).status == 200
-            assert node.frontend.count() == 40 and node._room() > 0
-            node.share([24])  # another one has begun
-            assert node._room() == 40 - 24 - 40 - node._upstream.count()
-            await until(lambda: node._room() >= 0)
+            assert node.frontend.count() == 40 and node._available_sockets() > 0
+            node.share_sockets([24])  # another one has begun
+            assert node._available_sockets() == 40 - 24 - 40 - node._upstream.count()
+            await until(lambda: node._available_sockets() >= 0)
             assert node.sockets() + 24 <= 80 and node.frontend.count() > 0
-            node.share([70])  # holds more than its half
-            assert node._part == 10
-            node.share([])
-            assert node._part == 80
+            node.share_sockets([70])  # holds more than its half
+            assert node._socket_limit == 10
+            node.share_sockets([])
+            assert node._socket_limit == 80
 
     run(test())
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -13,7 +13,7 @@
 from dunlinloft.cli import main
 from dunlinloft.node import management
 from dunlinloft.node.config import read_config
-from dunlinloft.node.figures import Figures
+from dunlinloft.node.figures import NodeMetrics
 from dunlinloft.node.http import frontend
 from tests.peers import Caller, Server, World, answer, request, run, until, world
 
@@ -131,7 +131,7 @@
 
 
 def test_a_class_that_vanishes_keeps_its_figures() -> None:
-    figures = Figures(["old"])
+    figures = NodeMetrics(["old"])
     figures.on_request_completed("old", 200)
     figures.add_classes(["new"])
     figures.on_request_completed("old", 502)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -24,7 +24,7 @@
 from dunlinloft.node.http import frontend
 from dunlinloft.node.http.frontend import Caller
 from dunlinloft.node.http.upstream import Attempt
-from dunlinloft.node.node import PUSHED_RETRY_S, Live
+from dunlinloft.node.node import DISCOVERY_RETRY_S, OpenRequest
 from dunlinloft.node.server_list import server_id
 from tests.peers import (
     CLOSE,
@@ -42,14 +42,18 @@
 )
 from tests.test_wire import ROOT
 
-MOST_RETRY_MS = 1.5 * PUSHED_RETRY_S * 1000.0  # with all its jitter
-WATCH_MS, GRACE_MS, CALL_MS = discovery.WATCH_MS, discovery.GRACE_MS, discovery.CALL_MS
+MOST_RETRY_MS = 1.5 * DISCOVERY_RETRY_S * 1000.0  # with all its jitter
+WATCH_WAIT_MS, WATCH_GRACE_MS, CALL_TIMEOUT_MS = (
+    discovery.WATCH_WAIT_MS,
+    discovery.WATCH_GRACE_MS,
+    discovery.CALL_TIMEOUT_MS,
+)
 
 
 @pytest.fixture(autouse=True)
 def patient_watches(monkeypatch: pytest.MonkeyPatch) -> None:
     """Peers here speak when a test tells them to: on a slow machine no watch may run out meanwhile."""
-    monkeypatch.setattr(discovery, "WATCH_MS", 60_000)
+    monkeypatch.setattr(discovery, "WATCH_WAIT_MS", 60_000)
 
 
 def test_a_keyed_request_that_may_have_run_stays_within_its_group(tmp_path: Path) -> None:
@@ -181,17 +185,19 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """disco+vast: watches of all nodes fell silent, and a whole release went unseen for 21.5 s."""
-    assert GRACE_MS + MOST_RETRY_MS < 2_000.0 and CALL_MS + MOST_RETRY_MS < 4_000.0
-    assert WATCH_MS + GRACE_MS + MOST_RETRY_MS < 4_000.0  # servers drain for some seconds, and are gone
-    monkeypatch.setattr(discovery, "WATCH_MS", 0)
-    monkeypatch.setattr(discovery, "GRACE_MS", 50)
+    assert WATCH_GRACE_MS + MOST_RETRY_MS < 2_000.0 and CALL_TIMEOUT_MS + MOST_RETRY_MS < 4_000.0
+    assert (
+        WATCH_WAIT_MS + WATCH_GRACE_MS + MOST_RETRY_MS < 4_000.0
+    )  # servers drain for a few seconds, then exit
+    monkeypatch.setattr(discovery, "WATCH_WAIT_MS", 0)
+    monkeypatch.setattr(discovery, "WATCH_GRACE_MS", 50)
 
     async def test() -> None:
         server, other = Server(name="old"), Server(name="new")
         await other.start()
         async with world(tmp_path, server) as scene:
             await until(lambda: len(scene.registry.seen) >= 2)  # the first watch is never answered
-            monkeypatch.setattr(discovery, "GRACE_MS", 60_000)
+            monkeypatch.setattr(discovery, "WATCH_GRACE_MS", 60_000)
             assert all("index=1&" in seen.target for seen in scene.registry.seen)
             for _ in scene.registry.seen:  # those given up wait for news as well
                 scene.registry.tell(server.entry(status="left"), other.entry(), index=2)
@@ -207,9 +213,9 @@
     async def test() -> None:
         async with world(tmp_path) as scene:
             assert scene.node is not None
-            waits = [scene.node.pause_s() for _ in range(100)]
+            waits = [scene.node.retry_delay_s() for _ in range(100)]
             assert len(set(waits)) > 90
-            assert all(0.5 * PUSHED_RETRY_S <= s <= 1.5 * PUSHED_RETRY_S for s in waits)
+            assert all(0.5 * DISCOVERY_RETRY_S <= s <= 1.5 * DISCOVERY_RETRY_S for s in waits)
 
     run(test())
 
@@ -294,7 +300,7 @@
             await until(lambda: len(server.seen) == 1)
             caller.writer.close()
             assert scene.node is not None
-            await until(lambda: not scene.node or not scene.node._live)
+            await until(lambda: not scene.node or not scene.node._open_requests)
             server.gate.set()
             assert (await scene.ask("a")).status == 200  # its id is free again
             assert [seen.id for seen in server.seen] == ["a", "a"]  # and nobody retried for it
@@ -527,7 +533,9 @@
                 caller.writer.close()
             await until(lambda: scene.node is not None and not scene.node.frontend.count())
             await until(lambda: server.lost == server.connections)
-            kept = [type(o).__name__ for o in gc.get_objects() if isinstance(o, Caller | Live | Attempt)]
+            kept = [
+                type(o).__name__ for o in gc.get_objects() if isinstance(o, Caller | OpenRequest | Attempt)
+            ]
             assert len(kept) <= 3, kept  # the last one's may still be on the event loop's way
 
     try:
@@ -691,19 +699,19 @@
             for text in broken:
                 scene.path.write_text(text)
                 reload(node, str(scene.path))
-            assert (node.figures.reconfig_ok, node.figures.reconfig_failed) == (0, len(broken))
+            assert (node.metrics.reconfig_ok, node.metrics.reconfig_failed) == (0, len(broken))
             assert f"{node.config.discovery[0]}:{node.config.discovery[1]}" == scene.registry.address
 
             _, pay, save = good["classes"]
             new = pay | {"name": "new"}
             scene.path.write_text(json.dumps(scene.config | {"settings": good | {"classes": [new, save]}}))
             reload(node, str(scene.path))
-            assert (node.figures.reconfig_ok, node.figures.reconfig_failed) == (1, len(broken))
+            assert (node.metrics.reconfig_ok, node.metrics.reconfig_failed) == (1, len(broken))
             server.gate.set()
             assert (await held.read()).status == 200, "its class has vanished, but it came before"
             assert (await scene.ask("a", "new")).status == 200
             assert (await scene.ask("b", "read")).status == 400
-            calls = node.figures.to_json()["calls"]
+            calls = node.metrics.to_json()["calls"]
             assert (calls["read"]["success"], calls["new"]["success"]) == (1, 1)
 
     run(test())
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -10,7 +10,7 @@
 
 from dunlinloft.balancer import interface as api
 from dunlinloft.balancer.interface import Result
-from dunlinloft.node.config import BadConfig, read_change, read_config
+from dunlinloft.node.config import ConfigFileError, read_config, reread_config
 from tests import peers
 from tests.helpers import SAFE, Node, ends, entries, settings
 
@@ -81,7 +81,7 @@
     container[keys[-1]] = value
     file.write_text(json.dumps(config))
     for previous in (None, valid):
-        with pytest.raises(BadConfig) as caught:
-            read_config(str(file)) if previous is None else read_change(str(file), previous)
+        with pytest.raises(ConfigFileError) as caught:
+            read_config(str(file)) if previous is None else reread_config(str(file), previous)
         text = str(caught.value)
         assert text.startswith(f"{file}: {path}: ") and expected in text and "\n" not in text
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -19,8 +19,8 @@
 from dunlinloft.fleet import wire
 from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.messages import Header, Ping, Record, State
-from dunlinloft.node.config import BadConfig, Config, read_config
-from dunlinloft.node.fleet.peers import MOST_IN, Own, Peers
+from dunlinloft.node.config import Config, ConfigFileError, read_config
+from dunlinloft.node.fleet.peers import MAX_INBOUND_STREAMS, MemberIdentity, Peers
 from dunlinloft.node.fleet_config import FleetConfig
 from lab.processes.block import Block, text
 from lab.processes.day import play_processes
@@ -61,7 +61,11 @@
         made = config(self._path, name, n, self._nodes)
         note = self.placed[name]
         return Peers(
-            asyncio.get_running_loop(), Own.of(made), fleet, lambda *place: note.append(place), lambda: 3
+            asyncio.get_running_loop(),
+            MemberIdentity.from_config(made),
+            fleet,
+            lambda *place: note.append(place),
+            lambda: 3,
         )
 
     def agree(self, count: int) -> bool:
@@ -72,7 +76,7 @@
 
     def close(self) -> None:
         for member in self.members.values():
-            member.depart(handing_over=True)
+            member.leave_fleet(handing_over=True)
         self.block.release()
 
 
@@ -82,14 +86,14 @@
         try:
             await until(lambda: scene.agree(3))
             leaving = scene.members.pop("n3")
-            leaving.depart(handing_over=False)
+            leaving.leave_fleet(handing_over=False)
             await until(lambda: scene.agree(2))
             assert scene.members["n1"].core.view.members["n3"].status == 3
             old = scene.members["n2"]
             new = scene.members["n2"] = scene.make("n2", 1)
             new.start()  # waits for the address
             await asyncio.sleep(0)
-            old.depart(handing_over=True)
+            old.leave_fleet(handing_over=True)
             await until(lambda: scene.agree(2) and new.core.alive_count() == 2)
             seen = scene.members["n1"].core.view.members["n2"]
             assert seen.incarnation == new.core.incarnation
@@ -131,13 +135,13 @@
                 reader, writer = await asyncio.open_connection(*at)
                 writer.write(data)
                 writers.append((reader, writer))
-            crowd = [await asyncio.open_connection(*at) for _ in range(MOST_IN + 4)]
+            crowd = [await asyncio.open_connection(*at) for _ in range(MAX_INBOUND_STREAMS + 4)]
             for reader, writer in (*writers, *crowd):
                 assert await asyncio.wait_for(reader.read(), 30.0) == b""
                 writer.close()
             assert member.counts["errors"] == 0
             assert member.core.alive_count() == 1
-            assert {"foreign", "version", "long", "crowd"} <= set(member.reasons)
+            assert {"foreign", "version", "long", "crowd"} <= set(member.rejection_counts)
         finally:
             scene.close()
 
@@ -148,7 +152,7 @@
     fleet = {"name": "linz", "bind": "127.0.1.3:7400", "seeds": ["127.0.2.1:7400"]}
     assert config(tmp_path, fleet=fleet).fleet is not None
     for allowed, bad in ((False, fleet), (True, fleet | {"bind": "nowhere"}), (True, fleet | {"seeds": [5]})):
-        with pytest.raises(BadConfig) as caught:
+        with pytest.raises(ConfigFileError) as caught:
             config(tmp_path, fleet=bad, settings=settings(permissions={"peers": allowed}))
         assert "\n" not in str(caught.value)
 
@@ -265,7 +269,7 @@
     tmp_path: Path, share: list[str], groups: list[str], siblings: int, place: str
 ) -> None:
     fleet = {"name": "linz", "bind": "127.0.0.1:7400", "seeds": [], "share": share, "groups": groups}
-    with pytest.raises(BadConfig, match=re.escape(place)):
+    with pytest.raises(ConfigFileError, match=re.escape(place)):
         config(tmp_path, nodes=siblings, fleet=fleet)
 
 
@@ -283,7 +287,7 @@
     async def test() -> None:
         scene = Scene(tmp_path, ["n1", "n2", "n3"], voters=["n1", "n2", "n3"])
         try:
-            hosts = [m.work for m in scene.members.values() if m.work is not None]
+            hosts = [m.roles for m in scene.members.values() if m.roles is not None]
             await until(lambda: any(h.table_status()[1]["step"] == "open" for h in hosts))
             holder = next(h for h in hosts if h.table_status()[1]["here"])
             other = next(h for h in hosts if h is not holder)
@@ -307,7 +311,7 @@
     async def test() -> None:
         scene = Scene(tmp_path, ["n1", "n2", "n3", "n4"], voters=["n1", "n2", "n3"])
         try:
-            hosts = [m.work for m in scene.members.values() if m.work is not None]
+            hosts = [m.roles for m in scene.members.values() if m.roles is not None]
             await until(lambda: any(h.table_status()[1]["step"] == "open" for h in hosts))
             holder = next(h for h in hosts if h.table_status()[1]["here"])
             assert next(h for h in hosts if h is not holder).change_voters("add=n4")[0] == 409
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -18,7 +18,7 @@
 from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.node.http import frontend
 from dunlinloft.node.http.frontend import Reply
-from dunlinloft.node.node import UNHEARD_S, Node
+from dunlinloft.node.node import DISCOVERY_WAIT_S, Node
 from tests.peers import (
     CLOSE,
     HANG,
@@ -190,7 +190,7 @@
             await asyncio.sleep(0)
             server.gate.set()
             assert scene.node is not None
-            await until(lambda: scene.node is not None and not scene.node._live)
+            await until(lambda: scene.node is not None and not scene.node._open_requests)
             assert not other.seen
         await other.stop()
 
@@ -212,7 +212,7 @@
             connection = await slow.accept()
             await until(lambda: dials(scene) == 0)
             assert scene.node is not None
-            await until(lambda: scene.node is not None and not scene.node._live)
+            await until(lambda: scene.node is not None and not scene.node._open_requests)
             assert came(connection) == b""
 
     run(test())
@@ -240,7 +240,7 @@
                 else:  # what is still to be sent would hold the end back: the peer's kernel has it all
                     own = caller.writer.get_extra_info("socket")
                     socket.socket(fileno=os.dup(own.fileno())).shutdown(socket.SHUT_WR)
-            await until(lambda: not node._live)
+            await until(lambda: not node._open_requests)
             assert came(await slow.accept(lambda: dials(scene) > 0)) == b""
             assert node.memory.used_bytes == 0
 
@@ -259,7 +259,7 @@
             node = scene.node
             await until(lambda: any(caller._full for caller in node.frontend._callers))
             writer.write_eof()
-            await until(lambda: not node._live)
+            await until(lambda: not node._open_requests)
             writer.transport.abort()
 
     run(test())
@@ -312,7 +312,7 @@
         async with world(tmp_path, Server(answer(body=body))) as scene:
             assert scene.node is not None
             connection = connected(scene, request("a", extra="Connection: close\r\n"))
-            await until(lambda: scene.node is not None and bool(scene.node._live))
+            await until(lambda: scene.node is not None and bool(scene.node._open_requests))
             got = 0
             loop = asyncio.get_running_loop()
             while got < len(body):
@@ -431,7 +431,7 @@
             for _ in range(6):
                 idle += [connected(scene) for _ in range(20)]
                 await asyncio.sleep(2.0 * frontend.SILENT_MS / 1000.0)  # by then they are known as silent
-            await until(lambda: node._room() <= 0 and node.frontend.count() < 60)
+            await until(lambda: node._available_sockets() <= 0 and node.frontend.count() < 60)
             server.hang_up()
             await until(lambda: not node._upstream._open)
             assert (await asker.ask("second")).status == 200  # its attempt needs a new connection
@@ -484,7 +484,7 @@
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
             first = asyncio.ensure_future(scene.ask("first", budget="0.5"))
-            await until(lambda: scene.node is not None and "first" in scene.node._live)
+            await until(lambda: scene.node is not None and "first" in scene.node._open_requests)
             assert (await scene.ask("second", budget="5")).status == 502
             assert (await first).status == 504  # by its backstop
 
@@ -503,15 +503,15 @@
             scene.config["known"]["endpoints"] = [] if empty else [server.entry(status="leaving")]
             scene.path.write_text(json.dumps(scene.config))
             await scene.begin()
-            assert scene.node is not None and not scene.node.serves()
-            await asyncio.sleep(UNHEARD_S + 0.1)
-            assert UNHEARD_S < 10.0 and scene.node.serves()
+            assert scene.node is not None and not scene.node.can_serve()
+            await asyncio.sleep(DISCOVERY_WAIT_S + 0.1)
+            assert DISCOVERY_WAIT_S < 10.0 and scene.node.can_serve()
             assert (await scene.ask("a", budget="2")).status == 503  # harmless, as there is nobody
             scene.registry.spoil.clear()
             scene.registry.whole = [server.entry(status="leaving")]
             scene.registry.tell(server.entry(status="leaving"))
             await asyncio.sleep(3.0)
-            assert not scene.node.serves()  # now it is known that there is nobody
+            assert not scene.node.can_serve()  # now it is known that there is nobody
 
     run_virtually(test())
 
