--- a/dunlinloft/node/node.py
+++ b/dunlinloft/node/node.py
@@ -1,7 +1,7 @@
-"""The node: turns what happens on sockets into the module's events and does what it answers.
+"""The node: turns socket activity into events for the balancer and performs the actions that it returns.
 
-Only this file calls `Balancer.handle`, one event at a time: an event that an action raises is queued.
-Every request taken is answered exactly once, at the latest by a backstop at its deadline.
+Only this module calls `Balancer.handle`, one event at a time: an event raised by an action is queued.
+Every accepted request is answered exactly once, at the latest by a timer at its deadline.
 """
 
 from __future__ import annotations
@@ -34,24 +34,23 @@
     from dunlinloft.node.fleet.peers import Peers
     from dunlinloft.node.fleet.shared import SharedHost
 
-DEADLINE_MARGIN_MS = 10.0  # of a budget: it ran before the request was read, and the answer takes its time
-RESERVED_SOCKETS = 24  # of the limit: listener, discovery, event loop, log, and sockets half closed
-AMPLE_SOCKET_SHARE = 0.25  # of the limit: with so much room idle callers may stay
-DISCOVERY_WAIT_S = (
-    5.0  # for discovery to answer a process that knows no server: it is ready within 10 s anyway
-)
-UNKNOWN_ZONE_RETRY_S = 0.5  # what is advised to a repeat whose place is not known yet
-DISCOVERY_RETRY_S = 0.25  # on average after a failure of the node's own agent, where lists come unasked
+# Kept back from a budget: part of it passed before the request was read, and the response takes time too.
+DEADLINE_MARGIN_MS = 10.0
+RESERVED_SOCKETS = 24  # of the limit: listener, discovery, event loop, log, and half-closed sockets
+AMPLE_SOCKET_SHARE = 0.25  # of the limit: while this much is free, idle client connections stay open
+DISCOVERY_WAIT_S = 5.0  # before a process that knows no server serves anyway: it must be ready within 10 s
+UNKNOWN_ZONE_RETRY_S = 0.5  # Retry-After of a retry whose zone is not known yet
+DISCOVERY_RETRY_S = 0.25  # mean delay after a failed call to the node's own agent, if it pushes lists
 
 
 class OpenRequest:
-    """A request that is owed its answer, with its attempts."""
+    """An accepted request that has not been answered yet, with its attempts."""
 
-    __slots__ = ("_node", "answering", "attempts", "backstop", "ends_ms", "message", "whole_ms")
+    __slots__ = ("_node", "answering", "attempts", "complete_ms", "deadline_ms", "deadline_timer", "message")
 
     def __init__(self, node: Node, message: Message, answering: Answering) -> None:
         self._node, self.message, self.answering = node, message, answering
-        self.complete_ms = self.deadline_ms = math.inf  # its time runs once it has come whole
+        self.complete_ms = self.deadline_ms = math.inf  # until the request is complete
         self.attempts: list[Attempt] = []
         self.deadline_timer: asyncio.TimerHandle | None = None
 
@@ -63,7 +62,7 @@
 
 
 class AttemptHandler:
-    """An attempt of a request as the node follows it."""
+    """Reports the progress of one attempt of a request to the node."""
 
     __slots__ = ("_id", "_request", "_node", "_number", "_sent_ms", "_server", "timeout_ms")
 
@@ -73,7 +72,7 @@
         self.timeout_ms = timeout_ms
 
     def _elapsed_ms(self) -> float:
-        """Since it was sent, or since its request was there whole, where that came later."""
+        """Return the time since the attempt was sent or the request was complete, whichever was later."""
         began_ms = max(self._sent_ms, self._request.complete_ms)
         return max(0.0, now_ms() - began_ms) if began_ms < math.inf else 0.0
 
@@ -99,7 +98,7 @@
 
 
 def request_head(message: Message, address: Address, timeout_ms: float, chunked: bool) -> bytes:
-    """The head of a request as it goes to a server."""
+    """Return the request line and headers that are sent to a server."""
     parts = [
         message.method, b" ", message.target, b" HTTP/1.1\r\nHost: ",
         f"{address[0]}:{address[1]}\r\nX-Call-Id: {message.id}\r\n".encode(),
@@ -125,16 +124,16 @@
         settings = config.settings
         self._balancer = Balancer(settings, config.seed)
         self._rng = random.Random(config.seed)
-        self._process_count = 1  # that are this node, and share its limits
-        self._socket_limit = config.sockets  # of them, for this process
+        self._process_count = 1  # processes of this node, which share its limits
+        self._socket_limit = config.sockets  # of this process
         self._events: deque[api.Event] = deque()
         self._handling = False
         self._open_requests: dict[str, OpenRequest] = {}
-        self._attempts: dict[tuple[str, int], Attempt] = {}  # those that are out
+        self._attempts: dict[tuple[str, int], Attempt] = {}  # in flight, by request and attempt number
         self.memory = Memory(config.memory_mb)
         self._addresses: dict[int, Address] = {}
         self._in_service: set[int] = set()
-        self._discovery_overdue = False  # discovery has been silent for so long that nobody waits for it
+        self._discovery_overdue = False  # discovery has not answered within `DISCOVERY_WAIT_S`
         self.metrics = NodeMetrics(self._balancer.classes)
         self.metrics.gauge(
             "inflight",
@@ -168,12 +167,12 @@
         self.admin.add("/admin/resume", "POST", self._resume)
         self._reserved_sockets = RESERVED_SOCKETS + (MAX_CALLERS if config.management is not None else 0)
         self._peers: Peers | None = None
-        self._shared: SharedHost | None = None  # what is shared with them
+        self._shared: SharedHost | None = None  # the state shared with the peers
         if config.fleet is not None:
             self._join_fleet(config.fleet)
 
     def _join_fleet(self, fleet: FleetConfig) -> None:
-        """Become a member of a fleet; a node alone does not even load what that needs."""
+        """Become a member of a fleet; its modules are imported here, so a standalone node loads none."""
         from dunlinloft.node.fleet import peers
 
         self._peers = peers.Peers(
@@ -202,16 +201,16 @@
             self.admin.add_query("/admin/releases/say", "POST", self._peers.releases.command)
 
     def _on_position_changed(self, number: int, nodes: int) -> None:
-        """The fleet has this node at another place: its part of servers and budgets follows."""
+        """Adapt the node's share of servers and budgets to its position in the fleet."""
         self._handle(api.Reconfigured(replace(self.config.settings, replica_index=number, replicas=nodes)))
 
     def leave_fleet(self, handing_over: bool) -> None:
-        """Tell the fleet that this process goes, before it drains."""
+        """Tell the fleet that this process ends, before it drains."""
         if self._peers is not None:
             self._peers.leave_fleet(handing_over)
 
     def start(self) -> None:
-        """Let the module begin, with the list as this node last had it."""
+        """Start the balancer with the last known server list, and subscribe to discovery."""
         if self._peers is not None:
             self._peers.start()
         self._apply_server_list(self.config.known, api.ListUpdateKind.CACHED)
@@ -221,13 +220,13 @@
         self._loop.call_later(DISCOVERY_WAIT_S, self._stop_waiting_for_discovery)
 
     def _stop_waiting_for_discovery(self) -> None:
-        """Serve without a word from discovery: whoever waits for this process can't wait for that too."""
+        """Serve although discovery has not answered: a process must become ready within a bounded time."""
         if not self._discovery.has_answered and not self._in_service:
-            logs.warning("unheard", "discovery has not answered and no server is known: serving all the same")
+            logs.warning("unheard", "discovery has not answered, no server is known: serving anyway")
             self._discovery_overdue = True
 
     def reload(self, config: Config) -> None:
-        """Take over what may change while the node runs: where discovery is, and the settings."""
+        """Apply what may change at run time: the address of discovery, and the settings."""
         settings = config.settings
         self.config = replace(self.config, settings=settings, discovery=config.discovery, keys=config.keys)
         self.metrics.add_classes(cls.name for cls in settings.classes)
@@ -241,10 +240,10 @@
         self._discovery.change_address(config.discovery)
 
     def share_sockets(self, others: list[int]) -> None:
-        """Other processes are this node too, and hold so many sockets: keep to a part of what all may use."""
+        """Share the node's limits with its other processes, given the sockets that each of them holds."""
         processes = 1 + len(others)
         limit = self.config.sockets
-        # What another holds beyond its part is not to be had before it has let go of it.
+        # Sockets that another process holds beyond its share are unavailable until it has closed them.
         self._socket_limit = min(limit // processes, limit - sum(others)) if others else limit
         if processes != self._process_count:
             self._process_count = processes
@@ -255,15 +254,18 @@
         self.frontend.shed(-self._available_sockets())
 
     def sockets(self) -> int:
-        """How many are in use here, with what else is open."""
+        """Return the number of sockets of this process, with the reserved ones."""
         return RESERVED_SOCKETS + self.admin.count() + self.frontend.count() + self._upstream.count()
 
     def can_serve(self) -> bool:
-        """Whether it knows a server to send to, or can't know soon: then it refuses, which is harmless."""
+        """Whether requests can be handled.
+
+        A server is known, or discovery is overdue: then requests are refused, which is harmless.
+        """
         return bool(self._in_service) or (self._discovery_overdue and not self._discovery.has_answered)
 
     async def stop(self) -> None:
-        """Finish all that is held and close."""
+        """Finish all open requests and close."""
         await self.frontend.shut_down()
         self._discovery.close()
         self.admin.close()
@@ -282,14 +284,14 @@
         return AdminReply(200, {"draining": True})
 
     def _resume(self) -> AdminReply:
-        logs.info("resumed", "the drain ends")
+        logs.info("resumed", "resumed: no longer draining")
         self.frontend.resume()
         if self._peers is not None:
             self._peers.set_draining(False)
         return AdminReply(200, {"draining": False})
 
     def _free_socket(self) -> bool:
-        """Give back a socket that nothing depends on: whoever is least likely to need it goes first."""
+        """Close an idle connection, the one least likely to be needed first; False if there is none."""
         silent = self.frontend.close_one_at_rest(silent=True)
         return silent or self._upstream.close_oldest_idle() or self.frontend.close_one_at_rest()
 
@@ -299,11 +301,11 @@
     # Requests
 
     def accept(self, message: Message, answering: Answering) -> OpenRequest:
-        """Take a request, whose body may still be coming; from now on it is owed exactly one answer."""
+        """Accept a request, whose body may be incomplete; from now on it gets exactly one answer."""
         if message.cls not in self._balancer.classes:
             raise Unacceptable("no such class")
         if self._balancer.classes[message.cls].idempotency is api.Idempotency.KEYED and message.key is None:
-            raise Unacceptable("Idempotency-Key is missing")  # servers could not drop its repeats
+            raise Unacceptable("Idempotency-Key is missing")  # servers could not deduplicate its retries
         if message.id in self._open_requests:
             raise Unacceptable("a request with this X-Call-Id is open")
         pin, key, known = self._affinity_of(message)
@@ -312,7 +314,7 @@
         if whole:
             self._start_deadline(request)
         ttl_ms = max(0.0, message.budget_ms - DEADLINE_MARGIN_MS)
-        if not known:  # it may have run in a zone that only another node knows of
+        if not known:  # an earlier attempt may have run in a zone that only another node knows
             self._finish(
                 message.id, Reply(503, b"not known yet where it belongs", retry_after_s=UNKNOWN_ZONE_RETRY_S)
             )
@@ -322,7 +324,7 @@
         return request
 
     def _affinity_of(self, message: Message) -> tuple[str | None, int | None, bool]:
-        """The zone and the key that a request is bound to, if it is to any; whether that can be known."""
+        """Return the zone and the key that a request is bound to, if any, and whether the zone is known."""
         cls, pin, known = self._balancer.classes[message.cls], None, True
         if self._shared is not None:
             self._shared.on_request(message.tenant)
@@ -336,13 +338,13 @@
     def _start_deadline(self, request: OpenRequest, with_timer: bool = True) -> None:
         request.complete_ms = now_ms()
         request.deadline_ms = request.complete_ms + request.message.budget_ms
-        if with_timer:  # an answer that has begun to flow meanwhile is not
+        if with_timer:  # a response that is already being streamed has no deadline
             request.deadline_timer = self._loop.call_later(
                 request.message.budget_ms / 1000.0, self._on_deadline, request
             )
 
     def whole(self, request: OpenRequest) -> None:
-        """A request taken before has come whole: its time runs."""
+        """Handle the end of the body of an accepted request: its budget runs from now on."""
         if self._open_requests.get(request.message.id) is not request:
             return
         attempt = request.attempts[-1] if request.attempts else None
@@ -353,17 +355,17 @@
             self._upstream.limit(attempt, min(attempt.owner.timeout_ms, remaining_ms))
 
     def caller_gone(self, request: OpenRequest) -> None:
-        """Nobody waits any more."""
+        """Handle that the client of a request has disconnected."""
         if not self._remove_request(request):
             return
         self._handle(api.ClientDisconnected(request.message.id))
-        # What is still coming in or going out has nowhere to come from or to go.
+        # A request body that is still uploaded, or a response that is streamed, can't be completed.
         for attempt in request.attempts:
             if attempt.flowing or not request.message.body.complete:
                 attempt.break_off(Result.CANCELLED)
 
     def _remove_request(self, request: OpenRequest) -> bool:
-        """Forget a request, if it is still owed: whoever gets True has its one answer to give."""
+        """Remove a request if it is open; the caller that gets True must give its only answer."""
         if self._open_requests.get(request.message.id) is not request:
             return False
         del self._open_requests[request.message.id]
@@ -379,9 +381,9 @@
             request.message.body.close()
 
     def _on_deadline(self, request: OpenRequest) -> None:
-        """Fail a request that the module has not ended by its deadline, whatever the reason."""
+        """Fail a request that the balancer has not ended by its deadline, whatever the reason."""
         remaining_ms = request.deadline_ms - now_ms()
-        if remaining_ms > 0.0:  # the loop's clock may run ahead: failing early would be a broken promise
+        if remaining_ms > 0.0:  # the loop's clock may run ahead, and a request must not fail early
             request.deadline_timer = self._loop.call_later(
                 remaining_ms / 1000.0 + 0.001, self._on_deadline, request
             )
@@ -392,10 +394,10 @@
             self._handle(api.ClientDisconnected(request.message.id))
             request.message.body.close()
 
-    # The module
+    # Balancer
 
     def _handle(self, event: api.Event) -> None:
-        """Give the module an event and do what it says; events raised meanwhile wait their turn."""
+        """Pass an event to the balancer and perform its actions; events raised meanwhile are queued."""
         self._events.append(event)
         if self._handling:
             return
@@ -405,7 +407,7 @@
                 event = self._events.popleft()
                 try:
                     actions = self._balancer.handle(event, now_ms())
-                except Exception:  # a request that this leaves open is failed by its backstop
+                except Exception:  # a request that stays open is failed by its deadline timer
                     logs.exception("error", "handling %(what)s", what=type(event).__name__)
                     continue
                 for action in actions:
@@ -414,11 +416,11 @@
             self._handling = False
 
     def _perform_guarded(self, action: api.Action) -> None:
-        """Do one thing; where that fails, the others that were asked for with it are done all the same."""
+        """Perform an action; a failure is logged, so that the other actions of the event are performed."""
         try:
             self._perform(action)
         except Exception:
-            logs.exception("error", "doing %(what)s", what=type(action).__name__)
+            logs.exception("error", "performing %(what)s", what=type(action).__name__)
 
     def _perform(self, action: api.Action) -> None:
         match action:
@@ -455,21 +457,21 @@
                 action.id, number, server, Result.NOT_SENT, 0.0, settled, None, repeatable
             )
             return self._handle(event)
-        # Cut to what is left: an outcome must come before the answer is due.
+        # Bounded by the remaining budget: the outcome must be known before the answer is due.
         timeout_ms = max(0.0, min(action.timeout_ms, request.deadline_ms - DEADLINE_MARGIN_MS - now_ms()))
         address, body = self._addresses[server], request.message.body
         chunked = not body.complete and body.length is None
-        sending, number = AttemptHandler(self, request, server, timeout_ms), len(request.attempts)
+        handler, number = AttemptHandler(self, request, server, timeout_ms), len(request.attempts)
         head = request_head(request.message, address, timeout_ms, chunked)
         attempt = self._upstream.send(
-            server, address, head, body, chunked, timeout_ms, sending, action.send_window_ms
+            server, address, head, body, chunked, timeout_ms, handler, action.send_window_ms
         )
         request.attempts.append(attempt)
         if not attempt.over:
             self._attempts[action.id, number] = attempt
 
     def may_send(self, request: OpenRequest, server: int) -> bool:
-        """Whether an attempt should still go out."""
+        """Whether an attempt should still be sent."""
         return (
             self._open_requests.get(request.message.id) is request
             and server in self._in_service
@@ -477,15 +479,15 @@
         )
 
     def _caller_has_left(self, request: OpenRequest) -> bool:
-        """Whether a request's caller has gone: asked in the moment in which an attempt would begin."""
+        """Whether the client has disconnected, checked right before an attempt would begin."""
         if request.answering.gone():
             self.caller_gone(request)
             return True
         return False
 
     def began(self, request: OpenRequest, event: api.StreamStarted, answer: Answer, flow: Flow) -> None:
-        """An answer flows: the request is bound to it, and no deadline cuts it off."""
-        if self._open_requests.get(request.message.id) is not request:  # nobody waits for it
+        """Begin to stream a response: the request can't be retried any more, and has no deadline."""
+        if self._open_requests.get(request.message.id) is not request:  # its client has disconnected
             attempt = self._attempts.get((event.id, event.attempt))
             if attempt is not None:
                 self._loop.call_soon(attempt.break_off, Result.CANCELLED)
@@ -496,7 +498,7 @@
         self._handle(event)
 
     def ended(self, request: OpenRequest, event: api.AttemptCompleted, answer: Answer | None) -> None:
-        """An attempt is over; with a whole answer the request is, and with a broken one that flowed."""
+        """Handle the end of an attempt; a complete or a partly streamed response ends the request too."""
         attempt = self._attempts.pop((event.id, event.attempt), None)
         is_open = self._open_requests.get(event.id) is request
         if is_open and attempt is not None and attempt.flowing:
@@ -529,7 +531,7 @@
             self._loop.call_later(self.retry_delay_s(), self._discovery.subscribe)
 
     def retry_delay_s(self) -> float:
-        """With jitter: what fails at one node often fails at all of them in the same moment."""
+        """Return the delay before the next call, with jitter: calls often fail at all nodes at once."""
         return DISCOVERY_RETRY_S * (0.5 + self._rng.random())
 
     def _apply_server_list(self, listing: ServerList, kind: api.ListUpdateKind) -> None:
