--- a/dunlinloft/node/fleet/peers.py
+++ b/dunlinloft/node/fleet/peers.py
@@ -1,7 +1,7 @@
-"""The fleet on sockets: hosts membership, and turns what it says into the node's own terms.
+"""Hosts the fleet's membership protocol on sockets, and passes its results on to the node.
 
-Imported only where the configuration has a `fleet` object. Whatever fails here is counted and logged, and
-the node serves on by its own knowledge: no request waits for anything in this file.
+Imported only if the configuration has a `fleet` object. A failure in here is counted and logged, and the node
+goes on serving by its own knowledge: no request waits for anything in this module.
 """
 
 from __future__ import annotations
@@ -49,27 +49,27 @@
     from dunlinloft.fleet.cells.member_count import CellMemberCount
     from dunlinloft.node.fleet.cells import CellHost
 
-FLEET_SOCKETS = 28  # of the node's limit: two of its own, and what follows
-MAX_INBOUND_STREAMS, MAX_OUTBOUND_STREAMS = 16, 8  # streams at a time
-INBOUND_TIMEOUT_S = 2.5  # for a stream to come whole; a peer that says nothing is closed within 3 s
-OUTBOUND_TIMEOUT_S = 1.5  # for an exchange or a probe over a stream
-BIND_RETRY_S = 0.2  # while the address is another process's, as at an upgrade
-COUNT_INTERVAL_S = 1.0  # how often it is looked at who counts, and what the rates are
-LOAD_INTERVAL_S = 10.0  # how often the load is told, where it has changed
-LEAVE_GRACE_S = 0.1  # between saying goodbye and closing the socket
-PUSH_PULL_STREAM, PROBE_STREAM = b"S", b"P"  # what a stream begins with
-DEPARTED_RETENTION_MS = 3_600_000.0  # how long one that left is shown
+FLEET_SOCKETS = 28  # of the node's limit: listener, datagram socket and the streams below
+MAX_INBOUND_STREAMS, MAX_OUTBOUND_STREAMS = 16, 8  # at a time
+INBOUND_TIMEOUT_S = 2.5  # for a complete request on a stream; a silent peer must be closed within 3 s
+OUTBOUND_TIMEOUT_S = 1.5  # for a push-pull exchange or a probe over a stream
+BIND_RETRY_S = 0.2  # while another process holds the address, as during an upgrade
+COUNT_INTERVAL_S = 1.0  # between updates of the member count and the send rates
+LOAD_INTERVAL_S = 10.0  # between publications of the load
+LEAVE_GRACE_S = 0.1  # between the leave messages and the close of the socket
+PUSH_PULL_STREAM, PROBE_STREAM = b"S", b"P"  # first byte of a stream
+DEPARTED_RETENTION_MS = 3_600_000.0  # how long the status shows members that left
 
 
 def alive_in_tier(members: Membership, tier: float) -> set[str]:
-    """Those there that send to the same tier, this process too: they part its budgets."""
+    """Return the members alive that send to this tier, with this process: they share its budgets."""
     alive = {m.name for m in members.view.members.values() if m.is_alive() and m.metadata.get("tier") == tier}
     return alive | {members.name}
 
 
 @dataclass(slots=True)
 class MemberIdentity:
-    """Who this process is among the others."""
+    """Identity of this process in its fleet, and its configured position."""
 
     name: str
     seed: int
@@ -80,7 +80,7 @@
 
     @classmethod
     def from_config(cls, config: Config) -> MemberIdentity:
-        """A node, by its configuration."""
+        """Return the identity of a node with this configuration."""
         settings = config.settings
         return cls(
             config.name, config.seed, settings.zone, settings.tier, settings.replica_index, settings.replicas
@@ -99,7 +99,7 @@
 
 
 class Peers:
-    """This process among the members of its fleet."""
+    """Connects this process with the other members of its fleet."""
 
     def __init__(
         self,
@@ -119,7 +119,7 @@
             load,
         )
         self._flat_wire = Wire(fleet.name)
-        # A life begins with the process: by the wall's clock, corrected by what others remember of us.
+        # The incarnation is the start time; membership raises it if peers remember a higher one.
         wall_ms = int(time.time() * 1000.0)
         rng = random.Random(identity.seed)
         metadata: dict[str, MetadataValue] = {
@@ -139,7 +139,7 @@
             self.core = Membership(identity.name, fleet.advertise, fleet.seeds, uid, wall_ms, rng, metadata)
             self.member_count = MemberCount(identity.name, identity.number, identity.nodes)
         self._tier = float(identity.tier)
-        # Who else wants what comes; and who wants datagrams that are not for the members.
+        # Further consumers of messages, and a filter that takes datagrams of another protocol.
         self.message_listeners: list[Callable[[Message], None]] = []
         self.intercept_datagram: Callable[[bytes, str], bool] = lambda data, source: False
         self.roles: RoleHost | None = None
@@ -184,7 +184,7 @@
         self.rejection_counts: dict[str, int] = {}
 
     def start(self) -> None:
-        """Join, as soon as the address is to be had."""
+        """Join the fleet as soon as the address can be bound."""
         self._spawn(self._bind_and_start())
 
     async def _bind_and_start(self) -> None:
@@ -192,7 +192,7 @@
         reported = False
         while True:
             try:
-                # First the one that is refused while another process has the address.
+                # The listener first: binding it fails while another process has the address.
                 self._server = await asyncio.start_server(
                     self._serve_stream, host, port, limit=MAX_STATE_BYTES + 1024
                 )
@@ -203,15 +203,15 @@
                 if self._server is not None:
                     self._server.close()
                 if not reported:
-                    logs.info(
-                        "fleet waits", "the fleet's address is not to be had: %(why)s", why=str(problem)
-                    )
+                    logs.info("fleet waits", "can't bind the fleet's address yet: %(why)s", why=str(problem))
                     reported = True
                 await asyncio.sleep(BIND_RETRY_S)
                 continue
             break
         self._udp = transport
-        logs.info("fleet", "a member of %(fleet)s at %(bind)s", fleet=self._fleet.name, bind=self._fleet.bind)
+        logs.info(
+            "fleet", "joining fleet %(fleet)s at %(bind)s", fleet=self._fleet.name, bind=self._fleet.bind
+        )
         self.handle(api.Started())
         if self.roles is not None:
             self.roles.begin()
@@ -223,36 +223,36 @@
             self._loop.call_later(LOOK_INTERVAL_MS / 1000.0, self._tick_releases)
 
     def _tick_releases(self) -> None:
-        """Let the steward of releases look, if that is this process."""
+        """Run the release controller, if this process holds the state table."""
         if self._closed or self.releases is None or self.roles is None:
             return
         try:
             self.releases.tick(self.roles.holds(STATE_TABLE_ROLE))
         except Exception:
             self.counts["errors"] += 1
-            logs.exception("fleet error", "the releases' part")
+            logs.exception("fleet error", "running the release controller")
         self._loop.call_later(LOOK_INTERVAL_MS / 1000.0, self._tick_releases)
 
     def releases_status(self) -> AdminReply:
-        """All that the admin endpoint tells of releases."""
+        """Return the status of releases for the admin endpoint."""
         if self.releases is None or self.shared is None:
             return error_reply(404, "no such path")
         return AdminReply(200, self.releases.status(self.shared.classes()))
 
     def handle(self, event: api.Event) -> None:
-        """Give the core an event and do what it says; an error here is the fleet's and not the node's."""
+        """Pass an event to the membership core and perform its actions; the node survives any error."""
         if self._closed:
             return
         try:
             actions = self.core.handle(event, now_ms())
             for action in actions:
                 self._perform(action)
-            # Once for all that one event has changed: a whole view that comes in changes every member.
+            # Once for all changes of one event: a received view may change every member.
             if any(isinstance(action, api.MemberChanged) for action in actions):
                 self._update_member_count()
         except Exception:
             self.counts["errors"] += 1
-            logs.exception("fleet error", "the fleet's part, handling %(what)s", what=type(event).__name__)
+            logs.exception("fleet error", "membership: handling %(what)s", what=type(event).__name__)
 
     def _perform(self, action: api.Action) -> None:
         match action:
@@ -274,7 +274,7 @@
     # Datagrams
 
     def send(self, data: bytes, target: str) -> None:
-        """Send a datagram; one that can't be sent is counted."""
+        """Send a datagram; failures are counted."""
         if self._udp is None or self._udp.is_closing():
             return
         try:
@@ -286,7 +286,7 @@
         self.counts["sent_bytes"] += len(data)
 
     def on_datagram(self, data: bytes, sender: Address) -> None:
-        """A datagram has come, from anybody."""
+        """Handle a received datagram, which may come from anyone."""
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(data)
         source = f"{sender[0]}:{sender[1]}"
@@ -301,12 +301,12 @@
             for listener in self.message_listeners:
                 listener(message)
 
-    # Bytes, of a flat fleet or of one with cells
+    # Encoding, for a flat fleet or one with cells
 
     def _write(self, message: api.AnyMessage) -> bytes:
         if self.cells is not None:
             return self.cells.wire.write(message)
-        return self._flat_wire.write(cast(Message, message))  # a flat core says nothing else
+        return self._flat_wire.write(cast(Message, message))  # a flat core sends no other type
 
     def _read(self, data: bytes) -> tuple[api.AnyMessage, CellPartition | None]:
         return self.cells.wire.read(data) if self.cells is not None else (self._flat_wire.read(data), None)
@@ -320,7 +320,7 @@
         return self._flat_wire.read_state(data), None
 
     def count_rejection(self, reason: str) -> None:
-        """Count what says nothing to this process."""
+        """Count a rejected message or stream by its reason."""
         self.counts["refused"] += 1
         self.rejection_counts[reason] = self.rejection_counts.get(reason, 0) + 1
 
@@ -370,7 +370,7 @@
             self.handle(api.StreamProbeAcked(action.number, message.target, message.incarnation))
 
     async def _call_peer(self, target: str, kind: bytes, data: bytes) -> bytes | None:
-        """Say something over a stream; the answer, or None where there is none in time."""
+        """Send a request over a stream; return the response, or None on failure or timeout."""
         writer = None
         try:
             async with asyncio.timeout(OUTBOUND_TIMEOUT_S):
@@ -390,7 +390,7 @@
         writer.write(data)
 
     async def _serve_stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer a peer, or whoever connects: within `WHOLE_S` it has asked, or it is closed."""
+        """Answer one request of whoever connects; it must be complete within `INBOUND_TIMEOUT_S`."""
         if self._inbound_streams >= MAX_INBOUND_STREAMS:
             self.count_rejection("crowd")
             return writer.close()
@@ -405,7 +405,7 @@
                     )
                 answer = self._respond(kind, await reader.readexactly(size), writer)
                 self._write_counted(writer, len(answer).to_bytes(4, "big") + answer)
-                await writer.set_draining()
+                await writer.drain()
         except MessageRejected as reason:
             self.count_rejection(str(reason))
         except (OSError, TimeoutError, EOFError):
@@ -425,7 +425,7 @@
         self.handle(api.PushPullReceived(state, sender, False, partition))
         return answer
 
-    # What the node takes from it
+    # Position in the fleet, load and state of this process
 
     def _update_member_count(self) -> None:
         alive = alive_in_tier(self.core, self._tier)
@@ -436,11 +436,11 @@
         position = self.member_count.position()
         if position != self._position:
             self._position = position
-            logs.info("place", "number %(number)d of %(nodes)d now", number=position[0], nodes=position[1])
+            logs.info("place", "position %(number)d of %(nodes)d", number=position[0], nodes=position[1])
             self._on_position_changed(*position)
 
     def on_settings_changed(self, number: int, nodes: int) -> None:
-        """The file has new settings; what is in force follows from both."""
+        """Take over the configured position; the one in force depends on it and on the members."""
         self.member_count.reconfigure(number, nodes)
         self._position = number, nodes
         self._update_member_count()
@@ -457,19 +457,19 @@
 
     def _publish_load(self) -> None:
         if not self._closed:
-            # To the nearest power of two: news of the load costs all members, so only great changes are news.
+            # Rounded to a power of two: each change is sent to all members, so small ones are suppressed.
             load = self._load()
             self.handle(api.MetadataUpdated({"load": float(1 << load.bit_length() >> 1)}))
             self._loop.call_later(LOAD_INTERVAL_S, self._publish_load)
 
     def set_draining(self, draining: bool) -> None:
-        """Let others know; who drains holds no duty."""
+        """Publish whether this process drains; a draining member gives up its roles."""
         self.handle(api.MetadataUpdated({"draining": draining}))
         if draining and self.roles is not None:
             self.roles.release_all()
 
     def leave_fleet(self, handing_over: bool) -> None:
-        """The process goes: another of this node goes on as this member, or all are told."""
+        """Stop taking part; the members are told unless another process of this node takes over."""
         if self._closed:
             return
         if self.roles is not None:
@@ -490,7 +490,7 @@
             task.cancel()
 
     def send_to_member(self, name: str, content: leases.Message | shared.Message) -> None:
-        """Say something about a duty or shared state to a member, or of a duty to this process itself."""
+        """Send a message about leases or shared state to a member; this process gets those on leases only."""
         if name == self.core.name:
             if self.roles is not None and isinstance(content, leases.Message):
                 self._loop.call_soon(self.roles.on_content, content, name)
@@ -500,15 +500,15 @@
             self.send(self._write(ApplicationMessage(self.core.header(), content, [])), member.address)
 
     def request_view(self, name: str) -> None:
-        """Have a member say which view it holds: its answer tells."""
+        """Ping a member: the acknowledgement carries the digest of its view."""
         member = self.core.view.get(name)
         if member is not None and not self.core.muted:
             self.send(self._write(Ping(self.core.header(), 0, name, [])), member.address)
 
-    # What operators see
+    # Metrics and status for operators
 
     def gauges(self) -> dict[str, Callable[[], int]]:
-        """Gauges beside the node's own."""
+        """Return the fleet's gauges by name."""
         core = self.core
         more = self.shared.gauges() if self.shared is not None else {}
         more |= self.cells.gauges() if self.cells is not None else {}
@@ -525,7 +525,7 @@
         }
 
     def status(self) -> AdminReply:
-        """All that the admin endpoint tells of the fleet."""
+        """Return the status of the fleet for the admin endpoint."""
         core, now = self.core, now_ms()
         differ, longest = core.divergence(now)
         members = [
