--- a/dunlinloft/node/__init__.py
+++ b/dunlinloft/node/__init__.py
@@ -1,3 +1,3 @@
-"""dunlinloft.node: a load-balancing node on real sockets, round the decisions of `dunlinloft.balancer`."""
+"""A load-balancing node on real sockets, which applies the decisions of `dunlinloft.balancer`."""
 
-VERSION = "0.1.0"  # of the program, as in pyproject.toml
+VERSION = "0.1.0"  # as in pyproject.toml
--- a/dunlinloft/node/__main__.py
+++ b/dunlinloft/node/__main__.py
@@ -1,6 +1,7 @@
-"""Starts a node from the file that NODE_CONFIG names; SIGTERM ends it once all it holds is answered.
+"""Starts a node from the file that NODE_CONFIG names.
 
-SIGHUP has it read the file again and go on with discovery where the file says.
+SIGTERM ends the process once all open requests are answered. SIGHUP makes it read the file again, and move
+to another discovery address if the file names one.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
 from dunlinloft.node.http.handover import Siblings, handed_socket
 from dunlinloft.node.node import Node
 
-ACCEPT_AFTER_SIGTERM_S = 0.45  # after SIGTERM: connections go on coming for up to 0.4 s
-SIBLINGS_S = 0.1  # how often the other processes of this node are looked for
-LAG_EVERY_S, LAG_S = 1.0, 0.1  # how often the event loop's lag is looked at, and what is worth a line
+ACCEPT_AFTER_SIGTERM_S = 0.45  # new connections arrive for up to 0.4 s after SIGTERM
+SIBLING_CHECK_INTERVAL_S = 0.1  # between checks for other processes of this node
+LAG_CHECK_INTERVAL_S, LAG_LOG_THRESHOLD_S = 1.0, 0.1  # of the event loop
 
 
 async def run(path: str) -> int:
-    """Serve until SIGTERM; the exit status."""
+    """Serve until SIGTERM; return the exit status."""
     try:
         config = read_config(path)
     except ConfigFileError as problem:
@@ -59,7 +60,7 @@
         siblings = Siblings(Path(os.environ.get("TMPDIR") or tempfile.gettempdir()))
         node.share_sockets(siblings.others())
     node.start()
-    # What was made at the start lives to the end: full collections need not look at it.
+    # Objects created at startup live until the process ends: garbage collection can skip them.
     gc.collect()
     gc.freeze()
     watch_lag(loop, loop.time())
@@ -71,16 +72,16 @@
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
         await node.stop()
     else:
-        await serve_with_others(node, loop, handed, siblings, stopping)
+        await serve_with_siblings(node, loop, handed, siblings, stopping)
     logs.info("stopped", "stopped")
-    return leave()
+    return exit_process()
 
 
-def leave() -> NoReturn:
-    """End well, now that all is done.
+def exit_process() -> NoReturn:
+    """Exit with status 0, without closing the event loop.
 
-    The loop's close would give signals back to their defaults, and libuv's threads take them whatever
-    the main thread blocks: a SIGHUP in the last moment would count as a crash.
+    Closing it restores the default signal handlers, and libuv's threads receive signals even if the main
+    thread blocks them: a late SIGHUP would look like a crash.
     """
     for sign in (signal.SIGHUP, signal.SIGTERM):
         signal.signal(sign, signal.SIG_IGN)
@@ -88,80 +89,80 @@
     os._exit(0)
 
 
-async def serve_with_others(
+async def serve_with_siblings(
     node: Node,
     loop: asyncio.AbstractEventLoop,
     handed: socket.socket,
     siblings: Siblings,
     stopping: asyncio.Event,
 ) -> None:
-    """Serve at a listening socket that the platform holds, until SIGTERM and all is answered."""
+    """Serve on a listening socket that the platform owns, until SIGTERM has come and all is answered."""
     processes = 1 + len(siblings.others())
     accepting = False
 
     def update_processes() -> None:
-        """Publish the sockets in use here, and share the limits with the processes that there are."""
+        """Publish the number of sockets in use, and share the limits with the other processes."""
         nonlocal processes
         siblings.publish_socket_count(node.sockets())
         others = siblings.others()
         if 1 + len(others) != processes:
             processes = 1 + len(others)
-            logs.info("processes", "%(processes)d processes are this node", processes=processes)
+            logs.info("processes", "this node has %(processes)d processes", processes=processes)
         node.share_sockets(others)
 
     async def watch() -> None:
-        """Look for other processes at intervals."""
+        """Check for other processes at intervals."""
         while True:
-            await asyncio.sleep(SIBLINGS_S)
+            await asyncio.sleep(SIBLING_CHECK_INTERVAL_S)
             update_processes()
 
-    watching = loop.create_task(watch())
+    watch_task = loop.create_task(watch())
     while not stopping.is_set():
-        # Whoever is first accepts at once: nobody else would say that the node isn't ready.
+        # The first process accepts at once: readiness checks need an answer even before it can serve.
         if not accepting and (processes == 1 or node.can_serve()):
             accepting = True
             await node.frontend.accept_from(loop, handed)
             text = "started, accepting at descriptor %(descriptor)d"
             logs.info("started", text, descriptor=handed.fileno())
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(stopping.wait(), None if accepting else SIBLINGS_S / 2.0)
+            await asyncio.wait_for(stopping.wait(), None if accepting else SIBLING_CHECK_INTERVAL_S / 2.0)
     update_processes()
-    logs.info("stopping", "stopping, %(others)d others serve on", others=processes - 1)
+    logs.info("stopping", "stopping, %(others)d other processes go on serving", others=processes - 1)
     node.leave_fleet(handing_over=processes > 1)
     node.frontend.stop_accepting(processes > 1)
     await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
     await node.stop()
-    watching.cancel()
+    watch_task.cancel()
     siblings.leave()
 
 
 def reload(node: Node, path: str) -> None:
-    """Read the file again; one that is no good changes nothing."""
+    """Read the configuration file again; an invalid one changes nothing."""
     try:
         config = reread_config(path, node.config)
     except ConfigFileError as problem:
         node.metrics.reconfig_failed += 1
-        logs.warning("settings refused", "the configuration stays as it was: %(why)s", why=str(problem))
+        logs.warning("settings refused", "invalid configuration, current one kept: %(why)s", why=str(problem))
     else:
         node.reload(config)
         where = f"{config.discovery[0]}:{config.discovery[1]}"
-        logs.info("settings", "configuration read again, discovery at %(discovery)s", discovery=where)
+        logs.info("settings", "configuration reloaded, discovery at %(discovery)s", discovery=where)
         names = ", ".join(cls.name for cls in config.settings.classes)
         attempts = config.settings.max_attempts
         logs.info("classes", "classes %(classes)s; %(attempts)d attempts", classes=names, attempts=attempts)
 
 
 def watch_lag(loop: asyncio.AbstractEventLoop, due_s: float) -> None:
-    """Log when the event loop ran late: too little CPU shows here first."""
+    """Log when the event loop runs late, the first sign of CPU shortage."""
     late_s = loop.time() - due_s
-    if late_s > LAG_S:
+    if late_s > LAG_LOG_THRESHOLD_S:
         logs.warning("late", "the event loop ran %(late_ms).0f ms late", late_ms=late_s * 1000.0)
-    next_s = loop.time() + LAG_EVERY_S
+    next_s = loop.time() + LAG_CHECK_INTERVAL_S
     loop.call_at(next_s, watch_lag, loop, next_s)
 
 
 def main() -> int:
-    """The program."""
+    """Run the program; return the exit status."""
     path = os.environ.get("NODE_CONFIG")
     if not path:
         print("dunlinloft.node: NODE_CONFIG must name the configuration file", file=sys.stderr)
--- a/dunlinloft/node/addresses.py
+++ b/dunlinloft/node/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as settings name them: host:port."""
+"""Network addresses in settings, written as host:port."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def address_at(obj: Json, key: str) -> Address:
-    """Return the address that an object has under a key. Raises `Malformed`."""
+    """Return the address at a key of an object. Raises `Malformed`."""
     text = required(obj, key, str)
     try:
         return parse_address(text)
--- a/dunlinloft/node/admin_reply.py
+++ b/dunlinloft/node/admin_reply.py
@@ -1,4 +1,4 @@
-"""What a call at the admin endpoint is answered with."""
+"""Replies of the admin endpoint."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class AdminReply(NamedTuple):
-    """An HTTP status, and the object that is sent as JSON."""
+    """An HTTP status, and the object that is the JSON body."""
 
     status: int
     content: JsonObject
 
 
 def error_reply(status: int, problem: str, **details: object) -> AdminReply:
-    """Return the reply to a call that is refused."""
+    """Return the reply to a rejected call."""
     return AdminReply(status, {"error": problem, **details})
--- a/dunlinloft/node/config.py
+++ b/dunlinloft/node/config.py
@@ -1,4 +1,4 @@
-"""A node's configuration: the JSON file that NODE_CONFIG names, as typed values."""
+"""Reads the JSON configuration file that NODE_CONFIG names into typed values."""
 
 from __future__ import annotations
 
@@ -29,32 +29,32 @@
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
 MANAGEMENT_VARIABLE = "NODE_MANAGEMENT"  # overrides the file's address of the admin endpoint
-# Keys that may come and go with each start.
+# Keys that a reread file may lack.
 OPTIONAL_KEYS = frozenset({"known", "management", "log"})
 
 T = TypeVar("T")
 
 
 class ConfigFileError(Exception):
-    """A configuration that no node can be started with; its text is one line for operators."""
+    """The configuration file is missing or invalid; the message is one line for operators."""
 
 
 @dataclass(slots=True)
 class Config:
-    """All that a node knows when it starts.
+    """The configuration of a node.
 
     Attributes
     ----------
     management
-        Address of the operators' admin endpoint; None where there is none.
+        Address of the operators' admin endpoint; None if there is none.
     known
         The servers that were known before this start.
     keys
-        Which keys the file has, as paths.
+        Paths of the keys in the file.
     log
-        The form in which the log is written, one of `logs.FORMS`.
+        The format of the log, one of `logs.FORMATS`.
     fleet
-        None: the node is alone, and nothing of the fleet is loaded.
+        None for a standalone node, which loads no module of the fleet.
     """
 
     name: str
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class DirectoryConfig:
-    """All that a process of the directory knows when it starts; its seeds are other such processes."""
+    """The configuration of a directory process; its seeds are other such processes."""
 
     name: str
     seed: int
@@ -84,17 +84,17 @@
 
 
 def read_config(path: str) -> Config:
-    """Read a node's file. Raises `BadConfig`."""
+    """Read a node's configuration file. Raises `ConfigFileError`."""
     return _read_file(path, parse_config)
 
 
 def read_directory_config(path: str) -> DirectoryConfig:
-    """Read the file of a directory's process. Raises `BadConfig`."""
+    """Read the configuration file of a directory process. Raises `ConfigFileError`."""
     return _read_file(path, parse_directory)
 
 
 def reread_config(path: str, old: Config) -> Config:
-    """Read the file again; it must have all keys of the one in force. Raises `BadConfig`."""
+    """Read the file again; it must have all keys of the current one. Raises `ConfigFileError`."""
     config = read_config(path)
     missing = sorted(old.keys - config.keys)
     if missing:
@@ -121,7 +121,7 @@
 
 
 def _located(root: Json, problem: Malformed) -> str:
-    """Return what is wrong, behind the full path of where it is."""
+    """Return the message of an error, prefixed with the full path of the invalid value."""
     if problem.location is None:
         return str(problem)
     where = path_in(root, problem.location.container, problem.location.key)
@@ -129,7 +129,7 @@
 
 
 def path_in(value: object, container: object, key: str | int, path: str = "") -> str | None:
-    """Return the path to a key of an object or array within a JSON value; None where it isn't in there."""
+    """Return the path to a key of an object or array within a JSON value; None if it isn't part of it."""
     if value is container:
         return f"{path}[{key}]" if isinstance(key, int) else f"{path}.{key}".lstrip(".")
     if isinstance(value, dict):
@@ -143,7 +143,7 @@
 
 
 def key_paths(obj: Json) -> frozenset[str]:
-    """Return the keys that a configuration has, but for `OPTIONAL_KEYS`."""
+    """Return the paths of the keys in a configuration, without `OPTIONAL_KEYS`."""
     settings = optional(obj, "settings", dict, {})
     objects = {"": obj, "settings.": settings}
     objects |= {f"settings.{name}.": optional(settings, name, dict, {}) for name in ("permissions", "rules")}
@@ -157,7 +157,7 @@
 
 
 def parse_config(obj: Json) -> Config:
-    """Parse the file's object. Raises `Malformed` or `ValueError`."""
+    """Parse the object of a node's file. Raises `Malformed` or `ValueError`."""
     limits = optional(obj, "limits", dict, {})
     return Config(
         name=required(obj, "name", str),
@@ -171,12 +171,12 @@
         settings=read_settings(required(obj, "settings", dict)),
         keys=key_paths(obj),
         fleet=read_fleet(obj),
-        log=_log_form(obj),
+        log=_log_format(obj),
     )
 
 
 def parse_directory(obj: Json) -> DirectoryConfig:
-    """Parse the object of a directory's file. Raises `Malformed` or `ValueError`."""
+    """Parse the object of a directory process's file. Raises `Malformed` or `ValueError`."""
     fleet = read_fleet(obj)
     if fleet is None:
         raise Malformed(
@@ -194,12 +194,12 @@
         management=_management(obj),
         zone=optional(obj, "zone", str, ""),
         fleet=fleet,
-        log=_log_form(obj),
+        log=_log_format(obj),
     )
 
 
 def _hex_digits(obj: Json, key: str) -> int:
-    """Return a number written in hex digits and nothing else."""
+    """Return a number written in hex digits only."""
     text = required(obj, key, str)
     if not re.fullmatch("[0-9a-fA-F]+", text):
         raise Malformed(f"{key!r} must be hex digits, not {text!r:.60}", Location(obj, key, "0"))
@@ -207,13 +207,13 @@
 
 
 def _management(obj: Json) -> Address | None:
-    """Return the admin endpoint's address, by the environment or the file."""
+    """Return the admin endpoint's address from the environment or, without one there, from the file."""
     management = os.environ.get(MANAGEMENT_VARIABLE)
     if management:
         return parse_address(management)
     return address_at(obj, "management") if optional(obj, "management", str, None) else None
 
 
-def _log_form(obj: Json) -> str:
+def _log_format(obj: Json) -> str:
     form: str = choice(optional(obj, "log", dict, {"form": logs.TEXT}), "form", logs.FORMATS)
     return form
--- a/dunlinloft/node/discovery.py
+++ b/dunlinloft/node/discovery.py
@@ -1,9 +1,8 @@
-"""Discovery: the list of servers, kept up to date by a watch.
+"""Client of the discovery service: keeps the list of servers up to date with a long-polling watch.
 
 One call is in flight at a time. When a call fails the node is notified, and it decides when to call again.
-What discovery has and could be asked for counts as published after 6 s whatever went wrong, so each call has
-its timeout from when it was begun, connecting included, and after a failure the next one does not wait for
-changes. docs/design.md adds it up.
+A change must be known 6 s after discovery has it, whatever went wrong on the way. So the timeout of a call
+includes connecting, and the call after a failure does not wait for changes. docs/design.md has the sum.
 """
 
 from __future__ import annotations
@@ -19,16 +18,16 @@
 from dunlinloft.node.addresses import Address
 from dunlinloft.node.server_list import ServerList, read_server_list
 
-WATCH_WAIT_MS = 1_000  # how long discovery may keep a watch open: a broken one is noticed no sooner
-WATCH_GRACE_MS = 500  # what it gets beyond that: 2 s after the wait a change counts as published
-CALL_TIMEOUT_MS = 750  # for a call that need not wait for a change: the agent is on the node's own machine
-POLL_WAIT_MS = 1  # the wait of a call that is to return at once
+WATCH_WAIT_MS = 1_000  # how long discovery may hold a watch: a broken watch is detected no sooner
+WATCH_GRACE_MS = 500  # for the response of a watch: 2 s after the wait a change counts as published
+CALL_TIMEOUT_MS = 750  # of a call that does not wait for changes: the agent is on the node's own machine
+POLL_WAIT_MS = 1  # the wait of a call that must return at once
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 OK_STATUS = 200
 
 
 class _Connection(asyncio.Protocol):
-    """A connection to discovery; complete responses, or its failure, go to its owner."""
+    """A connection to discovery; passes complete responses, or its failure, to its owner."""
 
     def __init__(self, owner: Discovery) -> None:
         self._owner = owner
@@ -45,41 +44,41 @@
         self._has_length = False
 
     def send(self, request: bytes) -> None:
-        """Send a request, whose response replaces the one before."""
+        """Send a request, and begin to parse its response."""
         self._start_response()
         assert self.transport is not None
         self.transport.write(request)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport (asyncio's callback)."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is none by class
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class is no subclass of it
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came (asyncio's callback)."""
+        """Parse received bytes (asyncio's callback)."""
         self._size += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._owner.on_connection_failed(self, "an answer that can't be read")
+            self._owner.on_connection_failed(self, "invalid HTTP response")
             return
         if self._complete:
             status = self._parser.get_status_code()
             self._owner.on_response(self, status, b"".join(self._body), self._keep_alive)
         elif self._size > MAX_RESPONSE_BYTES:
-            self._owner.on_connection_failed(self, "an answer without end")
+            self._owner.on_connection_failed(self, "response too large")
 
     def eof_received(self) -> None:
-        """Take the connection's end as that of a response without a length (asyncio's callback)."""
+        """Complete a response without a length, which the close ends (asyncio's callback)."""
         if self._in_body and not self._has_length and not self._complete:
             status = self._parser.get_status_code()
             self._owner.on_response(self, status, b"".join(self._body), False)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the end of the connection (asyncio's callback)."""
-        self._owner.on_connection_failed(self, "the connection broke")
+        self._owner.on_connection_failed(self, "connection lost")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Note whether the response tells its length (the parser's callback)."""
+        """Note whether the response declares its length (the parser's callback)."""
         self._has_length = self._has_length or name.lower() in (b"content-length", b"transfer-encoding")
 
     def on_headers_complete(self) -> None:
@@ -87,7 +86,7 @@
         self._in_body = True
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body (the parser's callback)."""
+        """Store a part of the body (the parser's callback)."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
@@ -97,14 +96,14 @@
 
 
 class Discovery:
-    """Keeps the list up to date.
+    """Keeps the server list up to date.
 
     Parameters
     ----------
     index
-        Of the list that the node has at the start.
+        Index of the list that the node has at startup.
     on_update
-        Takes each list or change in order, or None and the reason when a call has failed.
+        Called with each list or change in order, or with None and the reason when a call has failed.
     """
 
     def __init__(
@@ -118,11 +117,11 @@
         self._address = address
         self._on_update = on_update
         self._index = index
-        self._index_doubted = False  # the last list was older than that
+        self._index_doubted = False  # the last list had a lower index
         self._last_call_failed = False
-        self.has_answered = False  # with a list that could be read, since the start
+        self.has_answered = False  # with a valid list, since startup
         self._connection: _Connection | None = None
-        self._in_flight: _Connection | asyncio.Task[None] | None = None  # what the present call runs on
+        self._in_flight: _Connection | asyncio.Task[None] | None = None  # what the call in flight runs on
         self._timer: asyncio.TimerHandle | None = None
 
     def subscribe(self) -> None:
@@ -131,12 +130,12 @@
             self._call(full=False)
 
     def change_address(self, address: Address) -> None:
-        """Go on at another address, from its full list: the old one takes no calls any more."""
+        """Continue at another address, beginning with its full list; the old address gets no more calls."""
         if address != self._address:
             self._end_call()
             self._drop_connection()
             self._address = address
-            self._index_doubted = True  # it may count from anew
+            self._index_doubted = True  # indexes may start over there
             self._last_call_failed = False
             self._call(full=True)
 
@@ -146,15 +145,14 @@
         self._drop_connection()
 
     def _call(self, full: bool) -> None:
-        # A broken watch shows only once its time is over: what was missed since the last response is asked
-        # for without one.
+        # A broken watch is detected only by its timeout, so the call after a failure gets missed changes at once.
         wait_ms = POLL_WAIT_MS if self._last_call_failed else WATCH_WAIT_MS
         query = "" if full else f"?index={self._index}&wait={wait_ms}"
         request = (
             f"GET /api/targets{query} HTTP/1.1\r\nHost: {self._address[0]}:{self._address[1]}\r\n\r\n"
         ).encode()
         timeout_ms = CALL_TIMEOUT_MS if full or self._last_call_failed else WATCH_WAIT_MS + WATCH_GRACE_MS
-        # A partitioned link says nothing, not even on TCP: without this the watch would wait for ever.
+        # A network partition may not be reported by TCP: without a timeout the watch would hang forever.
         self._timer = self._loop.call_later(timeout_ms / 1000.0, self._on_timeout)
         if self._connection is not None:
             self._in_flight = self._connection
@@ -175,7 +173,7 @@
         connection.send(request)
 
     def _on_timeout(self) -> None:
-        self._fail("no answer in time")
+        self._fail("timeout")
 
     def _end_call(self) -> None:
         if isinstance(self._in_flight, asyncio.Task):
@@ -191,7 +189,7 @@
             connection.transport.abort()
 
     def on_connection_failed(self, connection: _Connection, reason: str) -> None:
-        """Drop a connection that is of no further use; the call in flight on it fails."""
+        """Drop a failed connection, and fail the call in flight on it."""
         if connection is self._in_flight:
             self._fail(reason)
         elif connection is self._connection:
@@ -204,14 +202,14 @@
         self._on_update(None, reason)
 
     def on_response(self, connection: _Connection, status: int, body: bytes, keep_alive: bool) -> None:
-        """Take a response, and begin the next call before it is handled."""
+        """Handle a response; the next call begins before the node is given the list."""
         if connection is not self._in_flight:
-            self.on_connection_failed(connection, "an answer that nobody asked for")
+            self.on_connection_failed(connection, "unrequested response")
             return
         if status != OK_STATUS:
             self._fail(f"status {status}")
             return
-        listing = self._parsed(body)
+        listing = self._parse_list(body)
         if isinstance(listing, str):
             self._fail(listing)
             return
@@ -220,27 +218,27 @@
         self.has_answered = True
         if not keep_alive:
             self._drop_connection()
-        self._take(listing)
+        self._apply(listing)
 
-    def _parsed(self, body: bytes) -> ServerList | str:
-        """Return the list in a response, or why there is none."""
+    def _parse_list(self, body: bytes) -> ServerList | str:
+        """Return the list in a response, or the reason why it has none."""
         try:
             obj = json.loads(body)
             if not isinstance(obj, dict):
                 raise Malformed("not an object")
             return read_server_list(obj)
         except (ValueError, RecursionError, Malformed) as problem:
-            return f"a list that can't be read: {problem!s:.100}"
+            return f"invalid server list: {problem!s:.100}"
 
-    def _take(self, listing: ServerList) -> None:
+    def _apply(self, listing: ServerList) -> None:
         stale = listing.index < self._index
         doubted = self._index_doubted
         self._index_doubted = stale
-        if stale and not listing.is_snapshot:  # changes to a list that the node doesn't have
+        if stale and not listing.is_snapshot:  # changes relative to a list that the node lacks
             self._call(full=True)
             return
-        if stale and not doubted:  # seen twice, it is true: discovery has begun anew
-            self._fail("a list older than the one held")
+        if stale and not doubted:  # the second time in a row it is accepted: discovery has restarted
+            self._fail("received a list older than the current one")
             return
         self._index = listing.index
         self._index_doubted = False
--- a/dunlinloft/node/figures.py
+++ b/dunlinloft/node/figures.py
@@ -1,7 +1,7 @@
-"""What operators read: counts since the process started, and gauges that are read on demand.
+"""Metrics for operators: counters since the process started, and gauges that are read on demand.
 
-Each count is raised in one place, where what it counts happens. Counts never fall, and a class that is no
-longer in the settings keeps its own.
+Each counter is incremented in one place, where the event happens. Counters never decrease, and a class that
+is removed from the settings keeps its counters.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class NodeMetrics:
-    """The counts of one process."""
+    """The metrics of one process."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self._calls: dict[str, dict[str, int]] = {}  # by class and outcome
@@ -27,16 +27,16 @@
         self.add_classes(classes)
 
     def add_classes(self, classes: Iterable[str]) -> None:
-        """Count these classes from now on, beside those known before."""
+        """Add counters for these classes; existing ones keep theirs."""
         for name in classes:
             self._calls.setdefault(name, {SUCCESS: 0, BUSY: 0, FAILURE: 0})
 
     def gauge(self, name: str, read: Callable[[], int]) -> None:
-        """Show what `read` returns whenever the figures are read."""
+        """Register a gauge, whose value `read` returns."""
         self._gauges[name] = read
 
     def on_request_completed(self, cls: str, status: int) -> None:
-        """Count a request's response, or its failure; of unknown classes nothing is counted."""
+        """Count a request's response, or its failure; unknown classes are not counted."""
         if cls in self._calls:
             self._calls[cls][_outcome(status)] += 1
 
@@ -45,7 +45,7 @@
         self.backend_calls += 1
 
     def to_json(self) -> JsonObject:
-        """Return everything, as the admin endpoint shows it."""
+        """Return all metrics in the form of the admin endpoint."""
         return {
             "calls": {name: dict(counts) for name, counts in self._calls.items()},
             "backend_calls": self.backend_calls,
--- a/dunlinloft/node/fleet_config.py
+++ b/dunlinloft/node/fleet_config.py
@@ -9,24 +9,24 @@
 from dunlinloft.node.addresses import EXAMPLE_PEER_ADDRESS, address_at, parse_address
 
 SHAREABLE_STATE = ("verdicts", "limits", "affinity", "releases")
-CELL_SHAREABLE_STATE = frozenset(("verdicts",))  # in a cell: the others need to see all members
+CELL_SHAREABLE_STATE = frozenset(("verdicts",))  # the other kinds need a view of all members
 DEFAULT_CELL_SIZE = 100  # members
 MIN_CELL_SIZE = 4
 MAX_CELL_SIZE = 1000
 VOTER_COUNTS = (0, 3, 5, 7)  # 0: no leases
-MIN_AFFINITY_NODES = 3  # of two, one that receives nothing can't know which of them is partitioned
+MIN_AFFINITY_NODES = 3  # a node of two that receives nothing can't know which of them is partitioned
 MIN_AFFINITY_ZONES = 2
 CELL_NAME_PATTERN = "[A-Za-z0-9._-]{1,64}"
 
 
 @dataclass(slots=True)
 class CellsConfig:
-    """Membership bounded to cells: of which service, how large, and where the directory is."""
+    """Settings of membership in cells: the service, the size of a cell and the directory."""
 
     service: str
     region: str
     max_members: int  # of a cell; a larger one is split
-    directory: list[str]  # addresses of its processes; any of them answers
+    directory: list[str]  # addresses of the directory's processes, which are equivalent
 
 
 @dataclass(slots=True)
@@ -38,17 +38,17 @@
     bind
         host:port, for datagrams and streams.
     advertise
-        The address that other members are given.
+        The address that is announced to other members.
     seeds
         Addresses of members that a process joins through.
     voters
-        Names of the members whose majority grants leases; empty where there are none.
+        Names of the members whose majority grants leases; empty if there are no leases.
     share
-        Which of `SHAREABLE_STATE` it shares.
+        The kinds of `SHAREABLE_STATE` that the node shares.
     groups
         Zones that keyed requests are bound to, the same at all nodes.
     cells
-        None: one view of all members.
+        None if each member has a view of all members.
     """
 
     name: str
@@ -62,9 +62,9 @@
 
 
 def read_fleet(obj: Json) -> FleetConfig | None:
-    """Read the `fleet` object of a file, where there is one. Raises `Malformed`.
+    """Read the `fleet` object of a file, if there is one. Raises `Malformed`.
 
-    It is refused where the settings allow no peers.
+    It is invalid if the settings allow no peers.
     """
     fleet = optional(obj, "fleet", dict, None)
     if fleet is None:
@@ -139,7 +139,7 @@
 
 
 def _read_cells(fleet: Json, share: frozenset[str], voters: list[str]) -> CellsConfig | None:
-    """Read the `cells` object, where there is one; refused beside what needs a view of all members."""
+    """Read the `cells` object, if there is one; invalid with settings that need a view of all members."""
     cells = optional(fleet, "cells", dict, None)
     if cells is None:
         return None
--- a/dunlinloft/node/logs.py
+++ b/dunlinloft/node/logs.py
@@ -1,7 +1,7 @@
-"""The operators' log: events with names and fields, as text or as lines of JSON.
+"""Structured logging for operators: events with names and fields, as text or as JSON lines.
 
-Each event has a name that stays when its wording changes, and its fields beside the text. What is not written
-is not formatted: the text is put together only by the handler that writes it.
+The name of an event is stable, while its text may change. The text is formatted by the handler that writes
+it, so events below the log level cost no formatting.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 def info(event: str, text: str, **fields: object) -> None:
-    """Log something that operators may want to know; `text` names its fields as `%(name)s`."""
+    """Log an event at level info; `text` refers to its fields as `%(name)s`."""
     _write(logging.INFO, event, text, fields)
 
 
 def warning(event: str, text: str, **fields: object) -> None:
-    """Log something that operators should look at."""
+    """Log an event that operators should look at."""
     _write(logging.WARNING, event, text, fields)
 
 
@@ -36,12 +36,12 @@
 
 
 def _arguments(fields: Fields) -> tuple[Fields, ...]:
-    # An empty mapping is taken for an argument of its own, which the text does not name.
+    # `logging` would format an empty mapping as a positional argument, which the text doesn't have.
     return (fields,) if fields else ()
 
 
 def exception(event: str, text: str, **fields: object) -> None:
-    """Log an error that the node survives, with its traceback."""
+    """Log the current exception with its traceback; the node goes on."""
     _log.error(text, *_arguments(fields), exc_info=True, extra={"event": event})
 
 
@@ -53,7 +53,7 @@
         self._name = name
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return one event's JSON."""
+        """Return the event as a line of JSON."""
         entry: dict[str, object] = {
             "time": self.formatTime(record, "%Y-%m-%dT%H:%M:%S") + f".{int(record.msecs):03d}",
             "node": self._name,
@@ -69,7 +69,7 @@
 
 
 def setup(name: str, form: str) -> None:
-    """Write to standard error from now on, in one of `FORMS`."""
+    """Log to standard error from now on, in one of `FORMATS`."""
     handler = logging.StreamHandler(sys.stderr)
     if form == JSON:
         handler.setFormatter(JsonLines(name))
--- a/dunlinloft/node/management.py
+++ b/dunlinloft/node/management.py
@@ -1,6 +1,6 @@
-"""The operators' admin endpoint: a listener of its own, HTTP/1.1, one call to a connection.
+"""The operators' admin endpoint: an HTTP/1.1 listener of its own, with one call per connection.
 
-A caller that sends nothing, is slow or sends no HTTP gets an error or a close, and delays nobody else.
+A caller that is silent or slow, or sends invalid HTTP, gets an error or a close, and delays no other caller.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from dunlinloft.node.addresses import Address
 from dunlinloft.node.admin_reply import AdminReply, error_reply
 
-MAX_CALLERS = 24  # at once; beyond that the one that has waited longest is dismissed
-REQUEST_TIMEOUT_S = 2.0  # for a call to be complete
-RESPONSE_TIMEOUT_S = 1.0  # for a caller to take its answer
+MAX_CALLERS = 24  # at once; beyond that the longest-waiting caller is timed out
+REQUEST_TIMEOUT_S = 2.0  # for a complete call
+RESPONSE_TIMEOUT_S = 1.0  # for a caller to read its response
 MAX_REQUEST_BYTES = 16 * 1024  # of a call, its body included
 LISTEN_BACKLOG = 128  # connections
 
@@ -28,14 +28,14 @@
 
 
 class _Route(NamedTuple):
-    """The method that a path takes, and who handles its calls."""
+    """The method and the handler of a path."""
 
     method: str
     handler: QueryHandler
 
 
 class _Caller(asyncio.Protocol):
-    """One connection; it is answered once."""
+    """The connection of one caller, which is answered once."""
 
     def __init__(self, endpoint: AdminEndpoint) -> None:
         self._endpoint = endpoint
@@ -47,20 +47,20 @@
         self._answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to wait for the call (asyncio's callback)."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is none by class
-        self._timer = self._endpoint.loop.call_later(REQUEST_TIMEOUT_S, self.dismiss)
+        """Start the request timeout (asyncio's callback)."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's class is no subclass of it
+        self._timer = self._endpoint.loop.call_later(REQUEST_TIMEOUT_S, self.time_out)
         self._endpoint.on_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the caller (asyncio's callback)."""
+        """Release the connection (asyncio's callback)."""
         if self._timer is not None:
             self._timer.cancel()
         self._endpoint.on_disconnected(self)
-        del self._parser  # it refers to this object: a cycle would wait for a full collection
+        del self._parser  # it refers to this object: the cycle would live until a full garbage collection
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came (asyncio's callback)."""
+        """Parse received bytes (asyncio's callback)."""
         if self._answered:
             return
         self._size += len(data)
@@ -74,7 +74,7 @@
             self._answer(error_reply(413, "the call is too long"))
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request target (the parser's callback)."""
+        """Store a part of the request target (the parser's callback)."""
         self._url += url
 
     def on_message_complete(self) -> None:
@@ -82,8 +82,8 @@
         path, _, query = self._url.decode("latin-1").partition("?")
         self._answer(self._endpoint.call(self._parser.get_method().decode("ascii"), path, query))
 
-    def dismiss(self) -> None:
-        """Answer a caller that has not sent a complete call."""
+    def time_out(self) -> None:
+        """Time out a caller that has not sent a complete call."""
         self._answer(error_reply(408, "the call is not whole"))
 
     def _answer(self, reply: AdminReply) -> None:
@@ -103,7 +103,7 @@
 
 
 class AdminEndpoint:
-    """The listener, and the calls that it takes, by path and method."""
+    """The listener of the admin endpoint, with the routes of its calls."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -112,17 +112,17 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> Address:
-        """Answer calls from now on; returns the address, with the port that port 0 stands for."""
+        """Start to listen; return the address, with the actual port for port 0."""
         self._server = await self.loop.create_server(lambda: _Caller(self), *address, backlog=LISTEN_BACKLOG)
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
     def add(self, path: str, method: str, handler: Handler) -> None:
-        """Take a call."""
+        """Add a route."""
         self._routes[path] = _Route(method, lambda _: handler())
 
     def add_query(self, path: str, method: str, handler: QueryHandler) -> None:
-        """Take a call whose handler is given the query string."""
+        """Add a route whose handler is given the query string."""
         self._routes[path] = _Route(method, handler)
 
     def count(self) -> int:
@@ -139,17 +139,17 @@
         return route.handler(query)
 
     def on_connected(self, caller: _Caller) -> None:
-        """Count a caller; with too many the one that has waited longest is dismissed."""
+        """Register a caller; beyond `MAX_CALLERS` the longest-waiting one is timed out."""
         self._callers[caller] = None
         if len(self._callers) > MAX_CALLERS:
-            next(iter(self._callers)).dismiss()
+            next(iter(self._callers)).time_out()
 
     def on_disconnected(self, caller: _Caller) -> None:
-        """Stop counting a caller."""
+        """Remove a caller."""
         self._callers.pop(caller, None)
 
     def close(self) -> None:
-        """Take no more calls."""
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
             self._server = None
--- a/dunlinloft/node/server_list.py
+++ b/dunlinloft/node/server_list.py
@@ -1,4 +1,4 @@
-"""Lists of servers as discovery and the configuration file write them."""
+"""Reads lists of servers in the format of discovery and of the configuration file."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
     Attributes
     ----------
     index
-        Discovery's number of the list; it rises with each change.
+        Discovery's version of the list, which increases with each change.
     is_snapshot
-        It names all servers; else those that changed.
+        Whether the list names all servers, or only those that changed.
     start_ids
         By server: an identifier of its process's start, the same at all nodes.
     started_unix_ms
-        By server: when that was, in Unix time; 0 where it is not known.
+        By server: the Unix time of that start; 0 if it is not known.
     """
 
     index: int
@@ -46,9 +46,10 @@
 
 
 def server_id(name: str) -> int:
-    """Return a server's number, the same at every node: the module divides servers among nodes by it.
+    """Return the identifier of a server, by which the balancer divides servers among nodes.
 
-    Of 64 bits, so that two names never share one; `hash()` differs from one process to the next.
+    It has 64 bits to avoid collisions. It is the same at all nodes, unlike `hash()`, which differs between
+    processes.
     """
     return key_id(name.encode())
 
@@ -59,14 +60,14 @@
 
 
 def start_id(started_unix_ms: float) -> int:
-    """Return two bytes that tell one start of a server from the next; 0 where the time is not known."""
+    """Return a number of two bytes that distinguishes starts of a server; 0 if the time is not known."""
     if started_unix_ms <= 0:
         return 0
     return 1 + zlib.crc32(str(int(started_unix_ms)).encode()) % MAX_START_ID
 
 
 def read_server_list(obj: Json) -> ServerList:
-    """Read a list. `since_ms` in it is Unix time, the module's clock is monotonic. Raises `Malformed`."""
+    """Read a list; `since_ms` in it is Unix time, the balancer's clock is monotonic. Raises `Malformed`."""
     monotonic_offset_ms = now_ms() - time.time() * 1000.0
     entries: list[api.ServerEntry] = []
     addresses: dict[int, Address] = {}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -603,7 +603,7 @@
             await until(lambda: len(old.seen) == 1)
             scene.path.write_text("{")  # no good: all stays as it was
             program.process.send_signal(signal.SIGHUP)
-            await program.logs(b"stays as it was")
+            await program.logs(b"invalid configuration, current one kept")
             scene.path.write_text(json.dumps(scene.config | {"discovery": registry.address}))
             program.process.send_signal(signal.SIGHUP)
             await until(lambda: len(registry.seen) == 2)  # the list, and a watch from there on
