--- a/dunlinloft/node/discovery.py
+++ b/dunlinloft/node/discovery.py
@@ -145,7 +145,7 @@
         self._drop_connection()
 
     def _call(self, full: bool) -> None:
-        # A broken watch is detected only by its timeout, so the call after a failure gets missed changes at once.
+        # A broken watch is only detected by its timeout, so the call after a failure returns at once.
         wait_ms = POLL_WAIT_MS if self._last_call_failed else WATCH_WAIT_MS
         query = "" if full else f"?index={self._index}&wait={wait_ms}"
         request = (
--- a/dunlinloft/node/fleet/cells.py
+++ b/dunlinloft/node/fleet/cells.py
@@ -1,6 +1,6 @@
-"""A node's part in cells: its membership in one, its wire, and its position among all members of its service.
+"""Hosts a node's cell: its membership, its wire format and its position among all members of its service.
 
-Imported only where the configuration's `fleet` has `cells`.
+Imported only if the configuration's `fleet` has `cells`.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 
 
 class CellMember(CellMembership):
-    """A member whose budgets are divided by its host's count of members."""
+    """A member whose budgets are divided by the member count of its host."""
 
     member_count: CellMemberCount
 
     def counted_members(self) -> int:
-        """Return how many members of the cell share budgets."""
+        """Return the number of the cell's members that share budgets."""
         return self.member_count.cell()
 
 
 class CellHost:
-    """This process in its cell."""
+    """Hosts the membership of this process in its cell."""
 
     def __init__(
         self,
@@ -59,27 +59,27 @@
         self._fallback: bool | None = None
 
     def on_partition_changed(self) -> None:
-        """The cell is another: who is not of it any more is counted by its own."""
+        """Drop members that are no longer of this cell from the count: their own cell counts them."""
         partition = self.core.partition
         self.member_count.retain(lambda name: partition.includes_path(name_path(name)))
 
     def observe_members(self, alive: set[str], now: float) -> None:
-        """Take in who is there, and what the directory says of the others."""
+        """Update the count from the members alive, and the directory's totals for other cells."""
         self.member_count.observe(alive, now, self.core.service_totals, self.core.partition)
         if self.member_count.uses_fallback != self._fallback:
             self._fallback = self.member_count.uses_fallback
-            text = "what the directory says is too old: parts of budgets do not grow"
-            logs.info("cells fallback", text if self._fallback else "the directory's sums are in use")
+            text = "the directory's totals are too old: shares of budgets do not grow"
+            logs.info("cells fallback", text if self._fallback else "the directory's totals are in use")
 
     def age_ms(self) -> float | None:
-        """Of what the directory said last; None where it has said nothing."""
+        """Return the age of the directory's last totals; None if there are none."""
         totals = self.core.service_totals
         return totals.age_ms(now_ms()) if totals is not None else None
 
-    # What operators see
+    # Metrics and status for operators
 
     def gauges(self) -> dict[str, Callable[[], int]]:
-        """Gauges beside the fleet's."""
+        """Return the gauges of the cell by name."""
         return {
             "fleet_cuts": lambda: self.core.partition_changes,
             "fleet_cells_fallback": lambda: int(self.member_count.uses_fallback),
@@ -88,7 +88,7 @@
         }
 
     def status(self) -> AdminReply:
-        """All that the admin endpoint tells of the cell."""
+        """Return the status of the cell for the admin endpoint."""
         core, totals, age = self.core, self.core.service_totals, self.age_ms()
         number, nodes = self.member_count.position()
         found = totals.response if totals is not None else None
--- a/dunlinloft/node/fleet/directory.py
+++ b/dunlinloft/node/fleet/directory.py
@@ -1,7 +1,7 @@
-"""A process of the directory: for control machines, without a request path.
+"""A process of the directory of cells, which runs on control machines and serves no requests.
 
-It answers members of cells and takes their reports on the socket on which the directory's processes meet
-each other. Started by `python -m dunlinloft.node.fleet.directory` with the file that NODE_CONFIG names.
+It answers lookups and takes reports of members on the socket that the directory's processes also use among
+themselves. Started by `python -m dunlinloft.node.fleet.directory` with the file that NODE_CONFIG names.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 from dunlinloft.node.fleet.peers import LEAVE_GRACE_S, MemberIdentity, Peers
 from dunlinloft.node.management import AdminEndpoint
 
-OBSERVE_INTERVAL_S = 1.0  # how often it is looked at which other processes are there
-OWN_FLEET = "{}/directory"  # the name under which the directory's processes meet
+OBSERVE_INTERVAL_S = 1.0  # between reports of the other processes alive to the core
+DIRECTORY_FLEET_NAME = "{}/directory"  # fleet name of the directory's own processes
 
 
 class DirectoryHost:
-    """The core among sockets."""
+    """Hosts the directory core on sockets."""
 
     def __init__(self, config: DirectoryConfig, loop: asyncio.AbstractEventLoop) -> None:
         self._loop, self.config = loop, config
-        fleet = replace(config.fleet, name=OWN_FLEET.format(config.fleet.name))
+        fleet = replace(config.fleet, name=DIRECTORY_FLEET_NAME.format(config.fleet.name))
         identity = MemberIdentity(config.name, config.seed, config.zone)
         self.peers = Peers(loop, identity, fleet, lambda number, nodes: None, lambda: 0)
-        self.peers.intercept_datagram = self._datagram
+        self.peers.intercept_datagram = self._intercept_datagram
         self.peers.message_listeners.append(self._on_message)
         self.wire = DirectoryWire(config.fleet.name)
         incarnation = self.peers.core.incarnation
@@ -56,7 +56,7 @@
         self.admin.add("/admin/fleet", "GET", self.peers.status)
 
     async def start(self) -> None:
-        """Meet the others and answer members; `OSError` where the admin endpoint's address is taken."""
+        """Join the other processes and serve. Raises `OSError` if the admin endpoint's address is in use."""
         if self.config.management is not None:
             await self.admin.listen(self.config.management)
         self.peers.start()
@@ -64,7 +64,7 @@
         self._observe_peers()
 
     async def stop(self) -> None:
-        """Say goodbye to the other processes."""
+        """Leave the other processes, and wait until the sockets are closed."""
         self._closed = True
         self.peers.leave_fleet(handing_over=False)
         await asyncio.sleep(2.0 * LEAVE_GRACE_S)
@@ -84,7 +84,7 @@
             self._perform(self.core.handle(event, now_ms()))
         except Exception:
             self.peers.counts["errors"] += 1
-            logs.exception("directory error", "handling %(what)s", what=type(event).__name__)
+            logs.exception("directory error", "directory: handling %(what)s", what=type(event).__name__)
 
     def _perform(self, actions: list[cells.Action]) -> None:
         for action in actions:
@@ -99,8 +99,8 @@
                         action.delay_ms / 1000.0, self._handle, shared.TimerFired(action.token)
                     )
 
-    def _datagram(self, data: bytes, source: str) -> bool:
-        """Take a member's datagram; False where it is one of the directory's own processes'."""
+    def _intercept_datagram(self, data: bytes, source: str) -> bool:
+        """Handle a datagram of a member; False if it is one of the directory's own processes."""
         if not self.wire.accepts(data):
             return False
         try:
@@ -116,13 +116,13 @@
         if isinstance(message, ApplicationMessage) and isinstance(message.content, shared.Message):
             self._handle(shared.MessageReceived(message.content, message.header.name))
 
-    # What operators see
+    # Status for operators
 
     def _health(self) -> AdminReply:
         return AdminReply(200, {"ready": self.core.is_ready(now_ms())})
 
     def status(self) -> AdminReply:
-        """Services with their cells, and how old what is known of each is."""
+        """Return the services with their cells, and the age of the report on each cell."""
         now, core = now_ms(), self.core
         return AdminReply(200, {
             "name": self.config.name,
@@ -133,28 +133,28 @@
             "refused_for": self.peers.rejection_counts,
             "bound_s": MAX_REPORT_AGE_MS / 1000.0,
             "services": {
-                name: _service(service, now) for name, service in sorted(core.index.services.items())
+                name: _service_status(service, now) for name, service in sorted(core.index.services.items())
             },
         })  # fmt: skip
 
 
-def _service(service: ServiceRecord, now: float) -> list[JsonObject]:
-    return [_cell(cell, now) for _, cell in sorted(service.cells.items())]
+def _service_status(service: ServiceRecord, now: float) -> list[JsonObject]:
+    return [_cell_status(cell, now) for _, cell in sorted(service.cells.items())]
 
 
-def _cell(cell: CellRecord, now: float) -> JsonObject:
-    youngest = cell.latest().summary
+def _cell_status(cell: CellRecord, now: float) -> JsonObject:
+    latest = cell.latest().summary
     return {
         "region": cell.region, "cell": cell.partition.text(), "epoch": cell.partition.epoch,
-        "members": youngest.members, "counted": cell.counted_members(now), "load": youngest.load,
-        "program": youngest.program, "digest": f"{youngest.digest:016x}", "addresses": cell.addresses(),
+        "members": latest.members, "counted": cell.counted_members(now), "load": latest.load,
+        "program": latest.program, "digest": f"{latest.digest:016x}", "addresses": cell.addresses(),
         "reporters": sorted(cell.summaries), "age_s": round(cell.age_ms(now) / 1000.0, 1),
         "stale": not cell.is_fresh(now),
     }  # fmt: skip
 
 
 async def run(path: str) -> int:
-    """Serve until SIGTERM; the exit status."""
+    """Serve until SIGTERM; return the exit status."""
     try:
         config = read_directory_config(path)
     except ConfigFileError as problem:
@@ -171,7 +171,7 @@
     except OSError as problem:
         print(f"dunlinloft directory: can't listen: {problem}", file=sys.stderr)
         return 2
-    logs.info("started", "a process of the directory of %(fleet)s", fleet=config.fleet.name)
+    logs.info("started", "started, serving the directory of fleet %(fleet)s", fleet=config.fleet.name)
     await stopping.wait()
     logs.info("stopping", "stopping")
     await host.stop()
@@ -179,7 +179,7 @@
 
 
 def main() -> int:
-    """The program."""
+    """Run the program; return the exit status."""
     path = os.environ.get("NODE_CONFIG")
     if not path:
         print("dunlinloft directory: NODE_CONFIG must name the configuration file", file=sys.stderr)
--- a/dunlinloft/node/fleet/releases.py
+++ b/dunlinloft/node/fleet/releases.py
@@ -1,4 +1,4 @@
-"""Hosts the controller of releases: joins the table, shared state and the operators' admin endpoint."""
+"""Hosts the release controller: connects the state table, the shared state and the admin endpoint."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from dunlinloft.node.fleet.role_messaging import TableWrites
 from dunlinloft.node.server_list import server_id
 
-MAX_HISTORY = 20  # releases that ended and are remembered
+MAX_HISTORY = 20  # finished releases that are kept
 
 
 class Releases:
-    """The controller, and what operators say to it and see of it."""
+    """The release controller, with the commands and the status of operators."""
 
     def __init__(
         self, shared: SharedState, writes: TableWrites, issue_order: Callable[[ReleaseOrderIssued], None],
@@ -33,14 +33,14 @@
         self._history: list[Plan] = []
 
     def on_table_opened(self, table: TablePrimary) -> None:
-        """This process holds the table, and it is open."""
+        """Start the controller from the table's rows: this process holds the table, which is open."""
         rows = {key: decode_plan(row.value) for key, row in table.rows.items() if key.startswith(RELEASE_KEY)}
         past = [plan for key, plan in rows.items() if key != RELEASE_KEY and plan is not None]
         self._history = sorted(past, key=lambda plan: plan.id)
         self.controller.start(table.token, rows.get(RELEASE_KEY), self._now())
 
     def on_table_closed(self) -> None:
-        """It holds the table no more."""
+        """Stop the controller: this process no longer holds the table."""
         self.controller.stop()
 
     def _write_plan(self, plan: Plan) -> None:
@@ -54,7 +54,7 @@
             self._history = [*self._history, plan][-MAX_HISTORY:]
 
     def tick(self, holds: bool) -> None:
-        """To be called every so often; `holds`: this process holds the table at this instant."""
+        """Run the controller if this process holds the table now; to be called at intervals."""
         if not self.controller.token or not holds:
             return
         now, store = self._now(), self._shared.store
@@ -68,10 +68,10 @@
         if order is not None:
             self._issue_order(ReleaseOrderIssued(order))
 
-    # At the admin endpoint
+    # Admin endpoint
 
     def start(self, query: str) -> AdminReply:
-        """Begin a release of servers."""
+        """Start a release of servers."""
         parameters = _parameters(query)
         try:
             wanted = parse_release_request(parameters)
@@ -83,7 +83,7 @@
         return AdminReply(202, {"taken": True})
 
     def command(self, query: str) -> AdminReply:
-        """Pause, resume, skip, halt or abort it."""
+        """Pause, resume, skip, halt or abort the release."""
         parameters = _parameters(query)
         try:
             self.controller.command(
@@ -99,7 +99,7 @@
         return error_reply(409, str(rejection), holder=self._table_owner())
 
     def status(self, class_names: dict[int, str]) -> JsonObject:
-        """All that the admin endpoint tells of releases; `class_names` are the classes by their marks."""
+        """Return the status of releases for the admin endpoint; `class_names` are by class hash."""
         follower, found = self._shared.follower, self.controller.status()
         for row in found["evidence"]:
             row["class"] = class_names.get(row["class"], "all" if not row["class"] else str(row["class"]))
--- a/dunlinloft/node/fleet/role_messaging.py
+++ b/dunlinloft/node/fleet/role_messaging.py
@@ -1,4 +1,4 @@
-"""What the host of the fleet's leases uses of its surroundings, and writes to the state table."""
+"""Interfaces that the host of the fleet's leases depends on, and writes to the state table."""
 
 from __future__ import annotations
 
@@ -10,59 +10,59 @@
 from dunlinloft.fleet.leases import messages as leases
 from dunlinloft.fleet.membership.core import Membership
 
-FIRST_INTERNAL_ID = 1 << 32  # of writes of parts of the process; those of operators have smaller numbers
+FIRST_INTERNAL_ID = 1 << 32  # of writes by this process itself; writes by operators have smaller ids
 
 
 class Scheduler(Protocol):
-    """What calls something later: an event loop, or virtual time."""
+    """Schedules callbacks: an event loop, or virtual time."""
 
     def call_later(self, delay: float, callback: Callable[..., None], /, *args: object) -> object:
-        """After so many seconds."""
+        """Call back after a delay in seconds."""
 
 
 class MemberMessaging(Protocol):
-    """This process among the members, as leases need it."""
+    """Messaging between members, as leases need it."""
 
     counts: dict[str, int]
 
     @property
     def core(self) -> Membership:
-        """Its membership."""
+        """The membership of this process."""
 
     def send_to_member(self, name: str, content: leases.Message, /) -> None:
-        """Say something to a member, or to itself."""
+        """Send a message to a member, or to this process itself."""
 
     def handle(self, event: api.Event, /) -> None:
-        """Give its membership an event."""
+        """Pass an event to the membership."""
 
     def request_view(self, name: str, /) -> None:
-        """Have a member say which view it holds."""
+        """Ask a member for the digest of its view."""
 
 
 class TableWrites:
-    """Rows that parts of this process have the table keep."""
+    """Writes of rows to the state table by this process itself."""
 
     def __init__(self, handle: Callable[[leases.Event], None]) -> None:
-        self._handle, self._numbers = handle, count(FIRST_INTERNAL_ID)
-        self._open: dict[int, Callable[[bool], None]] = {}
+        self._handle, self._request_ids = handle, count(FIRST_INTERNAL_ID)
+        self._pending: dict[int, Callable[[bool], None]] = {}
         self._rejections: dict[int, str] = {}
 
     def write(self, key: str, value: bytes, done: Callable[[bool], None]) -> str:
-        """Have a row kept; "" where it is on its way and `done` will be told, else why not."""
-        number = next(self._numbers)
-        self._open[number] = done
-        self._handle(leases.WriteRequested(key, value, number))
-        rejection = self._rejections.pop(number, "")
+        """Begin to write a row; return "" if `done` will be called with the outcome, else the rejection."""
+        request_id = next(self._request_ids)
+        self._pending[request_id] = done
+        self._handle(leases.WriteRequested(key, value, request_id))
+        rejection = self._rejections.pop(request_id, "")
         if rejection:
-            del self._open[number]
+            del self._pending[request_id]
         return rejection
 
     def on_completed(self, action: leases.WriteCompleted) -> bool:
-        """How one ended; False where it is none of these."""
-        if action.request_id not in self._open:
+        """Handle the end of a write; False if it is not one of these writes."""
+        if action.request_id not in self._pending:
             return False
         if action.rejection:
             self._rejections[action.request_id] = action.rejection
         else:
-            self._open.pop(action.request_id)(action.committed)
+            self._pending.pop(action.request_id)(action.committed)
         return True
