--- a/dunlinloft/node/fleet/__init__.py
+++ b/dunlinloft/node/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts the fleet's pure parts (`dunlinloft.fleet`) at a node, where its configuration has `fleet`."""
+"""Hosts the I/O-free cores of `dunlinloft.fleet` in a node whose configuration has `fleet`."""
--- a/dunlinloft/node/fleet/shared.py
+++ b/dunlinloft/node/fleet/shared.py
@@ -1,7 +1,7 @@
-"""Hosts the state that the fleet's members share: tells it what happens alive, and the module what follows.
+"""Hosts the state that the fleet's members share: feeds it events of the node, and applies its results.
 
-Its messages ride on the members' datagrams. Whatever fails is the fleet's, and the node serves on by its
-own knowledge: what others said is taken back first.
+Its messages are sent in the members' datagrams. On an error the node goes on by its own knowledge: all
+results that stem from other members are withdrawn first.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from dunlinloft.node.fleet.peers import Peers
 
-STATUS_INTERVAL_S = 0.25  # how often the fleet's part hears what the node knows
+STATUS_INTERVAL_S = 0.25  # between reports of the node's status to the shared state
 ATTEMPT_OUTCOMES = {
     Result.SERVED: AttemptOutcome.GOOD, Result.ERROR: AttemptOutcome.ERROR, Result.RESET: AttemptOutcome.LOST,
     Result.TIMEOUT: AttemptOutcome.LOST, Result.UNREACHABLE: AttemptOutcome.LOST,
@@ -39,26 +39,26 @@
 
 
 def dedup_window_ms(settings: api.Settings) -> float:
-    """The longest time within which servers drop the repeats of a keyed request."""
+    """Return the longest time for which servers deduplicate retries of a keyed request."""
     return max((cls.dedup_window_ms for cls in settings.classes if is_zone_bound(cls)), default=0.0)
 
 
 def is_zone_bound(cls: api.RequestClass) -> bool:
-    """Whether requests of a class are to stay in one zone, wherever they come in."""
+    """Whether requests of a class must stay in one zone, whichever node receives them."""
     return cls.idempotency is api.Idempotency.KEYED and cls.dedup_scope is api.DedupScope.ZONE
 
 
 def tenant_quotas(settings: api.Settings) -> dict[str, float]:
-    """The tenants' quotas over all nodes, requests a second."""
+    """Return the tenants' quotas over all nodes, in requests per second."""
     return {tenant.name: tenant.quota_per_s for tenant in settings.tenants if tenant.quota_per_s}
 
 
 def node_status(
-    balancer: Balancer, starts: dict[int, int], since_ms: dict[int, float] | None, now: float
+    balancer: Balancer, start_ids: dict[int, int], since_ms: dict[int, float] | None, now: float
 ) -> shared.NodeStatus:
-    """What a node knows of its servers and its loop now; with `since_ms` also what releases need."""
-    listed = {server: starts.get(server, 0) for server in balancer.server_set.servers}
-    loop = balancer.controller
+    """Return a node's view of its servers and its delay controller; with `since_ms` also that of releases."""
+    listed = {server: start_ids.get(server, 0) for server in balancer.server_set.servers}
+    controller = balancer.controller
     servers: dict[int, ObservedServer] = {}
     if since_ms is not None:
         ready = {server.id for server in balancer.server_set.ready}
@@ -68,12 +68,12 @@
             servers[id] = ObservedServer(class_hash(server.zone), since_ms.get(id, 0.0), weight, warmth < 1.0)
     return shared.NodeStatus(
         listed, frozenset(balancer.unresponsive_servers(now)), dict(balancer.zone_capacity(now)),
-        loop.allowed_rate, loop.tuned_rate, servers,
+        controller.allowed_rate, controller.tuned_rate, servers,
     )  # fmt: skip
 
 
 def peer_verdicts(verdicts: list[shared.Verdict], class_names: dict[int, str]) -> api.PeerVerdicts:
-    """The fleet's verdicts in the module's terms."""
+    """Convert the fleet's verdicts to the balancer's type."""
     return api.PeerVerdicts(
         [
             api.PeerVerdict(
@@ -92,7 +92,7 @@
 def membership_update(
     members: Membership, member_count: MemberCount | CellMemberCount
 ) -> shared.MembershipUpdated:
-    """Who is there, and who counts."""
+    """Return the members alive, and those that are counted."""
     alive = (
         {}
         if members.muted
@@ -106,7 +106,7 @@
 def zone_of_key(
     core: SharedState, cls: api.RequestClass, key: int, is_retry: bool, now: float
 ) -> tuple[str | None, bool]:
-    """The zone that a request is bound to, if it is to any, and whether that can be known."""
+    """Return the zone that a request is bound to, if any, and whether it is known."""
     if AFFINITY not in core.features or not is_zone_bound(cls):
         return None, True
     found = core.route(key, is_retry, now)
@@ -114,7 +114,7 @@
 
 
 class SharedHost:
-    """This process's part in what the fleet shares."""
+    """Connects the shared state with the node and its peers."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, peers: Peers, fleet: FleetConfig, settings: api.Settings,
@@ -130,25 +130,25 @@
             peers.core.name, peers.core.incarnation, settings.zone, settings.tier, fleet.share,
             tenant_quotas(settings), list(fleet.groups), dedup_window_ms(settings), rng, now_ms(),
         )  # fmt: skip
-        self._starts: dict[int, int] = {}
-        self._since: dict[int, float] = {}
-        self._names: dict[int, str] = {}
+        self._start_ids: dict[int, int] = {}
+        self._started_unix_ms: dict[int, float] = {}
+        self._addresses: dict[int, str] = {}
         self._class_names: dict[int, str] = {}
         self._closed = False
         self.reconfigure(settings)
 
     def reconfigure(self, settings: api.Settings) -> None:
-        """These settings are in force now."""
+        """Apply new settings."""
         self._class_names |= {class_hash(cls.name): cls.name for cls in settings.classes}
         self.core.set_quotas(tenant_quotas(settings))
 
     def begin(self) -> None:
-        """The process can be reached."""
+        """Start: the process can be reached by its peers now."""
         self._perform(self.core.begin())
         self._report_status()
 
     def on_message(self, message: Message) -> None:
-        """A datagram has come that may be about shared state."""
+        """Handle a received message, if it is about shared state."""
         if isinstance(message, ApplicationMessage) and isinstance(message.content, shared.Message):
             self._handle(shared.MessageReceived(message.content, message.header.name))
 
@@ -161,9 +161,9 @@
             self._fail(type(event).__name__)
 
     def _fail(self, what: str) -> None:
-        """An error of the fleet's: the node goes on by its own knowledge."""
+        """Log an error, and withdraw the results that stem from other members."""
         self._peers.counts["errors"] += 1
-        logs.exception("fleet error", "the shared state's part, handling %(what)s", what=what)
+        logs.exception("fleet error", "shared state: handling %(what)s", what=what)
         self._forget_peers()
 
     def _forget_peers(self) -> None:
@@ -190,12 +190,12 @@
         if self._closed:
             return
         try:
-            since = self._since if RELEASES in self.core.features else None
+            since = self._started_unix_ms if RELEASES in self.core.features else None
             self._perform(
-                self.core.handle(node_status(self._balancer, self._starts, since, now_ms()), now_ms())
+                self.core.handle(node_status(self._balancer, self._start_ids, since, now_ms()), now_ms())
             )
         except Exception:
-            self._fail("what the node knows")
+            self._fail("the node's status")
         self._report_members()
         self._loop.call_later(STATUS_INTERVAL_S, self._report_status)
 
@@ -203,49 +203,49 @@
         self._handle(membership_update(self._peers.core, self._peers.member_count))
 
     def on_release_order(self, event: shared.ReleaseOrderIssued) -> None:
-        """This process is the steward of releases: its order is for all."""
+        """Share an order of the release controller, which this process runs."""
         self._handle(event)
 
     def on_operator_limits(self, token: int, limits: dict[str, float]) -> None:
-        """This process holds the ledger: what operators have set there is for all."""
+        """Share the operators' limits from the state table, which this process holds."""
         self._handle(shared.OperatorLimitsRead(token, limits))
 
-    # What happens at the node
+    # Events of the node
 
     def on_server_list(self, listing: ServerList) -> None:
-        """News of the list: the servers that it names, each with a mark of its start."""
-        self._starts |= listing.start_ids
-        self._since |= listing.started_unix_ms
-        self._names |= {server: f"{host}:{port}" for server, (host, port) in listing.addresses.items()}
+        """Update the known servers, each with the identifier of its start."""
+        self._start_ids |= listing.start_ids
+        self._started_unix_ms |= listing.started_unix_ms
+        self._addresses |= {server: f"{host}:{port}" for server, (host, port) in listing.addresses.items()}
         terminated = [entry.server for entry in listing.entries if entry.health is api.Health.TERMINATED]
         for server in terminated:
-            self._starts.pop(server, None)
-            self._since.pop(server, None)
-            self._names.pop(server, None)
+            self._start_ids.pop(server, None)
+            self._started_unix_ms.pop(server, None)
+            self._addresses.pop(server, None)
 
     def on_request(self, tenant: str | None) -> None:
-        """A request has come."""
+        """Count a received request for its tenant."""
         if tenant is not None:
             self._handle(shared.RequestReceived(tenant))
 
     def on_attempt_completed(self, server: int, cls: str, result: Result, duration_ms: float) -> None:
-        """An attempt is over."""
+        """Report the outcome of an attempt."""
         outcome = ATTEMPT_OUTCOMES.get(result)
         if outcome is not None:
             self._handle(shared.AttemptCompleted(server, cls, outcome, duration_ms))
 
     def zone_of_key(self, cls: api.RequestClass, key: int, is_retry: bool) -> tuple[str | None, bool]:
-        """The zone that a request is bound to, if it is to any, and whether that can be known."""
+        """Return the zone that a request is bound to, if any, and whether it is known."""
         try:
             return zone_of_key(self.core, cls, key, is_retry, now_ms())
         except Exception:
-            self._fail("a key")
+            self._fail("a keyed request")
             return None, not is_retry
 
-    # What operators see
+    # Metrics and status for operators
 
     def gauges(self) -> dict[str, Callable[[], int]]:
-        """Gauges beside the node's own."""
+        """Return the gauges of shared state by name."""
         core = self.core
         return {
             "fleet_avoided": lambda: sum(verdict.avoid for verdict in core.verdicts),
@@ -261,11 +261,11 @@
         }
 
     def classes(self) -> dict[int, str]:
-        """The classes' names by their class_names."""
+        """Return the classes' names by class hash."""
         return self._class_names
 
     def status(self) -> AdminReply:
-        """All that the admin endpoint tells of shared state."""
+        """Return the status of shared state for the admin endpoint."""
         core, now = self.core, now_ms()
         affinity = core.affinity
         records = [
@@ -280,7 +280,7 @@
             "share": [part for part in FEATURES if part in core.features],
             "verdicts": [
                 {
-                    "name": self._names.get(v.server, f"{v.server:016x}"), "avoid": v.avoid,
+                    "name": self._addresses.get(v.server, f"{v.server:016x}"), "avoid": v.avoid,
                     "slow": v.slowdown,
                     "classes": [self._class_names.get(m, str(m)) for m in sorted(v.class_hashes)],
                 }
@@ -316,5 +316,5 @@
         })  # fmt: skip
 
     def close(self) -> None:
-        """Nothing more."""
+        """Ignore all further events."""
         self._closed = True
--- a/dunlinloft/node/fleet/singleton_roles.py
+++ b/dunlinloft/node/fleet/singleton_roles.py
@@ -1,7 +1,7 @@
-"""Hosts the fleet's duties: their messages ride on the members' datagrams, their claims on members' facts.
+"""Hosts the fleet's singleton roles, each held by one member at a time under a lease.
 
-What duties do is alive too: the divergence watch, and the table's rows. Whatever fails is the fleet's, and
-the node serves on.
+Messages of the leases are sent in the members' datagrams, claims are published in the members' metadata. The
+roles run here too: the divergence watch and the state table. On an error the node goes on serving.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
 from dunlinloft.node.fleet.role_messaging import MemberMessaging, Scheduler, TableWrites
 
 ROLES = (DIVERGENCE_WATCH_ROLE, STATE_TABLE_ROLE)
-MEMBERSHIP_INTERVAL_S = 0.4  # how often the cores are told who is there
-WATCH_INTERVAL_S = 0.5  # how often the watch asks some of the members
-CLAIM_PREFIX = "duty."  # facts that begin so say which duties a member holds, with the token
-VOTERS_KEY = "voters"  # the fact that says who votes since which change: told by whoever has adopted one
+MEMBERSHIP_INTERVAL_S = 0.4  # between reports of the members to the lease manager
+WATCH_INTERVAL_S = 0.5  # between queries of the divergence watch to some of the members
+CLAIM_PREFIX = "duty."  # of metadata keys whose value is the token of a role that the member holds
+VOTERS_KEY = "voters"  # of metadata with the voters and their epoch, published by who has adopted them
 MAX_HISTORY = 50
-MAX_OPERATOR_ENTRIES = 64  # of operators whose end is remembered
-LIMIT_PREFIX = "limit/"  # rows that begin so hold an operators' limit for a tenant, in requests a second
-MAX_HEALTH_SCORE = 2  # local health from which this process does not stand for duties
+MAX_OPERATOR_ENTRIES = 64  # writes by operators whose outcome is kept
+LIMIT_PREFIX = "limit/"  # of rows with an operators' limit for a tenant, in requests per second
+MAX_HEALTH_SCORE = 2  # from this local health score on a process does not become a candidate
 
 
 class RoleHost:
-    """This process's part in the fleet's duties."""
+    """Hosts the leases of this process and the roles that it holds."""
 
     def __init__(
         self,
@@ -53,21 +53,21 @@
         self._loop, self._peers, self._voters, self._rng = loop, peers, voters, rng
         self._name, self._zone, self._now = name, zone, now
         self.writes = TableWrites(self._handle)
-        # Whoever else needs the table hears when it is open alive, and when it no longer is.
+        # Called when this process has opened the table, and when it no longer holds it.
         self.on_open: Callable[[TablePrimary], None] = lambda table: None
         self.on_close: Callable[[], None] = lambda: None
-        self.core: LeaseManager | None = None  # until the process is a member: a voter's silence begins then
+        self.core: LeaseManager | None = None  # once a member: a restarted voter's wait begins then
         self.guard = FencingGuard()
         self.watch = DivergenceWatch()
         self._history: deque[JsonObject] = deque(maxlen=MAX_HISTORY)
         self._claims: dict[str, tuple[str, int]] = {}
-        self._entries: OrderedDict[int, JsonObject] = OrderedDict()  # of operators, and how each ended
+        self._entries: OrderedDict[int, JsonObject] = OrderedDict()  # writes by operators, with their outcome
         self._entry_count = 0
         self.on_limits_read: Callable[[int, dict[str, float]], None] = lambda token, limits: None
         self._closed = False
 
     def begin(self) -> None:
-        """The process can be reached."""
+        """Start: the process can be reached by its peers now."""
         incarnation = self._rng.getrandbits(62)
         self.core = LeaseManager(
             self._name, incarnation, self._voters, list(ROLES), self._rng, _wall_ms, self._now()
@@ -77,14 +77,14 @@
         self._loop.call_later(WATCH_INTERVAL_S, self._watch_divergence)
 
     def on_message(self, message: Message) -> None:
-        """A datagram has come that may be about duties."""
+        """Handle a received message, if it is about leases."""
         if isinstance(message, ApplicationMessage) and isinstance(message.content, leases.Message):
             self.on_content(message.content, message.header.name)
         elif isinstance(message, Ack):
             self.watch.record_digest(message.header.name, message.header.digest, self._now())
 
     def on_content(self, content: leases.Message, sender: str) -> None:
-        """Something about a role."""
+        """Handle a message of the leases."""
         self._handle(leases.MessageReceived(content, sender))
 
     def _handle(self, event: leases.Event) -> None:
@@ -94,7 +94,7 @@
             self._perform(self.core.handle(event, self._now()))
         except Exception:
             self._peers.counts["errors"] += 1
-            logs.exception("fleet error", "the duties' part, handling %(what)s", what=type(event).__name__)
+            logs.exception("fleet error", "leases: handling %(what)s", what=type(event).__name__)
 
     def _perform(self, actions: list[leases.Action]) -> None:
         for action in actions:
@@ -135,26 +135,26 @@
             self.on_open(self.core.table)
         text = "the ledger is open with %(rows)d rows, token %(token)d"
         if action.rows_lost:
-            text += "; rows that were acknowledged may be lost: a majority of the voters has forgotten"
+            text += "; acknowledged rows may be lost: a majority of the voters has lost its state"
         logs.info("ledger open", text, rows=action.row_count, token=action.token, lost=action.rows_lost)
 
     def _on_voters_changed(self, voters: leases.VoterSet) -> None:
         names = ", ".join(voters.names)
-        text = "after change %(change)d the voters are %(voters)s"
+        text = "voters after change %(change)d: %(voters)s"
         logs.info("voters", text, change=voters.epoch, voters=names)
-        fact = f"{voters.epoch} {','.join(voters.names)}"
-        self._peers.handle(api.MetadataUpdated({VOTERS_KEY: fact}))
+        value = f"{voters.epoch} {','.join(voters.names)}"
+        self._peers.handle(api.MetadataUpdated({VOTERS_KEY: value}))
 
     def _record(self, role: str, what: str, token: int, why: str) -> None:
-        at = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime())
-        self._history.append({"time": at, "duty": role, "what": what, "token": token, "why": why})
+        timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime())
+        self._history.append({"time": timestamp, "duty": role, "what": what, "token": token, "why": why})
         text = f"{what} %(duty)s, token %(token)d" + (": %(why)s" if why else "")
         logs.info(f"duty {what}", text, duty=role, token=token, why=why)
 
     def _claim(self, role: str, token: int) -> None:
         self._peers.handle(api.MetadataUpdated({CLAIM_PREFIX + role: str(token) if token else ""}))
 
-    # What is seen of the others
+    # Observation of other members
 
     def _observe_members(self) -> None:
         if self._closed:
@@ -169,19 +169,21 @@
             if not member.is_alive():
                 continue
             voters = max(voters, _voters(member.metadata.get(VOTERS_KEY)), key=_epoch)
-            for fact, value in member.metadata.items():
-                if fact.startswith(CLAIM_PREFIX) and isinstance(value, str) and value.isdigit():
-                    role, token = fact.removeprefix(CLAIM_PREFIX), int(value)
+            for key, value in member.metadata.items():
+                if key.startswith(CLAIM_PREFIX) and isinstance(value, str) and value.isdigit():
+                    role, token = key.removeprefix(CLAIM_PREFIX), int(value)
                     if self.guard.admits(role, token):
                         claims[role] = member.name, token
         for role, candidate in self.core.candidates.items() if self.core is not None else ():
             if candidate.is_leader:
                 claims[role] = self._name, candidate.token
         self._claims = claims
-        well = core.health.score < MAX_HEALTH_SCORE and not core.muted and core.alive_count() > 1
+        healthy = core.health.score < MAX_HEALTH_SCORE and not core.muted and core.alive_count() > 1
         zones = {m.name: str(m.metadata.get("zone", "")) for m in core.view.members.values() if m.is_alive()}
         zones[self._name] = self._zone
-        self._handle(leases.MembershipObserved(frozenset(alive | {self._name}), claims, well, zones, voters))
+        self._handle(
+            leases.MembershipObserved(frozenset(alive | {self._name}), claims, healthy, zones, voters)
+        )
         self._loop.call_later(MEMBERSHIP_INTERVAL_S, self._observe_members)
 
     def _watch_divergence(self) -> None:
@@ -197,11 +199,11 @@
         self._loop.call_later(WATCH_INTERVAL_S, self._watch_divergence)
 
     def holds(self, role: str) -> bool:
-        """Whether a role is this process's at this instant."""
+        """Whether this process holds a role at this instant."""
         return self.core is not None and self.core.holds(role, self._now())
 
     def owner_of(self, role: str) -> str:
-        """Who holds it, as far as is known alive."""
+        """Return the known holder of a role; "" if there is none."""
         return self._claims.get(role, ("", 0))[0]
 
     def _on_write_completed(self, action: leases.WriteCompleted) -> None:
@@ -213,7 +215,7 @@
             entry["why"] = action.rejection
 
     def _read_limits(self) -> None:
-        """Whoever holds the table tells all what operators have set."""
+        """Share the operators' limits with all members, if this process holds the table."""
         table = self.core.table if self.core is not None else None
         if table is None or table.step != TableStep.OPEN or not self.holds(STATE_TABLE_ROLE):
             return
@@ -224,10 +226,10 @@
                 limits[key.removeprefix(LIMIT_PREFIX)] = limit
         self.on_limits_read(table.token, limits)
 
-    # What operators see and do
+    # Admin endpoint
 
     def table_status(self) -> AdminReply:
-        """The table's rows, at whoever holds it; elsewhere who that is."""
+        """Return the table's rows if this process holds it, else the holder."""
         table = self.core.table if self.core is not None else None
         owner, token = self._claims.get(STATE_TABLE_ROLE, ("", 0))
         holds_table = self.holds(STATE_TABLE_ROLE)
@@ -246,7 +248,7 @@
         })  # fmt: skip
 
     def write_row(self, query: str) -> AdminReply:
-        """Enter a row; whether it is kept shows under `entries` a moment later."""
+        """Begin to write a row; its outcome appears under `entries` of the table's status."""
         parameters = {name: values[0] for name, values in parse_qs(query, keep_blank_values=True).items()}
         key, value = parameters.get("key", ""), parameters.get("value", "")
         if key == VOTERS_KEY:
@@ -261,7 +263,7 @@
         return self._accepted(entry)
 
     def _entry(self, key: str, value: str) -> JsonObject:
-        """What operators enter, to be looked up by them later."""
+        """Register a write by operators, whose outcome they can look up later."""
         self._entry_count += 1
         entry = self._entries[self._entry_count] = {
             "entry": self._entry_count, "key": key, "value": value, "state": "under way", "why": "",
@@ -276,7 +278,7 @@
         return AdminReply(202, {"entry": entry["entry"]})
 
     def change_voters(self, query: str) -> AdminReply:
-        """Have one more voter or one fewer; how it ends shows under `entries` of the table."""
+        """Begin to add or remove a voter; its outcome appears under `entries` of the table's status."""
         parameters = {name: values[0] for name, values in parse_qs(query).items()}
         add, remove = parameters.get("add", ""), parameters.get("remove", "")
         if not self.holds(STATE_TABLE_ROLE):
@@ -287,59 +289,59 @@
         return self._accepted(entry)
 
     def voters_status(self) -> AdminReply:
-        """Who votes, whether they are there, who takes others for the voters, why no change may begin."""
+        """Return the voters with their liveness, members with other voters, and what blocks a change."""
         core, members = self.core, self._peers.core.view.members
         if core is None:
             return error_reply(503, "this process is no member yet")
-        now, ours = self._now(), core.voters
-        others = {
+        now, current = self._now(), core.voters
+        outdated = {
             m.name: str(m.metadata[VOTERS_KEY])
             for m in members.values()
-            if m.is_alive() and _epoch(_voters(m.metadata.get(VOTERS_KEY))) not in (0, ours.epoch)
+            if m.is_alive() and _epoch(_voters(m.metadata.get(VOTERS_KEY))) not in (0, current.epoch)
         }
         alive = {m.name for m in members.values() if m.is_alive()} | {self._name}
         owner = self._claims.get(STATE_TABLE_ROLE, ("", 0))[0]
         return AdminReply(200, {
-            "self": self._name, "change": ours.epoch, "configured": self._voters, "holder": owner,
-            "voters": [{"name": name, "there": name in alive} for name in ours.names],
-            "behind": others, "why_no_change": core.why_no_voter_change(now),
+            "self": self._name, "change": current.epoch, "configured": self._voters, "holder": owner,
+            "voters": [{"name": name, "there": name in alive} for name in current.names],
+            "behind": outdated, "why_no_change": core.why_no_voter_change(now),
             "here": core.holds(STATE_TABLE_ROLE, now),
         })  # fmt: skip
 
     def release_all(self) -> None:
-        """This process goes, or drains: its duties are for others now."""
+        """Hand over all roles, as this process drains or ends."""
         for role in ROLES:
             self._handle(leases.HandoverRequested(role))
 
     def hand_over(self, query: str) -> AdminReply:
-        """Give a role to another member, or to whoever is next."""
+        """Hand over a role to the named member, or to any."""
         parameters = {name: values[0] for name, values in parse_qs(query).items()}
-        role, to = parameters.get("duty", ""), parameters.get("to", "")
+        role, recipient = parameters.get("duty", ""), parameters.get("to", "")
         if role not in ROLES:
             return error_reply(400, f"no duty is {role!r}; there are {', '.join(ROLES)}")
-        if to and to != self._name and to not in self._peers.core.view.alive:
-            return error_reply(400, f"no member there is {to!r}")
+        if recipient and recipient != self._name and recipient not in self._peers.core.view.alive:
+            return error_reply(400, f"no member there is {recipient!r}")
         if not self.holds(role):
             owner = self._claims.get(role, ("", 0))[0]
             return error_reply(409, f"{self._name} does not hold {role}", holder=owner)
-        self._handle(leases.HandoverRequested(role, to))
-        return AdminReply(200, {"duty": role, "to": to})
+        self._handle(leases.HandoverRequested(role, recipient))
+        return AdminReply(200, {"duty": role, "to": recipient})
 
     def status(self) -> AdminReply:
-        """All that the admin endpoint tells of duties."""
+        """Return the status of the roles for the admin endpoint."""
         now = self._now()
         core = self.core
-        shown: list[JsonObject] = []
+        roles: list[JsonObject] = []
         for role in ROLES:
             candidate = core.candidates[role] if core is not None else None
-            mine = core is not None and core.holds(role, now)
+            holds_role = core is not None and core.holds(role, now)
             owner, token = self._claims.get(role, ("", 0))
-            row = {"duty": role, "holder": owner, "token": token, "here": mine}
-            if candidate is not None and mine:
+            row = {"duty": role, "holder": owner, "token": token, "here": holds_role}
+            if candidate is not None and holds_role:
                 row["remaining_s"] = round((candidate.expires_ms - now) / 1000.0, 2)
             elif candidate is not None and not owner:
                 row["why"] = candidate.reason
-            shown.append(row)
+            roles.append(row)
         voter = core.member.acceptor if core is not None else None
         return AdminReply(
             200,
@@ -347,7 +349,7 @@
                 "self": self._name,
                 "voters": list(core.voters.names) if core is not None else self._voters,
                 "votes": voter is not None and voter.may_vote(now),
-                "duties": shown,
+                "duties": roles,
                 "refused_tokens": self.guard.rejected,
                 "history": list(self._history),
                 "divergence": [
@@ -362,12 +364,12 @@
         )
 
     def close(self) -> None:
-        """Nothing more."""
+        """Ignore all further events."""
         self._closed = True
 
 
 def _number(value: bytes) -> float | None:
-    """A limit as it is written: a finite number that is not negative."""
+    """Parse a limit, a finite number that is not negative; None if it is invalid."""
     try:
         found = float(value)
     except ValueError:
@@ -375,9 +377,9 @@
     return found if 0.0 <= found < math.inf else None
 
 
-def _voters(fact: MetadataValue | None) -> leases.VoterSet | None:
-    """Who votes, as a member's fact says; None where it says nothing of use."""
-    epoch, _, names = str(fact or "").partition(" ")
+def _voters(value: MetadataValue | None) -> leases.VoterSet | None:
+    """Parse the voters in a member's metadata; None if there are none."""
+    epoch, _, names = str(value or "").partition(" ")
     return leases.VoterSet(int(epoch), tuple(names.split(","))) if epoch.isdecimal() and names else None
 
 
