--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Scripted peers for tests over sockets: servers, discovery and callers, on 127.0.0.1."""
+"""Scripted peers of a node for tests over sockets: servers, discovery and clients, on 127.0.0.1."""
 
 from __future__ import annotations
 
@@ -18,76 +18,77 @@
 from dunlinloft.node.node import Node
 from tests.test_wire import ENV
 
-LIMIT_S = 30.0  # for what a test waits for: generous, as a busy machine must not change the verdict
+WAIT_TIMEOUT_S = 30.0  # generous, so that a busy machine does not fail a test
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
     """Run a test on the event loop that the program uses."""
 
     async def limited() -> None:
-        await asyncio.wait_for(test, 2 * LIMIT_S)
+        await asyncio.wait_for(test, 2 * WAIT_TIMEOUT_S)
 
     uvloop.run(limited())
 
 
-async def until(done: Callable[[], bool]) -> None:
-    """Wait until something holds."""
-    async with asyncio.timeout(LIMIT_S):
+async def wait_until(done: Callable[[], bool]) -> None:
+    """Wait until a condition holds."""
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not done():
             await asyncio.sleep(0.005)
 
 
 @dataclass
-class Seen:
-    """A message that a peer has got."""
+class ReceivedMessage:
+    """An HTTP message that a peer has received."""
 
-    first: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
     connection: int
 
     @property
     def status(self) -> int:
-        return int(self.first.split()[1])
+        return int(self.start_line.split()[1])
 
     @property
     def target(self) -> str:
-        return self.first.split()[1]
+        return self.start_line.split()[1]
 
     @property
     def id(self) -> str:
         return self.headers["x-call-id"]
 
 
-async def read_message(reader: asyncio.StreamReader, connection: int = 0) -> Seen | None:
-    """The next message with a Content-Length, or None at the end."""
+async def read_message(reader: asyncio.StreamReader, connection: int = 0) -> ReceivedMessage | None:
+    """Return the next message, which has a Content-Length or no body; None at the end of the connection."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-        first, *lines = head[:-4].split("\r\n")
+        start_line, *lines = head[:-4].split("\r\n")
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
         body = await reader.readexactly(int(headers.get("content-length", "0")))
     except (asyncio.IncompleteReadError, ConnectionError):
         return None
-    return Seen(first, headers, body, connection)
+    return ReceivedMessage(start_line, headers, body, connection)
 
 
 def answer(status: int = 200, body: bytes = b"done", headers: str = "") -> bytes:
+    """Return a response with a Content-Length."""
     return f"HTTP/1.1 {status} X\r\n{headers}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-HANG, RESET, CLOSE = b"hang", b"reset", b"close"  # what a script may name in place of bytes to write
+HANG, RESET, CLOSE = b"hang", b"reset", b"close"  # in scripts: send nothing, reset or close
 
 
-class Peer:
-    """Listens, and lets `script` say what to write for each message."""
+class ScriptedPeer:
+    """Listens, and writes for each message what `script` returns."""
 
     def __init__(self) -> None:
-        self.seen: list[Seen] = []
+        self.seen: list[ReceivedMessage] = []
         self.connections = 0
         self.lost = 0
         self._writers: set[asyncio.StreamWriter] = set()
 
-    async def script(self, message: Seen) -> bytes:
+    async def script(self, message: ReceivedMessage) -> bytes:
         raise NotImplementedError
 
     async def start(self) -> None:
@@ -118,26 +119,33 @@
             self._writers.discard(writer)
             writer.close()
 
-    def hang_up(self) -> None:
+    def close_connections(self) -> None:
         for writer in list(self._writers):
             writer.close()
 
     async def stop(self) -> None:
         self._server.close()
-        self.hang_up()
+        self.close_connections()
 
 
-class Server(Peer):
-    """A server; its script is a list used up one by one, then `usual`."""
+class Server(ScriptedPeer):
+    """A server that gives the scripted responses one by one, then always `default_response`."""
 
-    def __init__(self, *script: bytes, usual: bytes = answer(), name: str = "s", group: int = 0) -> None:
+    def __init__(
+        self, *script: bytes, default_response: bytes = answer(), name: str = "s", group: int = 0
+    ) -> None:
         super().__init__()
-        self.left, self.usual, self.name, self.group = list(script), usual, name, group
+        self.scripted, self.default_response, self.name, self.group = (
+            list(script),
+            default_response,
+            name,
+            group,
+        )
         self.gate = asyncio.Event()
         self.gate.set()
 
-    async def script(self, message: Seen) -> bytes:
-        data = self.left.pop(0) if self.left else self.usual
+    async def script(self, message: ReceivedMessage) -> bytes:
+        data = self.scripted.pop(0) if self.scripted else self.default_response
         await self.gate.wait()
         return data
 
@@ -146,34 +154,34 @@
                 "status": "active", "weight": 1.0, "since_ms": 0} | changes  # fmt: skip
 
 
-class Registry(Peer):
-    """Discovery: holds watches until `tell`; `spoil` replaces the next answers."""
+class Registry(ScriptedPeer):
+    """A discovery service: holds watches until `publish`; `failures` replace the next responses."""
 
     def __init__(self) -> None:
         super().__init__()
         self.index = 1
-        self.whole: list[dict[str, Any]] = []
-        self.news: asyncio.Queue[bytes] = asyncio.Queue()
-        self.spoil: list[bytes] = []
+        self.full_list: list[dict[str, Any]] = []
+        self.updates: asyncio.Queue[bytes] = asyncio.Queue()
+        self.failures: list[bytes] = []
 
-    def tell(self, *entries: dict[str, Any], index: int | None = None, snapshot: bool = False) -> None:
+    def publish(self, *entries: dict[str, Any], index: int | None = None, snapshot: bool = False) -> None:
         self.index = self.index + 1 if index is None else index
-        self.news.put_nowait(self.listing(list(entries), snapshot))
+        self.updates.put_nowait(self.listing(list(entries), snapshot))
 
     def listing(self, entries: list[dict[str, Any]], snapshot: bool) -> bytes:
         body = {"index": self.index, "snapshot": snapshot, "endpoints": entries}
         return answer(200, json.dumps(body).encode())
 
-    async def script(self, message: Seen) -> bytes:
-        if self.spoil:
-            return self.spoil.pop(0)
+    async def script(self, message: ReceivedMessage) -> bytes:
+        if self.failures:
+            return self.failures.pop(0)
         if "index=" not in message.target:
-            return self.listing(self.whole, True)
-        return await self.news.get()
+            return self.listing(self.full_list, True)
+        return await self.updates.get()
 
 
 class Caller:
-    """A caller's connection."""
+    """A client's connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -181,18 +189,18 @@
     def write(self, data: bytes) -> None:
         self.writer.write(data)
 
-    async def read(self) -> Seen:
-        message = await asyncio.wait_for(read_message(self.reader), LIMIT_S)
+    async def read(self) -> ReceivedMessage:
+        message = await asyncio.wait_for(read_message(self.reader), WAIT_TIMEOUT_S)
         assert message is not None, "closed without an answer"
         return message
 
     async def closed(self) -> bool:
         """Whether the node ends the connection with nothing more sent."""
         with contextlib.suppress(ConnectionError):
-            return await asyncio.wait_for(self.reader.read(1), LIMIT_S) == b""
+            return await asyncio.wait_for(self.reader.read(1), WAIT_TIMEOUT_S) == b""
         return True
 
-    async def ask(self, *args: Any, **kwargs: Any) -> Seen:
+    async def ask(self, *args: Any, **kwargs: Any) -> ReceivedMessage:
         self.write(request(*args, **kwargs))
         return await self.read()
 
@@ -200,7 +208,7 @@
 def request(
     id: str, cls: str = "read", budget: str = "20", body: bytes = b"", extra: str = "", query: str = ""
 ) -> bytes:
-    """A request as callers send it: the method follows from the class."""
+    """Return the bytes of a client's request, whose method depends on the class."""
     key = f"Idempotency-Key: key-{id}\r\n" if cls == "save" else ""
     return (
         f"{'GET' if cls == 'read' else 'POST'} /{cls}{query} HTTP/1.1\r\nHost: api.internal\r\n"
@@ -209,8 +217,8 @@
 
 
 @dataclass
-class World:
-    """A node among its peers."""
+class NodeHarness:
+    """A node with its scripted peers."""
 
     config: dict[str, Any]
     path: Path
@@ -220,8 +228,8 @@
     address: tuple[str, int] = ("", 0)
     callers: list[Caller] = field(default_factory=list)
 
-    async def begin(self) -> None:
-        """Start the node in this process, by its configuration file."""
+    async def start_node(self) -> None:
+        """Start the node in this process with its configuration file."""
         loop = asyncio.get_running_loop()
         node = self.node = Node(read_config(str(self.path)), loop)
         self.address = await node.frontend.listen(loop, ("127.0.0.1", 0))
@@ -232,15 +240,15 @@
         self.callers.append(caller)
         return caller
 
-    async def ask(self, *args: Any, **kwargs: Any) -> Seen:
+    async def ask(self, *args: Any, **kwargs: Any) -> ReceivedMessage:
         return await (await self.caller()).ask(*args, **kwargs)
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """Start-up settings; a dictionary among the changes is merged into the part of that name."""
+    """Return startup settings; a dictionary among the changes is merged into the part of that name."""
     env: dict[str, Any] = json.loads(json.dumps(ENV))
     env["permissions"]["connect_timeout_ms"] = 5000.0
-    env["rules"]["ask_every_ms"] = 200.0  # asks again soon after a failure
+    env["rules"]["ask_every_ms"] = 200.0  # calls again soon after a failure
     env["tenants"] = []
     for cls in env["classes"]:
         cls |= {"objective_ms": 5_000.0, "give_up_ms": 20_000.0, "dedup_scope": "cell"}
@@ -251,31 +259,31 @@
 
 
 @contextlib.asynccontextmanager
-async def world(
+async def node_harness(
     path: Path, *servers: Server, start: bool = True, sockets: int = 1024, known: bool = True, **changes: Any
-) -> AsyncIterator[World]:
-    """A node with these servers, its discovery, and a configuration file."""
+) -> AsyncIterator[NodeHarness]:
+    """Run a node with these servers, a discovery service and a configuration file."""
     registry = Registry()
     for peer in (registry, *servers):
         await peer.start()
-    registry.whole = [server.entry() for server in servers]
+    registry.full_list = [server.entry() for server in servers]
     config = {
         "name": "n0", "listen": "127.0.0.1:0", "discovery": registry.address, "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
-        "known": {"index": 1, "snapshot": True, "endpoints": registry.whole if known else []},
+        "known": {"index": 1, "snapshot": True, "endpoints": registry.full_list if known else []},
         "settings": settings(**changes),
     }  # fmt: skip
     file = path / "config.json"
     file.write_text(json.dumps(config))
-    scene = World(config, file, registry, list(servers))
+    harness = NodeHarness(config, file, registry, list(servers))
     if start:
-        await scene.begin()
+        await harness.start_node()
     try:
-        yield scene
+        yield harness
     finally:
-        for caller in scene.callers:
+        for caller in harness.callers:
             caller.writer.close()
         for peer in (registry, *servers):
             await peer.stop()
-        if scene.node is not None:
-            await scene.node.stop()
+        if harness.node is not None:
+            await harness.node.stop()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -16,7 +16,17 @@
 from dunlinloft.node.http.bodies import CHUNK_BYTES, MAX_BUFFERED_BYTES, Body, Memory
 from dunlinloft.node.http.upstream import Attempt, Upstream
 from tests.helpers import Node, ends, sends, timers
-from tests.peers import LIMIT_S, Caller, Server, World, answer, request, run, until, world
+from tests.peers import (
+    WAIT_TIMEOUT_S,
+    Caller,
+    NodeHarness,
+    Server,
+    answer,
+    node_harness,
+    request,
+    run,
+    wait_until,
+)
 
 BIG = bytes(range(256)) * 4096  # a megabyte
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -65,7 +75,7 @@
 
 async def got(caller: Caller) -> tuple[str, bytes]:
     """An answer in whatever framing: its first line and body."""
-    async with asyncio.timeout(LIMIT_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         head = await head_of(caller.reader)
         return head[""], await body_of(caller.reader, head)
 
@@ -79,13 +89,15 @@
     return head.replace("Content-Length: 0", "Transfer-Encoding: chunked").encode()
 
 
-def held(scene: World) -> int:
+def held(scene: NodeHarness) -> int:
     assert scene.node is not None
     return scene.node.memory.used_bytes
 
 
 @contextlib.asynccontextmanager
-async def echo(path: Path, **changes: Any) -> AsyncIterator[tuple[World, list[dict[str, str]], list[bytes]]]:
+async def echo(
+    path: Path, **changes: Any
+) -> AsyncIterator[tuple[NodeHarness, list[dict[str, str]], list[bytes]]]:
     """A node before a server that notes what it is sent, and answers with `OK`."""
     heads: list[dict[str, str]] = []
     bodies: list[bytes] = []
@@ -96,7 +108,7 @@
             bodies.append(await body_of(reader, heads[-1]))
             writer.write(answer(200, b"OK"))
 
-    async with world(path, Raw(serve), **changes) as scene:
+    async with node_harness(path, Raw(serve), **changes) as scene:
         yield scene, heads, bodies
 
 
@@ -131,12 +143,12 @@
                 if arrived == len(BIG):
                     writer.write(answer(200, b"OK"))
 
-        async with world(tmp_path, Raw(serve)) as scene:
+        async with node_harness(tmp_path, Raw(serve)) as scene:
             assert scene.node is not None
             caller = await scene.caller()
             message = request("a", "pay", budget="0.2", body=BIG)
             caller.write(message[:-1000])
-            await until(lambda: arrived > 500_000)
+            await wait_until(lambda: arrived > 500_000)
             assert scene.node.metrics.to_json()["inflight"] == 0
             await asyncio.sleep(0.3)  # longer than it will wait once it is whole
             caller.write(message[-1000:])
@@ -157,11 +169,11 @@
             writer.write(answer(200, b"OK"))
 
         server = Raw(serve)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             caller = await scene.caller()
             body = BIG * 24
             caller.write(request("a", "pay", body=body))
-            await until(lambda: server.connections == 1)
+            await wait_until(lambda: server.connections == 1)
             await asyncio.sleep(0.3)
             assert held(scene) <= MAX_BUFFERED_BYTES + CHUNK_BYTES
             assert caller.writer.transport.get_write_buffer_size() > len(body) // 4, "it was read on and on"
@@ -194,7 +206,7 @@
                 if b"Length" not in sent and b"chunked" not in sent:
                     return
 
-        async with world(tmp_path, Raw(serve)) as scene:
+        async with node_harness(tmp_path, Raw(serve)) as scene:
             caller = await scene.caller()
             for id in ("a", "b"):
                 caller.write(request(id))
@@ -222,7 +234,7 @@
                 await gate.wait()
                 writer.write(b"1\r\ny\r\n0\r\n\r\n")
 
-        async with world(tmp_path, Raw(serve)) as scene:
+        async with node_harness(tmp_path, Raw(serve)) as scene:
             a, b = await scene.caller(), await scene.caller()
             a.write(request("a", budget="0.3"))
             b.write(request("b", budget="0.3"))
@@ -252,7 +264,7 @@
                 start = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 writer.write(start + b"%x\r\n" % len(BIG) + BIG[:100_000])
 
-        async with world(tmp_path, Raw(serve)) as scene:
+        async with node_harness(tmp_path, Raw(serve)) as scene:
             caller = await scene.caller()
             caller.write(request("a"))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
@@ -275,7 +287,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             await asyncio.Event().wait()
 
-        async with world(tmp_path, Raw(serve)) as scene:
+        async with node_harness(tmp_path, Raw(serve)) as scene:
             caller = await scene.caller()
             caller.write(request("a"))
             head = await head_of(caller.reader)
@@ -300,7 +312,7 @@
             await reader.readexactly(MAX_BUFFERED_BYTES * 2)
             writer.transport.abort()
 
-        async with world(tmp_path, Raw(serve, name="s"), Raw(serve, name="t")) as scene:
+        async with node_harness(tmp_path, Raw(serve, name="s"), Raw(serve, name="t")) as scene:
             caller = await scene.caller()
             caller.write(request("a", "pay", body=BIG)[: MAX_BUFFERED_BYTES * 3])  # its end never comes
             first, _ = await got(caller)
@@ -325,8 +337,8 @@
     async def test() -> None:
         async with echo(tmp_path) as (scene, _, bodies):
             dead = scene.servers[0].entry(name="dead", address="127.0.0.1:1", weight=50.0)
-            scene.registry.tell(dead)
-            await until(lambda: scene.node is not None and len(scene.node._addresses) == 2)
+            scene.registry.publish(dead)
+            await wait_until(lambda: scene.node is not None and len(scene.node._addresses) == 2)
             caller = await scene.caller()
             caller.write(request("a", "pay", body=BIG))
             assert (await got(caller))[1] == b"OK"
@@ -346,13 +358,13 @@
                     pass
             ended.set()
 
-        async with world(tmp_path, Raw(serve)) as scene:
+        async with node_harness(tmp_path, Raw(serve)) as scene:
             caller = await scene.caller()
             caller.write(request("a", "pay", body=BIG)[:-1])
-            await until(lambda: scene.node is not None and bool(scene.node._attempts))
+            await wait_until(lambda: scene.node is not None and bool(scene.node._attempts))
             caller.writer.close()
-            await asyncio.wait_for(ended.wait(), LIMIT_S)
-            await until(lambda: scene.node is not None and not scene.node._attempts)
+            await asyncio.wait_for(ended.wait(), WAIT_TIMEOUT_S)
+            await wait_until(lambda: scene.node is not None and not scene.node._attempts)
             assert held(scene) == 0
 
     run(test())
@@ -483,7 +495,7 @@
             await asyncio.sleep(0.3)  # over its time, which an answer that flows has not
             writer.write(BIG[10:])
 
-        async with world(tmp_path, Raw(serve)) as scene:
+        async with node_harness(tmp_path, Raw(serve)) as scene:
             caller = await scene.caller()
             message = request("a", "pay", budget="0.2", body=BIG)
             caller.write(message[:-1000])
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -25,7 +25,7 @@
 from dunlinloft.node.fleet.peers import MemberIdentity, Peers
 from dunlinloft.node.fleet_config import CellsConfig, FleetConfig
 from lab.processes.block import Block, text
-from tests.peers import LIMIT_S, run, settings, until
+from tests.peers import WAIT_TIMEOUT_S, run, settings, wait_until
 from tests.test_peers import config
 from tests.test_wire import ROOT
 
@@ -92,9 +92,9 @@
         service = Service(14, 2)
         await service.start()
         try:
-            await until(service.settled)
+            await wait_until(service.settled)
             newcomer = service.add(20)
-            await until(service.settled)
+            await wait_until(service.settled)
             assert newcomer.core.alive_count() > 1
             for peers in service.members.values():
                 assert peers.counts["errors"] == 0 and peers.counts["refused"] == 0
@@ -112,7 +112,7 @@
                     truth.items() <= {c["cell"]: c["members"] for c in cells}.items() for cells in shown
                 )
 
-            await until(listed)  # both: what one was told the other pulls
+            await wait_until(listed)  # both: what one was told the other pulls
             state = service.directory[0].status()[1]
             directory = render_directory(decode_document(state, DirectoryDocument))
             assert state["learning"] and "not know of all yet" in str(directory.renderables[1])
@@ -133,12 +133,12 @@
         service = Service(14, 0, seeds=[0, 1, 2])
         await service.start()
         try:
-            await until(service.settled)
+            await wait_until(service.settled)
             cuts = {peers.cells.core.partition.cell() for peers in service.members.values() if peers.cells}
             assert len(cuts) > 1
             for n in (30, 31, 32):
                 service.add(n)
-            await until(service.settled)
+            await wait_until(service.settled)
             assert all(peers.core.deaths_declared == 0 for peers in service.members.values())
         finally:
             await service.close()
@@ -224,7 +224,7 @@
                 except OSError:
                     await asyncio.sleep(0.05)
 
-        asyncio.run(asyncio.wait_for(up(), LIMIT_S))
+        asyncio.run(asyncio.wait_for(up(), WAIT_TIMEOUT_S))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             for data in (b"", b"\x03", b"\x03" + bytes(40), os.urandom(300), b"\x02" * 20, bytes(1400)):
                 stranger.sendto(data, at)
@@ -233,10 +233,10 @@
             shown = ask("directory")
         assert shown["services"] == {} and shown["learning"]
         command = [sys.executable, "-m", "dunlinloft", "fleet", "directory", "--admin", text(admin)]
-        done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=LIMIT_S)
+        done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=WAIT_TIMEOUT_S)
         assert done.returncode == 1 and "started lately" in done.stdout  # it is learning
         process.send_signal(signal.SIGTERM)
-        assert process.wait(LIMIT_S) == 0
+        assert process.wait(WAIT_TIMEOUT_S) == 0
     finally:
         process.kill()
         process.wait()
--- a/tests/test_discovery_bound.py
+++ b/tests/test_discovery_bound.py
@@ -16,7 +16,17 @@
 from dunlinloft.node.addresses import parse_address
 from dunlinloft.node.discovery import CALL_TIMEOUT_MS, WATCH_GRACE_MS, WATCH_WAIT_MS
 from dunlinloft.node.node import DISCOVERY_RETRY_S
-from tests.peers import CLOSE, HANG, RESET, Registry, Seen, Server, World, answer, world
+from tests.peers import (
+    CLOSE,
+    HANG,
+    RESET,
+    NodeHarness,
+    ReceivedMessage,
+    Registry,
+    Server,
+    answer,
+    node_harness,
+)
 from tests.test_rare_moments import hanging
 from tests.virtual_time import run_virtually
 
@@ -31,26 +41,26 @@
 class FailingRegistry(Registry):
     """Answers calls by its script first; then it tells all it has at once, as discovery does."""
 
-    async def script(self, message: Seen) -> bytes:
-        if self.spoil:
-            return self.spoil.pop(0)
+    async def script(self, message: ReceivedMessage) -> bytes:
+        if self.failures:
+            return self.failures.pop(0)
         asked = dict(pair.split("=") for pair in message.target.partition("?")[2].split("&") if pair)
         if asked and int(asked["index"]) >= self.index:  # nothing newer: it waits, and tells no changes
             await asyncio.sleep(int(asked["wait"]) / 1000.0)
             return self.listing([], False)
-        return self.listing(self.whole, True)
+        return self.listing(self.full_list, True)
 
 
-def told(scene: World, servers: int) -> bool:
-    assert scene.node is not None
-    return len(scene.node._addresses) == servers
+def told(harness: NodeHarness, servers: int) -> bool:
+    assert harness.node is not None
+    return len(harness.node._addresses) == servers
 
 
-async def knows(scene: World, servers: int) -> float:
+async def knows(harness: NodeHarness, servers: int) -> float:
     """Wait until the node knows so many; how long it took, in milliseconds."""
     loop = asyncio.get_running_loop()
     began = loop.time()
-    while not told(scene, servers):
+    while not told(harness, servers):
         assert loop.time() - began < 60.0, "never"
         await asyncio.sleep(0.1)
     return 1000.0 * (loop.time() - began)
@@ -78,17 +88,17 @@
     """
     server, other = Server(), Server(name="other")
     await other.start()
-    async with world(path, server, start=False, **changes) as scene:
+    async with node_harness(path, server, start=False, **changes) as harness:
         registry = FailingRegistry()
         await registry.start()
-        registry.spoil, registry.index = list(faults), index
-        registry.whole = [server.entry(), other.entry()]
-        scene.config["known"]["index"] = held
-        scene.config["discovery"] = registry.address
-        scene.path.write_text(json.dumps(scene.config))
-        await scene.begin()
-        taken = await knows(scene, 2)
-        assert not registry.spoil
+        registry.failures, registry.index = list(faults), index
+        registry.full_list = [server.entry(), other.entry()]
+        harness.config["known"]["index"] = held
+        harness.config["discovery"] = registry.address
+        harness.path.write_text(json.dumps(harness.config))
+        await harness.start_node()
+        taken = await knows(harness, 2)
+        assert not registry.failures
         await registry.stop()
     await other.stop()
     return taken
@@ -135,20 +145,20 @@
     async def test() -> None:
         server, other = Server(), Server(name="other")
         await other.start()
-        async with hanging() as slow, world(tmp_path, server, start=False) as scene:
-            scene.config["discovery"] = slow.entry(server)["address"]
-            scene.path.write_text(json.dumps(scene.config))
-            await scene.begin()
+        async with hanging() as slow, node_harness(tmp_path, server, start=False) as harness:
+            harness.config["discovery"] = slow.entry(server)["address"]
+            harness.path.write_text(json.dumps(harness.config))
+            await harness.start_node()
             loop = asyncio.get_running_loop()
             before = loop.time()
             await asyncio.sleep(3.0)
             registry = FailingRegistry()
-            registry.index, registry.whole = 2, [server.entry(), other.entry()]
+            registry.index, registry.full_list = 2, [server.entry(), other.entry()]
             await registry.start()
-            assert scene.node is not None and loop.time() - before >= 3.0
+            assert harness.node is not None and loop.time() - before >= 3.0
             # What hung is reachable from now on, at an address that the same calls go to.
-            scene.node._discovery._address = parse_address(registry.address)
-            assert await knows(scene, 2) < MOST_MS
+            harness.node._discovery._address = parse_address(registry.address)
+            assert await knows(harness, 2) < MOST_MS
             await registry.stop()
         await other.stop()
 
@@ -169,15 +179,15 @@
     async def test() -> None:
         server, other = Server(), Server(name="other")
         await other.start()
-        async with world(tmp_path, server) as scene:
-            assert scene.node is not None
+        async with node_harness(tmp_path, server) as harness:
+            assert harness.node is not None
             registry = FailingRegistry()
             await registry.start()
-            registry.spoil = [HANG, CUT, ENDLESS]
-            registry.index, registry.whole = 2, [server.entry(), other.entry()]
+            registry.failures = [HANG, CUT, ENDLESS]
+            registry.index, registry.full_list = 2, [server.entry(), other.entry()]
             await asyncio.sleep(0.5)
-            scene.node.reload(replace(scene.node.config, discovery=parse_address(registry.address)))
-            assert await knows(scene, 2) < MOVED_MS
+            harness.node.reload(replace(harness.node.config, discovery=parse_address(registry.address)))
+            assert await knows(harness, 2) < MOVED_MS
             await registry.stop()
         await other.stop()
 
@@ -190,17 +200,17 @@
     async def test() -> None:
         server, other = Server(), Server(name="other")
         await other.start()
-        async with world(tmp_path, server, start=False) as scene:
+        async with node_harness(tmp_path, server, start=False) as harness:
             registry = FailingRegistry()
             await registry.start()
             registry.index = 2
             _, _, body = registry.listing([server.entry(), other.entry()], True).partition(b"\r\n\r\n")
-            registry.spoil = [b"HTTP/1.1 200 X\r\n\r\n" + body + CLOSE]
-            registry.whole = [server.entry()]
-            scene.config["discovery"] = registry.address
-            scene.path.write_text(json.dumps(scene.config))
-            await scene.begin()
-            assert await knows(scene, 2) < MOST_MS
+            registry.failures = [b"HTTP/1.1 200 X\r\n\r\n" + body + CLOSE]
+            registry.full_list = [server.entry()]
+            harness.config["discovery"] = registry.address
+            harness.path.write_text(json.dumps(harness.config))
+            await harness.start_node()
+            assert await knows(harness, 2) < MOST_MS
             await registry.stop()
         await other.stop()
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,7 +16,7 @@
 from dunlinloft.node.http import frontend
 from dunlinloft.node.http.handover import Siblings, handed_socket
 from tests.helpers import Node
-from tests.peers import LIMIT_S, Server, World, request, run, until, world
+from tests.peers import WAIT_TIMEOUT_S, NodeHarness, Server, node_harness, request, run, wait_until
 from tests.test_wire import ROOT
 
 
@@ -47,7 +47,7 @@
     monkeypatch.setattr(frontend, "SHORT_IDLE_MS", 60_000.0)
 
     async def test() -> None:
-        async with world(tmp_path, Server(), sockets=80) as scene:
+        async with node_harness(tmp_path, Server(), sockets=80) as scene:
             node = scene.node
             assert node is not None
             callers = [await scene.caller() for _ in range(40)]
@@ -56,7 +56,7 @@
             assert node.frontend.count() == 40 and node._available_sockets() > 0
             node.share_sockets([24])  # another one has begun
             assert node._available_sockets() == 40 - 24 - 40 - node._upstream.count()
-            await until(lambda: node._available_sockets() >= 0)
+            await wait_until(lambda: node._available_sockets() >= 0)
             assert node.sockets() + 24 <= 80 and node.frontend.count() > 0
             node.share_sockets([70])  # holds more than its half
             assert node._socket_limit == 10
@@ -70,7 +70,7 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             node = scene.node
             assert node is not None
             held, head, small, large = [await scene.caller() for _ in range(4)]
@@ -78,7 +78,7 @@
             head.write(request("head", "pay")[:20])
             small.write(request("small", "pay", body=b"x" * 100)[:-1])
             large.write(request("large", "pay", body=b"x" * 300_000)[:-1])
-            await until(lambda: bool(server.seen) and len(node._attempts) == 2)
+            await wait_until(lambda: bool(server.seen) and len(node._attempts) == 2)
             ending = asyncio.ensure_future(node.stop())
             for caller in (head, small, large):
                 assert (await caller.read()).status == 503
@@ -140,12 +140,12 @@
 
     async def logs(self, words: bytes) -> None:
         assert self.process.stderr is not None
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while words not in await self.process.stderr.readline():
                 assert not self.process.stderr.at_eof(), "ended without the line"
 
 
-def listener_of(scene: World) -> socket.socket:
+def listener_of(scene: NodeHarness) -> socket.socket:
     listener = socket.create_server(("127.0.0.1", 0), backlog=64)
     scene.address = listener.getsockname()[:2]
     return listener
@@ -154,7 +154,7 @@
 def test_an_upgrade_loses_no_request_and_the_old_process_parts_with_its_callers(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server, start=False) as scene:
+        async with node_harness(tmp_path, server, start=False) as scene:
             listener = listener_of(scene)
             old = await Process.start(scene.path, listener, tmp_path)
             await old.logs(b"started, accepting")
@@ -163,25 +163,25 @@
                 assert "connection" not in (await caller.ask(f"{n}")).headers
             server.gate.clear()
             held.write(request("held", "pay"))
-            await until(lambda: len(server.seen) == 4)
+            await wait_until(lambda: len(server.seen) == 4)
             new = await Process.start(scene.path, listener, tmp_path)
             await new.logs(b"started, accepting")
             await old.logs(b"2 processes")
             old.process.send_signal(signal.SIGTERM)
             await old.logs(b"stopping, 1 others")
             kept.write(request("kept"))
-            await until(lambda: len(server.seen) == 5)
+            await wait_until(lambda: len(server.seen) == 5)
             server.gate.set()
             for caller in (held, kept):
                 reply = await caller.read()
                 assert (reply.status, reply.headers["connection"]) == (200, "close")
             assert await idle.closed()
             assert (await scene.ask("after")).status == 200
-            assert await asyncio.wait_for(old.process.wait(), LIMIT_S) == 0
+            assert await asyncio.wait_for(old.process.wait(), WAIT_TIMEOUT_S) == 0
             await new.logs(b"1 processes")
             assert (await scene.ask("later")).status == 200, "the shared socket must go on listening"
             new.process.send_signal(signal.SIGTERM)
-            assert await asyncio.wait_for(new.process.wait(), LIMIT_S) == 0
+            assert await asyncio.wait_for(new.process.wait(), WAIT_TIMEOUT_S) == 0
             listener.close()
 
     run(test())
@@ -189,14 +189,14 @@
 
 def test_a_start_that_fails_leaves_the_old_process_alone(tmp_path: Path) -> None:
     async def test() -> None:
-        async with world(tmp_path, Server(), start=False) as scene:
+        async with node_harness(tmp_path, Server(), start=False) as scene:
             listener = listener_of(scene)
             old = await Process.start(scene.path, listener, tmp_path)
             await old.logs(b"started, accepting")
             broken = tmp_path / "broken.json"
             broken.write_text("{")
             failed = await Process.start(broken, listener, tmp_path)
-            assert await asyncio.wait_for(failed.process.wait(), LIMIT_S) == 2
+            assert await asyncio.wait_for(failed.process.wait(), WAIT_TIMEOUT_S) == 2
             unready = tmp_path / "unready.json"  # knows no server: it must not accept
             known = {"index": 0, "snapshot": True, "endpoints": []}
             unready.write_text(json.dumps(scene.config | {"known": known, "discovery": "127.0.0.1:1"}))
@@ -208,7 +208,7 @@
             await old.logs(b"1 processes")
             assert (await scene.ask("after")).status == 200
             old.process.send_signal(signal.SIGTERM)
-            assert await asyncio.wait_for(old.process.wait(), LIMIT_S) == 0
+            assert await asyncio.wait_for(old.process.wait(), WAIT_TIMEOUT_S) == 0
             listener.close()
 
     run(test())
--- a/tests/test_lab_processes.py
+++ b/tests/test_lab_processes.py
@@ -22,7 +22,7 @@
 from lab.processes.day import play_processes, unfit
 from lab.processes.relay import Relay
 from lab.scenario import load, parse
-from tests.peers import run, until
+from tests.peers import run, wait_until
 from tests.test_wire import ROOT
 
 DAY = """
@@ -197,9 +197,9 @@
         server = await asyncio.start_server(serve, *block.peer(1))
         try:
             one.sendto(b"there", block.alias(1))
-            await until(lambda: got == [(b"there", block.alias(0))])
+            await wait_until(lambda: got == [(b"there", block.alias(0))])
             two.sendto(b"back", block.alias(0))
-            await until(lambda: got[1:] == [(b"back", block.alias(1))])
+            await wait_until(lambda: got[1:] == [(b"back", block.alias(1))])
             local = (block.peer(0)[0], 0)
             reader, writer = await asyncio.open_connection(*block.alias(1), local_addr=local)
             writer.write(b"a")
@@ -209,14 +209,14 @@
             one.sendto(b"lost", block.alias(1))
             writer.write(b"b")
             two.sendto(b"still", block.alias(0))  # only the one direction is cut
-            await until(lambda: got[2:] == [(b"still", block.alias(1))])
+            await wait_until(lambda: got[2:] == [(b"still", block.alias(1))])
             assert heard == [b"a"]
             lines.recover(cut)
             assert await reader.read(1) == b"B"
             assert len(got) == 3
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 stranger.sendto(b"x", block.alias(1))
-            await until(lambda: relay.strangers == 1)
+            await wait_until(lambda: relay.strangers == 1)
             writer.close()
         finally:
             one.close()
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -15,13 +15,13 @@
 from dunlinloft.node.config import read_config
 from dunlinloft.node.figures import NodeMetrics
 from dunlinloft.node.http import frontend
-from tests.peers import Caller, Server, World, answer, request, run, until, world
+from tests.peers import Caller, NodeHarness, Server, answer, node_harness, request, run, wait_until
 
 
-async def admin_endpoint(scene: World) -> tuple[str, int]:
+async def admin_endpoint(harness: NodeHarness) -> tuple[str, int]:
     """Open the node's admin endpoint; its address."""
-    assert scene.node is not None
-    return await scene.node.admin.listen(("127.0.0.1", 0))
+    assert harness.node is not None
+    return await harness.node.admin.listen(("127.0.0.1", 0))
 
 
 async def call(address: tuple[str, int], data: bytes) -> tuple[int, dict[str, Any]]:
@@ -40,8 +40,8 @@
 
 def test_each_call_has_its_method_and_rubbish_gets_an_error(tmp_path: Path) -> None:
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
-            address = await admin_endpoint(scene)
+        async with node_harness(tmp_path, Server()) as harness:
+            address = await admin_endpoint(harness)
             assert (await get(address, "/admin/health"))[0] == 200
             assert (await get(address, "/admin/health", "POST"))[0] == 405
             assert (await get(address, "/admin/quiesce"))[0] == 405
@@ -57,8 +57,8 @@
 def test_silent_callers_delay_nobody_and_have_to_go(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr(management, "MAX_CALLERS", 3)
-        async with world(tmp_path, Server()) as scene:
-            address = await admin_endpoint(scene)
+        async with node_harness(tmp_path, Server()) as harness:
+            address = await admin_endpoint(harness)
             silent = [Caller(*await asyncio.open_connection(*address)) for _ in range(5)]
             silent[4].write(b"GET /admin/st")
             assert (await get(address, "/admin/stats"))[0] == 200
@@ -73,8 +73,8 @@
 def test_a_silent_caller_is_let_go_in_time(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr(management, "REQUEST_TIMEOUT_S", 0.05)
-        async with world(tmp_path, Server()) as scene:
-            caller = Caller(*await asyncio.open_connection(*await admin_endpoint(scene)))
+        async with node_harness(tmp_path, Server()) as harness:
+            caller = Caller(*await asyncio.open_connection(*await admin_endpoint(harness)))
             assert (await caller.read()).status == 408 and await caller.closed()
             caller.writer.close()
 
@@ -89,10 +89,10 @@
     config = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "ab"}
 
     async def test() -> None:
-        async with world(tmp_path, start=False) as scene:
-            path.write_text(json.dumps(scene.config | config))
+        async with node_harness(tmp_path, start=False) as harness:
+            path.write_text(json.dumps(harness.config | config))
             assert read_config(str(path)).management is None
-            path.write_text(json.dumps(scene.config | config | {"management": "127.0.0.1:7"}))
+            path.write_text(json.dumps(harness.config | config | {"management": "127.0.0.1:7"}))
             assert read_config(str(path)).management == ("127.0.0.1", 7)
             monkeypatch.setenv("NODE_MANAGEMENT", "127.0.0.1:8")
             assert read_config(str(path)).management == ("127.0.0.1", 8)
@@ -103,15 +103,15 @@
 def test_the_figures_count_each_outcome_once_where_it_happens(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(answer(), answer(500, b"no"), answer(503, b"", "X-Rejected: 1\r\n"), name="s")
-        async with world(tmp_path, server, permissions={"max_attempts": 1}) as scene:
-            address = await admin_endpoint(scene)
-            assert (await scene.ask("a", "save")).status == 200
-            assert (await scene.ask("b", "save")).status == 502
-            assert (await scene.ask("c", "pay")).status == 503
+        async with node_harness(tmp_path, server, permissions={"max_attempts": 1}) as harness:
+            address = await admin_endpoint(harness)
+            assert (await harness.ask("a", "save")).status == 200
+            assert (await harness.ask("b", "save")).status == 502
+            assert (await harness.ask("c", "pay")).status == 503
             server.gate.clear()
-            caller = await scene.caller()
+            caller = await harness.caller()
             caller.write(request("d", "read"))
-            await until(lambda: len(server.seen) == 4)
+            await wait_until(lambda: len(server.seen) == 4)
             _, figures = await get(address, "/admin/stats")
             assert figures["calls"]["save"] == {"success": 1, "busy": 0, "failure": 1}
             assert figures["calls"]["pay"] == {"success": 0, "busy": 1, "failure": 0}
@@ -119,10 +119,12 @@
             assert (figures["inflight"], figures["backend_calls"]) == (1, 4)
             assert figures["hosts_listed"] == 1
             assert (figures["reconfig_ok"], figures["reconfig_failed"]) == (0, 0)
-            scene.registry.tell(server.entry(name="t", address="127.0.0.1:1"), server.entry(status="leaving"))
+            harness.registry.publish(
+                server.entry(name="t", address="127.0.0.1:1"), server.entry(status="leaving")
+            )
             server.gate.set()
             assert (await caller.read()).status == 200
-            await until(lambda: len(scene.node._addresses) == 2)  # type: ignore[union-attr]
+            await wait_until(lambda: len(harness.node._addresses) == 2)  # type: ignore[union-attr]
             _, figures = await get(address, "/admin/stats")
             assert (figures["hosts_listed"], figures["hosts_down"]) == (2, 1)
             assert figures["calls"]["read"]["success"] == 1 and figures["inflight"] == 0
@@ -147,24 +149,24 @@
 ) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            address = await admin_endpoint(scene)
-            idle, held, late = [await scene.caller() for _ in range(3)]
+        async with node_harness(tmp_path, server) as harness:
+            address = await admin_endpoint(harness)
+            idle, held, late = [await harness.caller() for _ in range(3)]
             assert (await idle.ask("idle")).status == 200
             server.gate.clear()
             held.write(request("held", "pay"))
-            await until(lambda: len(server.seen) == 2)
+            await wait_until(lambda: len(server.seen) == 2)
             assert (await get(address, "/admin/quiesce", "POST"))[0] == 200
             assert (await get(address, "/admin/quiesce", "POST"))[0] == 200
             assert (await get(address, "/admin/health"))[0] == 503
-            probe = await scene.caller()
+            probe = await harness.caller()
             probe.write(b"GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
             assert (await probe.read()).status == 500 and await probe.closed()
             assert await idle.closed()
             server.gate.set()
             reply = await held.read()
             assert (reply.status, reply.headers["connection"]) == (200, "close")
-            reply = await scene.ask("early")  # the front still brings some
+            reply = await harness.ask("early")  # the front still brings some
             assert (reply.status, reply.headers["connection"]) == (200, "close")
             monkeypatch.setattr(frontend, "NO_MORE_MS", 0.0)
             seen = len(server.seen)
@@ -173,7 +175,7 @@
             assert not with_answer or len(server.seen) == seen
             assert (await get(address, "/admin/resume", "POST"))[0] == 200
             assert (await get(address, "/admin/health"))[0] == 200
-            again = await scene.caller()
+            again = await harness.caller()
             reply = await again.ask("again")
             assert reply.status == 200 and "connection" not in reply.headers
             assert (await again.ask("and again")).status == 200
@@ -188,10 +190,10 @@
         monkeypatch.setattr(frontend, "NO_MORE_MS", -1.0)
         monkeypatch.setattr(frontend, "DRAIN_IDLE_MS", 1e9)
         server = Server()
-        async with world(tmp_path, server) as scene:
-            address = await admin_endpoint(scene)
+        async with node_harness(tmp_path, server) as harness:
+            address = await admin_endpoint(harness)
             await get(address, "/admin/quiesce", "POST")
-            reply = await scene.ask("late", "pay")
+            reply = await harness.ask("late", "pay")
             assert (reply.status, reply.headers["connection"]) == (503, "close")
             assert (await get(address, "/admin/stats"))[1]["calls"]["pay"]["busy"] == 1
             assert not server.seen
@@ -201,9 +203,9 @@
 
 def test_resume_without_a_drain_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
-            address = await admin_endpoint(scene)
-            caller = await scene.caller()
+        async with node_harness(tmp_path, Server()) as harness:
+            address = await admin_endpoint(harness)
+            caller = await harness.caller()
             assert (await caller.ask("a")).status == 200
             assert (await get(address, "/admin/resume", "POST"))[0] == 200
             assert (await caller.ask("b")).status == 200
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -28,17 +28,17 @@
 from dunlinloft.node.server_list import server_id
 from tests.peers import (
     CLOSE,
-    LIMIT_S,
     RESET,
+    WAIT_TIMEOUT_S,
+    NodeHarness,
     Registry,
     Server,
-    World,
     answer,
+    node_harness,
     request,
     run,
     settings,
-    until,
-    world,
+    wait_until,
 )
 from tests.test_wire import ROOT
 
@@ -58,9 +58,9 @@
 
 def test_a_keyed_request_that_may_have_run_stays_within_its_group(tmp_path: Path) -> None:
     async def test() -> None:
-        servers = [Server(usual=answer(500), name=f"s{n}", group=n % 2) for n in range(4)]
-        async with world(tmp_path, *servers) as scene:
-            answers = await asyncio.gather(*(scene.ask(f"{n}", "save") for n in range(8)))
+        servers = [Server(default_response=answer(500), name=f"s{n}", group=n % 2) for n in range(4)]
+        async with node_harness(tmp_path, *servers) as harness:
+            answers = await asyncio.gather(*(harness.ask(f"{n}", "save") for n in range(8)))
             assert {seen.status for seen in answers} == {502}
         groups: dict[str, list[int]] = {}
         for server in servers:
@@ -74,10 +74,10 @@
 
 def test_a_keyed_request_is_not_sent_again_once_its_window_is_over(tmp_path: Path) -> None:
     async def test() -> None:
-        server = Server(usual=answer(500))
+        server = Server(default_response=answer(500))
         classes: list[dict[str, Any]] = scene_classes(window_ms=20.0)
-        async with world(tmp_path, server, classes=classes) as scene:
-            assert (await scene.ask("a", "save")).status == 502
+        async with node_harness(tmp_path, server, classes=classes) as harness:
+            assert (await harness.ask("a", "save")).status == 502
             assert len(server.seen) == 1
 
     run(test())
@@ -90,17 +90,17 @@
 def test_nothing_goes_to_a_server_that_drains_or_is_gone(tmp_path: Path) -> None:
     async def test() -> None:
         leaving, left, stays = (Server(name=name) for name in ("leaving", "left", "stays"))
-        async with world(tmp_path, leaving, left, stays) as scene:
+        async with node_harness(tmp_path, leaving, left, stays) as harness:
             for n in range(6):
-                await scene.ask(f"before-{n}")
+                await harness.ask(f"before-{n}")
             assert leaving.seen and left.seen
-            scene.registry.tell(leaving.entry(status="leaving"), left.entry(status="left"))
-            await until(lambda: len(scene.registry.seen) == 2)
+            harness.registry.publish(leaving.entry(status="leaving"), left.entry(status="left"))
+            await wait_until(lambda: len(harness.registry.seen) == 2)
             # the next watch is out, so the news has been read; what is idle to one that left is closed
-            await until(lambda: left.lost == left.connections)
+            await wait_until(lambda: left.lost == left.connections)
             counts = len(leaving.seen), len(left.seen)
             for n in range(6):
-                await scene.ask(f"after-{n}")
+                await harness.ask(f"after-{n}")
             assert (len(leaving.seen), len(left.seen)) == counts
 
     run(test())
@@ -117,14 +117,14 @@
             await asyncio.to_thread(filler.connect, slow.getsockname())
             await stays.start()
             entry = stays.entry(name="slow", address=f"127.0.0.1:{slow.getsockname()[1]}")
-            async with world(tmp_path, known=False) as scene:
-                scene.registry.tell(entry, snapshot=True)
-                await until(lambda: len(scene.registry.seen) == 2)
-                answered = asyncio.ensure_future(scene.ask("a", "pay"))
-                assert scene.node is not None
-                await until(lambda: dials(scene) == 1)
-                scene.registry.tell(entry | {"status": "leaving"}, stays.entry())
-                await until(lambda: len(scene.registry.seen) == 3)
+            async with node_harness(tmp_path, known=False) as harness:
+                harness.registry.publish(entry, snapshot=True)
+                await wait_until(lambda: len(harness.registry.seen) == 2)
+                answered = asyncio.ensure_future(harness.ask("a", "pay"))
+                assert harness.node is not None
+                await wait_until(lambda: dials(harness) == 1)
+                harness.registry.publish(entry | {"status": "leaving"}, stays.entry())
+                await wait_until(lambda: len(harness.registry.seen) == 3)
                 accepted, _ = await asyncio.to_thread(slow.accept)
                 second, _ = await asyncio.to_thread(slow.accept)
                 assert (await answered).body == b"done"
@@ -139,18 +139,18 @@
     run(test())
 
 
-def dials(scene: World) -> int:
-    assert scene.node is not None
-    return scene.node._upstream.count()
+def dials(harness: NodeHarness) -> int:
+    assert harness.node is not None
+    return harness.node._upstream.count()
 
 
 def test_a_stale_connection_is_replaced_and_nothing_is_sent_twice(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(*[answer() + CLOSE] * 3)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as harness:
             for id in "abc":
-                assert (await scene.ask(id, "pay")).status == 200
-                await until(lambda: server.lost == server.connections)
+                assert (await harness.ask(id, "pay")).status == 200
+                await wait_until(lambda: server.lost == server.connections)
             assert [seen.id for seen in server.seen] == list("abc")
 
     run(test())
@@ -167,14 +167,14 @@
     async def test() -> None:
         server, other = Server(name="old"), Server(name="new")
         await other.start()
-        async with world(tmp_path, server) as scene:
-            assert (await scene.ask("a")).status == 200
-            scene.registry.news.put_nowait(spoilt)
-            await until(lambda: len(scene.registry.seen) >= 2)
-            assert (await scene.ask("b")).status == 200
-            scene.registry.tell(other.entry(), snapshot=True)
-            await until(lambda: len(scene.registry.seen) >= 3)
-            assert (await scene.ask("c")).status == 200
+        async with node_harness(tmp_path, server) as harness:
+            assert (await harness.ask("a")).status == 200
+            harness.registry.updates.put_nowait(spoilt)
+            await wait_until(lambda: len(harness.registry.seen) >= 2)
+            assert (await harness.ask("b")).status == 200
+            harness.registry.publish(other.entry(), snapshot=True)
+            await wait_until(lambda: len(harness.registry.seen) >= 3)
+            assert (await harness.ask("c")).status == 200
             assert [seen.id for seen in other.seen] == ["c"]
         await other.stop()
 
@@ -195,14 +195,14 @@
     async def test() -> None:
         server, other = Server(name="old"), Server(name="new")
         await other.start()
-        async with world(tmp_path, server) as scene:
-            await until(lambda: len(scene.registry.seen) >= 2)  # the first watch is never answered
+        async with node_harness(tmp_path, server) as harness:
+            await wait_until(lambda: len(harness.registry.seen) >= 2)  # the first watch is never answered
             monkeypatch.setattr(discovery, "WATCH_GRACE_MS", 60_000)
-            assert all("index=1&" in seen.target for seen in scene.registry.seen)
-            for _ in scene.registry.seen:  # those given up wait for news as well
-                scene.registry.tell(server.entry(status="left"), other.entry(), index=2)
-            await until(lambda: any("index=2&" in seen.target for seen in scene.registry.seen))
-            assert (await scene.ask("a")).status == 200
+            assert all("index=1&" in seen.target for seen in harness.registry.seen)
+            for _ in harness.registry.seen:  # those given up wait for news as well
+                harness.registry.publish(server.entry(status="left"), other.entry(), index=2)
+            await wait_until(lambda: any("index=2&" in seen.target for seen in harness.registry.seen))
+            assert (await harness.ask("a")).status == 200
             assert [seen.id for seen in other.seen] == ["a"]
         await other.stop()
 
@@ -211,9 +211,9 @@
 
 def test_failures_at_all_nodes_in_one_moment_are_asked_about_again_out_of_step(tmp_path: Path) -> None:
     async def test() -> None:
-        async with world(tmp_path) as scene:
-            assert scene.node is not None
-            waits = [scene.node.retry_delay_s() for _ in range(100)]
+        async with node_harness(tmp_path) as harness:
+            assert harness.node is not None
+            waits = [harness.node.retry_delay_s() for _ in range(100)]
             assert len(set(waits)) > 90
             assert all(0.5 * DISCOVERY_RETRY_S <= s <= 1.5 * DISCOVERY_RETRY_S for s in waits)
 
@@ -223,10 +223,10 @@
 def test_changes_from_before_the_list_bring_the_whole_list(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            scene.registry.tell(index=0)
-            await until(lambda: len(scene.registry.seen) == 3)
-            assert [seen.target.partition("&")[0] for seen in scene.registry.seen] == [
+        async with node_harness(tmp_path, server) as harness:
+            harness.registry.publish(index=0)
+            await wait_until(lambda: len(harness.registry.seen) == 3)
+            assert [seen.target.partition("&")[0] for seen in harness.registry.seen] == [
                 "/api/targets?index=1", "/api/targets", "/api/targets?index=0",
             ]  # fmt: skip
 
@@ -237,18 +237,18 @@
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
         await old.start()
-        async with world(tmp_path, new) as scene:
-            scene.registry.tell(index=7)
-            await until(lambda: len(scene.registry.seen) == 2)
-            scene.registry.tell(old.entry(), index=3, snapshot=True)
-            await until(lambda: len(scene.registry.seen) == 3)  # after a pause, and from what is held
-            assert "index=7&" in scene.registry.seen[2].target
-            assert (await scene.ask("a")).status == 200
+        async with node_harness(tmp_path, new) as harness:
+            harness.registry.publish(index=7)
+            await wait_until(lambda: len(harness.registry.seen) == 2)
+            harness.registry.publish(old.entry(), index=3, snapshot=True)
+            await wait_until(lambda: len(harness.registry.seen) == 3)  # after a pause, and from what is held
+            assert "index=7&" in harness.registry.seen[2].target
+            assert (await harness.ask("a")).status == 200
             assert [seen.id for seen in new.seen] == ["a"]
-            scene.registry.tell(old.entry(), index=3, snapshot=True)  # discovery did begin anew
-            await until(lambda: len(scene.registry.seen) == 4)
-            assert "index=3&" in scene.registry.seen[3].target
-            assert (await scene.ask("b")).status == 200
+            harness.registry.publish(old.entry(), index=3, snapshot=True)  # discovery did begin anew
+            await wait_until(lambda: len(harness.registry.seen) == 4)
+            assert "index=3&" in harness.registry.seen[3].target
+            assert (await harness.ask("b")).status == 200
             assert [seen.id for seen in old.seen] == ["b"]
         await old.stop()
 
@@ -258,12 +258,12 @@
 def test_the_next_watch_goes_on_from_the_last_answer_on_the_same_connection(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as harness:
             for _ in range(3):
-                scene.registry.tell(server.entry())
-            await until(lambda: len(scene.registry.seen) == 4)
-            assert [seen.target.partition("&")[0][-1] for seen in scene.registry.seen] == list("1234")
-            assert scene.registry.connections == 1
+                harness.registry.publish(server.entry())
+            await wait_until(lambda: len(harness.registry.seen) == 4)
+            assert [seen.target.partition("&")[0][-1] for seen in harness.registry.seen] == list("1234")
+            assert harness.registry.connections == 1
 
     run(test())
 
@@ -278,12 +278,12 @@
     async def test() -> None:
         server = Server()
         probe = b"GET /-/ready HTTP/1.1\r\n\r\n"
-        async with world(tmp_path, server, known=False) as scene:
-            caller = await scene.caller()
+        async with node_harness(tmp_path, server, known=False) as harness:
+            caller = await harness.caller()
             caller.write(probe)
             assert (await caller.read()).status == 500
-            scene.registry.tell(server.entry(), snapshot=True)
-            await until(lambda: len(scene.registry.seen) == 2)
+            harness.registry.publish(server.entry(), snapshot=True)
+            await wait_until(lambda: len(harness.registry.seen) == 2)
             caller.write(probe)
             assert (await caller.read()).status == 200
 
@@ -294,17 +294,17 @@
     async def test() -> None:
         server = Server(answer(500))
         server.gate.clear()
-        async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+        async with node_harness(tmp_path, server) as harness:
+            caller = await harness.caller()
             caller.write(request("a"))
-            await until(lambda: len(server.seen) == 1)
+            await wait_until(lambda: len(server.seen) == 1)
             caller.writer.close()
-            assert scene.node is not None
-            await until(lambda: not scene.node or not scene.node._open_requests)
+            assert harness.node is not None
+            await wait_until(lambda: not harness.node or not harness.node._open_requests)
             server.gate.set()
-            assert (await scene.ask("a")).status == 200  # its id is free again
+            assert (await harness.ask("a")).status == 200  # its id is free again
             assert [seen.id for seen in server.seen] == ["a", "a"]  # and nobody retried for it
-            assert scene.node._balancer.in_flight == 0
+            assert harness.node._balancer.in_flight == 0
 
     run(test())
 
@@ -326,14 +326,14 @@
 
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as harness:
             with caplog.at_level(logging.CRITICAL):
                 for id in ("lost", "raises"):
                     loop = asyncio.get_running_loop()
                     began = loop.time()
-                    assert (await scene.ask(id, budget="0.3")).status == 504
+                    assert (await harness.ask(id, budget="0.3")).status == 504
                     assert loop.time() - began >= 0.29  # never early
-            assert (await scene.ask("a")).status == 200
+            assert (await harness.ask("a")).status == 200
 
     run(test())
 
@@ -341,8 +341,8 @@
 def test_a_request_given_up_on_is_refused_at_once(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            reply = await scene.ask("a", "pay", budget="0.001")  # no time left for an attempt
+        async with node_harness(tmp_path, server) as harness:
+            reply = await harness.ask("a", "pay", budget="0.001")  # no time left for an attempt
             assert reply.status == 503 and not server.seen
             assert 0.0 < float(reply.headers["retry-after"]) <= 0.5  # T1
 
@@ -391,10 +391,10 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server) as scene:
-            other, bad = await scene.caller(), await scene.caller()
+        async with node_harness(tmp_path, server) as harness:
+            other, bad = await harness.caller(), await harness.caller()
             other.write(request("other"))
-            await until(lambda: len(server.seen) == 1)
+            await wait_until(lambda: len(server.seen) == 1)
             bad.write(data)
             assert (await bad.read()).status == status
             server.gate.set()
@@ -414,16 +414,16 @@
 
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            assert scene.node is not None
-            good, bad = await scene.caller(), await scene.caller()
+        async with node_harness(tmp_path, server) as harness:
+            assert harness.node is not None
+            good, bad = await harness.caller(), await harness.caller()
             assert (await good.ask("before")).status == 200
-            await until(lambda: scene.node is not None and scene.node.frontend.count() == 2)
+            await wait_until(lambda: harness.node is not None and harness.node.frontend.count() == 2)
             clock[0] += 2600.0
             bad.write(sent)
             await good.ask("between")  # the node has read what was written before
             clock[0] += 300.0
-            ending = await asyncio.wait_for(bad.reader.read(), LIMIT_S)
+            ending = await asyncio.wait_for(bad.reader.read(), WAIT_TIMEOUT_S)
             assert ending == b"" or ending.startswith(b"HTTP/1.1 408")
             assert (await good.ask("after")).status == 200  # a pause between requests is no fault
             assert [seen.id for seen in server.seen] == ["before", "between", "after"]
@@ -437,10 +437,10 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server) as scene:
-            owner, other = await scene.caller(), await scene.caller()
+        async with node_harness(tmp_path, server) as harness:
+            owner, other = await harness.caller(), await harness.caller()
             owner.write(request("a"))
-            await until(lambda: len(server.seen) == 1)
+            await wait_until(lambda: len(server.seen) == 1)
             assert (await other.ask("a")).status == 400
             other.writer.close()
             server.gate.set()
@@ -452,8 +452,8 @@
 def test_requests_sent_ahead_are_answered_in_order_and_noise_after_them_last(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(answer(200, b"1"), answer(200, b"2"))
-        async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+        async with node_harness(tmp_path, server) as harness:
+            caller = await harness.caller()
             caller.write(request("a") + request("b") + b"noise\r\n\r\n")
             replies = [await caller.read() for _ in range(3)]
             assert [(seen.status, seen.body) for seen in replies[:2]] == [(200, b"1"), (200, b"2")]
@@ -466,8 +466,8 @@
 def test_requests_come_in_pieces_and_a_caller_may_ask_for_a_close(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+        async with node_harness(tmp_path, server) as harness:
+            caller = await harness.caller()
             for byte in request("a", "pay", body=b"body"):
                 caller.write(bytes([byte]))
                 await caller.writer.drain()
@@ -484,11 +484,11 @@
 def test_sockets_stay_within_their_limit_and_idle_ones_make_room(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server, sockets=24 + 5) as scene:
+        async with node_harness(tmp_path, server, sockets=24 + 5) as harness:
             for n in range(16):  # after 20 answers the module's patience is 8 times a delay of none
-                assert (await scene.ask(f"{n}")).status == 200
-                assert scene.node is not None
-                assert scene.node.frontend.count() + scene.node._upstream.count() <= 7
+                assert (await harness.ask(f"{n}")).status == 200
+                assert harness.node is not None
+                assert harness.node.frontend.count() + harness.node._upstream.count() <= 7
 
     run(test())
 
@@ -500,8 +500,8 @@
 
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server, sockets=48) as scene:
-            callers = [await scene.caller() for _ in range(15)]  # 18 answers: see the test above
+        async with node_harness(tmp_path, server, sockets=48) as harness:
+            callers = [await harness.caller() for _ in range(15)]  # 18 answers: see the test above
             for n, caller in enumerate(callers):
                 assert (await caller.ask(f"{n}")).status == 200
             clock[0] += 1900.0
@@ -509,7 +509,7 @@
             clock[0] += 200.0
             for caller in callers[1:]:
                 assert await caller.closed()
-            await until(lambda: scene.node is not None and scene.node.frontend.count() == 1)
+            await wait_until(lambda: harness.node is not None and harness.node.frontend.count() == 1)
             assert (await callers[0].ask("again")).status == 200  # it has not idled for 2 s
             clock[0] += 50_000.0  # and there is plenty now
             await asyncio.sleep(3 * frontend.SWEEP_S)
@@ -524,15 +524,15 @@
 
     async def test() -> None:
         server = Server(*[answer() + CLOSE] * 4, RESET)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as harness:
             gc.collect()
             gc.disable()
             for n in range(5):
-                caller = await scene.caller()
+                caller = await harness.caller()
                 await caller.ask(f"{n}", "pay")
                 caller.writer.close()
-            await until(lambda: scene.node is not None and not scene.node.frontend.count())
-            await until(lambda: server.lost == server.connections)
+            await wait_until(lambda: harness.node is not None and not harness.node.frontend.count())
+            await wait_until(lambda: server.lost == server.connections)
             kept = [
                 type(o).__name__ for o in gc.get_objects() if isinstance(o, Caller | OpenRequest | Attempt)
             ]
@@ -547,33 +547,33 @@
 class Program:
     """The program itself, as it is run in service."""
 
-    def __init__(self, process: asyncio.subprocess.Process, scene: World) -> None:
-        self.process, self.scene = process, scene
+    def __init__(self, process: asyncio.subprocess.Process, harness: NodeHarness) -> None:
+        self.process, self.harness = process, harness
 
     @classmethod
-    async def start(cls, scene: World) -> Program:
-        program = cls(await spawn(scene.path), scene)
+    async def start(cls, harness: NodeHarness) -> Program:
+        program = cls(await spawn(harness.path), harness)
         assert program.process.stderr is not None
         while True:
-            line = await asyncio.wait_for(program.process.stderr.readline(), LIMIT_S)
+            line = await asyncio.wait_for(program.process.stderr.readline(), WAIT_TIMEOUT_S)
             assert line, "ended before it was ready"
             if b"started" in line:
-                scene.address = parse_address(line.decode().split()[-1])
+                harness.address = parse_address(line.decode().split()[-1])
                 return program
 
     async def logs(self, words: bytes) -> None:
         """Wait for a line with these words."""
         assert self.process.stderr is not None
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while words not in await self.process.stderr.readline():
                 assert not self.process.stderr.at_eof(), "ended without the line"
 
     async def refuses(self) -> None:
         """Wait until the listener is closed."""
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 try:
-                    (await asyncio.open_connection(*self.scene.address))[1].close()
+                    (await asyncio.open_connection(*self.harness.address))[1].close()
                 except ConnectionRefusedError:
                     return
                 except ConnectionError:  # it came just as the listener was closed
@@ -596,19 +596,19 @@
         registry = Registry()
         for peer in (registry, new):
             await peer.start()
-        registry.index, registry.whole = 7, [new.entry()]
-        async with world(tmp_path, old, start=False) as scene:
-            program = await Program.start(scene)
-            held = asyncio.ensure_future(scene.ask("held"))
-            await until(lambda: len(old.seen) == 1)
-            scene.path.write_text("{")  # no good: all stays as it was
+        registry.index, registry.full_list = 7, [new.entry()]
+        async with node_harness(tmp_path, old, start=False) as harness:
+            program = await Program.start(harness)
+            held = asyncio.ensure_future(harness.ask("held"))
+            await wait_until(lambda: len(old.seen) == 1)
+            harness.path.write_text("{")  # no good: all stays as it was
             program.process.send_signal(signal.SIGHUP)
             await program.logs(b"invalid configuration, current one kept")
-            scene.path.write_text(json.dumps(scene.config | {"discovery": registry.address}))
+            harness.path.write_text(json.dumps(harness.config | {"discovery": registry.address}))
             program.process.send_signal(signal.SIGHUP)
-            await until(lambda: len(registry.seen) == 2)  # the list, and a watch from there on
+            await wait_until(lambda: len(registry.seen) == 2)  # the list, and a watch from there on
             assert "index=7" in registry.seen[1].target
-            assert (await scene.ask("after")).status == 200
+            assert (await harness.ask("after")).status == 200
             assert [seen.id for seen in new.seen] == ["after"]
             old.gate.set()
             assert (await held).status == 200
@@ -624,11 +624,11 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server, start=False) as scene:
-            program = await Program.start(scene)
-            idle, held = await scene.caller(), await scene.caller()
+        async with node_harness(tmp_path, server, start=False) as harness:
+            program = await Program.start(harness)
+            idle, held = await harness.caller(), await harness.caller()
             held.write(request("held", "pay"))
-            await until(lambda: len(server.seen) == 1)
+            await wait_until(lambda: len(server.seen) == 1)
             program.process.send_signal(signal.SIGTERM)
             await program.refuses()
             assert await idle.closed()
@@ -636,7 +636,7 @@
             server.gate.set()
             reply = await held.read()
             assert (reply.status, reply.headers["connection"]) == (200, "close")
-            assert await asyncio.wait_for(program.process.wait(), LIMIT_S) == 0
+            assert await asyncio.wait_for(program.process.wait(), WAIT_TIMEOUT_S) == 0
 
     run(test())
 
@@ -654,7 +654,7 @@
         if text:
             path.write_text(text)
         process = await spawn(None if text is None else path)
-        _, errors = await asyncio.wait_for(process.communicate(), LIMIT_S)
+        _, errors = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
         [line] = errors.decode().splitlines()
         assert process.returncode == 2 and words in line
 
@@ -663,10 +663,10 @@
 
 def test_an_address_in_use_is_one_line_and_status_2(tmp_path: Path) -> None:
     async def test() -> None:
-        async with world(tmp_path, start=False) as scene:
-            scene.path.write_text(json.dumps(scene.config | {"listen": scene.registry.address}))
-            process = await spawn(scene.path)
-            _, errors = await asyncio.wait_for(process.communicate(), LIMIT_S)
+        async with node_harness(tmp_path, start=False) as harness:
+            harness.path.write_text(json.dumps(harness.config | {"listen": harness.registry.address}))
+            process = await spawn(harness.path)
+            _, errors = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
             [line] = errors.decode().splitlines()
             assert process.returncode == 2 and "in use" in line
 
@@ -676,15 +676,15 @@
 def test_sighup_takes_a_whole_file_or_nothing_of_it(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
-            node = scene.node
+        async with node_harness(tmp_path, server) as harness:
+            node = harness.node
             assert node is not None
             server.gate.clear()
-            held = await scene.caller()
+            held = await harness.caller()
             held.write(request("held", "read"))
-            await until(lambda: len(server.seen) == 1)
-            good = scene.config["settings"]
-            broken: list[str] = ["", json.dumps(scene.config)[:-40]]
+            await wait_until(lambda: len(server.seen) == 1)
+            good = harness.config["settings"]
+            broken: list[str] = ["", json.dumps(harness.config)[:-40]]
             spoilt: tuple[dict[str, Any], ...] = (
                 {"permissions": {**good["permissions"], "max_attempts": 0}},
                 {"permissions": {n: v for n, v in good["permissions"].items() if n != "may_cancel"}},
@@ -693,24 +693,26 @@
                 {"classes": []},
             )
             for changes in spoilt:
-                config = scene.config | {"discovery": "127.0.0.1:1", "settings": good | changes}
+                config = harness.config | {"discovery": "127.0.0.1:1", "settings": good | changes}
                 broken.append(json.dumps(config))
-            broken.append(json.dumps({n: v for n, v in scene.config.items() if n != "limits"}))
+            broken.append(json.dumps({n: v for n, v in harness.config.items() if n != "limits"}))
             for text in broken:
-                scene.path.write_text(text)
-                reload(node, str(scene.path))
+                harness.path.write_text(text)
+                reload(node, str(harness.path))
             assert (node.metrics.reconfig_ok, node.metrics.reconfig_failed) == (0, len(broken))
-            assert f"{node.config.discovery[0]}:{node.config.discovery[1]}" == scene.registry.address
+            assert f"{node.config.discovery[0]}:{node.config.discovery[1]}" == harness.registry.address
 
             _, pay, save = good["classes"]
             new = pay | {"name": "new"}
-            scene.path.write_text(json.dumps(scene.config | {"settings": good | {"classes": [new, save]}}))
-            reload(node, str(scene.path))
+            harness.path.write_text(
+                json.dumps(harness.config | {"settings": good | {"classes": [new, save]}})
+            )
+            reload(node, str(harness.path))
             assert (node.metrics.reconfig_ok, node.metrics.reconfig_failed) == (1, len(broken))
             server.gate.set()
             assert (await held.read()).status == 200, "its class has vanished, but it came before"
-            assert (await scene.ask("a", "new")).status == 200
-            assert (await scene.ask("b", "read")).status == 400
+            assert (await harness.ask("a", "new")).status == 200
+            assert (await harness.ask("b", "read")).status == 400
             calls = node.metrics.to_json()["calls"]
             assert (calls["read"]["success"], calls["new"]["success"]) == (1, 1)
 
@@ -721,16 +723,16 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server, sockets=40) as scene:
-            assert scene.node is not None
-            first = await scene.caller()
+        async with node_harness(tmp_path, server, sockets=40) as harness:
+            assert harness.node is not None
+            first = await harness.caller()
             first.write(request("first", "pay"))
-            await until(lambda: len(server.seen) == 1)
+            await wait_until(lambda: len(server.seen) == 1)
             for n in range(40):
                 with contextlib.suppress(ConnectionError):
-                    (await scene.caller()).write(request(f"{n}"))
+                    (await harness.caller()).write(request(f"{n}"))
             await asyncio.sleep(0.2)
-            assert scene.node.frontend.count() <= 16 + frontend.BEYOND
+            assert harness.node.frontend.count() <= 16 + frontend.BEYOND
             server.gate.set()
             assert (await first.read()).status == 200
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -16,7 +16,18 @@
 from dunlinloft.node.http import upstream
 from dunlinloft.node.http.bodies import Body, Memory
 from dunlinloft.node.http.upstream import Answer, Connection, Flow, Upstream, read_report
-from tests.peers import CLOSE, HANG, LIMIT_S, RESET, Server, answer, request, run, until, world
+from tests.peers import (
+    CLOSE,
+    HANG,
+    RESET,
+    WAIT_TIMEOUT_S,
+    Server,
+    answer,
+    node_harness,
+    request,
+    run,
+    wait_until,
+)
 
 NOISE = b"\x00\xff not HTTP at all\r\n\r\n"
 MAY_HAVE_RUN = {
@@ -47,7 +58,7 @@
 ) -> None:
     async def test() -> None:
         server = Server(spoilt)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             assert (await scene.ask("a", "pay")).status == 502
             assert (await scene.ask("b", "pay")).body == b"done"  # and nothing of it reaches the next
             assert [seen.id for seen in server.seen] == ["a", "b"]
@@ -59,7 +70,7 @@
 def test_an_unsafe_request_that_was_turned_away_is_sent_again(turned_away: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(turned_away)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             assert (await scene.ask("a", "pay")).body == b"done"
             assert [seen.id for seen in server.seen] == ["a", "a"]
 
@@ -69,7 +80,7 @@
 def test_a_connection_that_is_refused_never_ran_it(tmp_path: Path) -> None:
     async def test() -> None:
         down, up = Server(name="down"), Server(name="up")
-        async with world(tmp_path, down, up) as scene:
+        async with node_harness(tmp_path, down, up) as scene:
             await down.stop()
             for n in range(6):  # the rotation comes by the one that is down
                 assert (await scene.ask(f"{n}", "pay")).body == b"done"
@@ -81,9 +92,9 @@
 def test_silence_is_a_time_out_and_closes_the_connection(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(HANG)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             assert (await scene.ask("a", "pay", budget="0.3")).status == 502
-            await until(lambda: server.lost == 1)
+            await wait_until(lambda: server.lost == 1)
             assert len(server.seen) == 1
 
     run(test())
@@ -92,7 +103,7 @@
 def test_good_answers_that_bring_more_are_served_and_their_connection_dropped(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(answer(200, b"one") + answer(200, b"two"), answer(200, b"three") + NOISE)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             assert [(await scene.ask(id)).body for id in "abc"] == [b"one", b"three", b"done"]
             assert [seen.connection for seen in server.seen] == [1, 2, 3]
 
@@ -104,7 +115,7 @@
         body = bytes(range(256)) * 256
         chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         server = Server(b"HTTP/1.1 103 Early\r\nX-A: b\r\n\r\n" + answer(200, body), chunked)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             assert (await scene.ask("a")).body == body
             assert (await scene.ask("b")).body == b"abcde"
             assert [seen.connection for seen in server.seen] == [1, 1]
@@ -115,10 +126,10 @@
 def test_what_must_go_on_unchanged_does(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             await scene.ask("a", "save", body=b"x" * 65536, query="?obj=7f&z=%2F", extra="X-Other: 1\r\n")
             [seen] = server.seen
-            assert seen.first == "POST /save?obj=7f&z=%2F HTTP/1.1"
+            assert seen.start_line == "POST /save?obj=7f&z=%2F HTTP/1.1"
             assert (seen.id, seen.headers["idempotency-key"]) == ("a", "key-a")
             assert seen.body == b"x" * 65536
             assert 0.0 < float(seen.headers["x-budget"]) < 20.0
@@ -173,7 +184,7 @@
         )
 
     async def result(self, count: int) -> Result:
-        await until(lambda: len(self.results) == count)
+        await wait_until(lambda: len(self.results) == count)
         return self.results[-1]
 
 
@@ -182,7 +193,7 @@
 
     def __init__(self, *, reset: bool) -> None:
         self._socket = socket.create_server(("127.0.0.1", 0))
-        self._socket.settimeout(LIMIT_S)
+        self._socket.settimeout(WAIT_TIMEOUT_S)
         self.address = f"127.0.0.1:{self._socket.getsockname()[1]}"
         self.got: list[bytes] = []
         self._reset, self._end = reset, threading.Event()
@@ -193,7 +204,7 @@
         connection, _ = self._socket.accept()
         self.got.append(connection.recv(65536))
         connection.sendall(answer())
-        self._end.wait(LIMIT_S)
+        self._end.wait(WAIT_TIMEOUT_S)
         if self._reset:
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         connection.close()
@@ -270,7 +281,7 @@
         attempts = Attempts(server.address, keepalive_ms=400.0)
         attempts.send("a")
         assert await attempts.result(1) is Result.SERVED
-        await until(lambda: server.lost == 1)
+        await wait_until(lambda: server.lost == 1)
         assert attempts.upstream.count() == 0
         await server.stop()
 
@@ -302,8 +313,8 @@
         assert await ask(0.0) is Result.SERVED
         if told:
             clock[0] += 2000.0
-            server.hang_up()
-            await until(lambda: not attempts.upstream.count())
+            server.close_connections()
+            await wait_until(lambda: not attempts.upstream.count())
         else:
             assert await ask(2000.0) is Result.RESET
         connections.clear()
@@ -332,7 +343,7 @@
         attempts = Attempts(server.address)
         attempts.send("a")
         await attempts.result(1)
-        await until(lambda: not attempts.upstream.count())
+        await wait_until(lambda: not attempts.upstream.count())
         for n in (2, 3):
             clock[0] += 5000.0
             attempts.send(f"{n}")
@@ -358,8 +369,8 @@
         attempts.send("a", server=1)
         await attempts.result(1)
         clock[0] += 100.0
-        server.hang_up()
-        await until(lambda: not attempts.upstream.count())
+        server.close_connections()
+        await wait_until(lambda: not attempts.upstream.count())
         connections = {}
         for n, name in enumerate((2, 2, 1, 1, 3, 3)):
             if n == 4:
@@ -385,7 +396,7 @@
         attempts = Attempts(server.address)
         attempts.send("a")
         attempts.send("b")
-        await until(lambda: len(server.seen) == 2)
+        await wait_until(lambda: len(server.seen) == 2)
         server.gate.set()
         await attempts.result(2)
         for n in range(3, 6):
@@ -393,7 +404,7 @@
             await attempts.result(n)
         assert len({seen.connection for seen in server.seen[2:]}) == 1
         attempts.upstream.close_idle(1)
-        await until(lambda: server.lost == 2)
+        await wait_until(lambda: server.lost == 2)
         await server.stop()
 
     run(test())
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -25,7 +25,7 @@
 from lab.processes.block import Block, text
 from lab.processes.day import play_processes
 from lab.scenario import parse
-from tests.peers import run, settings, until
+from tests.peers import run, settings, wait_until
 from tests.shared_days import SHARED_DAY
 from tests.test_wire import ROOT
 
@@ -41,7 +41,7 @@
     return read_config(str(file))
 
 
-class Scene:
+class LocalFleet:
     """Members at the addresses of a block."""
 
     def __init__(
@@ -82,34 +82,34 @@
 
 def test_members_find_each_other_one_says_goodbye_and_one_hands_over(tmp_path: Path) -> None:
     async def test() -> None:
-        scene = Scene(tmp_path, ["n1", "n2", "n3"])
+        fleet = LocalFleet(tmp_path, ["n1", "n2", "n3"])
         try:
-            await until(lambda: scene.agree(3))
-            leaving = scene.members.pop("n3")
+            await wait_until(lambda: fleet.agree(3))
+            leaving = fleet.members.pop("n3")
             leaving.leave_fleet(handing_over=False)
-            await until(lambda: scene.agree(2))
-            assert scene.members["n1"].core.view.members["n3"].status == 3
-            old = scene.members["n2"]
-            new = scene.members["n2"] = scene.make("n2", 1)
+            await wait_until(lambda: fleet.agree(2))
+            assert fleet.members["n1"].core.view.members["n3"].status == 3
+            old = fleet.members["n2"]
+            new = fleet.members["n2"] = fleet.make("n2", 1)
             new.start()  # waits for the address
             await asyncio.sleep(0)
             old.leave_fleet(handing_over=True)
-            await until(lambda: scene.agree(2) and new.core.alive_count() == 2)
-            seen = scene.members["n1"].core.view.members["n2"]
+            await wait_until(lambda: fleet.agree(2) and new.core.alive_count() == 2)
+            seen = fleet.members["n1"].core.view.members["n2"]
             assert seen.incarnation == new.core.incarnation
-            assert scene.members["n1"].core.name_conflicts == new.core.name_conflicts == 0
+            assert fleet.members["n1"].core.name_conflicts == new.core.name_conflicts == 0
         finally:
-            scene.close()
+            fleet.close()
 
     run(test())
 
 
 def test_strangers_get_nothing_are_counted_and_closed(tmp_path: Path) -> None:
     async def test() -> None:
-        scene = Scene(tmp_path, ["n1"])
-        member, at = scene.members["n1"], scene.block.peer(0)
+        fleet = LocalFleet(tmp_path, ["n1"])
+        member, at = fleet.members["n1"], fleet.block.peer(0)
         try:
-            await until(lambda: member._udp is not None)
+            await wait_until(lambda: member._udp is not None)
             rng = random.Random(1)
             foreign = wire.Wire("graz").write(Ping(Header("x", 1, 0, 0), 1, "n1", []))
             datagrams = [
@@ -122,7 +122,7 @@
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 for data in datagrams:
                     stranger.sendto(data, at)
-            await until(
+            await wait_until(
                 lambda: member.counts["refused"] >= len(datagrams) - 1
             )  # an empty one may not be heard of
             writers = []
@@ -143,7 +143,7 @@
             assert member.core.alive_count() == 1
             assert {"foreign", "version", "long", "crowd"} <= set(member.rejection_counts)
         finally:
-            scene.close()
+            fleet.close()
 
     run(test())
 
@@ -285,48 +285,48 @@
 
 def test_the_admin_endpoint_enters_rows_in_the_ledger_and_says_what_is_wrong(tmp_path: Path) -> None:
     async def test() -> None:
-        scene = Scene(tmp_path, ["n1", "n2", "n3"], voters=["n1", "n2", "n3"])
+        fleet = LocalFleet(tmp_path, ["n1", "n2", "n3"], voters=["n1", "n2", "n3"])
         try:
-            hosts = [m.roles for m in scene.members.values() if m.roles is not None]
-            await until(lambda: any(h.table_status()[1]["step"] == "open" for h in hosts))
+            hosts = [m.roles for m in fleet.members.values() if m.roles is not None]
+            await wait_until(lambda: any(h.table_status()[1]["step"] == "open" for h in hosts))
             holder = next(h for h in hosts if h.table_status()[1]["here"])
             other = next(h for h in hosts if h is not holder)
             assert other.write_row("key=a&value=b")[0] == 409
             assert holder.write_row("key=limit/t&value=many")[0] == 400
             assert holder.write_row("key=&value=b")[0] == 409
             assert holder.write_row("key=limit/t&value=12.5")[0] == 202
-            await until(lambda: holder.table_status()[1]["entries"][-1]["state"] == "kept")
+            await wait_until(lambda: holder.table_status()[1]["entries"][-1]["state"] == "kept")
             holder.release_all()
-            await until(lambda: any(h.table_status()[1]["rows"] for h in hosts if h is not holder))
+            await wait_until(lambda: any(h.table_status()[1]["rows"] for h in hosts if h is not holder))
             after = next(h for h in hosts if h.table_status()[1]["rows"]).table_status()[1]
             assert [(row["key"], row["value"]) for row in after["rows"]] == [("limit/t", "12.5")]
             assert not after["lost"]
         finally:
-            scene.close()
+            fleet.close()
 
     run(test())
 
 
 def test_voters_change_at_the_admin_endpoint_and_all_hear_of_it(tmp_path: Path) -> None:
     async def test() -> None:
-        scene = Scene(tmp_path, ["n1", "n2", "n3", "n4"], voters=["n1", "n2", "n3"])
+        fleet = LocalFleet(tmp_path, ["n1", "n2", "n3", "n4"], voters=["n1", "n2", "n3"])
         try:
-            hosts = [m.roles for m in scene.members.values() if m.roles is not None]
-            await until(lambda: any(h.table_status()[1]["step"] == "open" for h in hosts))
+            hosts = [m.roles for m in fleet.members.values() if m.roles is not None]
+            await wait_until(lambda: any(h.table_status()[1]["step"] == "open" for h in hosts))
             holder = next(h for h in hosts if h.table_status()[1]["here"])
             assert next(h for h in hosts if h is not holder).change_voters("add=n4")[0] == 409
             assert holder.write_row("key=voters&value=x")[0] == 400
             for bad in ("add=n3", "add=n9", "remove=n1", "add=n4&remove=n1", ""):
                 assert holder.change_voters(bad)[0] == 409
             assert holder.change_voters("add=n4")[0] == 202
-            await until(lambda: all(h.voters_status()[1]["change"] == 1 for h in hosts))
+            await wait_until(lambda: all(h.voters_status()[1]["change"] == 1 for h in hosts))
             assert holder.table_status()[1]["entries"][-1]["state"] == "kept"
             assert "change 1" in holder.voters_status()[1]["why_no_change"]
-            await until(lambda: not holder.voters_status()[1]["why_no_change"])
+            await wait_until(lambda: not holder.voters_status()[1]["why_no_change"])
             assert holder.change_voters("remove=n1")[0] == 202
-            await until(lambda: all(h.status()[1]["voters"] == ["n2", "n3", "n4"] for h in hosts))
+            await wait_until(lambda: all(h.status()[1]["voters"] == ["n2", "n3", "n4"] for h in hosts))
         finally:
-            scene.close()
+            fleet.close()
 
     run(test())
 
@@ -342,9 +342,9 @@
             super().observe(alive, now)
 
     async def play() -> None:
-        scene = Scene(tmp_path, ["n1"])
+        fleet = LocalFleet(tmp_path, ["n1"])
         try:
-            peers = scene.members["n1"]
+            peers = fleet.members["n1"]
             monkeypatch.setattr(peers, "member_count", Noting("n1", 0, 3))
             facts: dict[str, Any] = {"tier": 0.0}
             records = [Record(f"m{n}", 1, 0, 0, 7, f"127.0.0.9:{n + 1}", 0, facts) for n in range(200)]
@@ -352,6 +352,6 @@
             assert peers.core.alive_count() == 201
             assert counted == [201]
         finally:
-            scene.close()
+            fleet.close()
 
     run(play())
