--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The node among scripted peers: rules, discovery, callers that leave, ends that must come."""
+"""A node with scripted peers: retries, discovery, clients that disconnect, deadlines, signals and limits."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 )
 from tests.test_wire import ROOT
 
-MOST_RETRY_MS = 1.5 * DISCOVERY_RETRY_S * 1000.0  # with all its jitter
+MAX_RETRY_MS = 1.5 * DISCOVERY_RETRY_S * 1000.0  # with the largest jitter
 WATCH_WAIT_MS, WATCH_GRACE_MS, CALL_TIMEOUT_MS = (
     discovery.WATCH_WAIT_MS,
     discovery.WATCH_GRACE_MS,
@@ -51,12 +51,12 @@
 
 
 @pytest.fixture(autouse=True)
-def patient_watches(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Peers here speak when a test tells them to: on a slow machine no watch may run out meanwhile."""
+def long_watches(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Prevent watches from timing out on a slow machine: peers respond only when a test makes them."""
     monkeypatch.setattr(discovery, "WATCH_WAIT_MS", 60_000)
 
 
-def test_a_keyed_request_that_may_have_run_stays_within_its_group(tmp_path: Path) -> None:
+def test_keyed_request_that_may_have_run_is_retried_within_its_group(tmp_path: Path) -> None:
     async def test() -> None:
         servers = [Server(default_response=answer(500), name=f"s{n}", group=n % 2) for n in range(4)]
         async with node_harness(tmp_path, *servers) as harness:
@@ -67,15 +67,15 @@
             for seen in server.seen:
                 groups.setdefault(seen.id, []).append(server.group)
         assert all(len(set(sent)) == 1 for sent in groups.values())
-        assert max(map(len, groups.values())) > 1  # and some were sent again
+        assert max(map(len, groups.values())) > 1  # some requests were retried
 
     run(test())
 
 
-def test_a_keyed_request_is_not_sent_again_once_its_window_is_over(tmp_path: Path) -> None:
+def test_keyed_request_is_not_retried_after_its_dedup_window(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(default_response=answer(500))
-        classes: list[dict[str, Any]] = scene_classes(window_ms=20.0)
+        classes: list[dict[str, Any]] = changed_classes(window_ms=20.0)
         async with node_harness(tmp_path, server, classes=classes) as harness:
             assert (await harness.ask("a", "save")).status == 502
             assert len(server.seen) == 1
@@ -83,11 +83,11 @@
     run(test())
 
 
-def scene_classes(**changes: Any) -> list[dict[str, Any]]:
+def changed_classes(**changes: Any) -> list[dict[str, Any]]:
     return [cls | changes for cls in settings()["classes"]]
 
 
-def test_nothing_goes_to_a_server_that_drains_or_is_gone(tmp_path: Path) -> None:
+def test_draining_or_terminated_server_gets_no_requests(tmp_path: Path) -> None:
     async def test() -> None:
         leaving, left, stays = (Server(name=name) for name in ("leaving", "left", "stays"))
         async with node_harness(tmp_path, leaving, left, stays) as harness:
@@ -96,7 +96,7 @@
             assert leaving.seen and left.seen
             harness.registry.publish(leaving.entry(status="leaving"), left.entry(status="left"))
             await wait_until(lambda: len(harness.registry.seen) == 2)
-            # the next watch is out, so the news has been read; what is idle to one that left is closed
+            # The next watch has begun, so the update was read; idle connections to a server that left close.
             await wait_until(lambda: left.lost == left.connections)
             counts = len(leaving.seen), len(left.seen)
             for n in range(6):
@@ -106,14 +106,14 @@
     run(test())
 
 
-def test_a_drain_told_while_the_connection_comes_up_stops_the_send(tmp_path: Path) -> None:
-    """The pick was right, but by the time there is a connection its server may not be sent to."""
+def test_drain_published_while_connecting_prevents_the_send(tmp_path: Path) -> None:
+    """A server may begin to drain after it was selected but before its connection is established."""
 
     async def test() -> None:
         stays = Server(name="stays")
         with socket.socket() as slow, socket.socket() as filler:
             slow.bind(("127.0.0.1", 0))
-            slow.listen(0)  # its queue is full with one: the next handshake hangs until that is accepted
+            slow.listen(0)  # one connection fills the backlog: the next handshake hangs until it is accepted
             await asyncio.to_thread(filler.connect, slow.getsockname())
             await stays.start()
             entry = stays.entry(name="slow", address=f"127.0.0.1:{slow.getsockname()[1]}")
@@ -122,7 +122,7 @@
                 await wait_until(lambda: len(harness.registry.seen) == 2)
                 answered = asyncio.ensure_future(harness.ask("a", "pay"))
                 assert harness.node is not None
-                await wait_until(lambda: dials(harness) == 1)
+                await wait_until(lambda: upstream_connections(harness) == 1)
                 harness.registry.publish(entry | {"status": "leaving"}, stays.entry())
                 await wait_until(lambda: len(harness.registry.seen) == 3)
                 accepted, _ = await asyncio.to_thread(slow.accept)
@@ -139,12 +139,12 @@
     run(test())
 
 
-def dials(harness: NodeHarness) -> int:
+def upstream_connections(harness: NodeHarness) -> int:
     assert harness.node is not None
     return harness.node._upstream.count()
 
 
-def test_a_stale_connection_is_replaced_and_nothing_is_sent_twice(tmp_path: Path) -> None:
+def test_stale_connection_is_replaced_without_sending_twice(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(*[answer() + CLOSE] * 3)
         async with node_harness(tmp_path, server) as harness:
@@ -163,13 +163,13 @@
      answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","status":"odd"}]}'),
      answer(200, b"[" * 100_000)],
 )  # fmt: skip
-def test_a_failed_watch_is_asked_again_and_the_old_list_stays(spoilt: bytes, tmp_path: Path) -> None:
+def test_failed_watch_is_repeated_and_keeps_the_list(invalid: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         server, other = Server(name="old"), Server(name="new")
         await other.start()
         async with node_harness(tmp_path, server) as harness:
             assert (await harness.ask("a")).status == 200
-            harness.registry.updates.put_nowait(spoilt)
+            harness.registry.updates.put_nowait(invalid)
             await wait_until(lambda: len(harness.registry.seen) >= 2)
             assert (await harness.ask("b")).status == 200
             harness.registry.publish(other.entry(), snapshot=True)
@@ -181,14 +181,13 @@
     run(test())
 
 
-def test_a_watch_that_falls_silent_is_given_up_before_its_news_counts_as_told(
+def test_silent_watch_times_out_before_its_update_counts_as_published(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """disco+vast: watches of all nodes fell silent, and a whole release went unseen for 21.5 s."""
-    assert WATCH_GRACE_MS + MOST_RETRY_MS < 2_000.0 and CALL_TIMEOUT_MS + MOST_RETRY_MS < 4_000.0
-    assert (
-        WATCH_WAIT_MS + WATCH_GRACE_MS + MOST_RETRY_MS < 4_000.0
-    )  # servers drain for a few seconds, then exit
+    """Without a timeout of watches, nodes whose watches got no response missed a release for 21.5 s."""
+    assert WATCH_GRACE_MS + MAX_RETRY_MS < 2_000.0 and CALL_TIMEOUT_MS + MAX_RETRY_MS < 4_000.0
+    # Servers drain for a few seconds, then exit.
+    assert WATCH_WAIT_MS + WATCH_GRACE_MS + MAX_RETRY_MS < 4_000.0
     monkeypatch.setattr(discovery, "WATCH_WAIT_MS", 0)
     monkeypatch.setattr(discovery, "WATCH_GRACE_MS", 50)
 
@@ -199,7 +198,7 @@
             await wait_until(lambda: len(harness.registry.seen) >= 2)  # the first watch is never answered
             monkeypatch.setattr(discovery, "WATCH_GRACE_MS", 60_000)
             assert all("index=1&" in seen.target for seen in harness.registry.seen)
-            for _ in harness.registry.seen:  # those given up wait for news as well
+            for _ in harness.registry.seen:  # timed-out watches wait for updates too
                 harness.registry.publish(server.entry(status="left"), other.entry(), index=2)
             await wait_until(lambda: any("index=2&" in seen.target for seen in harness.registry.seen))
             assert (await harness.ask("a")).status == 200
@@ -209,7 +208,7 @@
     run(test())
 
 
-def test_failures_at_all_nodes_in_one_moment_are_asked_about_again_out_of_step(tmp_path: Path) -> None:
+def test_retry_delays_after_simultaneous_failures_are_spread(tmp_path: Path) -> None:
     async def test() -> None:
         async with node_harness(tmp_path) as harness:
             assert harness.node is not None
@@ -220,7 +219,7 @@
     run(test())
 
 
-def test_changes_from_before_the_list_bring_the_whole_list(tmp_path: Path) -> None:
+def test_changes_older_than_the_list_request_the_full_list(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_harness(tmp_path, server) as harness:
@@ -233,7 +232,7 @@
     run(test())
 
 
-def test_a_whole_list_older_than_the_one_held_is_refused_until_told_again(tmp_path: Path) -> None:
+def test_older_full_list_is_accepted_only_the_second_time(tmp_path: Path) -> None:
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
         await old.start()
@@ -241,11 +240,11 @@
             harness.registry.publish(index=7)
             await wait_until(lambda: len(harness.registry.seen) == 2)
             harness.registry.publish(old.entry(), index=3, snapshot=True)
-            await wait_until(lambda: len(harness.registry.seen) == 3)  # after a pause, and from what is held
+            await wait_until(lambda: len(harness.registry.seen) == 3)  # after a delay, from the current list
             assert "index=7&" in harness.registry.seen[2].target
             assert (await harness.ask("a")).status == 200
             assert [seen.id for seen in new.seen] == ["a"]
-            harness.registry.publish(old.entry(), index=3, snapshot=True)  # discovery did begin anew
+            harness.registry.publish(old.entry(), index=3, snapshot=True)  # discovery has restarted
             await wait_until(lambda: len(harness.registry.seen) == 4)
             assert "index=3&" in harness.registry.seen[3].target
             assert (await harness.ask("b")).status == 200
@@ -255,7 +254,7 @@
     run(test())
 
 
-def test_the_next_watch_goes_on_from_the_last_answer_on_the_same_connection(tmp_path: Path) -> None:
+def test_next_watch_continues_from_the_last_index_on_the_same_connection(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_harness(tmp_path, server) as harness:
@@ -268,13 +267,13 @@
     run(test())
 
 
-def test_a_servers_number_depends_on_its_name_alone() -> None:
-    """Nodes cut the fleet by these numbers: they must agree in every process and at every release."""
+def test_server_id_depends_on_the_name_only() -> None:
+    """Nodes divide servers by these numbers, which must be equal in all processes and versions."""
     assert server_id("s-5be2a07c") == 0x850D21AD14919D0C
     assert len({server_id(f"s-{n}") for n in range(1000)}) == 1000
 
 
-def test_ready_only_once_a_server_is_known(tmp_path: Path) -> None:
+def test_node_is_ready_only_once_a_server_is_known(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         probe = b"GET /-/ready HTTP/1.1\r\n\r\n"
@@ -290,7 +289,7 @@
     run(test())
 
 
-def test_a_caller_that_has_gone_ends_its_request_and_the_attempt_still_reports(tmp_path: Path) -> None:
+def test_client_disconnect_ends_the_request_and_its_attempt_still_reports(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(answer(500))
         server.gate.clear()
@@ -302,17 +301,17 @@
             assert harness.node is not None
             await wait_until(lambda: not harness.node or not harness.node._open_requests)
             server.gate.set()
-            assert (await harness.ask("a")).status == 200  # its id is free again
-            assert [seen.id for seen in server.seen] == ["a", "a"]  # and nobody retried for it
+            assert (await harness.ask("a")).status == 200  # its id can be reused
+            assert [seen.id for seen in server.seen] == ["a", "a"]  # it was not retried
             assert harness.node._balancer.in_flight == 0
 
     run(test())
 
 
-def test_a_deadline_ends_what_the_module_leaves_open(
+def test_request_that_the_balancer_never_ends_fails_at_its_deadline(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Whatever goes wrong inside, a request taken gets its one answer, which promises nothing."""
+    """A fault in the balancer, which ignores an event or raises, must not leave a request unanswered."""
     handle = Balancer.handle
 
     def broken(self: Balancer, event: api.Event, now_ms: float) -> list[api.Action]:
@@ -338,13 +337,13 @@
     run(test())
 
 
-def test_a_request_given_up_on_is_refused_at_once(tmp_path: Path) -> None:
+def test_request_without_time_for_an_attempt_is_refused_at_once(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_harness(tmp_path, server) as harness:
             reply = await harness.ask("a", "pay", budget="0.001")  # no time left for an attempt
             assert reply.status == 503 and not server.seen
-            assert 0.0 < float(reply.headers["retry-after"]) <= 0.5  # T1
+            assert 0.0 < float(reply.headers["retry-after"]) <= 0.5
 
     run(test())
 
@@ -387,7 +386,9 @@
 
 
 @pytest.mark.parametrize(("data", "status"), BAD.values(), ids=BAD.keys())
-def test_bad_input_is_turned_away_and_disturbs_nobody(data: bytes, status: int, tmp_path: Path) -> None:
+def test_invalid_input_is_rejected_without_effect_on_other_clients(
+    data: bytes, status: int, tmp_path: Path
+) -> None:
     async def test() -> None:
         server = Server()
         server.gate.clear()
@@ -405,10 +406,10 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /re", request("x", "pay", body=b"abc")[:-1], b"\r\n"])
-def test_a_peer_that_never_sends_a_whole_request_is_let_go(
+def test_client_that_never_completes_a_request_is_disconnected(
     sent: bytes, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Owed an error or a close within 3 s of connecting, whenever in that time it began."""
+    """It must get an error or a close within 3 s of connecting, whenever it began to send."""
     clock = [1000.0]
     monkeypatch.setattr(frontend, "now_ms", lambda: clock[0])
 
@@ -421,11 +422,11 @@
             await wait_until(lambda: harness.node is not None and harness.node.frontend.count() == 2)
             clock[0] += 2600.0
             bad.write(sent)
-            await good.ask("between")  # the node has read what was written before
+            await good.ask("between")  # by now the node has read what was written before
             clock[0] += 300.0
             ending = await asyncio.wait_for(bad.reader.read(), WAIT_TIMEOUT_S)
             assert ending == b"" or ending.startswith(b"HTTP/1.1 408")
-            assert (await good.ask("after")).status == 200  # a pause between requests is no fault
+            assert (await good.ask("after")).status == 200  # a pause between requests is allowed
             assert [seen.id for seen in server.seen] == ["before", "between", "after"]
             clock[0] += 61_000.0
             assert await good.closed()
@@ -433,7 +434,7 @@
     run(test())
 
 
-def test_an_id_that_is_open_is_turned_away_without_harm_to_its_owner(tmp_path: Path) -> None:
+def test_duplicate_id_is_rejected_without_effect_on_the_open_request(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         server.gate.clear()
@@ -449,7 +450,7 @@
     run(test())
 
 
-def test_requests_sent_ahead_are_answered_in_order_and_noise_after_them_last(tmp_path: Path) -> None:
+def test_pipelined_requests_and_invalid_bytes_are_answered_in_order(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(answer(200, b"1"), answer(200, b"2"))
         async with node_harness(tmp_path, server) as harness:
@@ -463,7 +464,7 @@
     run(test())
 
 
-def test_requests_come_in_pieces_and_a_caller_may_ask_for_a_close(tmp_path: Path) -> None:
+def test_request_in_pieces_is_served_and_connection_close_is_honoured(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_harness(tmp_path, server) as harness:
@@ -481,11 +482,11 @@
     run(test())
 
 
-def test_sockets_stay_within_their_limit_and_idle_ones_make_room(tmp_path: Path) -> None:
+def test_sockets_stay_within_their_limit_by_closing_idle_ones(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_harness(tmp_path, server, sockets=24 + 5) as harness:
-            for n in range(16):  # after 20 answers the module's patience is 8 times a delay of none
+            for n in range(16):  # after 20 responses the attempt timeout is 8 times a delay of zero
                 assert (await harness.ask(f"{n}")).status == 200
                 assert harness.node is not None
                 assert harness.node.frontend.count() + harness.node._upstream.count() <= 7
@@ -493,15 +494,17 @@
     run(test())
 
 
-def test_idle_callers_leave_while_sockets_are_short(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """case2060: idle callers took all sockets, and every attempt had to open a connection."""
+def test_idle_clients_are_closed_while_sockets_are_short(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """If idle clients hold all sockets, every attempt must open a new connection."""
     clock = [1000.0]
     monkeypatch.setattr(frontend, "now_ms", lambda: clock[0])
 
     async def test() -> None:
         server = Server()
         async with node_harness(tmp_path, server, sockets=48) as harness:
-            callers = [await harness.caller() for _ in range(15)]  # 18 answers: see the test above
+            callers = [await harness.caller() for _ in range(15)]  # 18 responses: see the test above
             for n, caller in enumerate(callers):
                 assert (await caller.ask(f"{n}")).status == 200
             clock[0] += 1900.0
@@ -510,8 +513,8 @@
             for caller in callers[1:]:
                 assert await caller.closed()
             await wait_until(lambda: harness.node is not None and harness.node.frontend.count() == 1)
-            assert (await callers[0].ask("again")).status == 200  # it has not idled for 2 s
-            clock[0] += 50_000.0  # and there is plenty now
+            assert (await callers[0].ask("again")).status == 200  # it was idle for less than 2 s
+            clock[0] += 50_000.0  # and sockets are ample now
             await asyncio.sleep(3 * frontend.SWEEP_S)
             assert (await callers[0].ask("last")).status == 200
             assert server.connections == 1
@@ -519,8 +522,8 @@
     run(test())
 
 
-def test_what_is_over_is_freed_at_once(tmp_path: Path) -> None:
-    """case2060: 1,400 closed connections of callers waited for a full collection, which seldom runs."""
+def test_finished_requests_and_connections_are_freed_without_garbage_collection(tmp_path: Path) -> None:
+    """Reference cycles kept 1,400 closed client connections alive until a rare full garbage collection."""
 
     async def test() -> None:
         server = Server(*[answer() + CLOSE] * 4, RESET)
@@ -536,7 +539,7 @@
             kept = [
                 type(o).__name__ for o in gc.get_objects() if isinstance(o, Caller | OpenRequest | Attempt)
             ]
-            assert len(kept) <= 3, kept  # the last one's may still be on the event loop's way
+            assert len(kept) <= 3, kept  # the event loop may still hold the last request's
 
     try:
         run(test())
@@ -545,7 +548,7 @@
 
 
 class Program:
-    """The program itself, as it is run in service."""
+    """The node's program in a process of its own."""
 
     def __init__(self, process: asyncio.subprocess.Process, harness: NodeHarness) -> None:
         self.process, self.harness = process, harness
@@ -562,7 +565,7 @@
                 return program
 
     async def logs(self, words: bytes) -> None:
-        """Wait for a line with these words."""
+        """Wait for a log line that contains these bytes."""
         assert self.process.stderr is not None
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             while words not in await self.process.stderr.readline():
@@ -576,7 +579,7 @@
                     (await asyncio.open_connection(*self.harness.address))[1].close()
                 except ConnectionRefusedError:
                     return
-                except ConnectionError:  # it came just as the listener was closed
+                except ConnectionError:  # the listener was closed during the handshake
                     pass
                 await asyncio.sleep(0.02)
 
@@ -589,7 +592,7 @@
     )  # fmt: skip
 
 
-def test_sighup_moves_discovery_and_disturbs_no_request(tmp_path: Path) -> None:
+def test_sighup_changes_the_discovery_address_without_disturbing_requests(tmp_path: Path) -> None:
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
         old.gate.clear()
@@ -601,12 +604,12 @@
             program = await Program.start(harness)
             held = asyncio.ensure_future(harness.ask("held"))
             await wait_until(lambda: len(old.seen) == 1)
-            harness.path.write_text("{")  # no good: all stays as it was
+            harness.path.write_text("{")  # invalid: the current configuration is kept
             program.process.send_signal(signal.SIGHUP)
             await program.logs(b"invalid configuration, current one kept")
             harness.path.write_text(json.dumps(harness.config | {"discovery": registry.address}))
             program.process.send_signal(signal.SIGHUP)
-            await wait_until(lambda: len(registry.seen) == 2)  # the list, and a watch from there on
+            await wait_until(lambda: len(registry.seen) == 2)  # the full list, and a watch
             assert "index=7" in registry.seen[1].target
             assert (await harness.ask("after")).status == 200
             assert [seen.id for seen in new.seen] == ["after"]
@@ -620,7 +623,7 @@
     run(test())
 
 
-def test_sigterm_finishes_what_is_held_and_exits_0(tmp_path: Path) -> None:
+def test_sigterm_finishes_open_requests_and_exits_with_0(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         server.gate.clear()
@@ -648,7 +651,9 @@
      ('{"name":"n","listen":"nowhere"}', "nowhere"),
      ('{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"zz"}', "seed")],
 )  # fmt: skip
-def test_a_bad_configuration_is_one_line_and_status_2(text: str | None, words: str, tmp_path: Path) -> None:
+def test_invalid_configuration_exits_with_2_and_one_line(
+    text: str | None, words: str, tmp_path: Path
+) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         if text:
@@ -661,7 +666,7 @@
     run(test())
 
 
-def test_an_address_in_use_is_one_line_and_status_2(tmp_path: Path) -> None:
+def test_address_in_use_exits_with_2_and_one_line(tmp_path: Path) -> None:
     async def test() -> None:
         async with node_harness(tmp_path, start=False) as harness:
             harness.path.write_text(json.dumps(harness.config | {"listen": harness.registry.address}))
@@ -673,7 +678,7 @@
     run(test())
 
 
-def test_sighup_takes_a_whole_file_or_nothing_of_it(tmp_path: Path) -> None:
+def test_sighup_applies_a_valid_file_or_nothing(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         async with node_harness(tmp_path, server) as harness:
@@ -685,14 +690,14 @@
             await wait_until(lambda: len(server.seen) == 1)
             good = harness.config["settings"]
             broken: list[str] = ["", json.dumps(harness.config)[:-40]]
-            spoilt: tuple[dict[str, Any], ...] = (
+            invalid: tuple[dict[str, Any], ...] = (
                 {"permissions": {**good["permissions"], "max_attempts": 0}},
                 {"permissions": {n: v for n, v in good["permissions"].items() if n != "may_cancel"}},
                 {"classes": [{**cls, "give_up_ms": 0} for cls in good["classes"]]},
                 {"classes": [{**cls, "give_up_ms": "long"} for cls in good["classes"]]},
                 {"classes": []},
             )
-            for changes in spoilt:
+            for changes in invalid:
                 config = harness.config | {"discovery": "127.0.0.1:1", "settings": good | changes}
                 broken.append(json.dumps(config))
             broken.append(json.dumps({n: v for n, v in harness.config.items() if n != "limits"}))
@@ -719,7 +724,7 @@
     run(test())
 
 
-def test_beyond_all_sockets_newcomers_are_let_go_and_nobody_else(tmp_path: Path) -> None:
+def test_beyond_the_socket_limit_only_new_connections_are_closed(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
         server.gate.clear()
