--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -1,4 +1,4 @@
-"""Cells on real sockets: cuts, newcomers with and without the directory, its process, and bad settings."""
+"""Cells over sockets: splits, joining with and without the directory, its process, and invalid settings."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 from tests.test_peers import config
 from tests.test_wire import ROOT
 
-MOST = 6
-DIRECTORY = 200  # the directory's first place in the block, beyond all members
+MAX_MEMBERS = 6
+DIRECTORY = 200  # index of the directory's first address in the block, beyond those of members
 
 
 class Service:
@@ -60,7 +60,7 @@
     def add(self, n: int) -> Peers:
         at = text(self.block.peer(n))
         fleet = FleetConfig("linz", at, at, self._seeds, [])
-        fleet.cells = CellsConfig("booking", "east", MOST, self._places)
+        fleet.cells = CellsConfig("booking", "east", MAX_MEMBERS, self._places)
         own = MemberIdentity(f"m{n}", n, "z1", 0, n, self._first)
         peers = Peers(asyncio.get_running_loop(), own, fleet, lambda number, nodes: None, lambda: 2)
         self.members[own.name] = peers
@@ -68,14 +68,14 @@
         return peers
 
     def settled(self) -> bool:
-        """Whether each member sees exactly those of its cell, and no cell is too large."""
+        """Whether each member sees exactly the members of its cell, and no cell is too large."""
         for peers in self.members.values():
             core = peers.core
             assert peers.cells is not None
             cut = peers.cells.core.partition
             truth = {name for name in self.members if cut.includes_path(name_path(name))}
             seen = {m.name for m in core.view.members.values() if m.is_alive()} | {core.name}
-            if seen != truth or len(truth) > MOST or core.status:
+            if seen != truth or len(truth) > MAX_MEMBERS or core.status:
                 return False
         return True
 
@@ -87,8 +87,8 @@
         self.block.release()
 
 
-def test_a_cell_splits_and_a_newcomer_finds_its_cell_by_the_directory_alone() -> None:
-    async def play() -> None:
+def test_cell_splits_and_new_member_finds_its_cell_by_the_directory() -> None:
+    async def run_service() -> None:
         service = Service(14, 2)
         await service.start()
         try:
@@ -101,7 +101,7 @@
                 assert peers.core.deaths_declared == 0
 
             def listed() -> bool:
-                """Each cell at each process, beside what was replaced a moment ago."""
+                """Whether each process lists each cell; it may still list cells that were replaced."""
                 truth = {
                     p.cells.core.partition.text(): p.core.alive_count()
                     for p in service.members.values()
@@ -112,7 +112,7 @@
                     truth.items() <= {c["cell"]: c["members"] for c in cells}.items() for cells in shown
                 )
 
-            await wait_until(listed)  # both: what one was told the other pulls
+            await wait_until(listed)  # by both processes: reports to one are replicated to the other
             state = service.directory[0].status()[1]
             directory = render_directory(decode_document(state, DirectoryDocument))
             assert state["learning"] and "not know of all yet" in str(directory.renderables[1])
@@ -121,15 +121,15 @@
             assert any("fallback" in line for line in cell_lines(decode_document(shown, CellDocument)))
             assert all(
                 p.member_count.total() >= 14 for p in service.members.values()
-            )  # a cut takes nobody out
+            )  # a split removes no member
         finally:
             await service.close()
 
-    run(play())
+    run(run_service())
 
 
-def test_a_newcomer_finds_its_cell_by_any_seed_where_there_is_no_directory() -> None:
-    async def play() -> None:
+def test_new_member_finds_its_cell_by_any_seed_without_a_directory() -> None:
+    async def run_service() -> None:
         service = Service(14, 0, seeds=[0, 1, 2])
         await service.start()
         try:
@@ -143,10 +143,10 @@
         finally:
             await service.close()
 
-    run(play())
+    run(run_service())
 
 
-BAD_CELLS: list[tuple[dict[str, Any], dict[str, Any], str]] = [
+INVALID_CELLS: list[tuple[dict[str, Any], dict[str, Any], str]] = [
     ({"service": "a b"}, {}, "fleet.cells.service: 'service' must be 1 to 64 of letters"),
     ({"region": ""}, {}, "fleet.cells.region: 'region' must be 1 to 64"),
     ({"region": None}, {}, "fleet.cells.region: 'region' must be a string, not None"),
@@ -159,8 +159,8 @@
 ]
 
 
-@pytest.mark.parametrize(("cells", "more", "line"), BAD_CELLS)
-def test_invalid_settings_of_cells_are_rejected_in_one_line_with_their_path(
+@pytest.mark.parametrize(("cells", "more", "line"), INVALID_CELLS)
+def test_invalid_cell_settings_are_rejected_in_one_line_with_their_path(
     tmp_path: Path, cells: dict[str, Any], more: dict[str, Any], line: str
 ) -> None:
     good = {"service": "booking", "region": "east", "directory": ["127.0.0.1:7400"]}
@@ -180,7 +180,7 @@
     return file
 
 
-def test_a_directorys_invalid_settings_are_rejected_in_one_line_with_their_path(tmp_path: Path) -> None:
+def test_invalid_directory_settings_are_rejected_in_one_line_with_their_path(tmp_path: Path) -> None:
     assert read_directory_config(str(directory_file(tmp_path))).fleet.name == "linz"
     assert check_file(directory_file(tmp_path), of_directory=True) == []
     cases: list[tuple[dict[str, Any], str]] = [
@@ -198,7 +198,7 @@
         assert len(check_file(directory_file(tmp_path, **more), of_directory=True)) >= 1
 
 
-def test_the_directorys_process_answers_operators_survives_garbage_and_ends_at_sigterm(
+def test_directory_process_survives_invalid_datagrams_and_ends_at_sigterm(
     tmp_path: Path,
 ) -> None:
     block = Block()
@@ -229,12 +229,12 @@
             for data in (b"", b"\x03", b"\x03" + bytes(40), os.urandom(300), b"\x02" * 20, bytes(1400)):
                 stranger.sendto(data, at)
         shown = ask("directory")
-        while sum(shown["refused_for"].values()) < 5:  # the empty one may not even arrive as one
+        while sum(shown["refused_for"].values()) < 5:  # the empty datagram may not be delivered
             shown = ask("directory")
         assert shown["services"] == {} and shown["learning"]
         command = [sys.executable, "-m", "dunlinloft", "fleet", "directory", "--admin", text(admin)]
         done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=WAIT_TIMEOUT_S)
-        assert done.returncode == 1 and "started lately" in done.stdout  # it is learning
+        assert done.returncode == 1 and "started lately" in done.stdout  # it has not yet heard of all cells
         process.send_signal(signal.SIGTERM)
         assert process.wait(WAIT_TIMEOUT_S) == 0
     finally:
@@ -243,7 +243,7 @@
         block.release()
 
 
-def test_a_flat_fleets_node_loads_no_cells(tmp_path: Path) -> None:
+def test_node_of_a_flat_fleet_loads_no_cell_modules(tmp_path: Path) -> None:
     made = config(tmp_path, fleet={"name": "linz", "bind": "127.0.0.1:7400", "seeds": []})
     assert made.fleet is not None and made.fleet.cells is None and settings()
     code = (
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The log: the same events as text and as lines of JSON."""
+"""The log as text and as JSON lines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from dunlinloft.node import logs
 
 
-def written(form: str) -> list[str]:
+def log_lines(form: str) -> list[str]:
     formatter = logs.JsonLines("n1") if form == logs.JSON else logging.Formatter("%(message)s")
     lines: list[str] = []
 
@@ -33,14 +33,14 @@
     return lines
 
 
-def test_text_is_as_it_was() -> None:
-    lines = written(logs.TEXT)
+def test_text_format_writes_the_formatted_text() -> None:
+    lines = log_lines(logs.TEXT)
     assert lines[:2] == ["stopping", "the event loop ran 123 ms late"]
     assert lines[2].startswith("handling News\nTraceback")
 
 
-def test_json_has_the_event_its_fields_and_the_text() -> None:
-    found: list[dict[str, Any]] = [json.loads(line) for line in written(logs.JSON)]
+def test_json_format_writes_event_fields_and_text() -> None:
+    found: list[dict[str, Any]] = [json.loads(line) for line in log_lines(logs.JSON)]
     assert [(line["event"], line["level"], line["node"]) for line in found] == [
         ("stopping", "info", "n1"),
         ("late", "warning", "n1"),
@@ -52,7 +52,7 @@
     assert "KeyError: 'gone'" in found[2]["trace"]
 
 
-def test_what_is_not_written_is_not_put_together() -> None:
+def test_suppressed_event_is_not_formatted() -> None:
     class Loud:
         def __str__(self) -> str:
             raise AssertionError("it was formatted")
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The operators' admin endpoint, the figures it shows and the drain it starts."""
+"""The operators' admin endpoint, its metrics and the drain that it starts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def admin_endpoint(harness: NodeHarness) -> tuple[str, int]:
-    """Open the node's admin endpoint; its address."""
+    """Open the node's admin endpoint; return its address."""
     assert harness.node is not None
     return await harness.node.admin.listen(("127.0.0.1", 0))
 
@@ -38,7 +38,7 @@
     return await call(address, f"{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n".encode())
 
 
-def test_each_call_has_its_method_and_rubbish_gets_an_error(tmp_path: Path) -> None:
+def test_wrong_methods_unknown_paths_and_invalid_http_get_errors(tmp_path: Path) -> None:
     async def test() -> None:
         async with node_harness(tmp_path, Server()) as harness:
             address = await admin_endpoint(harness)
@@ -54,7 +54,9 @@
     run(test())
 
 
-def test_silent_callers_delay_nobody_and_have_to_go(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_callers_do_not_delay_others_and_are_timed_out(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def test() -> None:
         monkeypatch.setattr(management, "MAX_CALLERS", 3)
         async with node_harness(tmp_path, Server()) as harness:
@@ -62,7 +64,7 @@
             silent = [Caller(*await asyncio.open_connection(*address)) for _ in range(5)]
             silent[4].write(b"GET /admin/st")
             assert (await get(address, "/admin/stats"))[0] == 200
-            for caller in silent[:2]:  # those that came first made room
+            for caller in silent[:2]:  # the oldest ones were timed out
                 assert (await caller.read()).status == 408
             for caller in silent:
                 caller.writer.close()
@@ -70,7 +72,7 @@
     run(test())
 
 
-def test_a_silent_caller_is_let_go_in_time(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_caller_is_timed_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr(management, "REQUEST_TIMEOUT_S", 0.05)
         async with node_harness(tmp_path, Server()) as harness:
@@ -81,9 +83,7 @@
     run(test())
 
 
-def test_the_admin_endpoint_is_open_only_where_the_configuration_names_it(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_admin_endpoint_is_open_only_if_configured(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.delenv("NODE_MANAGEMENT", raising=False)
     path = tmp_path / "config.json"
     config = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "ab"}
@@ -100,7 +100,7 @@
     run(test())
 
 
-def test_the_figures_count_each_outcome_once_where_it_happens(tmp_path: Path) -> None:
+def test_metrics_count_each_outcome_once(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(answer(), answer(500, b"no"), answer(503, b"", "X-Rejected: 1\r\n"), name="s")
         async with node_harness(tmp_path, server, permissions={"max_attempts": 1}) as harness:
@@ -132,7 +132,7 @@
     run(test())
 
 
-def test_a_class_that_vanishes_keeps_its_figures() -> None:
+def test_removed_class_keeps_its_counters() -> None:
     figures = NodeMetrics(["old"])
     figures.on_request_completed("old", 200)
     figures.add_classes(["new"])
@@ -144,7 +144,7 @@
     }
 
 
-def test_a_drain_says_no_parts_with_callers_and_takes_nothing_more(
+def test_drain_fails_readiness_closes_connections_and_refuses_late_requests(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -166,7 +166,7 @@
             server.gate.set()
             reply = await held.read()
             assert (reply.status, reply.headers["connection"]) == (200, "close")
-            reply = await harness.ask("early")  # the front still brings some
+            reply = await harness.ask("early")  # the front proxy may still send requests
             assert (reply.status, reply.headers["connection"]) == (200, "close")
             monkeypatch.setattr(frontend, "NO_MORE_MS", 0.0)
             seen = len(server.seen)
@@ -183,7 +183,7 @@
     run(test())
 
 
-def test_a_request_that_comes_late_in_a_drain_is_refused_and_counted(
+def test_late_request_during_a_drain_is_refused_and_counted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -201,7 +201,7 @@
     run(test())
 
 
-def test_resume_without_a_drain_changes_nothing(tmp_path: Path) -> None:
+def test_resume_without_a_drain_has_no_effect(tmp_path: Path) -> None:
     async def test() -> None:
         async with node_harness(tmp_path, Server()) as harness:
             address = await admin_endpoint(harness)
@@ -218,8 +218,8 @@
     [["fleet", "members"], ["fleet", "ledger"], ["release", "status"], ["release", "halt"]],
     ids=" ".join,
 )
-def test_the_option_that_was_called_door_says_its_new_name(command: list[str]) -> None:
-    """Staff have typed it for long, and find it in their notes."""
+def test_removed_option_door_is_rejected_with_its_new_name(command: list[str]) -> None:
+    """Operators may still use the old name, from habit or from notes."""
     done = CliRunner().invoke(main, [*command, "--door", "127.0.0.1:9100"])
     assert done.exit_code == 2
     assert "--door is called --admin now" in done.output
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid",
     [CLOSE, answer(503), answer(200, b"{"), answer(200, b"[]"), answer(200, b'{"index":2}'), b"\x00\r\n\r\n",
      answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"x","status":"active"}]}'),
      answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","status":"odd"}]}'),
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -1,4 +1,4 @@
-"""Impossible settings of a node are rejected with their name, or with their path in the file."""
+"""Invalid settings of a node are rejected with their name, or with their path in the file."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
         ({"tenants": [api.Tenant("t", 0.5, -1.0)]}, "quota_per_s"),
     ],
 )
-def test_impossible_settings_are_rejected_by_name(changes: dict[str, Any], name: str) -> None:
+def test_invalid_settings_are_rejected_by_name(changes: dict[str, Any], name: str) -> None:
     with pytest.raises(ValueError, match=name):
         settings(**changes)
 
 
-def test_a_node_works_with_no_server_one_server_zero_weights_and_a_stopped_clock() -> None:
+def test_node_handles_no_server_one_server_zero_weights_and_a_stopped_clock() -> None:
     empty = Node(servers=0)
     assert not [a for a in empty.request("a") if isinstance(a, api.Send)]
     for servers in ([api.ServerEntry(1)], entries(range(3), share=0.0)):
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize(
     ("keys", "value", "path", "expected"), INVALID_VALUES, ids=[case[2] for case in INVALID_VALUES]
 )
-def test_an_invalid_value_is_reported_in_one_line_with_its_full_path_and_what_was_expected(
+def test_invalid_value_is_reported_in_one_line_with_its_path_and_the_expected_type(
     keys: tuple[str | int, ...], value: Any, path: str, expected: str, tmp_path: Path
 ) -> None:
     entry = {"name": "s", "address": "127.0.0.1:1", "status": "active"}
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""The fleet's part of a node on sockets: joining, handing over, strangers."""
+"""Membership over sockets: joining, takeover by another process, foreign traffic and singleton roles."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
 
 
 class LocalFleet:
-    """Members at the addresses of a block."""
+    """Members of a fleet in this process, at addresses of a block on loopback."""
 
     def __init__(
         self, tmp_path: Path, names: list[str], file_nodes: int = 3, voters: list[str] | None = None
     ) -> None:
         self.block, self._path, self._nodes, self._voters = Block(), tmp_path, file_nodes, voters or []
-        self.placed: dict[str, list[tuple[int, int]]] = {name: [] for name in names}
+        self.positions: dict[str, list[tuple[int, int]]] = {name: [] for name in names}
         self.members = {name: self.make(name, n) for n, name in enumerate(names)}
         for member in self.members.values():
             member.start()
@@ -59,16 +59,16 @@
             "linz", at, at, [text(self.block.peer(0)), text(self.block.peer(1))], self._voters
         )
         made = config(self._path, name, n, self._nodes)
-        note = self.placed[name]
+        positions_of_member = self.positions[name]
         return Peers(
             asyncio.get_running_loop(),
             MemberIdentity.from_config(made),
             fleet,
-            lambda *place: note.append(place),
+            lambda *place: positions_of_member.append(place),
             lambda: 3,
         )
 
-    def agree(self, count: int) -> bool:
+    def has_converged(self, count: int) -> bool:
         cores = [member.core for member in self.members.values()]
         return len({core.digest() for core in cores}) == 1 and all(
             core.alive_count() == count for core in cores
@@ -80,21 +80,21 @@
         self.block.release()
 
 
-def test_members_find_each_other_one_says_goodbye_and_one_hands_over(tmp_path: Path) -> None:
+def test_members_converge_after_a_join_a_leave_and_a_takeover(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = LocalFleet(tmp_path, ["n1", "n2", "n3"])
         try:
-            await wait_until(lambda: fleet.agree(3))
+            await wait_until(lambda: fleet.has_converged(3))
             leaving = fleet.members.pop("n3")
             leaving.leave_fleet(handing_over=False)
-            await wait_until(lambda: fleet.agree(2))
+            await wait_until(lambda: fleet.has_converged(2))
             assert fleet.members["n1"].core.view.members["n3"].status == 3
             old = fleet.members["n2"]
             new = fleet.members["n2"] = fleet.make("n2", 1)
-            new.start()  # waits for the address
+            new.start()  # waits until it can bind the address
             await asyncio.sleep(0)
             old.leave_fleet(handing_over=True)
-            await wait_until(lambda: fleet.agree(2) and new.core.alive_count() == 2)
+            await wait_until(lambda: fleet.has_converged(2) and new.core.alive_count() == 2)
             seen = fleet.members["n1"].core.view.members["n2"]
             assert seen.incarnation == new.core.incarnation
             assert fleet.members["n1"].core.name_conflicts == new.core.name_conflicts == 0
@@ -104,7 +104,7 @@
     run(test())
 
 
-def test_strangers_get_nothing_are_counted_and_closed(tmp_path: Path) -> None:
+def test_foreign_traffic_is_counted_and_its_streams_are_closed(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = LocalFleet(tmp_path, ["n1"])
         member, at = fleet.members["n1"], fleet.block.peer(0)
@@ -124,7 +124,7 @@
                     stranger.sendto(data, at)
             await wait_until(
                 lambda: member.counts["refused"] >= len(datagrams) - 1
-            )  # an empty one may not be heard of
+            )  # an empty datagram may not be delivered
             writers = []
             for data in (
                 b"",
@@ -148,7 +148,7 @@
     run(test())
 
 
-def test_a_fleet_object_is_refused_where_the_settings_allow_no_peers(tmp_path: Path) -> None:
+def test_fleet_object_is_rejected_if_the_settings_allow_no_peers(tmp_path: Path) -> None:
     fleet = {"name": "linz", "bind": "127.0.1.3:7400", "seeds": ["127.0.2.1:7400"]}
     assert config(tmp_path, fleet=fleet).fleet is not None
     for allowed, bad in ((False, fleet), (True, fleet | {"bind": "nowhere"}), (True, fleet | {"seeds": [5]})):
@@ -157,8 +157,8 @@
         assert "\n" not in str(caught.value)
 
 
-def test_a_node_without_a_fleet_loads_none_of_it() -> None:
-    """Nor anything else of the project but the node, its connections and the balancer."""
+def test_standalone_node_loads_no_fleet_modules() -> None:
+    """It loads only modules of the node and of the balancer."""
     code = (
         "import sys, dunlinloft.node.__main__; "
         "own = ('dunlinloft.node', 'dunlinloft.balancer'); "
@@ -172,7 +172,7 @@
     assert found.stdout.strip() == "[]"
 
 
-def test_processes_of_one_fleet_agree_after_a_kill_and_a_split(tmp_path: Path) -> None:
+def test_processes_converge_after_a_kill_and_a_partition(tmp_path: Path) -> None:
     day = """
 name = "one"
 [day]
@@ -201,12 +201,12 @@
     assert all(max(figures["fleet_members"]) == 5 for figures in beliefs.values())
     assert all(figures["fleet_errors"][-1] == 0 for figures in beliefs.values())
     assert all(figures["fleet_members"][-1] == 5 for figures in beliefs.values())
-    # Two of five may not take themselves for the whole.
+    # A partition of two members out of five must not count as the whole fleet.
     assert all(min(figures["fleet_nodes"]) >= 5 for name, figures in beliefs.items() if name in ("n1", "n2"))
 
 
-def tenures(logs: Path) -> list[tuple[float, str, str, int]]:
-    """What the nodes' logs say of duties, in order of time: when, who, what, token."""
+def role_transitions(logs: Path) -> list[tuple[float, str, str, int]]:
+    """Return from the nodes' logs when which node acquired or lost the role, with the token, by time."""
     pattern = re.compile(
         r"\S+ (\d+):(\d+):(\d+),(\d+) (\S+) INFO (holds|stops) divergence-watch, token (\d+)"
     )
@@ -219,8 +219,8 @@
     return sorted(found)
 
 
-def test_a_duty_has_one_holder_through_kill_and_stop_among_processes(tmp_path: Path) -> None:
-    """Safety always: tokens rise with time, and who stops late had stood still; progress in the end."""
+def test_role_has_one_holder_through_kills_and_suspensions_of_processes(tmp_path: Path) -> None:
+    """Tokens increase with time, only a suspended process stops late, and the role is held again."""
     day = """
 name = "duty"
 [day]
@@ -245,14 +245,14 @@
 """
     result = play_processes(parse(day), 2, lambda share: None, None, tmp_path)
     assert result.broken == {}
-    told = tenures(tmp_path)
-    held = [(at, who, token) for at, who, what, token in told if what == "holds"]
+    transitions = role_transitions(tmp_path)
+    held = [(at, who, token) for at, who, what, token in transitions if what == "holds"]
     assert held
     tokens = [token for _, _, token in held]
     assert tokens == sorted(set(tokens))
     stopped = {name for fault in result.faults if fault.name.endswith("stop") for name in fault.whom}
     for (_, who, token), (after, _, _) in pairwise(held):
-        late = [at for at, *what in told if what == [who, "stops", token] and at > after]
+        late = [at for at, *what in transitions if what == [who, "stops", token] and at > after]
         assert not late or who in stopped
 
 
@@ -265,7 +265,7 @@
         (["affinity"], ["linz", "wien"], 2, "affinity needs 3 nodes or more"),
     ],
 )
-def test_a_share_that_can_t_be_is_refused_with_its_place(
+def test_invalid_share_is_rejected_with_its_path(
     tmp_path: Path, share: list[str], groups: list[str], siblings: int, place: str
 ) -> None:
     fleet = {"name": "linz", "bind": "127.0.0.1:7400", "seeds": [], "share": share, "groups": groups}
@@ -273,17 +273,17 @@
         config(tmp_path, nodes=siblings, fleet=fleet)
 
 
-def test_processes_share_what_they_see_and_say_so_at_their_admin_endpoints(tmp_path: Path) -> None:
-    """A server that errs and a kill: rules always, and what these tell in the end."""
+def test_processes_share_verdicts_and_report_them_at_their_admin_endpoints(tmp_path: Path) -> None:
+    """One server returns errors and one node is killed."""
     result = play_processes(parse(SHARED_DAY), 3, lambda share: None, None, tmp_path)
     assert result.broken == {}
-    told = result.series.beliefs["n1"]
-    assert max(told["fleet_avoided"]) == 1.0  # together they knew
-    assert min(told["fleet_parts_fallback"][-3:]) == 0.0 and told["fleet_errors"][-1] == 0.0
-    assert told["fleet_records"][-1] >= 4.0
+    beliefs = result.series.beliefs["n1"]
+    assert max(beliefs["fleet_avoided"]) == 1.0  # the verdict takes reports of several nodes
+    assert min(beliefs["fleet_parts_fallback"][-3:]) == 0.0 and beliefs["fleet_errors"][-1] == 0.0
+    assert beliefs["fleet_records"][-1] >= 4.0
 
 
-def test_the_admin_endpoint_enters_rows_in_the_ledger_and_says_what_is_wrong(tmp_path: Path) -> None:
+def test_admin_endpoint_writes_table_rows_and_rejects_invalid_ones(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = LocalFleet(tmp_path, ["n1", "n2", "n3"], voters=["n1", "n2", "n3"])
         try:
@@ -307,7 +307,7 @@
     run(test())
 
 
-def test_voters_change_at_the_admin_endpoint_and_all_hear_of_it(tmp_path: Path) -> None:
+def test_voter_change_at_the_admin_endpoint_reaches_all_members(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = LocalFleet(tmp_path, ["n1", "n2", "n3", "n4"], voters=["n1", "n2", "n3"])
         try:
@@ -331,12 +331,10 @@
     run(test())
 
 
-def test_a_whole_view_is_counted_once_and_not_once_for_each_member_in_it(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_received_view_updates_the_member_count_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     counted: list[int] = []
 
-    class Noting(MemberCount):
+    class CountingMemberCount(MemberCount):
         def observe(self, alive: set[str], now: float) -> None:
             counted.append(len(alive))
             super().observe(alive, now)
@@ -345,7 +343,7 @@
         fleet = LocalFleet(tmp_path, ["n1"])
         try:
             peers = fleet.members["n1"]
-            monkeypatch.setattr(peers, "member_count", Noting("n1", 0, 3))
+            monkeypatch.setattr(peers, "member_count", CountingMemberCount("n1", 0, 3))
             facts: dict[str, Any] = {"tier": 0.0}
             records = [Record(f"m{n}", 1, 0, 0, 7, f"127.0.0.9:{n + 1}", 0, facts) for n in range(200)]
             peers.handle(api.PushPullReceived(State(Header("m0", 1, 0, 0), records), "127.0.0.9:1", True))
