--- a/dunlinloft/node/discovery.py
+++ b/dunlinloft/node/discovery.py
@@ -140,7 +140,7 @@
             self._call(full=True)
 
     def close(self) -> None:
-        """Stop for good."""
+        """Stop, and close the connection."""
         self._end_call()
         self._drop_connection()
 
@@ -242,7 +242,7 @@
             return
         self._index = listing.index
         self._index_doubted = False
-        # A watch goes on only if the next call comes within 200 ms.
+        # A watch continues only if the next call arrives within 200 ms.
         self._call(full=False)
         if listing.is_snapshot or listing.entries:
             self._on_update(listing, "")
--- a/dunlinloft/node/fleet/peers.py
+++ b/dunlinloft/node/fleet/peers.py
@@ -1,7 +1,7 @@
 """Hosts the fleet's membership protocol on sockets, and passes its results on to the node.
 
 Imported only if the configuration has a `fleet` object. A failure in here is counted and logged, and the node
-goes on serving by its own knowledge: no request waits for anything in this module.
+goes on serving with its local knowledge: no request waits for anything in this module.
 """
 
 from __future__ import annotations
--- a/dunlinloft/node/fleet/shared.py
+++ b/dunlinloft/node/fleet/shared.py
@@ -1,6 +1,6 @@
 """Hosts the state that the fleet's members share: feeds it events of the node, and applies its results.
 
-Its messages are sent in the members' datagrams. On an error the node goes on by its own knowledge: all
+Its messages are sent in the members' datagrams. On an error the node goes on with its local knowledge: all
 results that stem from other members are withdrawn first.
 """
 
--- a/dunlinloft/node/fleet/singleton_roles.py
+++ b/dunlinloft/node/fleet/singleton_roles.py
@@ -30,7 +30,9 @@
 MEMBERSHIP_INTERVAL_S = 0.4  # between reports of the members to the lease manager
 WATCH_INTERVAL_S = 0.5  # between queries of the divergence watch to some of the members
 CLAIM_PREFIX = "duty."  # of metadata keys whose value is the token of a role that the member holds
-VOTERS_KEY = "voters"  # of metadata with the voters and their epoch, published by who has adopted them
+VOTERS_KEY = (
+    "voters"  # of metadata with the voters and their epoch, published by members that have adopted them
+)
 MAX_HISTORY = 50
 MAX_OPERATOR_ENTRIES = 64  # writes by operators whose outcome is kept
 LIMIT_PREFIX = "limit/"  # of rows with an operators' limit for a tenant, in requests per second
--- a/dunlinloft/node/management.py
+++ b/dunlinloft/node/management.py
@@ -84,7 +84,7 @@
 
     def time_out(self) -> None:
         """Time out a caller that has not sent a complete call."""
-        self._answer(error_reply(408, "the call is not whole"))
+        self._answer(error_reply(408, "the call is incomplete"))
 
     def _answer(self, reply: AdminReply) -> None:
         if self._answered:
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -93,9 +93,9 @@
         await service.start()
         try:
             await wait_until(service.settled)
-            newcomer = service.add(20)
+            new_member = service.add(20)
             await wait_until(service.settled)
-            assert newcomer.core.alive_count() > 1
+            assert new_member.core.alive_count() > 1
             for peers in service.members.values():
                 assert peers.counts["errors"] == 0 and peers.counts["refused"] == 0
                 assert peers.core.deaths_declared == 0
@@ -107,18 +107,18 @@
                     for p in service.members.values()
                     if p.cells
                 }
-                shown = [host.status()[1]["services"].get("booking", []) for host in service.directory]
+                status = [host.status()[1]["services"].get("booking", []) for host in service.directory]
                 return all(
-                    truth.items() <= {c["cell"]: c["members"] for c in cells}.items() for cells in shown
+                    truth.items() <= {c["cell"]: c["members"] for c in cells}.items() for cells in status
                 )
 
             await wait_until(listed)  # by both processes: reports to one are replicated to the other
             state = service.directory[0].status()[1]
             directory = render_directory(decode_document(state, DirectoryDocument))
             assert state["learning"] and "not know of all yet" in str(directory.renderables[1])
-            shown = newcomer.cells.status()[1] if newcomer.cells else {}
-            assert shown["fallback"] and shown["directory"]["age_s"] is not None  # it has just started
-            assert any("fallback" in line for line in cell_lines(decode_document(shown, CellDocument)))
+            status = new_member.cells.status()[1] if new_member.cells else {}
+            assert status["fallback"] and status["directory"]["age_s"] is not None  # it has just started
+            assert any("fallback" in line for line in cell_lines(decode_document(status, CellDocument)))
             assert all(
                 p.member_count.total() >= 14 for p in service.members.values()
             )  # a split removes no member
@@ -169,8 +169,8 @@
     assert made.fleet is not None and made.fleet.cells is not None and made.fleet.cells.max_members == 100
     with pytest.raises(ConfigFileError) as caught:
         config(tmp_path, fleet=fleet | more | {"cells": good | cells})
-    said = str(caught.value)
-    assert line in said and "\n" not in said
+    message = str(caught.value)
+    assert line in message and "\n" not in message
 
 
 def directory_file(tmp_path: Path, **more: Any) -> Path:
@@ -225,13 +225,13 @@
                     await asyncio.sleep(0.05)
 
         asyncio.run(asyncio.wait_for(up(), WAIT_TIMEOUT_S))
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as foreign_socket:
             for data in (b"", b"\x03", b"\x03" + bytes(40), os.urandom(300), b"\x02" * 20, bytes(1400)):
-                stranger.sendto(data, at)
-        shown = ask("directory")
-        while sum(shown["refused_for"].values()) < 5:  # the empty datagram may not be delivered
-            shown = ask("directory")
-        assert shown["services"] == {} and shown["learning"]
+                foreign_socket.sendto(data, at)
+        status = ask("directory")
+        while sum(status["refused_for"].values()) < 5:  # the empty datagram may not be delivered
+            status = ask("directory")
+        assert status["services"] == {} and status["learning"]
         command = [sys.executable, "-m", "dunlinloft", "fleet", "directory", "--admin", text(admin)]
         done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=WAIT_TIMEOUT_S)
         assert done.returncode == 1 and "started lately" in done.stdout  # it has not yet heard of all cells
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -89,8 +89,8 @@
 
 def test_draining_or_terminated_server_gets_no_requests(tmp_path: Path) -> None:
     async def test() -> None:
-        leaving, left, stays = (Server(name=name) for name in ("leaving", "left", "stays"))
-        async with node_harness(tmp_path, leaving, left, stays) as harness:
+        leaving, left, in_service = (Server(name=name) for name in ("leaving", "left", "stays"))
+        async with node_harness(tmp_path, leaving, left, in_service) as harness:
             for n in range(6):
                 await harness.ask(f"before-{n}")
             assert leaving.seen and left.seen
@@ -110,31 +110,31 @@
     """A server may begin to drain after it was selected but before its connection is established."""
 
     async def test() -> None:
-        stays = Server(name="stays")
+        in_service = Server(name="stays")
         with socket.socket() as slow, socket.socket() as filler:
             slow.bind(("127.0.0.1", 0))
             slow.listen(0)  # one connection fills the backlog: the next handshake hangs until it is accepted
             await asyncio.to_thread(filler.connect, slow.getsockname())
-            await stays.start()
-            entry = stays.entry(name="slow", address=f"127.0.0.1:{slow.getsockname()[1]}")
+            await in_service.start()
+            entry = in_service.entry(name="slow", address=f"127.0.0.1:{slow.getsockname()[1]}")
             async with node_harness(tmp_path, known=False) as harness:
                 harness.registry.publish(entry, snapshot=True)
                 await wait_until(lambda: len(harness.registry.seen) == 2)
                 answered = asyncio.ensure_future(harness.ask("a", "pay"))
                 assert harness.node is not None
                 await wait_until(lambda: upstream_connections(harness) == 1)
-                harness.registry.publish(entry | {"status": "leaving"}, stays.entry())
+                harness.registry.publish(entry | {"status": "leaving"}, in_service.entry())
                 await wait_until(lambda: len(harness.registry.seen) == 3)
                 accepted, _ = await asyncio.to_thread(slow.accept)
                 second, _ = await asyncio.to_thread(slow.accept)
                 assert (await answered).body == b"done"
-                assert [seen.id for seen in stays.seen] == ["a"]
+                assert [seen.id for seen in in_service.seen] == ["a"]
                 second.setblocking(False)
                 with pytest.raises(BlockingIOError):
                     second.recv(1)
                 accepted.close()
                 second.close()
-        await stays.stop()
+        await in_service.stop()
 
     run(test())
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -119,9 +119,9 @@
                 bytes(2000),
                 *(rng.randbytes(rng.randrange(1, 1400)) for _ in range(40)),
             ]
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as foreign_socket:
                 for data in datagrams:
-                    stranger.sendto(data, at)
+                    foreign_socket.sendto(data, at)
             await wait_until(
                 lambda: member.counts["refused"] >= len(datagrams) - 1
             )  # an empty datagram may not be delivered
@@ -135,8 +135,8 @@
                 reader, writer = await asyncio.open_connection(*at)
                 writer.write(data)
                 writers.append((reader, writer))
-            crowd = [await asyncio.open_connection(*at) for _ in range(MAX_INBOUND_STREAMS + 4)]
-            for reader, writer in (*writers, *crowd):
+            excess_streams = [await asyncio.open_connection(*at) for _ in range(MAX_INBOUND_STREAMS + 4)]
+            for reader, writer in (*writers, *excess_streams):
                 assert await asyncio.wait_for(reader.read(), 30.0) == b""
                 writer.close()
             assert member.counts["errors"] == 0
@@ -220,7 +220,7 @@
 
 
 def test_role_has_one_holder_through_kills_and_suspensions_of_processes(tmp_path: Path) -> None:
-    """Tokens increase with time, only a suspended process stops late, and the role is held again."""
+    """Tokens increase with time, only a suspended process stops late, and some node holds the role."""
     day = """
 name = "duty"
 [day]
