--- a/lab/capacity/membership.py
+++ b/lab/capacity/membership.py
@@ -131,7 +131,7 @@
     ]
 
     def ping(n: int) -> None:
-        peers.received(pings[n], ("127.0.0.1", 7400))
+        peers.on_datagram(pings[n], ("127.0.0.1", 7400))
 
     found["storm"] = mean_us(ping, PINGS)  # all members are news still
     core._dissemination = (
