--- a/dunlinloft/node/__main__.py
+++ b/dunlinloft/node/__main__.py
@@ -127,7 +127,7 @@
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(stopping.wait(), None if accepting else SIBLING_CHECK_INTERVAL_S / 2.0)
     update_processes()
-    logs.info("stopping", "stopping, %(others)d other processes go on serving", others=processes - 1)
+    logs.info("stopping", "stopping, %(others)d others go on serving", others=processes - 1)
     node.leave_fleet(handing_over=processes > 1)
     node.frontend.stop_accepting(processes > 1)
     await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
