--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -16,7 +16,7 @@
 from dunlinloft.node.http.bodies import CHUNK_BYTES, MAX_BUFFERED_BYTES, Body, Memory
 from dunlinloft.node.http.upstream import Attempt, Upstream
 from tests.helpers import Node, final_answers, sends, timers
-from tests.peers import LIMIT_S, Caller, Server, World, answer, request, run, until, world
+from tests.peers import WAIT_TIMEOUT_S, Caller, Server, NodeHarness, answer, request, run, wait_until, node_harness
 
 LARGE_BODY = bytes(range(256)) * 4096  # 1 MiB
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -65,7 +65,7 @@
 
 async def read_response(caller: Caller) -> tuple[str, bytes]:
     """Read a response in any framing; return its status line and body."""
-    async with asyncio.timeout(LIMIT_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         head = await read_head(caller.reader)
         return head[""], await read_body(caller.reader, head)
 
@@ -79,7 +79,7 @@
     return head.replace("Content-Length: 0", "Transfer-Encoding: chunked").encode()
 
 
-def buffered_bytes(scene: World) -> int:
+def buffered_bytes(scene: NodeHarness) -> int:
     assert scene.node is not None
     return scene.node.memory.used_bytes
 
@@ -87,7 +87,7 @@
 @contextlib.asynccontextmanager
 async def recording_server(
     path: Path, **changes: Any
-) -> AsyncIterator[tuple[World, list[dict[str, str]], list[bytes]]]:
+) -> AsyncIterator[tuple[NodeHarness, list[dict[str, str]], list[bytes]]]:
     """Run a node with a server that records request heads and bodies and responds with `OK`."""
     heads: list[dict[str, str]] = []
     bodies: list[bytes] = []
@@ -98,7 +98,7 @@
             bodies.append(await read_body(reader, heads[-1]))
             writer.write(answer(200, b"OK"))
 
-    async with world(path, RawServer(serve), **changes) as scene:
+    async with node_harness(path, RawServer(serve), **changes) as scene:
         yield scene, heads, bodies
 
 
@@ -136,18 +136,18 @@
                 if received_bytes == len(LARGE_BODY):
                     writer.write(answer(200, b"OK"))
 
-        async with world(tmp_path, RawServer(serve)) as scene:
+        async with node_harness(tmp_path, RawServer(serve)) as scene:
             assert scene.node is not None
             caller = await scene.caller()
             message = request("a", "pay", budget="0.2", body=LARGE_BODY)
             caller.write(message[:-1000])
-            await until(lambda: received_bytes > 500_000)
-            assert scene.node.figures.to_json()["inflight"] == 0
+            await wait_until(lambda: received_bytes > 500_000)
+            assert scene.node.metrics.to_json()["inflight"] == 0
             await asyncio.sleep(0.3)  # longer than the budget, which starts at the end of the request
             caller.write(message[-1000:])
             status_line, body = await read_response(caller)
             assert ("200" in status_line, body) == (True, b"OK")
-            assert scene.node.figures.to_json()["calls"]["pay"]["success"] == 1
+            assert scene.node.metrics.to_json()["calls"]["pay"]["success"] == 1
 
     run(test())
 
@@ -162,11 +162,11 @@
             writer.write(answer(200, b"OK"))
 
         server = RawServer(serve)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             caller = await scene.caller()
             body = LARGE_BODY * 24
             caller.write(request("a", "pay", body=body))
-            await until(lambda: server.connections == 1)
+            await wait_until(lambda: server.connections == 1)
             await asyncio.sleep(0.3)
             assert buffered_bytes(scene) <= MAX_BUFFERED_BYTES + CHUNK_BYTES
             assert caller.writer.transport.get_write_buffer_size() > len(body) // 4, "no back pressure"
@@ -202,15 +202,15 @@
                 if b"Length" not in sent and b"chunked" not in sent:
                     return
 
-        async with world(tmp_path, RawServer(serve)) as scene:
+        async with node_harness(tmp_path, RawServer(serve)) as scene:
             caller = await scene.caller()
             for id in ("a", "b"):
                 caller.write(request(id))
                 status_line, body = await read_response(caller)
                 assert "200" in status_line and body == expected
             assert scene.node is not None and buffered_bytes(scene) == 0
-            assert scene.node.figures.to_json()["calls"]["read"]["success"] == 2
-            assert scene.node.figures.to_json()["inflight"] == 0
+            assert scene.node.metrics.to_json()["calls"]["read"]["success"] == 2
+            assert scene.node.metrics.to_json()["inflight"] == 0
 
     run(test())
 
@@ -232,7 +232,7 @@
                 await gate.wait()
                 writer.write(b"1\r\ny\r\n0\r\n\r\n")
 
-        async with world(tmp_path, RawServer(serve)) as scene:
+        async with node_harness(tmp_path, RawServer(serve)) as scene:
             a, b = await scene.caller(), await scene.caller()
             a.write(request("a", budget="0.3"))
             b.write(request("b", budget="0.3"))
@@ -266,13 +266,13 @@
                 start = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 writer.write(start + b"%x\r\n" % len(LARGE_BODY) + LARGE_BODY[:100_000])
 
-        async with world(tmp_path, RawServer(serve)) as scene:
+        async with node_harness(tmp_path, RawServer(serve)) as scene:
             caller = await scene.caller()
             caller.write(request("a"))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
                 await read_response(caller)
             assert scene.node is not None and buffered_bytes(scene) == 0
-            assert scene.node.figures.to_json()["calls"]["read"] == {"success": 0, "busy": 0, "failure": 1}
+            assert scene.node.metrics.to_json()["calls"]["read"] == {"success": 0, "busy": 0, "failure": 1}
             assert request_count == 1, "a request whose response has started must not be retried"
 
     run(test())
@@ -289,7 +289,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             await asyncio.Event().wait()
 
-        async with world(tmp_path, RawServer(serve)) as scene:
+        async with node_harness(tmp_path, RawServer(serve)) as scene:
             caller = await scene.caller()
             caller.write(request("a"))
             head = await read_head(caller.reader)
@@ -314,7 +314,7 @@
             await reader.readexactly(MAX_BUFFERED_BYTES * 2)
             writer.transport.abort()
 
-        async with world(tmp_path, RawServer(serve, name="s"), RawServer(serve, name="t")) as scene:
+        async with node_harness(tmp_path, RawServer(serve, name="s"), RawServer(serve, name="t")) as scene:
             caller = await scene.caller()
             caller.write(
                 request("a", "pay", body=LARGE_BODY)[: MAX_BUFFERED_BYTES * 3]
@@ -341,8 +341,8 @@
     async def test() -> None:
         async with recording_server(tmp_path) as (scene, _, bodies):
             dead = scene.servers[0].entry(name="dead", address="127.0.0.1:1", weight=50.0)
-            scene.registry.tell(dead)
-            await until(lambda: scene.node is not None and len(scene.node._addresses) == 2)
+            scene.registry.publish(dead)
+            await wait_until(lambda: scene.node is not None and len(scene.node._addresses) == 2)
             caller = await scene.caller()
             caller.write(request("a", "pay", body=LARGE_BODY))
             assert (await read_response(caller))[1] == b"OK"
@@ -362,13 +362,13 @@
                     pass
             ended.set()
 
-        async with world(tmp_path, RawServer(serve)) as scene:
+        async with node_harness(tmp_path, RawServer(serve)) as scene:
             caller = await scene.caller()
             caller.write(request("a", "pay", body=LARGE_BODY)[:-1])
-            await until(lambda: scene.node is not None and bool(scene.node._attempts))
+            await wait_until(lambda: scene.node is not None and bool(scene.node._attempts))
             caller.writer.close()
-            await asyncio.wait_for(ended.wait(), LIMIT_S)
-            await until(lambda: scene.node is not None and not scene.node._attempts)
+            await asyncio.wait_for(ended.wait(), WAIT_TIMEOUT_S)
+            await wait_until(lambda: scene.node is not None and not scene.node._attempts)
             assert buffered_bytes(scene) == 0
 
     run(test())
@@ -499,7 +499,7 @@
             await asyncio.sleep(0.3)  # past the deadline, which does not apply to a streamed response
             writer.write(LARGE_BODY[10:])
 
-        async with world(tmp_path, RawServer(serve)) as scene:
+        async with node_harness(tmp_path, RawServer(serve)) as scene:
             caller = await scene.caller()
             message = request("a", "pay", budget="0.2", body=LARGE_BODY)
             caller.write(message[:-1000])
@@ -508,7 +508,7 @@
             caller.write(message[-1000:])
             assert await read_body(caller.reader, head) == LARGE_BODY
             assert scene.node is not None
-            assert scene.node.figures.to_json()["calls"]["pay"] == {"success": 1, "busy": 0, "failure": 0}
+            assert scene.node.metrics.to_json()["calls"]["pay"] == {"success": 1, "busy": 0, "failure": 0}
 
     run(test())
 
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -1,4 +1,4 @@
-"""Cells on real sockets: cuts, newcomers with and without the directory, its process, and bad settings."""
+"""Cells over sockets: splits, joining with and without the directory, its process, and invalid settings."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from dunlinloft.cli.handlers.cells import cell_lines, render_directory
 from dunlinloft.cli.handlers.config_check import check_file
 from dunlinloft.fleet.cells.partition import name_path
-from dunlinloft.node.config import BadConfig, DirectoryConfig, read_directory
+from dunlinloft.node.config import ConfigFileError, DirectoryConfig, read_directory_config
 from dunlinloft.node.fleet.directory import DirectoryHost
-from dunlinloft.node.fleet.peers import Own, Peers
+from dunlinloft.node.fleet.peers import MemberIdentity, Peers
 from dunlinloft.node.fleet_config import CellsConfig, FleetConfig
 from lab.processes.block import Block, text
-from tests.peers import LIMIT_S, run, settings, until
+from tests.peers import WAIT_TIMEOUT_S, run, settings, wait_until
 from tests.test_peers import config
 from tests.test_wire import ROOT
 
-MOST = 6
-DIRECTORY = 200  # the directory's first place in the block, beyond all members
+MAX_MEMBERS = 6
+DIRECTORY = 200  # index of the directory's first address in the block, beyond those of members
 
 
 class Service:
@@ -60,93 +60,93 @@
     def add(self, n: int) -> Peers:
         at = text(self.block.peer(n))
         fleet = FleetConfig("linz", at, at, self._seeds, [])
-        fleet.cells = CellsConfig("booking", "east", MOST, self._places)
-        own = Own(f"m{n}", n, "z1", 0, n, self._first)
+        fleet.cells = CellsConfig("booking", "east", MAX_MEMBERS, self._places)
+        own = MemberIdentity(f"m{n}", n, "z1", 0, n, self._first)
         peers = Peers(asyncio.get_running_loop(), own, fleet, lambda number, nodes: None, lambda: 2)
         self.members[own.name] = peers
         peers.start()
         return peers
 
     def settled(self) -> bool:
-        """Whether each member sees exactly those of its cell, and no cell is too large."""
+        """Whether each member sees exactly the members of its cell, and no cell is too large."""
         for peers in self.members.values():
             core = peers.core
             assert peers.cells is not None
             cut = peers.cells.core.partition
             truth = {name for name in self.members if cut.includes_path(name_path(name))}
             seen = {m.name for m in core.view.members.values() if m.is_alive()} | {core.name}
-            if seen != truth or len(truth) > MOST or core.status:
+            if seen != truth or len(truth) > MAX_MEMBERS or core.status:
                 return False
         return True
 
     async def close(self) -> None:
         for peers in self.members.values():
-            peers.depart(handing_over=True)
+            peers.leave_fleet(handing_over=True)
         for host in self.directory:
             await host.stop()
         self.block.release()
 
 
-def test_a_cell_splits_and_a_newcomer_finds_its_cell_by_the_directory_alone() -> None:
-    async def play() -> None:
+def test_cell_splits_and_new_member_finds_its_cell_by_the_directory() -> None:
+    async def run_service() -> None:
         service = Service(14, 2)
         await service.start()
         try:
-            await until(service.settled)
-            newcomer = service.add(20)
-            await until(service.settled)
-            assert newcomer.core.alive_count() > 1
+            await wait_until(service.settled)
+            new_member = service.add(20)
+            await wait_until(service.settled)
+            assert new_member.core.alive_count() > 1
             for peers in service.members.values():
                 assert peers.counts["errors"] == 0 and peers.counts["refused"] == 0
                 assert peers.core.deaths_declared == 0
 
             def listed() -> bool:
-                """Each cell at each process, beside what was replaced a moment ago."""
+                """Whether each process lists each cell; it may still list cells that were replaced."""
                 truth = {
                     p.cells.core.partition.text(): p.core.alive_count()
                     for p in service.members.values()
                     if p.cells
                 }
-                shown = [host.status()[1]["services"].get("booking", []) for host in service.directory]
+                status = [host.status()[1]["services"].get("booking", []) for host in service.directory]
                 return all(
-                    truth.items() <= {c["cell"]: c["members"] for c in cells}.items() for cells in shown
+                    truth.items() <= {c["cell"]: c["members"] for c in cells}.items() for cells in status
                 )
 
-            await until(listed)  # both: what one was told the other pulls
+            await wait_until(listed)  # by both processes: reports to one are replicated to the other
             state = service.directory[0].status()[1]
             directory = render_directory(decode_document(state, DirectoryDocument))
             assert state["learning"] and "not know of all yet" in str(directory.renderables[1])
-            shown = newcomer.cells.status()[1] if newcomer.cells else {}
-            assert shown["fallback"] and shown["directory"]["age_s"] is not None  # it has just started
-            assert any("fallback" in line for line in cell_lines(decode_document(shown, CellDocument)))
+            status = new_member.cells.status()[1] if new_member.cells else {}
+            assert status["fallback"] and status["directory"]["age_s"] is not None  # it has just started
+            assert any("fallback" in line for line in cell_lines(decode_document(status, CellDocument)))
             assert all(
                 p.member_count.total() >= 14 for p in service.members.values()
-            )  # a cut takes nobody out
+            )  # a split removes no member
         finally:
             await service.close()
 
-    run(play())
+    run(run_service())
 
 
-def test_a_newcomer_finds_its_cell_by_any_seed_where_there_is_no_directory() -> None:
-    async def play() -> None:
+def test_new_member_finds_its_cell_by_any_seed_without_a_directory() -> None:
+    async def run_service() -> None:
         service = Service(14, 0, seeds=[0, 1, 2])
         await service.start()
         try:
-            await until(service.settled)
+            await wait_until(service.settled)
             cuts = {peers.cells.core.partition.cell() for peers in service.members.values() if peers.cells}
             assert len(cuts) > 1
             for n in (30, 31, 32):
                 service.add(n)
-            await until(service.settled)
+            await wait_until(service.settled)
             assert all(peers.core.deaths_declared == 0 for peers in service.members.values())
         finally:
             await service.close()
 
-    run(play())
+    run(run_service())
 
 
-BAD_CELLS: list[tuple[dict[str, Any], dict[str, Any], str]] = [
+INVALID_CELLS: list[tuple[dict[str, Any], dict[str, Any], str]] = [
     ({"service": "a b"}, {}, "fleet.cells.service: 'service' must be 1 to 64 of letters"),
     ({"region": ""}, {}, "fleet.cells.region: 'region' must be 1 to 64"),
     ({"region": None}, {}, "fleet.cells.region: 'region' must be a string, not None"),
@@ -159,18 +159,18 @@
 ]
 
 
-@pytest.mark.parametrize(("cells", "more", "line"), BAD_CELLS)
-def test_invalid_settings_of_cells_are_rejected_in_one_line_with_their_path(
+@pytest.mark.parametrize(("cells", "more", "line"), INVALID_CELLS)
+def test_invalid_cell_settings_are_rejected_in_one_line_with_their_path(
     tmp_path: Path, cells: dict[str, Any], more: dict[str, Any], line: str
 ) -> None:
     good = {"service": "booking", "region": "east", "directory": ["127.0.0.1:7400"]}
     fleet = {"name": "linz", "bind": "127.0.0.1:7400", "seeds": []}
     made = config(tmp_path, fleet=fleet | {"cells": good})
     assert made.fleet is not None and made.fleet.cells is not None and made.fleet.cells.max_members == 100
-    with pytest.raises(BadConfig) as caught:
+    with pytest.raises(ConfigFileError) as caught:
         config(tmp_path, fleet=fleet | more | {"cells": good | cells})
-    said = str(caught.value)
-    assert line in said and "\n" not in said
+    message = str(caught.value)
+    assert line in message and "\n" not in message
 
 
 def directory_file(tmp_path: Path, **more: Any) -> Path:
@@ -180,8 +180,8 @@
     return file
 
 
-def test_a_directorys_invalid_settings_are_rejected_in_one_line_with_their_path(tmp_path: Path) -> None:
-    assert read_directory(str(directory_file(tmp_path))).fleet.name == "linz"
+def test_invalid_directory_settings_are_rejected_in_one_line_with_their_path(tmp_path: Path) -> None:
+    assert read_directory_config(str(directory_file(tmp_path))).fleet.name == "linz"
     assert check_file(directory_file(tmp_path), of_directory=True) == []
     cases: list[tuple[dict[str, Any], str]] = [
         ({"fleet": None}, "'fleet' is missing"),
@@ -192,13 +192,13 @@
         ),
     ]
     for more, line in cases:
-        with pytest.raises(BadConfig) as caught:
-            read_directory(str(directory_file(tmp_path, **more)))
+        with pytest.raises(ConfigFileError) as caught:
+            read_directory_config(str(directory_file(tmp_path, **more)))
         assert line in str(caught.value) and "\n" not in str(caught.value)
         assert len(check_file(directory_file(tmp_path, **more), of_directory=True)) >= 1
 
 
-def test_the_directorys_process_answers_operators_survives_garbage_and_ends_at_sigterm(
+def test_directory_process_survives_invalid_datagrams_and_ends_at_sigterm(
     tmp_path: Path,
 ) -> None:
     block = Block()
@@ -224,26 +224,26 @@
                 except OSError:
                     await asyncio.sleep(0.05)
 
-        asyncio.run(asyncio.wait_for(up(), LIMIT_S))
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+        asyncio.run(asyncio.wait_for(up(), WAIT_TIMEOUT_S))
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as foreign_socket:
             for data in (b"", b"\x03", b"\x03" + bytes(40), os.urandom(300), b"\x02" * 20, bytes(1400)):
-                stranger.sendto(data, at)
-        shown = ask("directory")
-        while sum(shown["refused_for"].values()) < 5:  # the empty one may not even arrive as one
-            shown = ask("directory")
-        assert shown["services"] == {} and shown["learning"]
+                foreign_socket.sendto(data, at)
+        status = ask("directory")
+        while sum(status["refused_for"].values()) < 5:  # the empty datagram may not be delivered
+            status = ask("directory")
+        assert status["services"] == {} and status["learning"]
         command = [sys.executable, "-m", "dunlinloft", "fleet", "directory", "--admin", text(admin)]
-        done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=LIMIT_S)
-        assert done.returncode == 1 and "started lately" in done.stdout  # it is learning
+        done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=WAIT_TIMEOUT_S)
+        assert done.returncode == 1 and "started lately" in done.stdout  # it has not yet heard of all cells
         process.send_signal(signal.SIGTERM)
-        assert process.wait(LIMIT_S) == 0
+        assert process.wait(WAIT_TIMEOUT_S) == 0
     finally:
         process.kill()
         process.wait()
         block.release()
 
 
-def test_a_flat_fleets_node_loads_no_cells(tmp_path: Path) -> None:
+def test_node_of_a_flat_fleet_loads_no_cell_modules(tmp_path: Path) -> None:
     made = config(tmp_path, fleet={"name": "linz", "bind": "127.0.0.1:7400", "seeds": []})
     assert made.fleet is not None and made.fleet.cells is None and settings()
     code = (
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,7 +16,7 @@
 from dunlinloft.node.http import frontend
 from dunlinloft.node.http.handover import Siblings, inherited_socket
 from tests.helpers import Node
-from tests.peers import LIMIT_S, Server, World, request, run, until, world
+from tests.peers import WAIT_TIMEOUT_S, Server, NodeHarness, request, run, wait_until, node_harness
 from tests.test_wire import ROOT
 
 
@@ -47,21 +47,21 @@
     monkeypatch.setattr(frontend, "SHORT_KEEPALIVE_TIMEOUT_MS", 60_000.0)
 
     async def test() -> None:
-        async with world(tmp_path, Server(), sockets=80) as scene:
+        async with node_harness(tmp_path, Server(), sockets=80) as scene:
             node = scene.node
             assert node is not None
             clients = [await scene.caller() for _ in range(40)]
             for n, client in enumerate(clients):
                 assert (await client.ask(f"{n}")).status == 200
-            assert node.frontend.count() == 40 and node._room() > 0
-            node.share([24])  # another process has started
-            assert node._room() == 40 - 24 - 40 - node._upstream.count()
-            await until(lambda: node._room() >= 0)
+            assert node.frontend.count() == 40 and node._available_sockets() > 0
+            node.share_sockets([24])  # another process has started
+            assert node._available_sockets() == 40 - 24 - 40 - node._upstream.count()
+            await wait_until(lambda: node._available_sockets() >= 0)
             assert node.sockets() + 24 <= 80 and node.frontend.count() > 0
-            node.share([70])  # it uses more than its half
-            assert node._part == 10
-            node.share([])
-            assert node._part == 80
+            node.share_sockets([70])  # it uses more than its half
+            assert node._socket_limit == 10
+            node.share_sockets([])
+            assert node._socket_limit == 80
 
     run(test())
 
@@ -70,7 +70,7 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             node = scene.node
             assert node is not None
             pending, head, small, large = [await scene.caller() for _ in range(4)]
@@ -78,7 +78,7 @@
             head.write(request("head", "pay")[:20])
             small.write(request("small", "pay", body=b"x" * 100)[:-1])
             large.write(request("large", "pay", body=b"x" * 300_000)[:-1])
-            await until(lambda: bool(server.seen) and len(node._attempts) == 2)
+            await wait_until(lambda: bool(server.seen) and len(node._attempts) == 2)
             shutdown = asyncio.ensure_future(node.stop())
             for client in (head, small, large):
                 assert (await client.read()).status == 503
@@ -143,12 +143,12 @@
 
     async def wait_for_log(self, text: bytes) -> None:
         assert self.process.stderr is not None
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while text not in await self.process.stderr.readline():
                 assert not self.process.stderr.at_eof(), "the process ended without the log line"
 
 
-def create_listener(scene: World) -> socket.socket:
+def create_listener(scene: NodeHarness) -> socket.socket:
     listener = socket.create_server(("127.0.0.1", 0), backlog=64)
     scene.address = listener.getsockname()[:2]
     return listener
@@ -157,7 +157,7 @@
 def test_upgrade_loses_no_request_and_the_old_process_closes_its_connections(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server, start=False) as scene:
+        async with node_harness(tmp_path, server, start=False) as scene:
             listener = create_listener(scene)
             old = await NodeProcess.start(scene.path, listener, tmp_path)
             await old.wait_for_log(b"started, accepting")
@@ -166,25 +166,25 @@
                 assert "connection" not in (await client.ask(f"{n}")).headers
             server.gate.clear()
             pending.write(request("pending", "pay"))
-            await until(lambda: len(server.seen) == 4)
+            await wait_until(lambda: len(server.seen) == 4)
             new = await NodeProcess.start(scene.path, listener, tmp_path)
             await new.wait_for_log(b"started, accepting")
             await old.wait_for_log(b"2 processes")
             old.process.send_signal(signal.SIGTERM)
             await old.wait_for_log(b"stopping, 1 others")
             keep_alive.write(request("keep-alive"))
-            await until(lambda: len(server.seen) == 5)
+            await wait_until(lambda: len(server.seen) == 5)
             server.gate.set()
             for client in (pending, keep_alive):
                 response = await client.read()
                 assert (response.status, response.headers["connection"]) == (200, "close")
             assert await idle.closed()
             assert (await scene.ask("after")).status == 200
-            assert await asyncio.wait_for(old.process.wait(), LIMIT_S) == 0
+            assert await asyncio.wait_for(old.process.wait(), WAIT_TIMEOUT_S) == 0
             await new.wait_for_log(b"1 processes")
             assert (await scene.ask("later")).status == 200, "the shared socket must keep listening"
             new.process.send_signal(signal.SIGTERM)
-            assert await asyncio.wait_for(new.process.wait(), LIMIT_S) == 0
+            assert await asyncio.wait_for(new.process.wait(), WAIT_TIMEOUT_S) == 0
             listener.close()
 
     run(test())
@@ -192,14 +192,14 @@
 
 def test_failed_start_of_a_new_process_does_not_affect_the_old_one(tmp_path: Path) -> None:
     async def test() -> None:
-        async with world(tmp_path, Server(), start=False) as scene:
+        async with node_harness(tmp_path, Server(), start=False) as scene:
             listener = create_listener(scene)
             old = await NodeProcess.start(scene.path, listener, tmp_path)
             await old.wait_for_log(b"started, accepting")
             broken = tmp_path / "broken.json"
             broken.write_text("{")
             failed = await NodeProcess.start(broken, listener, tmp_path)
-            assert await asyncio.wait_for(failed.process.wait(), LIMIT_S) == 2
+            assert await asyncio.wait_for(failed.process.wait(), WAIT_TIMEOUT_S) == 2
             unready = tmp_path / "unready.json"  # without a known server the process must not accept
             known = {"index": 0, "snapshot": True, "endpoints": []}
             unready.write_text(json.dumps(scene.config | {"known": known, "discovery": "127.0.0.1:1"}))
@@ -211,7 +211,7 @@
             await old.wait_for_log(b"1 processes")
             assert (await scene.ask("after")).status == 200
             old.process.send_signal(signal.SIGTERM)
-            assert await asyncio.wait_for(old.process.wait(), LIMIT_S) == 0
+            assert await asyncio.wait_for(old.process.wait(), WAIT_TIMEOUT_S) == 0
             listener.close()
 
     run(test())
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -22,7 +22,7 @@
     Upstream,
     parse_load_report,
 )
-from tests.peers import CLOSE, HANG, LIMIT_S, RESET, Server, answer, request, run, until, world
+from tests.peers import CLOSE, HANG, WAIT_TIMEOUT_S, RESET, Server, answer, request, run, wait_until, node_harness
 
 GARBAGE = b"\x00\xff not HTTP at all\r\n\r\n"
 MAY_HAVE_RUN = {
@@ -51,7 +51,7 @@
 def test_unsafe_request_that_may_have_run_fails_and_is_not_retried(response: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(response)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             assert (await scene.ask("a", "pay")).status == 502
             # No leftover input of the first exchange is taken for the second response.
             assert (await scene.ask("b", "pay")).body == b"done"
@@ -64,7 +64,7 @@
 def test_unsafe_request_that_the_server_rejected_is_retried(rejection: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(rejection)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             assert (await scene.ask("a", "pay")).body == b"done"
             assert [seen.id for seen in server.seen] == ["a", "a"]
 
@@ -74,7 +74,7 @@
 def test_request_whose_connection_was_refused_is_retried(tmp_path: Path) -> None:
     async def test() -> None:
         down, up = Server(name="down"), Server(name="up")
-        async with world(tmp_path, down, up) as scene:
+        async with node_harness(tmp_path, down, up) as scene:
             await down.stop()
             for n in range(6):  # enough requests to select the server that is down
                 assert (await scene.ask(f"{n}", "pay")).body == b"done"
@@ -86,9 +86,9 @@
 def test_server_that_does_not_respond_times_out_and_loses_its_connection(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(HANG)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             assert (await scene.ask("a", "pay", budget="0.3")).status == 502
-            await until(lambda: server.lost == 1)
+            await wait_until(lambda: server.lost == 1)
             assert len(server.seen) == 1
 
     run(test())
@@ -97,7 +97,7 @@
 def test_response_with_excess_data_is_served_and_its_connection_closed(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(answer(200, b"one") + answer(200, b"two"), answer(200, b"three") + GARBAGE)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             assert [(await scene.ask(id)).body for id in "abc"] == [b"one", b"three", b"done"]
             assert [seen.connection for seen in server.seen] == [1, 2, 3]
 
@@ -109,7 +109,7 @@
         body = bytes(range(256)) * 256
         chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         server = Server(b"HTTP/1.1 103 Early\r\nX-A: b\r\n\r\n" + answer(200, body), chunked)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             assert (await scene.ask("a")).body == body
             assert (await scene.ask("b")).body == b"abcde"
             assert [seen.connection for seen in server.seen] == [1, 1]
@@ -120,10 +120,10 @@
 def test_request_line_body_and_idempotency_key_are_forwarded_unchanged(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             await scene.ask("a", "save", body=b"x" * 65536, query="?obj=7f&z=%2F", extra="X-Other: 1\r\n")
             [seen] = server.seen
-            assert seen.first == "POST /save?obj=7f&z=%2F HTTP/1.1"
+            assert seen.start_line == "POST /save?obj=7f&z=%2F HTTP/1.1"
             assert (seen.id, seen.headers["idempotency-key"]) == ("a", "key-a")
             assert seen.body == b"x" * 65536
             assert 0.0 < float(seen.headers["x-budget"]) < 20.0
@@ -184,7 +184,7 @@
         )
 
     async def result(self, count: int) -> Result:
-        await until(lambda: len(self.results) == count)
+        await wait_until(lambda: len(self.results) == count)
         return self.results[-1]
 
 
@@ -193,7 +193,7 @@
 
     def __init__(self, *, reset: bool) -> None:
         self._socket = socket.create_server(("127.0.0.1", 0))
-        self._socket.settimeout(LIMIT_S)
+        self._socket.settimeout(WAIT_TIMEOUT_S)
         self.address = f"127.0.0.1:{self._socket.getsockname()[1]}"
         self.received: list[bytes] = []
         self._reset, self._close_requested = reset, threading.Event()
@@ -205,7 +205,7 @@
         connection, _ = self._socket.accept()
         self.received.append(connection.recv(65536))
         connection.sendall(answer())
-        self._close_requested.wait(LIMIT_S)
+        self._close_requested.wait(WAIT_TIMEOUT_S)
         if self._reset:
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         connection.close()
@@ -282,7 +282,7 @@
         harness = UpstreamHarness(server.address, keepalive_ms=400.0)
         harness.send("a")
         assert await harness.result(1) is Result.SERVED
-        await until(lambda: server.lost == 1)
+        await wait_until(lambda: server.lost == 1)
         assert harness.upstream.count() == 0
         await server.stop()
 
@@ -314,8 +314,8 @@
         assert await ask(0.0) is Result.SERVED
         if closes:
             clock[0] += 2000.0
-            server.hang_up()
-            await until(lambda: not harness.upstream.count())
+            server.close_connections()
+            await wait_until(lambda: not harness.upstream.count())
         else:
             assert await ask(2000.0) is Result.RESET
         connections.clear()
@@ -344,7 +344,7 @@
         harness = UpstreamHarness(server.address)
         harness.send("a")
         await harness.result(1)
-        await until(lambda: not harness.upstream.count())
+        await wait_until(lambda: not harness.upstream.count())
         for n in (2, 3):
             clock[0] += 5000.0
             harness.send(f"{n}")
@@ -370,8 +370,8 @@
         harness.send("a", server=1)
         await harness.result(1)
         clock[0] += 100.0
-        server.hang_up()
-        await until(lambda: not harness.upstream.count())
+        server.close_connections()
+        await wait_until(lambda: not harness.upstream.count())
         connections = {}
         for n, key in enumerate((2, 2, 1, 1, 3, 3)):
             if n == 4:
@@ -397,7 +397,7 @@
         harness = UpstreamHarness(server.address)
         harness.send("a")
         harness.send("b")
-        await until(lambda: len(server.seen) == 2)
+        await wait_until(lambda: len(server.seen) == 2)
         server.gate.set()
         await harness.result(2)
         for n in range(3, 6):
@@ -405,7 +405,7 @@
             await harness.result(n)
         assert len({seen.connection for seen in server.seen[2:]}) == 1
         harness.upstream.close_idle(1)
-        await until(lambda: server.lost == 2)
+        await wait_until(lambda: server.lost == 2)
         await server.stop()
 
     run(test())
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -18,21 +18,21 @@
 from dunlinloft.balancer.balancer import Balancer
 from dunlinloft.node.http import frontend
 from dunlinloft.node.http.frontend import Response
-from dunlinloft.node.node import UNHEARD_S, Node
+from dunlinloft.node.node import DISCOVERY_WAIT_S, Node
 from tests.peers import (
     CLOSE,
     HANG,
-    LIMIT_S,
+    WAIT_TIMEOUT_S,
     RESET,
     Server,
-    World,
+    NodeHarness,
     answer,
     read_message,
     request,
     run,
     settings,
-    until,
-    world,
+    wait_until,
+    node_harness,
 )
 from tests.test_bodies import RawServer
 from tests.test_node import Program
@@ -58,7 +58,7 @@
 
     async def accept(self, expects_connection: Callable[[], bool] = lambda: True) -> socket.socket | None:
         """Let the pending handshake complete; return the node's connection, if it still expects one."""
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while len(self._accepted) < 2:
                 # Asked before `accept`: a connection that is established in between is then there.
                 try_again = not self._accepted or expects_connection()
@@ -98,30 +98,30 @@
         return b""
 
 
-def pending_connects(scene: World) -> int:
+def pending_connects(scene: NodeHarness) -> int:
     assert scene.node is not None
     return len(scene.node._upstream._connecting)
 
 
-async def list_servers(scene: World, *entries: dict[str, Any]) -> None:
+async def list_servers(scene: NodeHarness, *entries: dict[str, Any]) -> None:
     """Publish entries through discovery, and wait until the node has received them."""
     before = len(scene.registry.seen)
-    scene.registry.tell(*entries)
-    await until(lambda: len(scene.registry.seen) > before)
+    scene.registry.publish(*entries)
+    await wait_until(lambda: len(scene.registry.seen) > before)
 
 
 def classes(**changes: Any) -> list[dict[str, Any]]:
     return [cls | changes for cls in settings()["classes"]]
 
 
-async def retry_elsewhere(scene: World, server: Server, other: dict[str, Any], id: str, cls: str) -> Any:
+async def retry_elsewhere(scene: NodeHarness, server: Server, other: dict[str, Any], id: str, cls: str) -> Any:
     """Send a request whose first attempt fails at `server` and whose retry can only go to `other`.
 
     Returns the future response.
     """
     server.gate.clear()
     response = asyncio.ensure_future(scene.ask(id, cls))
-    await until(lambda: len(server.seen) == 1)
+    await wait_until(lambda: len(server.seen) == 1)
     await list_servers(scene, other, server.entry(status="leaving"))
     server.gate.set()
     return response
@@ -137,10 +137,10 @@
         server = Server(answer(500))
         async with (
             hanging_server() as hanging,
-            world(tmp_path, server, classes=classes(window_ms=1500.0)) as scene,
+            node_harness(tmp_path, server, classes=classes(window_ms=1500.0)) as scene,
         ):
             response = await retry_elsewhere(scene, server, hanging.entry(server), "a", "save")
-            await until(lambda: pending_connects(scene) == 1)
+            await wait_until(lambda: pending_connects(scene) == 1)
             await asyncio.sleep(1.6)
             connection = await hanging.accept(lambda: pending_connects(scene) > 0)
             assert (await response).status == 502
@@ -163,10 +163,10 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             caller = await scene.caller()
             caller.write(request("first") + PIPELINED_REQUESTS)
-            await until(lambda: len(server.seen) == 1)
+            await wait_until(lambda: len(server.seen) == 1)
             if reset:
                 caller.writer.transport.abort()
             else:
@@ -175,7 +175,7 @@
             server.gate.set()  # the first response lets the pipelined requests proceed
             assert (await scene.ask("other")).status == 200
             assert scene.node is not None
-            await until(lambda: scene.node is not None and scene.node.frontend.count() == 1)
+            await wait_until(lambda: scene.node is not None and scene.node.frontend.count() == 1)
             assert {seen.id for seen in server.seen} == {"first", "other"}
 
     run(test())
@@ -185,17 +185,17 @@
     async def test() -> None:
         server, other = Server(answer(500)), Server(name="other")
         await other.start()
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             server.gate.clear()
             caller = await scene.caller()
             caller.write(request("a") + PIPELINED_REQUESTS)
-            await until(lambda: len(server.seen) == 1)
+            await wait_until(lambda: len(server.seen) == 1)
             await list_servers(scene, other.entry(), server.entry(status="leaving"))
             caller.writer.transport.abort()
             await asyncio.sleep(0)
             server.gate.set()
             assert scene.node is not None
-            await until(lambda: scene.node is not None and not scene.node._live)
+            await wait_until(lambda: scene.node is not None and not scene.node._open_requests)
             assert not other.seen
         await other.stop()
 
@@ -205,19 +205,19 @@
 def test_no_attempt_starts_on_a_connection_established_after_the_client_left(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(answer(500))
-        async with hanging_server() as hanging, world(tmp_path, server) as scene:
+        async with hanging_server() as hanging, node_harness(tmp_path, server) as scene:
             server.gate.clear()
             caller = await scene.caller()
             caller.write(request("a") + PIPELINED_REQUESTS)  # reading is paused
-            await until(lambda: len(server.seen) == 1)
+            await wait_until(lambda: len(server.seen) == 1)
             await list_servers(scene, hanging.entry(server), server.entry(status="leaving"))
             server.gate.set()
-            await until(lambda: pending_connects(scene) == 1)
+            await wait_until(lambda: pending_connects(scene) == 1)
             caller.writer.transport.abort()
             connection = await hanging.accept()
-            await until(lambda: pending_connects(scene) == 0)
+            await wait_until(lambda: pending_connects(scene) == 0)
             assert scene.node is not None
-            await until(lambda: scene.node is not None and not scene.node._live)
+            await wait_until(lambda: scene.node is not None and not scene.node._open_requests)
             assert received(connection) == b""
 
     run(test())
@@ -231,14 +231,14 @@
 
     async def test() -> None:
         server = Server()
-        async with hanging_server() as hanging, world(tmp_path, server) as scene:
+        async with hanging_server() as hanging, node_harness(tmp_path, server) as scene:
             node = scene.node
             assert node is not None
             await list_servers(scene, hanging.entry(server), server.entry(status="leaving"))
             callers = [await scene.caller() for _ in range(3)]
             for n, caller in enumerate(callers):
                 caller.write(request(f"{n}", "pay", body=bytes(3_000_000))[:-1])
-            await until(
+            await wait_until(
                 lambda: (
                     pending_connects(scene) == 3
                     and all(item._reading_paused for item in node.frontend._connections)
@@ -250,7 +250,7 @@
                 else:  # `write_eof` would wait for unsent data, so the socket is shut down directly
                     raw_socket = caller.writer.get_extra_info("socket")
                     socket.socket(fileno=os.dup(raw_socket.fileno())).shutdown(socket.SHUT_WR)
-            await until(lambda: not node._live)
+            await wait_until(lambda: not node._open_requests)
             assert received(await hanging.accept(lambda: pending_connects(scene) > 0)) == b""
             assert node.memory.used_bytes == 0
 
@@ -262,14 +262,14 @@
 
     async def test() -> None:
         server = Server(answer(body=bytes(20_000_000)))
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             _, writer = await asyncio.open_connection(*scene.address, limit=1024)
             writer.write(request("large"))
             assert scene.node is not None
             node = scene.node
-            await until(lambda: any(caller._writing_paused for caller in node.frontend._connections))
+            await wait_until(lambda: any(caller._writing_paused for caller in node.frontend._connections))
             writer.write_eof()
-            await until(lambda: not node._live)
+            await wait_until(lambda: not node._open_requests)
             writer.transport.abort()
 
     run(test())
@@ -278,7 +278,7 @@
 # Connection close
 
 
-def connect_client(scene: World, *data: bytes) -> socket.socket:
+def connect_client(scene: NodeHarness, *data: bytes) -> socket.socket:
     """Connect and send data without running the event loop, so that the node has not accepted it yet."""
     connection = socket.create_connection(scene.address)
     for item in data:
@@ -290,14 +290,14 @@
 async def read_to_end(connection: socket.socket) -> bytes:
     """Read until the node closes the connection; a reset raises."""
     loop, data = asyncio.get_running_loop(), b""
-    async with asyncio.timeout(LIMIT_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while piece := await loop.sock_recv(connection, 65536):
             data += piece
     connection.close()
     return data
 
 
-def start_shutdown(scene: World) -> asyncio.Task[None]:
+def start_shutdown(scene: NodeHarness) -> asyncio.Task[None]:
     assert scene.node is not None
     return asyncio.ensure_future(scene.node.frontend.shut_down())
 
@@ -306,7 +306,7 @@
     """Closing a socket with unread input resets the connection and discards what the client has not read."""
 
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
+        async with node_harness(tmp_path, Server()) as scene:
             assert scene.node is not None
             scene.node.frontend.quiesce()
             probe = b"GET /-/ready HTTP/1.1\r\n\r\n"
@@ -319,16 +319,16 @@
 def test_large_response_is_complete_although_the_client_keeps_sending(tmp_path: Path) -> None:
     async def test() -> None:
         body = bytes(range(256)) * 40_000
-        async with world(tmp_path, Server(answer(body=body))) as scene:
+        async with node_harness(tmp_path, Server(answer(body=body))) as scene:
             assert scene.node is not None
             connection = connect_client(scene, request("a", extra="Connection: close\r\n"))
-            await until(lambda: scene.node is not None and bool(scene.node._live))
+            await wait_until(lambda: scene.node is not None and bool(scene.node._open_requests))
             got = 0
             loop = asyncio.get_running_loop()
             while got < len(body):
                 with contextlib.suppress(BlockingIOError):
                     connection.send(b"x" * 1000)
-                got += len(await asyncio.wait_for(loop.sock_recv(connection, 65536), LIMIT_S))
+                got += len(await asyncio.wait_for(loop.sock_recv(connection, 65536), WAIT_TIMEOUT_S))
             connection.close()
 
     run(test())
@@ -338,7 +338,7 @@
     """Closing the listening socket resets connections in the backlog, also with complete requests."""
 
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
+        async with node_harness(tmp_path, Server()) as scene:
             waiting = [connect_client(scene, request(f"{n}")) for n in range(5)]
             start_shutdown(scene)
             answers = [await read_to_end(connection) for connection in waiting]
@@ -349,14 +349,14 @@
 
 def test_shutdown_answers_a_new_client_whose_first_request_is_in_transit(tmp_path: Path) -> None:
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
+        async with node_harness(tmp_path, Server()) as scene:
             new_client, silent, resting = connect_client(scene), connect_client(scene), await scene.caller()
             assert (await resting.ask("before")).status == 200
             shutdown_task = start_shutdown(scene)
             assert await resting.closed()
             new_client.sendall(request("late"))
             assert (await read_to_end(new_client)).startswith(b"HTTP/1.1 200")
-            await asyncio.wait_for(shutdown_task, LIMIT_S)  # an unused connection does not delay it
+            await asyncio.wait_for(shutdown_task, WAIT_TIMEOUT_S)  # an unused connection does not delay it
             silent.close()
 
     run(test())
@@ -368,7 +368,7 @@
     """The request has arrived, but the event loop has not read it when the idle timeout is checked."""
 
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
+        async with node_harness(tmp_path, Server()) as scene:
             assert scene.node is not None
             connection = connect_client(scene, request("a"))
             loop = asyncio.get_running_loop()
@@ -391,12 +391,12 @@
     async def test() -> None:
         head = b"HTTP/1.1 200 X\r\nContent-Length: 1000000\r\n\r\n"
         server = Server(head + bytes(200_000) + CLOSE)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             http_1_0_request = request("a").replace(b"HTTP/1.1", b"HTTP/1.0")
             with pytest.raises(ConnectionResetError):
                 await read_to_end(connect_client(scene, http_1_0_request))
         unterminated = Server(b"HTTP/1.1 200 X\r\n\r\n" + bytes(200_000) + RESET)
-        async with world(tmp_path, unterminated) as scene:
+        async with node_harness(tmp_path, unterminated) as scene:
             with pytest.raises(ConnectionResetError):
                 await read_to_end(connect_client(scene, http_1_0_request))
 
@@ -407,7 +407,7 @@
     """A reset discards what the kernel has delayed."""
 
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
+        async with node_harness(tmp_path, Server()) as scene:
             assert (await scene.ask("a")).status == 200
             assert scene.node is not None
             transports = [caller._transport for caller in scene.node.frontend._connections]
@@ -429,11 +429,11 @@
     async def test() -> None:
         server, other = Server(), Server(name="other")
         await other.start()
-        async with world(tmp_path, server, sockets=64) as scene:
+        async with node_harness(tmp_path, server, sockets=64) as scene:
             node = scene.node
             assert node is not None
             admin = await node.admin.listen(("127.0.0.1", 0))
-            await until(lambda: len(scene.registry.seen) == 1)
+            await wait_until(lambda: len(scene.registry.seen) == 1)
             await scene.registry.stop()
             active = await scene.caller()
             assert (await active.ask("first")).status == 200
@@ -442,26 +442,26 @@
                 idle += [connect_client(scene) for _ in range(20)]
                 # By then they count as unused.
                 await asyncio.sleep(2.0 * frontend.FIRST_REQUEST_GRACE_MS / 1000.0)
-            await until(lambda: node._room() <= 0 and node.frontend.count() < 60)
-            server.hang_up()
-            await until(lambda: not node._upstream._connections)
+            await wait_until(lambda: node._available_sockets() <= 0 and node.frontend.count() < 60)
+            server.close_connections()
+            await wait_until(lambda: not node._upstream._connections)
             assert (await active.ask("second")).status == 200  # its attempt needs a new connection
             busy = [await scene.caller() for _ in range(3)]
             server.gate.clear()
             for n, caller in enumerate(busy):
                 caller.write(request(f"many-{n}"))
-            await until(lambda: len(server.seen) == 5)
+            await wait_until(lambda: len(server.seen) == 5)
             server.gate.set()
             assert [(await caller.read()).status for caller in busy] == [200] * 3
             host, port = scene.registry.address.split(":")
-            scene.registry.whole = [server.entry(), other.entry()]
+            scene.registry.full_list = [server.entry(), other.entry()]
             scene.registry._server = await asyncio.start_server(scene.registry._serve, host, int(port))
             for _ in range(2):  # the watch that was cut off when discovery stopped takes one update as well
-                scene.registry.tell(other.entry())
-            await until(lambda: len(node._addresses) == 2)
+                scene.registry.publish(other.entry())
+            await wait_until(lambda: len(node._addresses) == 2)
             reader, writer = await asyncio.open_connection(*admin)
             writer.write(b"GET /admin/health HTTP/1.1\r\n\r\n")
-            assert (await asyncio.wait_for(reader.readline(), LIMIT_S)).startswith(b"HTTP/1.1 200")
+            assert (await asyncio.wait_for(reader.readline(), WAIT_TIMEOUT_S)).startswith(b"HTTP/1.1 200")
             writer.close()
             for connection in idle:
                 connection.close()
@@ -495,9 +495,9 @@
     monkeypatch.setattr(Balancer, "handle", handle_with_two_failures)
 
     async def test() -> None:
-        async with world(tmp_path, Server()) as scene:
+        async with node_harness(tmp_path, Server()) as scene:
             first = asyncio.ensure_future(scene.ask("first", budget="0.5"))
-            await until(lambda: scene.node is not None and "first" in scene.node._live)
+            await wait_until(lambda: scene.node is not None and "first" in scene.node._open_requests)
             assert (await scene.ask("second", budget="5")).status == 502
             assert (await first).status == 504  # by its backstop
 
@@ -513,20 +513,20 @@
 ) -> None:
     async def test() -> None:
         server = Server()
-        async with world(tmp_path, server, start=False) as scene:
-            scene.registry.spoil = [HANG] * 100
+        async with node_harness(tmp_path, server, start=False) as scene:
+            scene.registry.failures = [HANG] * 100
             scene.config["known"]["endpoints"] = [] if empty else [server.entry(status="leaving")]
             scene.path.write_text(json.dumps(scene.config))
-            await scene.begin()
-            assert scene.node is not None and not scene.node.serves()
-            await asyncio.sleep(UNHEARD_S + 0.1)
-            assert UNHEARD_S < 10.0 and scene.node.serves()
+            await scene.start_node()
+            assert scene.node is not None and not scene.node.can_serve()
+            await asyncio.sleep(DISCOVERY_WAIT_S + 0.1)
+            assert DISCOVERY_WAIT_S < 10.0 and scene.node.can_serve()
             assert (await scene.ask("a", budget="2")).status == 503  # harmless, as there is no server
-            scene.registry.spoil.clear()
-            scene.registry.whole = [server.entry(status="leaving")]
-            scene.registry.tell(server.entry(status="leaving"))
+            scene.registry.failures.clear()
+            scene.registry.full_list = [server.entry(status="leaving")]
+            scene.registry.publish(server.entry(status="leaving"))
             await asyncio.sleep(3.0)
-            assert not scene.node.serves()  # now discovery has confirmed that there is no server
+            assert not scene.node.can_serve()  # now discovery has confirmed that there is no server
 
     run_in_virtual_time(test())
 
@@ -550,16 +550,16 @@
                 if message.id == "first":
                     writer.write(answer(body=b"first"))
                 if message.id == "a":
-                    await asyncio.wait({asyncio.ensure_future(duplicate_due.wait())}, timeout=LIMIT_S)
+                    await asyncio.wait({asyncio.ensure_future(duplicate_due.wait())}, timeout=WAIT_TIMEOUT_S)
                     writer.write(answer(body=b"a"))
 
         server = RawServer(serve_duplicates)
-        async with world(tmp_path, server) as scene:
+        async with node_harness(tmp_path, server) as scene:
             caller = await scene.caller()
             assert (await caller.ask("first")).body == b"first"  # now the node has seen a duplicate
             assert scene.node is not None
             upstream = scene.node._upstream
-            await until(lambda: upstream._reuse_delay_until_ms > 0.0)
+            await wait_until(lambda: upstream._reuse_delay_until_ms > 0.0)
             assert (await caller.ask("a")).body == b"a"
             assert (await caller.ask("b")).body == b"b"
 
@@ -571,7 +571,7 @@
 
     async def test() -> None:
         server = Server()
-        async with hanging_server() as hanging, world(tmp_path, server) as scene:
+        async with hanging_server() as hanging, node_harness(tmp_path, server) as scene:
             await list_servers(scene, hanging.entry(server), server.entry(status="leaving"))
             assert (await scene.ask("a", "pay", budget="0.3")).status in (502, 503, 504)
             assert received(await hanging.accept(lambda: pending_connects(scene) > 0)) == b""
@@ -579,12 +579,12 @@
             server.gate.clear()
             caller = await scene.caller()
             caller.write(request("b"))
-            await until(lambda: len(server.seen) == 1)
+            await wait_until(lambda: len(server.seen) == 1)
             server.gate.set()  # the response is sent while the client disconnects
             caller.writer.transport.abort()
             assert (await scene.ask("c")).body == b"done"
             assert scene.node is not None
-            await until(lambda: scene.node is not None and not scene.node._attempts)
+            await wait_until(lambda: scene.node is not None and not scene.node._attempts)
             assert scene.node._balancer.in_flight == 0
 
     run(test())
@@ -602,14 +602,14 @@
     async def test() -> None:
         server = Server()
         server.gate.clear()
-        async with world(tmp_path, server, start=False) as scene:
+        async with node_harness(tmp_path, server, start=False) as scene:
             process = (await Program.start(scene)).process
             pending, resting = await scene.caller(), await scene.caller()
             server.gate.set()
             assert (await resting.ask("before")).status == 200
             server.gate.clear()
             pending.write(request("held", "pay"))
-            await until(lambda: len(server.seen) == 2)
+            await wait_until(lambda: len(server.seen) == 2)
             for signal_number in (first, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
                 process.send_signal(signal_number)
             assert await resting.closed()
@@ -635,12 +635,12 @@
     async def test() -> None:
         server = Server()
         allow = {"connect_timeout_ms": 200.0}
-        async with hanging_server() as hanging, world(tmp_path, server, permissions=allow) as scene:
+        async with hanging_server() as hanging, node_harness(tmp_path, server, permissions=allow) as scene:
             await list_servers(scene, hanging.entry(server), server.entry(status="leaving"))
             response = asyncio.ensure_future(scene.ask("a", "pay", budget="600"))
-            await until(lambda: pending_connects(scene) == 1)
+            await wait_until(lambda: pending_connects(scene) == 1)
             await list_servers(scene, server.entry())
-            assert (await asyncio.wait_for(response, LIMIT_S)).status == 200
+            assert (await asyncio.wait_for(response, WAIT_TIMEOUT_S)).status == 200
             assert received(await hanging.accept(lambda: pending_connects(scene) > 0)) == b""
 
     run(test())
