--- a/dunlinloft/node/node.py
+++ b/dunlinloft/node/node.py
@@ -25,8 +25,8 @@
 from dunlinloft.node.figures import NodeMetrics
 from dunlinloft.node.fleet_config import FleetConfig
 from dunlinloft.node.http.bodies import Memory
-from dunlinloft.node.http.frontend import ResponseWriter, Frontend, ClientRequest, Response, InvalidRequest
-from dunlinloft.node.http.upstream import ServerResponse, Attempt, FlowControl, Upstream
+from dunlinloft.node.http.frontend import ClientRequest, Frontend, InvalidRequest, Response, ResponseWriter
+from dunlinloft.node.http.upstream import Attempt, FlowControl, ServerResponse, Upstream
 from dunlinloft.node.management import MAX_CALLERS, AdminEndpoint
 from dunlinloft.node.server_list import ServerList, key_id
 
@@ -80,7 +80,9 @@
         return self._node.may_send(self._request, self._server)
 
     def response_started(self, answer: ServerResponse, flow: FlowControl) -> None:
-        event = api.StreamStarted(self._id, self._number, self._server, self._elapsed_ms(), answer.load_report)
+        event = api.StreamStarted(
+            self._id, self._number, self._server, self._elapsed_ms(), answer.load_report
+        )
         self._node.response_started(self._request, event, answer, flow)
 
     def forward_body(self, data: bytes) -> None:
@@ -91,7 +93,8 @@
             self._request,
             api.AttemptCompleted(
                 self._id, self._number, self._server, result, self._elapsed_ms(), False,
-                answer.load_report if answer is not None else None, self._request.message.body.is_replayable(),
+                answer.load_report if answer is not None else None,
+                self._request.message.body.is_replayable(),
             ),
             answer,
         )  # fmt: skip
@@ -316,10 +319,13 @@
         ttl_ms = max(0.0, message.budget_ms - DEADLINE_MARGIN_MS)
         if not known:  # an earlier attempt may have run in a zone that only another node knows
             self._finish(
-                message.id, Response(503, b"not known yet where it belongs", retry_after_s=UNKNOWN_ZONE_RETRY_S)
+                message.id,
+                Response(503, b"not known yet where it belongs", retry_after_s=UNKNOWN_ZONE_RETRY_S),
             )
             return request
-        event = api.Request(message.id, message.cls, ttl_ms, message.tenant, message.is_retry, body_complete, pin, key)
+        event = api.Request(
+            message.id, message.cls, ttl_ms, message.tenant, message.is_retry, body_complete, pin, key
+        )
         self._handle(event)
         return request
 
@@ -431,7 +437,9 @@
             case api.Fail():
                 self._finish(action.id, Response(502, b"failed"))
             case api.Reject():
-                self._finish(action.id, Response(503, b"refused", retry_after_s=action.retry_after_ms / 1000.0))
+                self._finish(
+                    action.id, Response(503, b"refused", retry_after_s=action.retry_after_ms / 1000.0)
+                )
             case api.Cancel():
                 attempt = self._attempts.get((action.id, action.attempt))
                 if attempt is not None:
@@ -485,7 +493,9 @@
             return True
         return False
 
-    def response_started(self, request: OpenRequest, event: api.StreamStarted, answer: ServerResponse, flow: FlowControl) -> None:
+    def response_started(
+        self, request: OpenRequest, event: api.StreamStarted, answer: ServerResponse, flow: FlowControl
+    ) -> None:
         """Begin to stream a response: the request can't be retried any more, and has no deadline."""
         if self._open_requests.get(request.message.id) is not request:  # its client has disconnected
             attempt = self._attempts.get((event.id, event.attempt))
@@ -497,7 +507,9 @@
         request.answering.start_response(answer.content_type, answer.length, flow)
         self._handle(event)
 
-    def attempt_ended(self, request: OpenRequest, event: api.AttemptCompleted, answer: ServerResponse | None) -> None:
+    def attempt_ended(
+        self, request: OpenRequest, event: api.AttemptCompleted, answer: ServerResponse | None
+    ) -> None:
         """Handle the end of an attempt; a complete or a partly streamed response ends the request too."""
         attempt = self._attempts.pop((event.id, event.attempt), None)
         is_open = self._open_requests.get(event.id) is request
--- a/lab/virtual/node.py
+++ b/lab/virtual/node.py
@@ -18,7 +18,7 @@
 from dunlinloft.fleet import interface as fleet_api
 from dunlinloft.node.__main__ import ACCEPT_AFTER_SIGTERM_S
 from dunlinloft.node.http.upstream import IDLE_LIMIT_FRACTION
-from dunlinloft.node.node import UNKNOWN_ZONE_RETRY_S, DEADLINE_MARGIN_MS
+from dunlinloft.node.node import DEADLINE_MARGIN_MS, UNKNOWN_ZONE_RETRY_S
 from dunlinloft.node.server_list import STATUSES, start_id
 from lab import records
 from lab.callers import Done, Order
@@ -129,7 +129,9 @@
 
     def come(self, order: Order, done: Done) -> None:
         """A request's last byte has come to its machine: it is worked on when there is a core for it."""
-        if not self.alive or (self.ending and self._host.now() >= self.draining_ms + 1000.0 * ACCEPT_AFTER_SIGTERM_S):
+        if not self.alive or (
+            self.ending and self._host.now() >= self.draining_ms + 1000.0 * ACCEPT_AFTER_SIGTERM_S
+        ):
             return self._host.answer(self.name, order, done, UNREACHED, "", 0.0)
         now = self._host.now()
         self._busy_ms = max(self._busy_ms, now) + self._cpu_ms / self.share
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -16,7 +16,17 @@
 from dunlinloft.node.http.bodies import CHUNK_BYTES, MAX_BUFFERED_BYTES, Body, Memory
 from dunlinloft.node.http.upstream import Attempt, Upstream
 from tests.helpers import Node, final_answers, sends, timers
-from tests.peers import WAIT_TIMEOUT_S, Caller, Server, NodeHarness, answer, request, run, wait_until, node_harness
+from tests.peers import (
+    WAIT_TIMEOUT_S,
+    Caller,
+    NodeHarness,
+    Server,
+    answer,
+    node_harness,
+    request,
+    run,
+    wait_until,
+)
 
 LARGE_BODY = bytes(range(256)) * 4096  # 1 MiB
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,7 +16,7 @@
 from dunlinloft.node.http import frontend
 from dunlinloft.node.http.handover import Siblings, inherited_socket
 from tests.helpers import Node
-from tests.peers import WAIT_TIMEOUT_S, Server, NodeHarness, request, run, wait_until, node_harness
+from tests.peers import WAIT_TIMEOUT_S, NodeHarness, Server, node_harness, request, run, wait_until
 from tests.test_wire import ROOT
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -537,7 +537,9 @@
             await wait_until(lambda: harness.node is not None and not harness.node.frontend.count())
             await wait_until(lambda: server.lost == server.connections)
             kept = [
-                type(o).__name__ for o in gc.get_objects() if isinstance(o, ClientConnection | OpenRequest | Attempt)
+                type(o).__name__
+                for o in gc.get_objects()
+                if isinstance(o, ClientConnection | OpenRequest | Attempt)
             ]
             assert len(kept) <= 3, kept  # the event loop may still hold the last request's
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -22,7 +22,18 @@
     Upstream,
     parse_load_report,
 )
-from tests.peers import CLOSE, HANG, WAIT_TIMEOUT_S, RESET, Server, answer, request, run, wait_until, node_harness
+from tests.peers import (
+    CLOSE,
+    HANG,
+    RESET,
+    WAIT_TIMEOUT_S,
+    Server,
+    answer,
+    node_harness,
+    request,
+    run,
+    wait_until,
+)
 
 GARBAGE = b"\x00\xff not HTTP at all\r\n\r\n"
 MAY_HAVE_RUN = {
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -22,17 +22,17 @@
 from tests.peers import (
     CLOSE,
     HANG,
-    WAIT_TIMEOUT_S,
     RESET,
-    Server,
+    WAIT_TIMEOUT_S,
     NodeHarness,
+    Server,
     answer,
+    node_harness,
     read_message,
     request,
     run,
     settings,
     wait_until,
-    node_harness,
 )
 from tests.test_bodies import RawServer
 from tests.test_node import Program
@@ -114,7 +114,9 @@
     return [cls | changes for cls in settings()["classes"]]
 
 
-async def retry_elsewhere(scene: NodeHarness, server: Server, other: dict[str, Any], id: str, cls: str) -> Any:
+async def retry_elsewhere(
+    scene: NodeHarness, server: Server, other: dict[str, Any], id: str, cls: str
+) -> Any:
     """Send a request whose first attempt fails at `server` and whose retry can only go to `other`.
 
     Returns the future response.
