--- a/dunlinloft/node/fleet/singleton_roles.py
+++ b/dunlinloft/node/fleet/singleton_roles.py
@@ -324,7 +324,7 @@
         if role not in ROLES:
             return error_reply(400, f"unknown duty {role!r}; the duties are {', '.join(ROLES)}")
         if recipient and recipient != self._name and recipient not in self._peers.core.view.alive:
-            return error_reply(400, f"no member {recipient!r} is alive")
+            return error_reply(400, f"no live member {recipient!r}")
         if not self.holds(role):
             owner = self._claims.get(role, ("", 0))[0]
             return error_reply(409, f"{self._name} does not hold {role}", holder=owner)
