--- a/dunlinloft/fleet/leases/candidate.py
+++ b/dunlinloft/fleet/leases/candidate.py
@@ -186,10 +186,10 @@
         if len(self._prepare_responses) < self.majority():
             return
         responses = self._prepare_responses.values()
-        foreign = [r.lease for r in responses if r.lease is not None and not self._is_own(r.lease)]
-        if foreign:
-            remaining_ms = max(lease.remaining_ms for lease in foreign)
-            self.reason = f"{foreign[0].proposal.candidate} holds it for {remaining_ms:.0f} ms more"
+        leases_of_others = [r.lease for r in responses if r.lease is not None and not self._is_own(r.lease)]
+        if leases_of_others:
+            remaining_ms = max(lease.remaining_ms for lease in leases_of_others)
+            self.reason = f"{leases_of_others[0].proposal.candidate} holds it for {remaining_ms:.0f} ms more"
             # No rival proposes: there is only a lease to wait for, so the backoff need not grow.
             self._backoff_ms = INITIAL_BACKOFF_MS / 2.0
             wait_ms = remaining_ms * (1.0 + self._drift) + INITIAL_BACKOFF_MS * self._rng.random()
--- a/dunlinloft/fleet/leases/manager.py
+++ b/dunlinloft/fleet/leases/manager.py
@@ -62,8 +62,8 @@
 from dunlinloft.fleet.leases.voting_member import VotingMember
 
 REVIEW_INTERVAL_MS = 400.0  # between looks at whether to stand for a role; give or take a fifth
-STAND_DELAY_STEP_MS = 60.0  # each member waits so much longer than the one preferred to it
-MAX_STAND_DELAY_MS = 1_200.0
+PROPOSAL_DELAY_STEP_MS = 60.0  # each member waits so much longer than the one preferred to it
+MAX_PROPOSAL_DELAY_MS = 1_200.0
 NOT_PRIMARY = "this process does not hold the ledger"  # operators see it
 
 
@@ -71,7 +71,7 @@
     """What the manager's own timers are for; those of candidates are `LeaseTimer`."""
 
     REVIEW = "look"
-    STAND = "stand"
+    PROPOSE = "stand"
     TABLE = "ledger"
 
 
@@ -129,7 +129,7 @@
         self._observed = MembershipObserved(frozenset((name,)), {})
         self._timers: dict[int, _Timer] = {}
         self._last_timer_token = 0
-        self._standing: set[str] = set()  # roles with a stand timer
+        self._scheduled_proposals: set[str] = set()  # roles with a stand timer
         self._actions: list[Action] = []
 
     @property
@@ -198,7 +198,7 @@
                 self.table.timer_fired(timer.generation)
                 self._take_table_actions(now)
         else:
-            self._stand(timer.role, now)
+            self._propose_if_vacant(timer.role, now)
 
     # Standing
 
@@ -207,7 +207,7 @@
         self._actions += self.member.recovery_requests()
         if self.holds(STATE_TABLE_ROLE, now):
             self._actions += self.voter_change.requests()
-        self._stand_for_vacant_roles(now)
+        self._schedule_proposals(now)
         interval_ms = REVIEW_INTERVAL_MS * (0.8 + 0.4 * self._rng.random())
         self._set_timer(_Timer(ManagerTimer.REVIEW), interval_ms)
 
@@ -219,25 +219,25 @@
                 candidate.highest_claimed_token = max(candidate.highest_claimed_token, token)
         if observed.voters is not None:
             self._adopt(observed.voters, now)
-        self._stand_for_vacant_roles(now)
+        self._schedule_proposals(now)
 
-    def _stand_for_vacant_roles(self, now: float) -> None:
+    def _schedule_proposals(self, now: float) -> None:
         """Plan to stand for each vacant role, after a delay by this process's rank in the preference."""
         if not self._observed.healthy:
             return
         for index, (role, candidate) in enumerate(sorted(self.candidates.items())):
-            if role in self._standing or candidate.must_wait(now) or not self._is_vacant(role):
+            if role in self._scheduled_proposals or candidate.must_wait(now) or not self._is_vacant(role):
                 continue
             alive = self.name in self._observed.alive
             rank = preference_order(role, self._observed, index).index(self.name) if alive else 0
-            self._standing.add(role)
-            delay_ms = min(MAX_STAND_DELAY_MS, rank * STAND_DELAY_STEP_MS)
-            timer = _Timer(ManagerTimer.STAND, role)
+            self._scheduled_proposals.add(role)
+            delay_ms = min(MAX_PROPOSAL_DELAY_MS, rank * PROPOSAL_DELAY_STEP_MS)
+            timer = _Timer(ManagerTimer.PROPOSE, role)
             self._set_timer(timer, delay_ms * (0.9 + 0.2 * self._rng.random()))
 
-    def _stand(self, role: str, now: float) -> None:
+    def _propose_if_vacant(self, role: str, now: float) -> None:
         """The delay is over: propose, unless another has come first."""
-        self._standing.discard(role)
+        self._scheduled_proposals.discard(role)
         candidate = self.candidates[role]
         if self._is_vacant(role) and not candidate.must_wait(now) and self._observed.healthy:
             candidate.propose(now)
@@ -320,13 +320,13 @@
         self._actions += actions
         for action in actions:
             if isinstance(action, TableOpened):
-                self._continue_voter_change(self.table, now)
+                self._resume_voter_change(self.table, now)
             elif isinstance(action, WriteCompleted) and self._pending_change is not None:
                 pending = self._pending_change
                 if action.request_id == pending.request_id:
                     self._pending_change = None
                     if action.committed:
-                        self._carry_out(pending.row, now)
+                        self._apply_voter_change(pending.row, now)
 
     def _handle_write_request(self, event: WriteRequested, now: float) -> None:
         try:
@@ -340,7 +340,7 @@
 
     # Changes of voters
 
-    def why_no_voter_change(self, now: float) -> str:
+    def voter_change_blocked_reason(self, now: float) -> str:
         """Why the voters can't be changed here and now, for operators; empty where they can."""
         if self.table is None or not self.holds(STATE_TABLE_ROLE, now):
             return NOT_PRIMARY
@@ -354,7 +354,7 @@
     def _handle_voter_change_request(self, event: VoterChangeRequested, now: float) -> None:
         """Write the row that decides the change; it takes effect once that is committed."""
         try:
-            reason = self.why_no_voter_change(now)
+            reason = self.voter_change_blocked_reason(now)
             if reason or self.table is None:
                 raise VoterChangeRejected(reason)
             names = next_voters(self.voters, event.add, event.remove, self._observed.alive)
@@ -366,19 +366,19 @@
             self._pending_change = _PendingVoterChange(event.request_id, row)
             self._take_table_actions(now)
 
-    def _continue_voter_change(self, table: TablePrimary, now: float) -> None:
+    def _resume_voter_change(self, table: TablePrimary, now: float) -> None:
         """The table is open here: see the latest change through, wherever the former primary left it."""
         stored = table.rows.get(VOTERS_KEY)
         row = decode_voter_row(stored.value) if stored is not None else None
         if row is not None and row.epoch >= self.voters.epoch:
-            return self._carry_out(row, now)
+            return self._apply_voter_change(row, now)
         names = self.voters.names
         if self.voters.epoch:  # a majority lost the row with its memory: what was adopted by it stands
             table.write(VOTERS_KEY, VoterRow(self.voters.epoch, names, names).encode(), 0)
             self._take_table_actions(now)
         self._actions += self.voter_change.begin(self.voters, names)
 
-    def _carry_out(self, row: VoterRow, now: float) -> None:
+    def _apply_voter_change(self, row: VoterRow, now: float) -> None:
         """A change is decided: adopt it here and have the voters do so."""
         voters = VoterSet(row.epoch, row.names)
         self._adopt(voters, now)
--- a/dunlinloft/fleet/leases/table_primary.py
+++ b/dunlinloft/fleet/leases/table_primary.py
@@ -267,7 +267,7 @@
         if self._incarnations.setdefault(replica, message.incarnation) != message.incarnation:
             return  # a delayed acknowledgement of a former incarnation
         write.acknowledged_by.add(replica)
-        if self.step is TableStep.RESTORING and read is not None and self._took_base(replica):
+        if self.step is TableStep.RESTORING and read is not None and self._has_acknowledged_base(replica):
             self._has_base.add(replica)
             if len(self._has_base) >= self.majority():
                 self.step = TableStep.OPEN
@@ -287,7 +287,7 @@
         ):
             self._added.difference_update(write.replicas)
 
-    def _took_base(self, replica: str) -> bool:
+    def _has_acknowledged_base(self, replica: str) -> bool:
         pages = (
             write
             for write in self._writes.values()
--- a/dunlinloft/fleet/member_count.py
+++ b/dunlinloft/fleet/member_count.py
@@ -63,12 +63,12 @@
         """The names of those that count, as far as they have been seen."""
         return frozenset(self._missing_since)
 
-    def retain(self, is_ours: Callable[[str], bool]) -> None:
+    def retain(self, shares_budget: Callable[[str], bool]) -> None:
         """Drop all that are not ours any more, alive or missing: they are counted elsewhere."""
         self._missing_since = {
             name: since
             for name, since in self._missing_since.items()
-            if name == self._own_name or is_ours(name)
+            if name == self._own_name or shares_budget(name)
         }
 
     def observe(self, alive: set[str], now: float) -> None:
--- a/dunlinloft/fleet/membership/member.py
+++ b/dunlinloft/fleet/membership/member.py
@@ -108,6 +108,6 @@
     return int.from_bytes(rank(name, incarnation), "big")
 
 
-def first_by_name(*suspecters: Iterable[str]) -> list[str]:
+def merge_suspecters(*suspecters: Iterable[str]) -> list[str]:
     """The first `MAX_SUSPECTED_BY` names in order: the same remain whatever order they arrive in."""
     return sorted({name for names in suspecters for name in names})[:MAX_SUSPECTED_BY]
--- a/dunlinloft/fleet/membership/view.py
+++ b/dunlinloft/fleet/membership/view.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 
 from dunlinloft.fleet.interface import MemberChange
-from dunlinloft.fleet.membership.member import Member, first_by_name
+from dunlinloft.fleet.membership.member import Member, merge_suspecters
 from dunlinloft.fleet.membership.name_pool import NamePool
 from dunlinloft.fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, Record
 
@@ -61,7 +61,7 @@
         if is_new or record.precedence() > member.precedence():
             change = self._replace(member, record, now) or change
         elif record.status == SUSPECT and record.precedence() == member.precedence():
-            suspected_by = first_by_name(member.suspected_by, record.suspected_by)
+            suspected_by = merge_suspecters(member.suspected_by, record.suspected_by)
             if suspected_by != member.suspected_by:
                 member.suspected_by = suspected_by
                 change = MemberChange.SUSPECTED_BY_MORE
@@ -83,7 +83,7 @@
                 member.metadata_version = -1
             member.view_digest = 0
             member.diverged_since_ms = -1.0
-        member.suspected_by = first_by_name(record.suspected_by) if record.status == SUSPECT else []
+        member.suspected_by = merge_suspecters(record.suspected_by) if record.status == SUSPECT else []
         member.suspicion_timer = 0
         member.final_probe = 0
         self._update_indexes(member, was_alive)
--- a/dunlinloft/node/fleet/singleton_roles.py
+++ b/dunlinloft/node/fleet/singleton_roles.py
@@ -302,7 +302,7 @@
         return AdminReply(200, {
             "self": self._name, "change": ours.epoch, "configured": self._voters, "holder": owner,
             "voters": [{"name": name, "there": name in alive} for name in ours.names],
-            "behind": others, "why_no_change": core.why_no_voter_change(now),
+            "behind": others, "why_no_change": core.voter_change_blocked_reason(now),
             "here": core.holds(STATE_TABLE_ROLE, now),
         })  # fmt: skip
 
--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -8,7 +8,7 @@
 TERM_MS = 3000.0  # of a lease, as `World` has it
 # What the world's oracle says of a broken rule.
 TWO_LEADERS = "is held by"
-OLD_TOKEN = "token"
+OUTDATED_TOKEN = "token"
 
 
 def all_roles_led(world: World) -> bool:
@@ -16,7 +16,7 @@
     return all(world.holders(duty) for duty in world.duties)
 
 
-def settled_world(
+def world_with_leaders(
     seed: int, core: type[LeaseManager] = LeaseManager, members: int = 8, voters: int = 5
 ) -> World:
     """A world that has run until each role is led."""
@@ -25,18 +25,18 @@
     return world
 
 
-def partition(world: World, some: list[str], others: list[str], both: bool = True) -> None:
-    """Partition the links from `some` to `others`; `both`: and the other way."""
-    for a in some:
-        for b in others:
+def partition(world: World, senders: list[str], receivers: list[str], both_directions: bool = True) -> None:
+    """Drop messages from `senders` to `receivers`, and in the other direction if `both_directions`."""
+    for a in senders:
+        for b in receivers:
             world.cut.add((a, b))
-            if both:
+            if both_directions:
                 world.cut.add((b, a))
 
 
-def voters_without_memory(world: World, but: str) -> int:
+def voters_without_memory(world: World, exclude: str) -> int:
     """How many voters, this one not counted, are dead or have not recovered their memory yet."""
-    others = (world.processes[name] for name in world.voters if name != but)
+    others = (world.processes[name] for name in world.voters if name != exclude)
     return sum(not p.alive or not has_recovered(p) for p in others)
 
 
@@ -48,20 +48,20 @@
     return member.replica is None or member.replica.ready
 
 
-def storm(world: World, for_ms: float, harsh: bool = False) -> None:
+def inject_random_faults(world: World, duration_ms: float, allow_memory_loss: bool = False) -> None:
     """Faults at random: kills, restarts, suspensions, partitions, loss, replayed messages, handovers.
 
     The draws of the world's random source, and their order, decide what the seeds of the tests play.
     """
-    rng, end = world.rng, world.now + for_ms
-    # Voters that may be without memory at once: a majority keeps it, unless this is harsh.
-    spare = len(world.voters) if harsh else (len(world.voters) - 1) // 2
+    rng, end = world.rng, world.now + duration_ms
+    # Unless memory loss is allowed, a majority of the voters keeps its memory at any time.
+    max_without_memory = len(world.voters) if allow_memory_loss else (len(world.voters) - 1) // 2
     while world.now < end:
         name = rng.choice(world.names)
         other = rng.choice(world.names)
         process = world.processes[name]
         match rng.randrange(9):
-            case 0 | 2 if name in world.voters and voters_without_memory(world, name) >= spare:
+            case 0 | 2 if name in world.voters and voters_without_memory(world, name) >= max_without_memory:
                 pass
             case 0 if process.alive:
                 world.kill(name)
@@ -90,8 +90,8 @@
         world.run(rng.random() * 900.0)
 
 
-def write_rows(world: World, for_ms: float) -> None:
+def write_rows(world: World, duration_ms: float) -> None:
     """Let operators write rows all the while."""
-    for _ in range(int(for_ms / 150.0)):
+    for _ in range(int(duration_ms / 150.0)):
         world.book.enter(f"k{world.rng.randrange(5)}")
         world.run(150.0)
--- a/tests/test_lease_planted_faults.py
+++ b/tests/test_lease_planted_faults.py
@@ -14,20 +14,28 @@
 from dunlinloft.fleet.leases.voter import Voter
 from lab.virtual.duties import LATE_SEEN_MS, World
 from lab.virtual.scene import Broken
-from tests.lease_world import OLD_TOKEN, TERM_MS, TWO_LEADERS, all_roles_led, partition, settled_world, storm
+from tests.lease_world import (
+    OUTDATED_TOKEN,
+    TERM_MS,
+    TWO_LEADERS,
+    all_roles_led,
+    inject_random_faults,
+    partition,
+    world_with_leaders,
+)
 
 
-class HalfIsEnough(Candidate):
+class CandidateWithHalfQuorum(Candidate):
     def majority(self) -> int:
         return len(self._voters) // 2
 
 
-class VotesWithoutMemory(Voter):
+class VoterWithoutRecovery(Voter):
     def may_vote(self, now: float) -> bool:
         return True
 
 
-class IgnoresDrift(LeaseManager):
+class ManagerIgnoringDrift(LeaseManager):
     """Takes all clocks for equally fast."""
 
     def __init__(
@@ -37,7 +45,7 @@
         super().__init__(name, incarnation, voters, roles, rng, wall_clock_ms, now, term_ms, 0.0)
 
 
-class ReusesTokens(Candidate):
+class CandidateReusingTokens(Candidate):
     """Gives a token that has been given before."""
 
     def _handle_prepare_response(self, message: PrepareResponse, sender: str, now: float) -> None:
@@ -47,36 +55,38 @@
 
 
 PLANTED_FAULTS: list[tuple[str, str, type, str]] = [
-    ("a majority of n/2", "Candidate", HalfIsEnough, TWO_LEADERS),
-    ("tokens not compared", "Candidate", ReusesTokens, OLD_TOKEN),
+    ("a majority of n/2", "Candidate", CandidateWithHalfQuorum, TWO_LEADERS),
+    ("tokens not compared", "Candidate", CandidateReusingTokens, OUTDATED_TOKEN),
 ]
 
 
-def violations(seeds: int, harsh: bool) -> set[str]:
-    """What storms break, in words."""
+def violations(seeds: int, allow_memory_loss: bool) -> set[str]:
+    """The invariants that random faults break, by the text of the violation."""
     found = set()
     for seed in range(seeds):
         world = World(seed, members=9, voters=3)
-        world.token_matters = not harsh
+        world.token_matters = not allow_memory_loss
         try:
-            storm(world, 25_000.0, harsh)
-        except Broken as problem:
-            found.add(TWO_LEADERS if TWO_LEADERS in str(problem) else OLD_TOKEN)
+            inject_random_faults(world, 25_000.0, allow_memory_loss)
+        except Broken as error:
+            found.add(TWO_LEADERS if TWO_LEADERS in str(error) else OUTDATED_TOKEN)
     return found
 
 
 @pytest.mark.parametrize(
-    ("what", "where", "broken", "seen"), PLANTED_FAULTS, ids=[row[0] for row in PLANTED_FAULTS]
+    ("fault", "class_name", "faulty_class", "expected_violation"),
+    PLANTED_FAULTS,
+    ids=[row[0] for row in PLANTED_FAULTS],
 )
 def test_a_planted_fault_of_a_candidate_is_caught(
-    what: str, where: str, broken: type, seen: str, monkeypatch: pytest.MonkeyPatch
+    fault: str, class_name: str, faulty_class: type, expected_violation: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("dunlinloft.fleet.leases.manager." + where, broken)
-    assert seen in violations(50, harsh=seen == TWO_LEADERS)
+    monkeypatch.setattr("dunlinloft.fleet.leases.manager." + class_name, faulty_class)
+    assert expected_violation in violations(50, allow_memory_loss=expected_violation == TWO_LEADERS)
 
 
 def test_where_all_voters_lose_their_memory_at_once_there_are_never_two_leaders() -> None:
-    assert TWO_LEADERS not in violations(50, harsh=True)
+    assert TWO_LEADERS not in violations(50, allow_memory_loss=True)
 
 
 def partition_leaders(core: type[LeaseManager]) -> None:
@@ -94,18 +104,20 @@
 def test_clock_drift_is_tolerated_and_a_manager_that_ignores_it_is_caught() -> None:
     partition_leaders(LeaseManager)
     with pytest.raises(Broken, match="is held by"):
-        partition_leaders(IgnoresDrift)
+        partition_leaders(ManagerIgnoringDrift)
 
 
 def restart_voters_under_a_lease() -> None:
     """All voters forget while a holder holds, whom the other candidates take for gone."""
     for seed in range(8):
-        world = settled_world(seed, voters=3)
+        world = world_with_leaders(seed, voters=3)
         world.token_matters = False
         world.hand_over("d0", "m6")
         world.run(2.0 * TERM_MS)
         for holder in world.holders("d0"):
-            partition(world, [holder], [name for name in world.names[3:] if name != holder], both=False)
+            partition(
+                world, [holder], [name for name in world.names[3:] if name != holder], both_directions=False
+            )
         world.run(LATE_SEEN_MS / 2.0)
         for name in world.voters:
             world.kill(name)
@@ -117,6 +129,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     restart_voters_under_a_lease()
-    monkeypatch.setattr("dunlinloft.fleet.leases.voting_member.Voter", VotesWithoutMemory)
+    monkeypatch.setattr("dunlinloft.fleet.leases.voting_member.Voter", VoterWithoutRecovery)
     with pytest.raises(Broken, match=TWO_LEADERS):
         restart_voters_under_a_lease()
--- a/tests/test_lease_progress.py
+++ b/tests/test_lease_progress.py
@@ -5,11 +5,11 @@
 from dunlinloft.fleet.leases.messages import MembershipObserved
 from dunlinloft.fleet.leases.preference import preference_order
 from lab.virtual.duties import World
-from tests.lease_world import TERM_MS, all_roles_led, partition, settled_world
+from tests.lease_world import TERM_MS, all_roles_led, partition, world_with_leaders
 
 
 def test_a_killed_leaders_role_is_led_again_after_the_lease() -> None:
-    world = settled_world(1)
+    world = world_with_leaders(1)
     for _ in range(6):
         holder = world.holders("d0")[0]
         world.kill(holder)
@@ -19,7 +19,7 @@
 
 
 def test_a_planned_handover_takes_a_few_round_trips_and_carries_the_state() -> None:
-    world = settled_world(2)
+    world = world_with_leaders(2)
     holder = world.holders("d0")[0]
     process = world.processes[holder]
     process.core.candidates["d0"].state = b"what was done"
@@ -30,13 +30,13 @@
 
 
 def test_without_a_majority_nobody_leads_and_the_reason_is_stated() -> None:
-    world = settled_world(6, members=6, voters=3)
+    world = world_with_leaders(6, members=6, voters=3)
     for name in world.voters[:2]:
         world.kill(name)
     world.run(3.0 * TERM_MS)
     assert not any(world.holders(duty) for duty in world.duties)
-    whys = {process.core.candidates["d0"].reason for process in world.processes.values() if process.alive}
-    assert any("of 3 voters answer, and 2 are needed" in why for why in whys)
+    reasons = {process.core.candidates["d0"].reason for process in world.processes.values() if process.alive}
+    assert any("of 3 voters answer, and 2 are needed" in reason for reason in reasons)
 
 
 def test_fifty_candidates_elect_one_leader() -> None:
@@ -45,7 +45,7 @@
 
 
 def test_flapping_links_do_not_move_a_role_to_and_fro() -> None:
-    world = settled_world(8)
+    world = world_with_leaders(8)
     count = len(world.history)
     for _ in range(20):
         partition(world, [world.names[6]], world.voters)
--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -7,13 +7,13 @@
 from dunlinloft.fleet.leases.messages import Prepare, ProposalNumber, Propose, ProposeResponse, TokensRequest
 from dunlinloft.fleet.leases.voter import Voter
 from lab.virtual.duties import World
-from tests.lease_world import TERM_MS, all_roles_led, partition, settled_world, storm
+from tests.lease_world import TERM_MS, all_roles_led, inject_random_faults, partition, world_with_leaders
 
 
 @pytest.mark.parametrize("seed", range(25))
 def test_in_mixed_faults_at_most_one_leads_and_tokens_rise(seed: int) -> None:
     world = World(seed, members=9, voters=(3, 5, 7)[seed % 3])
-    storm(world, 25_000.0)
+    inject_random_faults(world, 25_000.0)
     world.cut.clear()
     world.loss = 0.0
     for name, process in world.processes.items():
@@ -27,7 +27,7 @@
 
 
 def test_a_leader_suspended_in_the_middle_of_an_act_is_rejected_by_its_token() -> None:
-    world = settled_world(3)
+    world = world_with_leaders(3)
     holder = world.holders("d0")[0]
     token = world.processes[holder].working["d0"]
     world.stop(holder)
@@ -41,7 +41,7 @@
 
 
 def test_a_leader_partitioned_from_the_voters_stops_before_its_lease_expires() -> None:
-    world = settled_world(4)
+    world = world_with_leaders(4)
     holder = world.holders("d0")[0]
     partition(world, [holder], world.voters)
     # To itself it may be a voter, which is not a majority.
@@ -51,7 +51,7 @@
 
 
 def test_a_restart_of_the_entire_fleet_issues_higher_tokens() -> None:
-    world = settled_world(5)
+    world = world_with_leaders(5)
     before = dict(world.tokens)
     for name in world.names:
         world.kill(name)
--- a/tests/test_member_count.py
+++ b/tests/test_member_count.py
@@ -19,8 +19,8 @@
         self.counts = {name: MemberCount(name, n, count) for n, name in enumerate(self.names)}
         self.now = 0.0
 
-    def run(self, sides: list[list[str]], for_ms: float) -> None:
-        end = self.now + for_ms
+    def run(self, sides: list[list[str]], duration_ms: float) -> None:
+        end = self.now + duration_ms
         while self.now < end:
             self.now += 500.0
             for side in sides:
--- a/tests/test_member_wire.py
+++ b/tests/test_member_wire.py
@@ -19,13 +19,13 @@
 def ping(records: int = 3) -> Ping:
     """A ping that carries so many suspicions."""
     metadata: dict[str, Any] = {"zone": "linz", "tier": 0.0, "draining": False}
-    some = [
+    records_sent = [
         Record(
             f"n{n}", 1_700_000_000_000 + n, n, SUSPECT, 2**56 + n, f"127.0.2.{n}:7400", 3, metadata, ["n9"]
         )
         for n in range(records)
     ]
-    return Ping(Header("n1", START, 4, 2**63 + 5, 200), 77, "n2", some)
+    return Ping(Header("n1", START, 4, 2**63 + 5, 200), 77, "n2", records_sent)
 
 
 @pytest.mark.parametrize("count", [0, 1, 3, 8])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -291,18 +291,18 @@
 # Faults planted in the code: each check above fails where what it checks is missing
 
 
-class NoRefutation(Membership):
+class MembershipWithoutRefutation(Membership):
     def _handle_own_record(self, record: Record) -> None:
         """Lets all claims about it stand."""
 
 
-class NoHealth(Membership):
+class MembershipWithoutLocalHealth(Membership):
     def _handle_timer(self, token: int, now: float) -> None:
         self._timers[token] = replace(self._timers[token], due_ms=now)  # as if it were never late
         super()._handle_timer(token, now)
 
 
-class Undead(View):
+class ViewIgnoringIncarnations(View):
     def merge(self, record: Record, now: float) -> tuple[Member, api.MemberChange]:
         member = self.members.get(record.name)
         if member is not None and record.status == ALIVE and not member.is_alive():
@@ -311,19 +311,19 @@
 
 
 @pytest.fixture
-def planted(monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[[str, Any], None]]:
+def plant_fault(monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[[str, Any], None]]:
     yield lambda name, value: monkeypatch.setattr(local_member, name, value)
 
 
 def test_without_refutation_living_members_are_declared_dead() -> None:
     with pytest.raises(AssertionError):
-        fleet = agreed_fleet(20, 13, NoRefutation)
+        fleet = agreed_fleet(20, 13, MembershipWithoutRefutation)
         fleet.lose(0.3)
         fleet.run(40_000.0)
         assert fleet.false_deaths == []
 
 
-def suspicions_of_the_starved(core: type[Membership]) -> int:
+def suspicions_by_starved_members(core: type[Membership]) -> int:
     """How often members without processor time suspect healthy ones, while links lose datagrams."""
     fleet = agreed_fleet(30, 8, core)
     starved = fleet.names[::5]
@@ -336,13 +336,15 @@
 
 
 def test_without_local_health_the_starved_suspect_more() -> None:
-    assert suspicions_of_the_starved(NoHealth) > 3 * (suspicions_of_the_starved(Membership) + 1)
+    assert suspicions_by_starved_members(MembershipWithoutLocalHealth) > 3 * (
+        suspicions_by_starved_members(Membership) + 1
+    )
 
 
 def test_where_incarnations_are_not_compared_old_datagrams_revive_the_dead(
-    planted: Callable[[str, Any], None],
+    plant_fault: Callable[[str, Any], None],
 ) -> None:
-    planted("View", Undead)
+    plant_fault("View", ViewIgnoringIncarnations)
     with pytest.raises(Broken):
         test_old_datagrams_replayed_much_later_revive_no_dead_member()
 
--- a/tests/test_membership_parts.py
+++ b/tests/test_membership_parts.py
@@ -163,7 +163,7 @@
 # Probes
 
 
-class Host:
+class MembershipDriver:
     """A membership whose timers are fired by hand, among members that answer nothing by themselves."""
 
     def __init__(self, *others: str) -> None:
@@ -216,66 +216,66 @@
 
 
 def test_a_probe_without_an_ack_tries_other_members_and_a_stream_before_suspicion() -> None:
-    host = Host("n2", "n3", "n4", "n5", "n6")
-    host.probe("n2")
-    assert host.sent_of(Ping) == ["addr:n2"]
-    host.run(MAX_ACK_TIMEOUT_MS)
-    assert host.sent_of(Ping) == ["addr:n2"] * 3
-    assert len(set(host.sent_of(PingRequest)) - {"addr:n2"}) == INDIRECT_PROBERS
-    assert [action.address for action in host.streams] == ["addr:n2"]
-    host.run(600.0)
-    member = host.core.view.members["n2"]
+    driver = MembershipDriver("n2", "n3", "n4", "n5", "n6")
+    driver.probe("n2")
+    assert driver.sent_of(Ping) == ["addr:n2"]
+    driver.run(MAX_ACK_TIMEOUT_MS)
+    assert driver.sent_of(Ping) == ["addr:n2"] * 3
+    assert len(set(driver.sent_of(PingRequest)) - {"addr:n2"}) == INDIRECT_PROBERS
+    assert [action.address for action in driver.streams] == ["addr:n2"]
+    driver.run(600.0)
+    member = driver.core.view.members["n2"]
     assert (member.status, member.suspected_by) == (SUSPECT, ["n1"])
 
 
 def test_the_target_of_a_probe_is_not_requested_to_ping_itself() -> None:
-    host = Host("n2", "n3", "n4")
-    host.probe("n2")
-    host.run(MAX_ACK_TIMEOUT_MS)
-    assert sorted(host.sent_of(PingRequest)) == ["addr:n3", "addr:n4"]
+    driver = MembershipDriver("n2", "n3", "n4")
+    driver.probe("n2")
+    driver.run(MAX_ACK_TIMEOUT_MS)
+    assert sorted(driver.sent_of(PingRequest)) == ["addr:n3", "addr:n4"]
 
 
 @pytest.mark.parametrize(("nacks", "score"), [(0, 2), (1, 1), (2, 1)])
 def test_missing_nacks_lower_local_health(nacks: int, score: int) -> None:
-    host = Host("n2", "n3", "n4")
-    number = host.probe("n2")
-    host.run(150.0)
+    driver = MembershipDriver("n2", "n3", "n4")
+    number = driver.probe("n2")
+    driver.run(150.0)
     for name in ("n3", "n4")[:nacks]:
-        host.receive(Nack(host.header(name), number, []))
-    host.run(600.0)
-    assert host.core.health.score == score
+        driver.receive(Nack(driver.header(name), number, []))
+    driver.run(600.0)
+    assert driver.core.health.score == score
 
 
 def test_an_ack_by_any_path_ends_a_probe() -> None:
-    host = Host("n2", "n3", "n4")
-    number = host.probe("n2")
-    host.run(150.0)
-    assert host.sent_of(PingRequest)
-    host.receive(Ack(host.header("n3"), number, "n2", 1, []))
-    host.run(600.0)
-    assert host.core.view.members["n2"].status == ALIVE
-    assert host.core.health.score == 0
+    driver = MembershipDriver("n2", "n3", "n4")
+    number = driver.probe("n2")
+    driver.run(150.0)
+    assert driver.sent_of(PingRequest)
+    driver.receive(Ack(driver.header("n3"), number, "n2", 1, []))
+    driver.run(600.0)
+    assert driver.core.view.members["n2"].status == ALIVE
+    assert driver.core.health.score == 0
 
 
 def test_an_ack_of_another_incarnation_ends_no_probe() -> None:
-    host = Host("n2", "n3", "n4")
-    number = host.probe("n2")
-    host.receive(Ack(host.header("n3"), number, "n2", 0, []))
-    host.run(600.0)
-    assert host.core.view.members["n2"].status == SUSPECT
+    driver = MembershipDriver("n2", "n3", "n4")
+    number = driver.probe("n2")
+    driver.receive(Ack(driver.header("n3"), number, "n2", 0, []))
+    driver.run(600.0)
+    assert driver.core.view.members["n2"].status == SUSPECT
 
 
 def test_a_ping_request_is_answered_with_a_nack_and_a_later_ack_is_still_forwarded() -> None:
-    host = Host("n2", "n3")
-    host.receive(PingRequest(host.header("n3"), 41, "n2", "addr:n2", []))
-    [(address, ping)] = [(address, sent) for address, sent in host.sent if isinstance(sent, Ping)]
+    driver = MembershipDriver("n2", "n3")
+    driver.receive(PingRequest(driver.header("n3"), 41, "n2", "addr:n2", []))
+    [(address, ping)] = [(address, sent) for address, sent in driver.sent if isinstance(sent, Ping)]
     assert (address, ping.target) == ("addr:n2", "n2")
-    host.run(200.0)
-    assert [(address, sent.number) for address, sent in host.sent if isinstance(sent, Nack)] == [
+    driver.run(200.0)
+    assert [(address, sent.number) for address, sent in driver.sent if isinstance(sent, Nack)] == [
         ("addr:n3", 41)
     ]
-    host.receive(Ack(host.header("n2"), ping.number, "n2", 1, []))
-    [(address, ack)] = [(address, sent) for address, sent in host.sent if isinstance(sent, Ack)]
+    driver.receive(Ack(driver.header("n2"), ping.number, "n2", 1, []))
+    [(address, ack)] = [(address, sent) for address, sent in driver.sent if isinstance(sent, Ack)]
     assert (address, ack.number, ack.target) == ("addr:n3", 41, "n2")
 
 
@@ -283,26 +283,26 @@
 
 
 def test_a_suspicion_of_oneself_is_refuted_by_a_higher_revision() -> None:
-    host = Host("n2", "n3")
+    driver = MembershipDriver("n2", "n3")
     claim = Record("n1", 5, 0, SUSPECT, 5, "addr:n1", suspected_by=["n2"])
-    host.receive(Gossip(host.header("n2"), [claim]))
-    assert (host.core.revision, host.core.refutations) == (1, 1)
+    driver.receive(Gossip(driver.header("n2"), [claim]))
+    assert (driver.core.revision, driver.core.refutations) == (1, 1)
 
 
 def test_a_sender_of_an_outdated_claim_is_sent_the_newer_record() -> None:
-    host = Host("n2", "n3")
+    driver = MembershipDriver("n2", "n3")
     refuted = Record("n3", 1, 4, ALIVE, 7, "addr:n3", 1)
-    host.receive(Gossip(host.header("n2"), [refuted]))
-    host.sent.clear()
-    host.receive(Gossip(host.header("n2"), [Record("n3", 1, 3, DEAD, 7, "addr:n3", 1)]))
-    corrections = [sent for address, sent in host.sent if isinstance(sent, Gossip) and address == "addr:n2"]
+    driver.receive(Gossip(driver.header("n2"), [refuted]))
+    driver.sent.clear()
+    driver.receive(Gossip(driver.header("n2"), [Record("n3", 1, 3, DEAD, 7, "addr:n3", 1)]))
+    corrections = [sent for address, sent in driver.sent if isinstance(sent, Gossip) and address == "addr:n2"]
     assert [(r.name, r.revision, r.status) for sent in corrections for r in sent.records] == [
         ("n3", 4, ALIVE)
     ]
-    assert host.core.view.members["n3"].status == ALIVE
+    assert driver.core.view.members["n3"].status == ALIVE
 
 
 def test_a_reported_death_of_a_member_that_was_alive_is_a_suspicion() -> None:
-    host = Host("n2", "n3")
-    host.receive(Gossip(host.header("n2"), [Record("n3", 1, 0, DEAD, 7, "addr:n3", 1)]))
-    assert host.core.view.members["n3"].status == SUSPECT
+    driver = MembershipDriver("n2", "n3")
+    driver.receive(Gossip(driver.header("n2"), [Record("n3", 1, 0, DEAD, 7, "addr:n3", 1)]))
+    assert driver.core.view.members["n3"].status == SUSPECT
--- a/tests/test_state_table.py
+++ b/tests/test_state_table.py
@@ -9,7 +9,7 @@
 from dunlinloft.fleet.leases.table_rows import MAX_ROWS, STATE_TABLE_ROLE
 from lab.virtual.duties import World
 from lab.virtual.scene import Broken
-from tests.lease_world import storm, write_rows
+from tests.lease_world import inject_random_faults, write_rows
 
 
 def test_no_acknowledged_row_is_lost_in_storms() -> None:
@@ -18,7 +18,7 @@
         world = World(seed, 7, 5 if seed % 3 else 3, duties=1, loss=0.1 * (seed % 2), ledger=True)
         world.run(8_000.0)
         for _ in range(6):
-            storm(world, 2_000.0)
+            inject_random_faults(world, 2_000.0)
             write_rows(world, 2_500.0)
         assert not world.book.losses
         kept, openings = kept + world.book.kept, openings + world.book.openings
--- a/tests/test_voter_changes.py
+++ b/tests/test_voter_changes.py
@@ -22,12 +22,19 @@
 from dunlinloft.fleet.leases.voters import VoterChange, VoterChangeStep
 from lab.virtual.duties import World
 from lab.virtual.scene import Broken
-from tests.lease_world import TWO_LEADERS, all_roles_led, has_recovered, partition, storm, write_rows
+from tests.lease_world import (
+    TWO_LEADERS,
+    all_roles_led,
+    has_recovered,
+    inject_random_faults,
+    partition,
+    write_rows,
+)
 
 
-def change_voters(world: World, add: str = "", remove: str = "", for_ms: float = 8_000.0) -> bool:
+def change_voters(world: World, add: str = "", remove: str = "", duration_ms: float = 8_000.0) -> bool:
     """Operators change the voters; whether that is adopted within this time."""
-    before, end = max(world.epochs), world.now + for_ms
+    before, end = max(world.epochs), world.now + duration_ms
     while max(world.epochs) == before and world.now < end:
         world.book.change(add, remove)
         world.run(100.0)
@@ -40,7 +47,7 @@
         world = World(seed, 8, 5 if seed % 2 else 3, duties=1, loss=0.05 * (seed % 3), ledger=True)
         world.run(8_000.0)
         for _ in range(6):
-            storm(world, 1_500.0)
+            inject_random_faults(world, 1_500.0)
             others = [name for name in world.names if name not in world.voters]
             if len(world.voters) <= 3 or world.rng.random() < 0.5:
                 world.book.change(add=world.rng.choice(others))
@@ -85,23 +92,28 @@
     assert world.run(20_000.0, lambda: world.book.openings > 0) < 20_000.0
     core = world.processes[world.holders(STATE_TABLE_ROLE)[0]].core
 
-    def why(add: str = "", remove: str = "") -> str:
-        [settled] = [
+    def rejection_of(add: str = "", remove: str = "") -> str:
+        [completed] = [
             a
             for a in core.handle(VoterChangeRequested(add, remove, 9), world.now)
             if isinstance(a, WriteCompleted)
         ]
-        return settled.rejection
+        return completed.rejection
 
     core.holds = lambda role, now: True  # type: ignore[method-assign]
-    assert why() == why("m4", "m1") == "one voter is added or removed at a time"
-    assert why("m1") == "m1 is a voter already" and why("m99") == "m99 is no member that is there"
-    assert why("", "m5") == "m5 is no voter"
-    assert why("", "m1") == "there would be 2 voters; 3 to 7 are possible"
+    assert rejection_of() == rejection_of("m4", "m1") == "one voter is added or removed at a time"
+    assert (
+        rejection_of("m1") == "m1 is a voter already"
+        and rejection_of("m99") == "m99 is no member that is there"
+    )
+    assert rejection_of("", "m5") == "m5 is no voter"
+    assert rejection_of("", "m1") == "there would be 2 voters; 3 to 7 are possible"
     del core.holds
     assert change_voters(world, add="m4")
     [holder] = world.holders(STATE_TABLE_ROLE)
-    assert "change 1" in world.processes[holder].core.why_no_voter_change(world.processes[holder].clock())
+    assert "change 1" in world.processes[holder].core.voter_change_blocked_reason(
+        world.processes[holder].clock()
+    )
 
 
 def remove_granting_voters(seed: int) -> None:
