--- a/dunlinloft/fleet/__init__.py
+++ b/dunlinloft/fleet/__init__.py
@@ -1,5 +1,6 @@
-"""State machines of the fleet, without I/O, clocks or sockets: events in, actions out.
+"""State machines of the fleet: they turn events into actions and use no I/O, clocks or sockets.
 
-Shared by all: `interface`, `timers`, `messages`, `wire`, `rendezvous` and `member_count` (shares of budgets).
-Any package but `dunlinloft.balancer` and `dunlinloft.transport` may import it; it imports no other package.
+The modules `interface`, `timers`, `messages`, `wire`, `rendezvous` and `member_count` (shares of budgets) are
+common to all of them. Any package except `dunlinloft.balancer` and `dunlinloft.transport` may import this
+one; it imports no other package.
 """
--- a/dunlinloft/fleet/interface.py
+++ b/dunlinloft/fleet/interface.py
@@ -1,8 +1,8 @@
-"""Events that a host gives to the membership state machine, and actions that it carries out for it.
+"""Events that a host passes to the membership state machine, and actions that it executes in return.
 
-The state machine is pure: `Membership.handle(event, now)` returns actions and touches neither sockets nor
+The state machine is pure: `Membership.handle(event, now)` returns actions and uses neither sockets nor
 clocks. Times are milliseconds on the host's own monotonic clock. The hosts are `dunlinloft.node.fleet.peers`
-(sockets), `lab.virtual` (virtual time) and `lab.explore` (an explorer of message orders).
+(sockets), `lab.virtual` (virtual time) and `lab.explore` (exploration of message orders).
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 class MemberChange(StrEnum):
     """How the view of a member has changed.
 
-    `View.merge` gives those up to `LEFT`; the last three are of a fleet with cells.
+    `View.merge` returns the values up to `LEFT`; the last three occur only in a fleet with cells.
     """
 
     NONE = ""
-    JOINED = "joined"  # a member that was unknown, dead, left, or of an earlier incarnation is alive
+    JOINED = "joined"  # alive now; before, it was unknown, dead, left or an earlier incarnation
     METADATA = "facts"
-    SUSPECTED_BY_MORE = "accused"  # a suspicion that is known has one more independent source
+    SUSPECTED_BY_MORE = "accused"  # a known suspicion has one more independent source
     SUSPECT = "suspect"
     ALIVE = "alive"
     DEAD = "dead"
     LEFT = "left"
-    RELEASED = "gone"  # it belongs to another cell by now
-    CELL = "cut"  # of this process itself: its cell was split or merged
-    TOTALS = "totals"  # of this process itself: the totals of its service have changed
+    RELEASED = "gone"  # it has moved to another cell
+    CELL = "cut"  # this process's own cell was split or merged
+    TOTALS = "totals"  # the totals of this process's service have changed
 
 
 # Events
@@ -43,14 +43,14 @@
 
 @dataclass(slots=True)
 class Started:
-    """The process is up and can be reached."""
+    """The process has started and is reachable."""
 
 
 @dataclass(slots=True)
 class MessageReceived:
-    """A datagram has come from the address `source`.
+    """A datagram was received from the address `source`.
 
-    `sender_cell` is the cell that its sender belongs to, in a fleet with cells.
+    In a fleet with cells, `sender_cell` is the cell of the sender.
     """
 
     message: AnyMessage
@@ -60,10 +60,10 @@
 
 @dataclass(slots=True)
 class PushPullReceived:
-    """Another member's state has come complete over a stream.
+    """Another member's complete state was received over a stream.
 
-    `requested`: it answers a `PushPull` of this process. Otherwise the other side opened the exchange, and
-    the host answers it with `Membership.state_for`.
+    If `requested`, it is the response to a `PushPull` of this process. Otherwise the other member initiated
+    the exchange, and the host responds with `Membership.state_for`.
     """
 
     state: State
@@ -74,14 +74,14 @@
 
 @dataclass(slots=True)
 class PushPullFailed:
-    """A push-pull exchange with this address has failed or timed out."""
+    """A push-pull exchange with this address failed or timed out."""
 
     address: str
 
 
 @dataclass(slots=True)
 class StreamProbeAcked:
-    """The member `name` has answered the `ProbeOverStream` of this number."""
+    """The member `name` acknowledged the `ProbeOverStream` with this number."""
 
     number: int
     name: str
@@ -90,14 +90,14 @@
 
 @dataclass(slots=True)
 class MetadataUpdated:
-    """New values of this process's own metadata; keys that are absent stay as they were."""
+    """New values of this process's own metadata; absent keys keep their values."""
 
     metadata: dict[str, MetadataValue]
 
 
 @dataclass(slots=True)
 class LeaveRequested:
-    """The process shuts down gracefully: the other members are notified that it leaves."""
+    """The process shuts down gracefully and notifies the other members that it leaves."""
 
 
 Event = (
@@ -124,7 +124,7 @@
 
 @dataclass(slots=True)
 class ProbeOverStream:
-    """Probe over a stream: `StreamProbeAcked(number)` if it is answered, no event otherwise."""
+    """Probe a member over a stream; `StreamProbeAcked(number)` follows only if it responds."""
 
     address: str
     number: int
@@ -132,7 +132,7 @@
 
 @dataclass(slots=True)
 class PushPull:
-    """Push this state over a stream and pull the other's: `PushPullReceived` or `PushPullFailed` follows."""
+    """Exchange this state for the peer's over a stream; `PushPullReceived` or `PushPullFailed` follows."""
 
     address: str
     state: State
@@ -148,7 +148,7 @@
 
 @dataclass(slots=True)
 class LogEvent:
-    """An event for the operators' log."""
+    """An event for the operational log."""
 
     event: str
     fields: dict[str, MetadataValue] = field(default_factory=dict)
--- a/dunlinloft/fleet/member_count.py
+++ b/dunlinloft/fleet/member_count.py
@@ -1,12 +1,12 @@
-"""How many processes share a budget, and which share is this one's, by a view that may be partitioned.
-
-A process that counts too few takes too much: the shares of quotas and of the budgets of servers that warm up
-would add up to more than there is. So a share shrinks at once and grows late. A new member counts at once.
-A missing one goes on counting until the view has been without it for `MISSING_MEMBER_GRACE_MS`, and then
-only where those in view are more than half of all that counted: at most one side of a partition can do
-that, the others stay at the small shares that they had. All sides together take less than 1.5 times the
-budget (all of it on the one side, and less than half of the shares on the others); the shares of members
-that die on the majority's side are taken over after the grace time.
+"""Counts the processes that share a budget, and determines this process's share, despite partitions.
+
+A process that counts too few members takes too large a share: the shares of quotas and of the budgets of
+servers that warm up would add up to more than the budget. Therefore a share shrinks immediately and grows
+with a delay. A new member counts immediately. A missing member is dropped from the count only after
+`MISSING_MEMBER_GRACE_MS`, and only if the members in view are more than half of all that were counted. At
+most one side of a partition satisfies this; the other sides keep their small shares. All sides together use
+less than 1.5 times the budget: the majority side uses all of it, and the others less than half of the shares.
+The shares of members that die on the majority side are redistributed after the grace period.
 """
 
 from __future__ import annotations
@@ -14,41 +14,43 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-# Longer than a crash takes to be known: p99 2.85 s with 20% loss (docs/membership.md).
+# Longer than the detection of a crash: p99 2.85 s with 20% datagram loss (docs/membership.md).
 MISSING_MEMBER_GRACE_MS = 10_000.0
 
 
 class Position(NamedTuple):
-    """The number of a process among those that share a budget, from 0, and how many these are."""
+    """The index of a process among those that share a budget, from 0, and the number of those processes."""
 
     number: int
     nodes: int
 
 
 class MemberCount:
-    """Counts the processes that share this one's budgets.
+    """Counts the processes that share budgets with this one.
 
-    Owned by the host (`node.fleet.peers`), which reports who is alive (`observe`) and reads `position`.
+    Owned by the host (`node.fleet.peers`), which reports the members that are alive (`observe`) and reads
+    `position`.
 
     Parameters
     ----------
     own: name of this process.
-    number, nodes: its position by its configuration.
-    grace_ms: how long a missing process counts on.
+    number, nodes: its configured position.
+    grace_ms: how long a missing process is still counted.
     """
 
     def __init__(self, own: str, number: int, nodes: int, grace_ms: float = MISSING_MEMBER_GRACE_MS) -> None:
         self._own_name = own
         self._configured = Position(number, nodes)
         self._grace_ms = grace_ms
-        # All that count, and since when each is missing; None for those that are alive.
+        # All counted processes with the time since which each is missing; None for those that are alive.
         self._missing_since: dict[str, float | None] = {own: None}
-        # As many as configured count, seen or not, until all were seen or some missing for the grace time.
+        # The configured number is the minimum count until that many processes were seen, or until the grace
+        # period has passed without them.
         self._use_configured_floor = True
-        self._short_since_ms: float | None = None  # since when fewer than configured are known
+        self._short_since_ms: float | None = None  # since when fewer than the configured number are known
 
     def reconfigure(self, number: int, nodes: int) -> None:
-        """Take a changed configuration; its number of nodes is the floor again."""
+        """Apply a changed configuration; its number of nodes becomes the minimum count again."""
         position = Position(number, nodes)
         if position != self._configured:
             self._configured = position
@@ -56,15 +58,15 @@
             self._short_since_ms = None
 
     def total(self) -> int:
-        """How many processes count."""
+        """Return the number of counted processes."""
         return max(len(self._missing_since), self._configured.nodes if self._use_configured_floor else 0)
 
     def counted_names(self) -> frozenset[str]:
-        """The names of those that count, as far as they have been seen."""
+        """Return the names of the counted processes that have been seen."""
         return frozenset(self._missing_since)
 
     def retain(self, shares_budget: Callable[[str], bool]) -> None:
-        """Drop all that are not ours any more, alive or missing: they are counted elsewhere."""
+        """Drop processes, alive or missing, that no longer share this budget; they are counted elsewhere."""
         self._missing_since = {
             name: since
             for name, since in self._missing_since.items()
@@ -72,7 +74,7 @@
         }
 
     def observe(self, alive: set[str], now: float) -> None:
-        """Take in who is alive now, this process included."""
+        """Update the count from the names of the processes that are alive now, including this one."""
         for name in alive:
             self._missing_since[name] = None
         for name, since in self._missing_since.items():
@@ -86,7 +88,7 @@
         self._drop_missing(now)
 
     def _drop_missing(self, now: float) -> None:
-        """Stop counting the missing, once the grace time is over and a majority is alive."""
+        """Stop counting missing processes once the grace period is over and a majority is alive."""
         alive = sum(since is None for since in self._missing_since.values())
         missing_since = [
             since for since in (*self._missing_since.values(), self._short_since_ms) if since is not None
@@ -98,9 +100,10 @@
         self._short_since_ms = None
 
     def position(self) -> Position:
-        """This process's position among those that count.
+        """Return this process's position among the counted processes.
 
-        The configured one, as long as it names as many: then all processes agree without any message.
+        While the count equals the configured number, this is the configured position, on which all processes
+        agree without exchanging messages.
         """
         total = self.total()
         if total == self._configured.nodes:
--- a/dunlinloft/fleet/rendezvous.py
+++ b/dunlinloft/fleet/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing (Thaler and Ravishankar 1998): an order of members that all who know them agree on."""
+"""Rendezvous hashing (Thaler and Ravishankar 1998): an order of members that all processes agree on."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def rank(subject: str, member: str | int) -> bytes:
-    """A member's rank for a subject: the same at every process, and independent between subjects."""
+    """Return a member's rank for a subject, equal on all processes and independent between subjects."""
     return hashlib.blake2b(f"{subject}/{member}".encode(), digest_size=8).digest()
--- a/dunlinloft/fleet/timers.py
+++ b/dunlinloft/fleet/timers.py
@@ -1,4 +1,4 @@
-"""The timer request and its expiry, which all of the fleet's state machines share."""
+"""The timer request and timer event shared by all state machines of the fleet."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """Event: the timer that was requested by a `SetTimer` of this token has expired."""
+    """Event: the timer requested by the `SetTimer` with this token has expired."""
 
     token: int
 
--- a/dunlinloft/fleet/wire.py
+++ b/dunlinloft/fleet/wire.py
@@ -1,7 +1,7 @@
-"""Encodes and decodes member messages: MessagePack behind a prefix of format version and fleet name.
+"""Encodes and decodes member messages: a prefix of format version and fleet name, followed by MessagePack.
 
-Bytes that are truncated, oversized, malformed, of another format version or of another fleet are rejected
-with a `RejectReason`; decoding raises nothing else.
+Input that is truncated, oversized, malformed, or from another format version or fleet is rejected with a
+`RejectReason`. Decoding raises no other exception.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 T = TypeVar("T")
 
-# Below the usual path MTU of 1500 bytes with IP and UDP headers, so a datagram is never fragmented.
+# With IP and UDP headers below the usual path MTU of 1500 bytes, so that datagrams are not fragmented.
 MAX_DATAGRAM_BYTES = 1400
-MAX_STATE_BYTES = 512 * 1024  # of a state that is exchanged over a stream
-_PREFIX_BYTES = 5  # one for the format version, four for the CRC-32 of the fleet's name
+MAX_STATE_BYTES = 512 * 1024  # encoded size of a state exchanged over a stream
+_PREFIX_BYTES = 5  # one byte for the format version, four for the CRC-32 of the fleet's name
 
 
 class RejectReason(StrEnum):
-    """Why received bytes were rejected; operators see the counts by these values (`refused_for`)."""
+    """Why received bytes were rejected; operators see counts by these values (`refused_for`)."""
 
     SHORT = "short"
     VERSION = "version"
@@ -33,7 +33,7 @@
 
 
 class MessageRejected(Exception):
-    """Bytes that are no valid message of this fleet."""
+    """The received bytes are not a valid message of this fleet."""
 
     def __init__(self, reason: RejectReason) -> None:
         super().__init__(reason)
@@ -55,7 +55,7 @@
 
 
 def encode_state(prefix: bytes, state: State) -> bytes:
-    """Encode a state for a stream, dropping the last tenth of its records until it fits."""
+    """Encode a state for a stream; while it is too large, drop the last tenth of its records."""
     data = prefix + _encode(state)
     while len(data) > MAX_STATE_BYTES and state.records:
         del state.records[len(state.records) * 9 // 10 :]
@@ -78,7 +78,7 @@
         self._prefix = bytes([VERSION]) + zlib.crc32(fleet.encode()).to_bytes(4, "big")
 
     def write(self, message: Message) -> bytes:
-        """Encode a datagram; records that would make it too long are dropped, the last first."""
+        """Encode a datagram, dropping records from the end until it fits `MAX_DATAGRAM_BYTES`."""
         return encode_datagram(self._prefix, message)
 
     def read(self, data: bytes) -> Message:
@@ -86,7 +86,7 @@
         return decode(_message_decoder, self._body(data, MAX_DATAGRAM_BYTES))
 
     def write_state(self, state: State) -> bytes:
-        """Encode a state; records beyond `MAX_STATE_BYTES` are dropped, the last first."""
+        """Encode a state, dropping records from the end until it fits `MAX_STATE_BYTES`."""
         return encode_state(self._prefix, state)
 
     def read_state(self, data: bytes) -> State:
@@ -94,7 +94,7 @@
         return decode(_state_decoder, self._body(data, MAX_STATE_BYTES))
 
     def _body(self, data: bytes, max_bytes: int) -> memoryview:
-        """Check the length and the prefix; the bytes behind it."""
+        """Check the length and the prefix, and return the bytes after the prefix."""
         if len(data) <= _PREFIX_BYTES:
             raise MessageRejected(RejectReason.SHORT)
         if len(data) > max_bytes:
