--- a/dunlinloft/fleet/membership/core.py
+++ b/dunlinloft/fleet/membership/core.py
@@ -1,7 +1,7 @@
-"""The membership of one process: a pure state machine that is given events and returns actions.
+"""The membership of one process: a pure state machine that receives events and returns actions.
 
-SWIM (Das, Gupta, Motivala 2002) with Lifeguard's refinements (Dadgar, Phillips, Currey 2017) and some of
-our own; `docs/membership.md` explains which and why. Its hosts are named in `fleet.interface`.
+SWIM (Das, Gupta, Motivala 2002) with the Lifeguard extensions (Dadgar, Phillips, Currey 2017) and further
+changes that `docs/membership.md` lists with their reasons. `fleet.interface` names the hosts.
 """
 
 from __future__ import annotations
@@ -29,15 +29,16 @@
     State,
 )
 
-MAX_CORRECTIONS = 8  # members about whom the sender of one message is corrected: the answer is one datagram
-LEAVE_FANOUT = 2 * GOSSIP_FANOUT_LONG_QUEUE  # members that are sent our leave, enough for it to spread
+MAX_CORRECTIONS = 8  # records sent to correct the sender of one message, so that they fit one datagram
+LEAVE_FANOUT = 2 * GOSSIP_FANOUT_LONG_QUEUE  # members notified of a leave, enough for it to be disseminated
 
 
 class Membership(FailureDetection):
-    """One process among the members of its fleet.
+    """One process's membership in its fleet.
 
-    A host calls `handle` with each event and carries out the actions in their order. It may read the public
-    attributes and the methods of `LocalMember` between calls. `fleet.cells.core.CellMembership` extends it.
+    A host calls `handle` with each event and executes the returned actions in order. Between calls it may
+    read public attributes and call the methods of `LocalMember`. `fleet.cells.core.CellMembership` extends
+    it.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         self._has_joined = False
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """Handle one event at `now` (ms, monotonic); the actions that follow, in their order."""
+        """Handle one event at `now` (ms, monotonic) and return the resulting actions in order."""
         self.actions = []
         self._now = now
         match event:
@@ -59,7 +60,7 @@
             case api.PushPullReceived():
                 self._handle_push_pull(event.state, event.source, event.requested, now)
             case api.PushPullFailed():
-                pass  # the next attempt has its timer already
+                pass  # the timer of the next attempt is already set
             case api.StreamProbeAcked():
                 self._handle_ack(event.number, event.name, event.incarnation, now, "")
             case api.MetadataUpdated():
@@ -111,12 +112,12 @@
                 self._handle_extension_timer(timer.kind, now)
 
     def _handle_extension_timer(self, kind: TimerKind, now: float) -> None:
-        """Hook for the timers of a subclass; does nothing by itself."""
+        """Hook for the timers of a subclass; does nothing here."""
 
     def _schedule_push_pull(self) -> None:
         self.set_timer(PUSH_PULL_INTERVAL_MS * (0.5 + self.rng.random()), TimerKind.PUSH_PULL)
 
-    # The process itself
+    # The local process
 
     def _start(self) -> None:
         self._rejoin()
@@ -125,7 +126,7 @@
         self.set_timer(DEAD_PROBE_INTERVAL_MS * (0.5 + self.rng.random()), TimerKind.PROBE_DEAD)
 
     def _update_metadata(self, metadata: dict[str, MetadataValue]) -> None:
-        """Take new values of our own metadata; what has changed is disseminated."""
+        """Update the local metadata and disseminate changed values."""
         changed = {key: value for key, value in metadata.items() if self._metadata.get(key) != value}
         if changed:
             self._metadata |= changed
@@ -133,7 +134,7 @@
             self._disseminate(self.name)
 
     def _leave(self) -> None:
-        """Send our leave to enough members that it spreads; nothing is handled afterwards."""
+        """Notify enough members of the leave for it to be disseminated; later events are ignored."""
         if self.status != ALIVE:
             return
         self.status = LEFT
@@ -148,11 +149,11 @@
             self._handle_message(message, source, now)
 
     def _handle_message(self, message: Message, source: str, now: float) -> None:
-        """Take in the header and the records of a message, then answer it."""
+        """Process the header and the records of a message, then respond to it."""
         if self.status != ALIVE:
             return
         if message.header.name == self.name:
-            return  # ourselves by some detour, or a name conflict, which records show better
+            return  # our own message, or a name conflict, which records detect more reliably
         self._handle_header(message.header, source, now)
         self._outdated_claims.clear()
         for record in message.records:
@@ -174,14 +175,14 @@
                 self.prober.handle_nack(message.number)
 
     def _correct_outdated(self, source: str) -> None:
-        """Send newer records to a sender of outdated claims: the update that it missed may not come again."""
+        """Send newer records to the sender of outdated ones, as the update it missed may not be resent."""
         if self._outdated_claims:
             newer = (self._record_of(name, False) for name in list(self._outdated_claims)[:MAX_CORRECTIONS])
             records = [record for record in newer if record is not None]
             self.send_datagram(source, Gossip(self.header(), records))
 
     def _handle_push_pull(self, state: State, source: str, requested: bool, now: float) -> None:
-        """Merge the state of another member."""
+        """Merge the state received from another member."""
         if self.status != ALIVE:
             return
         if requested and not self._has_joined:
@@ -190,4 +191,4 @@
         for record in state.records:
             self._merge_record(record, now)
         if self.muted and requested and all(record.name != self.name for record in state.records):
-            self._unmute(None)  # nobody knows our name any more, so it is free
+            self._unmute(None)  # the name is no longer in use
--- a/dunlinloft/fleet/membership/dissemination_queue.py
+++ b/dunlinloft/fleet/membership/dissemination_queue.py
@@ -1,7 +1,7 @@
-"""Updates that wait to be disseminated: each is sent a bounded number of times.
+"""A queue of updates to disseminate, each transmitted a bounded number of times.
 
-The queue keeps whose record is to be sent; the record itself is made when a message is, so it is always the
-newest. The number of transmissions grows with the logarithm of the fleet's size (SWIM, section 4.1).
+The queue stores only names. Records are created with the message that carries them, so they are always
+current. The number of transmissions grows with the logarithm of the fleet's size (SWIM, section 4.1).
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 
 from dunlinloft.fleet.messages import Record
 
-RETRANSMIT_MULTIPLIER = 4  # transmissions per power of ten of members; memberlist's RetransmitMult is 4 too
-MAX_PIGGYBACK_BYTES = 1150  # of `wire.MAX_DATAGRAM_BYTES`, for records
-LONG_QUEUE_LENGTH = 20  # updates from which gossip goes to more members at a time
-MAX_CANDIDATES = 64  # updates that are looked at for one message
+RETRANSMIT_MULTIPLIER = 4  # transmissions per power of ten of members, as memberlist's RetransmitMult
+MAX_PIGGYBACK_BYTES = 1150  # share of `wire.MAX_DATAGRAM_BYTES` for records
+LONG_QUEUE_LENGTH = 20  # queued updates above which gossip is sent to more members
+MAX_CANDIDATES = 64  # updates considered for one message
 
 
 class DisseminationQueue:
-    """Names whose records are still to be sent, and how many transmissions each has left."""
+    """Names whose records are to be sent, with the number of remaining transmissions of each."""
 
     def __init__(self) -> None:
         self._remaining: dict[str, int] = {}
-        self._with_metadata: set[str] = set()  # those whose metadata is new too
+        self._with_metadata: set[str] = set()  # names whose metadata is to be sent too
 
     def __len__(self) -> int:
         return len(self._remaining)
 
     def add(self, name: str, members: int, include_metadata: bool) -> None:
-        """Queue a member's record for as many transmissions as a fleet of `members` needs."""
+        """Queue a member's record for the number of transmissions that a fleet of `members` requires."""
         if self._remaining.pop(name, None) is None:
             self._with_metadata.discard(name)
         if include_metadata:
@@ -38,17 +38,17 @@
     def next_records(
         self, record_of: Callable[[str, bool], Record | None], max_bytes: int = MAX_PIGGYBACK_BYTES
     ) -> list[Record]:
-        """Records for one message, those transmitted least often first.
+        """Return records for one message, those transmitted least often first.
 
         Parameters
         ----------
-        record_of: makes the record of a name, with its metadata or without; None if it is not known.
-        max_bytes: estimated size that all of them may take.
+        record_of: returns the record of a name, with or without metadata; None if the name is unknown.
+        max_bytes: limit of the estimated total size.
         """
         if not self._remaining:
             return []
         records: list[Record] = []
-        # By transmissions left, so what has just been sent moves back and a long queue takes turns.
+        # Sorted by remaining transmissions: records just sent move back, so a long queue is served in turns.
         order = sorted(self._remaining, key=self._remaining.__getitem__, reverse=True)
         for name in order[:MAX_CANDIDATES]:
             record = record_of(name, name in self._with_metadata)
--- a/dunlinloft/fleet/membership/failure_detection.py
+++ b/dunlinloft/fleet/membership/failure_detection.py
@@ -1,7 +1,7 @@
-"""Failure detection: what probes and received records make of a member, up to its declaration as dead.
+"""Failure detection: derives the status of members from probes and received records.
 
-A member whose probe fails is suspected; a suspicion that nobody refutes before its time-out, and a final
-probe that fails too, declare it dead (SWIM, section 4.2, with the changes in `docs/membership.md`).
+A member whose probe fails is suspected. If the suspicion is not refuted before its time-out and a final probe
+fails too, the member is declared dead (SWIM, section 4.2, with the changes in `docs/membership.md`).
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from dunlinloft.fleet.membership.timers import TimerKind
 from dunlinloft.fleet.messages import DEAD, LEFT, STATUS_NAMES, SUSPECT, MetadataValue, Record
 
-FINAL_PROBE_MS = 300.0  # before the time-out of a suspicion: its final probe starts so early
-CONFIRM_DELAY = 0.2  # of a probe period, at most: a confirming probe is not sent by all at once
-SUSPICION_PER_HEALTH_POINT = 0.5  # longer time-out for each point of the local health score
+FINAL_PROBE_MS = 300.0  # the final probe starts this long before the suspicion's time-out
+CONFIRM_DELAY = 0.2  # maximum random delay of a confirming probe, as a fraction of the probe period
+SUSPICION_PER_HEALTH_POINT = 0.5  # relative increase of the time-out per point of the local health score
 
 
 class FailureDetection(NameOwnership):
-    """Merges records into the view, and suspects, confirms and declares dead."""
+    """Merges records into the view, and suspects members, confirms suspicions and declares deaths."""
 
     def __init__(
         self, identity: Identity, rng: random.Random, metadata: dict[str, MetadataValue] | None
@@ -36,7 +36,7 @@
     # Records
 
     def _merge_record(self, record: Record, now: float) -> None:
-        """Merge a received record, of another member or of this process."""
+        """Merge a received record of another member or of this process."""
         if not 0 <= record.status <= LEFT:
             return
         if record.name == self.name:
@@ -54,10 +54,10 @@
         self._record_changed(member, change, now)
 
     def _death_as_suspicion(self, record: Record, now: float) -> Record:
-        """A reported death as it is believed: of a member that was alive just now, only a suspicion.
+        """Convert a reported death of a member that is alive in this view into a suspicion.
 
-        Its time to refute begins with us. Otherwise the two sides of a healed partition would declare dead
-        for a moment members that only the other side could not reach.
+        The member then has time to refute it. Otherwise each side of a healed partition would briefly declare
+        members dead that only the other side could not reach.
         """
         member = self.view.get(record.name)
         if record.status != DEAD or member is None or not member.is_alive():
@@ -76,7 +76,7 @@
         return suspicion
 
     def _record_changed(self, member: Member, change: api.MemberChange, now: float) -> None:
-        """Follow a change of the view: time a suspicion, notify the host, log, and drop expired records."""
+        """React to a changed member: start a suspicion, notify the host, log, and drop expired records."""
         if member.status == SUSPECT:
             is_first = not member.suspicion_timer
             self._start_suspicion(member, now)
@@ -110,7 +110,7 @@
         )
 
     def _maybe_confirm(self, member: Member) -> None:
-        """Probe a suspect ourselves, with such a chance that `EXPECTED_CONFIRMERS` members do."""
+        """Probe a suspect, with the probability at which `EXPECTED_CONFIRMERS` members on average do."""
         if self.rng.random() * self.alive_count() < EXPECTED_CONFIRMERS:
             delay_ms = PROBE_PERIOD_MS * CONFIRM_DELAY * self.rng.random()
             self.set_timer(delay_ms, TimerKind.CONFIRM, member=member.name)
@@ -125,7 +125,7 @@
             self._probe_failed(failed.target, failed.is_final, now)
 
     def _probe_failed(self, name: str, is_final: bool, now: float) -> None:
-        """A probe of ours got no ack: suspect the member, or after the final probe declare it dead."""
+        """Suspect a member whose probe got no ack, or declare it dead if it was the final probe."""
         member = self.view.get(name)
         if member is None or not member.is_alive() or self.muted:
             return
@@ -140,15 +140,15 @@
         self._merge_record(record, now)
 
     def _handle_ack(self, number: int, name: str, incarnation: int, now: float, source: str) -> None:
-        """An ack, from the member itself or by another; `source` is "" if it came over a stream."""
+        """Handle an ack, direct or forwarded; `source` is "" if it was received over a stream."""
         member = self.prober.handle_ack(number, name, incarnation, now, source)
         if member is not None and member.status == SUSPECT:
-            # It is alive whatever others claim: it has to learn of the suspicion and gets time to refute.
+            # The member is alive; restart the suspicion so that it learns of it and has time to refute it.
             member.status_since_ms = now
             self._start_suspicion(member, now)
 
     def _start_suspicion(self, member: Member, now: float) -> None:
-        """Set the timer of a suspicion anew, by the number of members that suspect by now."""
+        """Set or reset the timer of a suspicion, based on the current number of suspecters."""
         timeout_ms = suspicion_timeout_ms(self.alive_count(), len(member.suspected_by))
         timeout_ms *= 1.0 + SUSPICION_PER_HEALTH_POINT * self.health.score
         elapsed_ms = now - member.status_since_ms
@@ -157,14 +157,14 @@
         member.final_probe = 0
 
     def _handle_suspicion_timeout(self, name: str, token: int, in_time: bool, now: float) -> None:
-        """A suspicion was not refuted: start the final probe."""
+        """Start the final probe of a member whose suspicion was not refuted."""
         member = self.view.get(name)
         if member is None or member.status != SUSPECT or member.suspicion_timer != token:
             return
-        if not in_time or not self.health.is_reliable(now):  # a process that is late declares nobody dead
+        if not in_time or not self.health.is_reliable(now):  # a delayed process declares no member dead
             member.status_since_ms = now
             return self._start_suspicion(member, now)
-        # Once more, ourselves: its refutation may not have reached us.
+        # Probe once more, as a refutation may have been lost.
         member.final_probe = self.prober.probe(name, now, is_final=True)
 
     def _declare_dead(self, member: Member, now: float) -> None:
--- a/dunlinloft/fleet/membership/local_member.py
+++ b/dunlinloft/fleet/membership/local_member.py
@@ -1,4 +1,4 @@
-"""This process itself as a member: its identity, its view of the others, its timers and pending actions."""
+"""The local process as a member: its identity, its view of the others, its timers and pending actions."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who a process is when it starts.
+    """The identity of a process at its start.
 
     Attributes
     ----------
-    name: unique in the fleet; a restart keeps it.
-    address: where the others reach it.
-    seeds: addresses to join by.
-    uid: of this process; the lower one of two keeps a name that both claim.
-    incarnation: start of the process (ms of the wall clock); a restart has to have a greater one.
+    name: unique in the fleet; kept across restarts.
+    address: address at which other members reach it.
+    seeds: addresses used to join the fleet.
+    uid: unique id of the process; of two processes that claim a name, the one with the lower uid keeps it.
+    incarnation: start time of the process (ms, wall clock); must increase with each restart.
     """
 
     name: str
@@ -35,14 +35,14 @@
 
 
 class Divergence(NamedTuple):
-    """How many members' views differ from ours, and for how long the longest has (ms)."""
+    """The number of members whose views differ from ours, and the longest such difference (ms)."""
 
     members: int
     longest_ms: float
 
 
 class LocalMember:
-    """State shared by all layers of the membership, and the means to send, to set timers and to log."""
+    """State shared by all layers of the membership, and helpers to send, set timers and log."""
 
     def __init__(
         self, identity: Identity, rng: random.Random, metadata: dict[str, MetadataValue] | None
@@ -54,36 +54,36 @@
         self.incarnation = identity.incarnation
         self.revision = 0  # how often this incarnation has refuted a suspicion or its death
         self.status = ALIVE
-        self.muted = False  # another process owns our name: nothing is sent under it
+        self.muted = False  # another process owns the name, so this one sends nothing
         self.rng = rng
         self.view = View(rng)
         self.health = LocalHealth()
-        self.actions: list[api.Action] = []  # of the event at hand
+        self.actions: list[api.Action] = []  # of the current event
         self._metadata = dict(metadata or {})
         self._metadata_version = 0
         self._digest_bits = digest_bits(self.name, self.incarnation)
         self._timers: dict[int, Timer] = {}
         self._last_timer_token = 0
-        self._now = 0.0  # of the event at hand, ms
+        self._now = 0.0  # time of the current event, ms
 
-    # What hosts and other members read
+    # Queries
 
     def alive_count(self) -> int:
-        """How many members are alive or suspect, this one included."""
+        """Return the number of members that are alive or suspect, including this one."""
         return len(self.view.alive) + (self.status == ALIVE)
 
     def digest(self) -> int:
-        """Digest of the names and incarnations of all members that are alive: equal where views agree."""
+        """Return the digest of all live members' names and incarnations; equal views have equal digests."""
         return self.view.digest ^ (self._digest_bits if self.status == ALIVE and not self.muted else 0)
 
     def divergence(self, now: float) -> Divergence:
-        """How far the views of other members, by the digests in their headers, differ from this one."""
+        """Return how many members' views differ, by the digests in their headers, and for how long."""
         members = self.view.members.values()
         since = [m.diverged_since_ms for m in members if m.is_alive() and m.diverged_since_ms >= 0.0]
         return Divergence(len(since), max((now - at_ms for at_ms in since), default=0.0))
 
     def own_record(self, include_metadata: bool = True) -> Record:
-        """The record of this process itself."""
+        """Return the record of this process."""
         return Record(
             self.name,
             self.incarnation,
@@ -96,26 +96,26 @@
         )
 
     def state(self) -> State:
-        """The complete view, for a push-pull exchange."""
+        """Return the complete view, for a push-pull exchange."""
         return State(self.header(), [self.own_record(), *self.view.records()])
 
     def state_for(self, requester: State) -> State:
-        """The state to answer a push-pull exchange with; called by the host that was given `requester`."""
+        """Return the response to a push-pull exchange; `requester` is the state that the host received."""
         return self.state()
 
     def header(self) -> Header:
-        """The header of a message that is sent now."""
+        """Return the header for a message sent now."""
         return Header(self.name, self.incarnation, self.revision, self.digest(), self.alive_count())
 
     # Actions
 
     def send_datagram(self, address: str, message: api.AnyMessage) -> None:
-        """Send a datagram, unless this process is muted or the address is not known."""
+        """Send a datagram, unless this process is muted or the address is unknown."""
         if not self.muted and address:
             self.actions.append(api.SendDatagram(address, message))
 
     def set_timer(self, delay_ms: float, kind: TimerKind, member: str = "", probe_number: int = 0) -> int:
-        """Set a timer; its token."""
+        """Set a timer and return its token."""
         self._last_timer_token += 1
         self._timers[self._last_timer_token] = Timer(kind, self._now + delay_ms, member, probe_number)
         self.actions.append(api.SetTimer(self._last_timer_token, delay_ms))
--- a/dunlinloft/fleet/membership/probing.py
+++ b/dunlinloft/fleet/membership/probing.py
@@ -1,9 +1,9 @@
-"""Probes: pings of other members, indirect pings through others, and probes over a stream.
+"""Probes: direct pings of other members, indirect pings through others, and probes over a stream.
 
-Each period one member is pinged, all in a random order before any is pinged again (SWIM, section 4.3).
-Without an ack within what the link usually takes, some other members are requested to ping it (SWIM, section
-3.1), and a stream is tried beside, as a link may lose datagrams only. Without an ack by the end of the
-period the probe has failed; `failure_detection` decides what follows.
+In each period one member is pinged; all members are pinged once, in random order, before any is pinged again
+(SWIM, section 4.3). If no ack arrives within the link's ack time-out, some other members are requested to
+ping the target (SWIM, section 3.1), and a stream probe is sent too, as a link may lose only datagrams. If no
+ack arrives by the end of the period, the probe has failed, and `failure_detection` decides what follows.
 """
 
 from __future__ import annotations
@@ -17,27 +17,27 @@
 from dunlinloft.fleet.messages import ALIVE, Ack, Nack, Ping, PingRequest
 
 PROBE_PERIOD_MS = 250.0  # SWIM's protocol period T'
-INDIRECT_PROBERS = 3  # members that are requested to ping; SWIM's k
-# A second direct ping goes with the ping requests, a third this much later: two more pings cost less than a
-# false suspicion on a link that loses datagrams (docs/membership.md).
+INDIRECT_PROBERS = 3  # members requested to ping the target; SWIM's k
+# A second direct ping is sent with the ping requests and a third after this delay. On a link that loses
+# datagrams, two more pings cost less than a false suspicion (docs/membership.md).
 THIRD_PING_DELAY_MS = 60.0
-MAX_INDIRECT_PROBES = 256  # on behalf of others at a time; beyond that the oldest are dropped
-MAX_HEALTH_PENALTY = 2  # of the local health score, for one probe with missing nacks
-# A stream on a good link takes two round trips, and a lost segment of it 200 ms more.
-STREAM_PROBE_TIMEOUTS = 4.0  # times the link's ack time-out
+MAX_INDIRECT_PROBES = 256  # concurrent probes on behalf of others; beyond that the oldest are dropped
+MAX_HEALTH_PENALTY = 2  # maximum increase of the local health score for one probe with missing nacks
+# A stream probe on a good link takes two round trips; a lost segment adds 200 ms.
+STREAM_PROBE_TIMEOUTS = 4.0  # time-out of a stream probe, as a multiple of the link's ack time-out
 
 
 @dataclass(slots=True)
 class Probe:
-    """A member that this process is probing.
+    """A probe of a member by this process.
 
     Attributes
     ----------
-    is_final: whether the member is declared dead if it fails.
-    acked: it has succeeded.
-    direct_only: no other member has been requested to ping yet, so an ack measures the round trip.
-    indirect_requests: how many members were requested to ping.
-    nacks: how many of these could not reach it either.
+    is_final: whether the member is declared dead if the probe fails.
+    acked: whether the probe has succeeded.
+    direct_only: whether only one direct ping was sent so far, so that an ack measures the round trip.
+    indirect_requests: number of members requested to ping the target.
+    nacks: number of these that reported no response from it either.
     """
 
     target: str
@@ -59,22 +59,22 @@
 
 
 class Prober:
-    """The probes of this process that are pending, and those on behalf of others.
+    """The pending probes of this process, and those on behalf of other members.
 
-    Owned by `FailureDetection`, which calls it for each ping, ack and timer of a probe. Own probes have
-    positive numbers, those on behalf of others negative ones.
+    Owned by `FailureDetection`, which calls it for each ping, ack and timer of a probe. This process's own
+    probes have positive numbers, and those on behalf of others have negative numbers.
     """
 
     def __init__(self, core: Dissemination) -> None:
         self._core = core
-        self._probe_order: list[str] = []  # of the current round, the next at the end
+        self._probe_order: list[str] = []  # members left in the current round; the next one is last
         self._pending: dict[int, Probe] = {}
         self._indirect: dict[int, IndirectProbe] = {}
         self._last_number = 0
         self.failed_probes = 0
 
     def next_target(self) -> str | None:
-        """The next member in this round's order, None if there is none."""
+        """Return the next member to probe in this round, None if there are no members."""
         core = self._core
         while self._probe_order:
             name = self._probe_order.pop()
@@ -85,7 +85,7 @@
         return self._probe_order.pop() if self._probe_order else None
 
     def probe(self, name: str, now: float, is_final: bool = False) -> int:
-        """Ping a member; the probe's number."""
+        """Ping a member and return the probe's number."""
         core = self._core
         member = core.view.members[name]
         self._last_number += 1
@@ -98,7 +98,7 @@
         return number
 
     def _pending_probe(self, number: int) -> tuple[Probe, Member] | None:
-        """A probe that still waits for an ack, and its target; one that is over is dropped."""
+        """Return a probe that still awaits an ack, with its target; drop the probe if it has ended."""
         probe = self._pending.get(number)
         member = self._core.view.get(probe.target) if probe is not None else None
         if probe is None or member is None or probe.acked:
@@ -107,7 +107,7 @@
         return probe, member
 
     def handle_direct_timeout(self, number: int, now: float) -> None:
-        """No ack to the direct ping in time: request others to ping, and try a stream."""
+        """Request indirect pings and probe over a stream, as the direct ping got no ack in time."""
         core = self._core
         pending = self._pending_probe(number)
         if pending is None:
@@ -127,7 +127,7 @@
         core.set_timer(timeout_ms, TimerKind.PROBE_TIMEOUT, probe_number=number)
 
     def handle_resend_timer(self, number: int) -> None:
-        """Send the third direct ping, unless an ack has come."""
+        """Send the third direct ping, unless an ack has arrived."""
         probe = self._pending.get(number)
         member = self._core.view.get(probe.target) if probe is not None else None
         if probe is not None and member is not None and not probe.acked:
@@ -139,18 +139,18 @@
         core.send_datagram(member.address, Ping(core.header(), number, probe.target, records))
 
     def handle_probe_timeout(self, number: int, in_time: bool, now: float) -> Probe | None:
-        """The time of a probe is over; the probe if it has failed by the target's fault, as far as known."""
+        """End a probe at its time-out; return it if the failure can be attributed to the target."""
         core = self._core
         pending = self._pending_probe(number)
         if pending is None:
             return None
         probe, _ = pending
-        if not in_time:  # the ack may wait in this process's own socket: look again before judging
+        if not in_time:  # the ack may be unread in the local socket, so wait once more
             core.set_timer(PROBE_PERIOD_MS, TimerKind.PROBE_TIMEOUT, probe_number=number)
             return None
         del self._pending[number]
-        # Those that were requested send a nack if they can't reach it either; one that sends neither ack nor
-        # nack is beyond our own reach, which may be our own fault (Lifeguard, section IV.A).
+        # A requested member sends a nack if it can't reach the target either. If it sends neither ack nor
+        # nack, this process may itself be the cause (Lifeguard, section IV.A).
         missing_nacks = probe.indirect_requests - probe.nacks
         if missing_nacks > 0:
             core.health.degrade(min(missing_nacks, MAX_HEALTH_PENALTY))
@@ -162,7 +162,7 @@
         return probe
 
     def handle_ack(self, number: int, name: str, incarnation: int, now: float, source: str) -> Member | None:
-        """An ack has come; the member whose probe succeeds by it, None if no probe of this process does."""
+        """Handle an ack; return the member whose probe succeeded, None if no own probe did."""
         core = self._core
         probe = self._pending.get(number)
         indirect = self._indirect.pop(number, None) if number < 0 else None
@@ -183,13 +183,13 @@
         return member
 
     def handle_nack(self, number: int) -> None:
-        """A member that was requested to ping could not reach the target, but it has reached us."""
+        """Count a requested member that could not reach the target but did reach this process."""
         probe = self._pending.get(number)
         if probe is not None:
             probe.nacks += 1
 
     def handle_ping_request(self, request: PingRequest, source: str) -> None:
-        """Ping on behalf of another member."""
+        """Ping the target of a request on behalf of another member."""
         core = self._core
         self._last_number += 1
         number = -self._last_number
@@ -203,13 +203,13 @@
         core.set_timer(timeout_ms, TimerKind.INDIRECT_TIMEOUT, probe_number=number)
 
     def handle_indirect_timeout(self, number: int) -> None:
-        """No ack to a ping on behalf of another: send it a nack, which shows that we are alive ourselves."""
+        """Send a nack to the requester of an unacknowledged ping, which shows that this process is alive."""
         indirect = self._indirect.get(number)
-        if indirect is not None:  # it stays: an ack that comes later is still forwarded
+        if indirect is not None:  # kept, as a later ack is still forwarded
             core = self._core
             core.send_datagram(indirect.requester, Nack(core.header(), indirect.requester_number, []))
             core.set_timer(PROBE_PERIOD_MS, TimerKind.INDIRECT_EXPIRY, probe_number=number)
 
     def drop_indirect(self, number: int) -> None:
-        """Drop a ping on behalf of another whose ack would be of no use any more."""
+        """Drop a ping on behalf of another member when an ack would be too late."""
         self._indirect.pop(number, None)
--- a/dunlinloft/fleet/membership/state_exchange.py
+++ b/dunlinloft/fleet/membership/state_exchange.py
@@ -1,7 +1,7 @@
-"""Push-pull exchange of complete states over a stream: anti-entropy for what dissemination has missed.
+"""Push-pull exchange of complete states over a stream: anti-entropy for updates that dissemination missed.
 
-Every header carries a digest of its sender's view. A view that differs for a while is exchanged, and each
-member exchanges with a random other now and then.
+Every header carries a digest of the sender's view. States are exchanged with a member whose view differs for
+longer than `DIVERGENCE_TOLERANCE_MS`, and periodically with a random member.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from dunlinloft.fleet.membership.local_member import Identity
 from dunlinloft.fleet.messages import DEAD, Gossip, Header, MetadataValue
 
-PUSH_PULL_INTERVAL_MS = 30_000.0  # with a random member, jittered; memberlist's PushPullInterval is 30 s too
-DIVERGENCE_TOLERANCE_MS = 1_500.0  # how long a view may differ before it is exchanged: gossip is quicker
-MIN_PUSH_PULL_INTERVAL_MS = 2_000.0  # between exchanges for divergence: several headers show the same one
+PUSH_PULL_INTERVAL_MS = 30_000.0  # with a random member, jittered; the value of memberlist's PushPullInterval
+DIVERGENCE_TOLERANCE_MS = 1_500.0  # time for gossip to resolve a divergence before states are exchanged
+MIN_PUSH_PULL_INTERVAL_MS = 2_000.0  # between exchanges for divergence, as several headers show the same one
 
 
 class StateExchange(Dissemination):
@@ -37,20 +37,20 @@
             self.actions.append(api.PushPull(address, self.state()))
 
     def _handle_header(self, header: Header, source: str, now: float) -> None:
-        """See from a header whether its sender is in view as it is, and whether its view agrees with ours."""
+        """Check from a header whether the sender is up to date in this view, and whether both views agree."""
         member = self.view.get(header.name)
         if (
             member is None
             or header.incarnation > member.incarnation
             or (not member.is_alive() and header.revision > member.revision)
         ):
-            # It has joined or come back and no update of that has arrived yet: its own state has it.
+            # The sender has joined or returned and no update has arrived yet: its own state has the record.
             if now - self._last_push_pull_ms > MIN_PUSH_PULL_INTERVAL_MS:
                 self._push_pull(source, now)
             return
         if member.incarnation != header.incarnation:
             return
-        if not member.is_alive():  # it does not know yet that it was declared dead, and can refute that
+        if not member.is_alive():  # the sender does not know that it was declared dead; it can refute that
             if member.status == DEAD and now - member.status_since_ms > GOSSIP_INTERVAL_MS:
                 self.send_datagram(source, Gossip(self.header(), [member.to_record(include_metadata=False)]))
             return
--- a/dunlinloft/fleet/membership/view.py
+++ b/dunlinloft/fleet/membership/view.py
@@ -1,8 +1,8 @@
-"""The view: what this process believes of every other member, and how received records are merged into it.
+"""The view: the known state of every other member, and the merging of received records into it.
 
 Merging is commutative, associative and idempotent, so views converge whatever the order and number of
-messages: of two records of a name the one with the greater precedence wins (incarnation, then left, then
-revision, then status); of metadata the greater version of the same incarnation.
+messages. Of two records with the same name, the one with the greater precedence wins (incarnation, then left,
+then revision, then status). Of the metadata of one incarnation, the greater version wins.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from dunlinloft.fleet.membership.name_pool import NamePool
 from dunlinloft.fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, Record
 
-# Records of members that are dead or left; beyond that the oldest are dropped.
+# Limit of records of dead and left members, beyond which the oldest are dropped.
 MAX_DEAD_RECORDS = 4096
-# Age at which the record of a dead member is dropped: no datagram that is younger may revive the member.
+# Age at which the record of a dead member is dropped. Until then, a delayed datagram can't revive the member.
 DEAD_RECORD_TTL_MS = 24 * 3_600_000.0
 
 _CHANGE_TO_STATUS = {
@@ -30,23 +30,23 @@
 
 
 class View:
-    """All members except this process itself, which adds its own bits to the digest (`Membership.digest`).
+    """All members except the local process, which adds its own bits to the digest (`Membership.digest`).
 
-    Owned by `Membership`, which is its only writer; hosts and operators' pages read it.
+    Owned by `Membership`, which is the only writer; hosts and the admin pages read it.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.members: dict[str, Member] = {}
         self.alive = NamePool(rng)  # alive or suspect
-        self.dead = NamePool(rng)  # dead, but not those that left
+        self.dead = NamePool(rng)  # dead, excluding members that left
         self.digest = 0
 
     def get(self, name: str) -> Member | None:
-        """The member of this name, or None if no record of it was ever merged."""
+        """Return the member of this name, None if the view has no record of it."""
         return self.members.get(name)
 
     def merge(self, record: Record, now: float) -> tuple[Member, MemberChange]:
-        """Merge a record; the member, and what the record changed (`NONE` if nothing)."""
+        """Merge a record; return the member and the kind of change (`NONE` if nothing changed)."""
         member = self.members.get(record.name)
         is_new = member is None
         if member is None:
@@ -68,7 +68,7 @@
         return member, change
 
     def _replace(self, member: Member, record: Record, now: float) -> MemberChange:
-        """Overwrite a member by a record of greater precedence."""
+        """Overwrite a member with a record of greater precedence."""
         old_status = member.status
         old_incarnation = member.incarnation
         was_alive = member.is_alive()
@@ -101,7 +101,7 @@
         return _CHANGE_TO_STATUS[member.status]
 
     def _update_indexes(self, member: Member, was_alive: bool) -> None:
-        """Keep the pools and the digest in step with a member that has changed."""
+        """Update the name pools and the digest after a member has changed."""
         if was_alive:
             self.digest ^= member.digest_bits
         if member.is_alive():
@@ -117,7 +117,7 @@
             self.dead.remove(member.name)
 
     def discard(self, name: str) -> None:
-        """Forget a member that is no concern of this view any more although it has not died."""
+        """Remove a member that no longer belongs to this view although it has not died."""
         member = self.members.pop(name)
         if member.is_alive():
             self.digest ^= member.digest_bits
@@ -125,13 +125,13 @@
         self.dead.remove(name)
 
     def compact(self) -> None:
-        """Free the memory of discarded members: a dict keeps the size of its largest content."""
+        """Free the memory of discarded members, since a dict does not shrink."""
         self.members = dict(self.members)
         self.alive.compact()
         self.dead.compact()
 
     def expire(self, now: float) -> None:
-        """Drop dead and left members past `DEAD_RECORD_TTL_MS`, and the oldest beyond `MAX_DEAD_RECORDS`."""
+        """Drop dead and left members past `DEAD_RECORD_TTL_MS`, and the oldest over `MAX_DEAD_RECORDS`."""
         dead = [member for member in self.members.values() if not member.is_alive()]
         dead.sort(key=lambda member: member.status_since_ms)
         surplus = len(dead) - MAX_DEAD_RECORDS
@@ -141,5 +141,5 @@
                 self.dead.remove(member.name)
 
     def records(self, include_metadata: bool = True) -> Iterable[Record]:
-        """Records of all members, for a push-pull exchange."""
+        """Return the records of all members, for a push-pull exchange."""
         return (member.to_record(include_metadata) for member in self.members.values())
