--- a/dunlinloft/fleet/leases/candidate.py
+++ b/dunlinloft/fleet/leases/candidate.py
@@ -1,7 +1,8 @@
-"""A candidate for one singleton role: acquires its lease, renews it, and stops before it expires.
+"""A candidate for one singleton role: acquires the lease, renews it, and stops before it expires.
 
-The proposer of PaxosLease (Trencseni, Gazso, Reinhardt 2012). It counts the lease from before its proposal is
-sent, on its own clock and with the drift subtracted, so the lease expires here before it does at any voter.
+The proposer of PaxosLease (Trencseni, Gazso, Reinhardt 2012). The lease term starts before the proposal is
+sent and is measured on the local clock with the drift subtracted, so the lease expires here before it does at
+any voter.
 """
 
 from __future__ import annotations
@@ -28,22 +29,22 @@
 )
 
 LEASE_TERM_MS = 3_000.0
-CLOCK_DRIFT = 0.02  # by how much the rates of two processes' monotonic clocks may differ, as a fraction
-RENEWAL_SHARE = 0.4  # of the term after which the lease is renewed, give or take a fifth of that
-STOP_MARGIN_MS = 50.0  # work stops so long before the lease expires
+CLOCK_DRIFT = 0.02  # maximum relative difference of the rates of two processes' monotonic clocks
+RENEWAL_SHARE = 0.4  # of the term, after which the lease is renewed; with 20% jitter
+STOP_MARGIN_MS = 50.0  # work stops this long before the lease expires
 RESPONSE_TIMEOUT_MS = 80.0  # for the responses to a request; a round trip across zones takes 7 to 13 ms
 MAX_RESENDS = 2  # of a request, before the proposal fails
-INITIAL_BACKOFF_MS = 60.0  # between proposals; it doubles, with jitter
+INITIAL_BACKOFF_MS = 60.0  # between proposals; doubles, with jitter
 MAX_BACKOFF_MS = 1_500.0
 MAX_RENEWAL_RETRY_DELAY_MS = 150.0
-COOLDOWN_AFTER_LOSS_MS = 500.0  # a former leader waits about so long, for others to come first
-COOLDOWN_AFTER_HANDOVER_MS = 5_000.0  # a leader that has handed over leaves the role to others
-HANDOVER_WINDOW_MS = 1_000.0  # for so long a named successor retries nearly without a delay,
-HANDOVER_RETRY_DELAY_MS = 10.0  # of so much on average
+COOLDOWN_AFTER_LOSS_MS = 500.0  # mean time for which a former leader lets other candidates propose first
+COOLDOWN_AFTER_HANDOVER_MS = 5_000.0  # a leader that has handed over leaves the role to other candidates
+HANDOVER_WINDOW_MS = 1_000.0  # time during which a named successor retries at short intervals
+HANDOVER_RETRY_DELAY_MS = 10.0  # mean of these intervals
 
 
 class ProposalStep(StrEnum):
-    """Where a candidate's proposal stands."""
+    """The step of a candidate's proposal."""
 
     IDLE = "idle"
     PREPARING = "preparing"  # phase 1
@@ -51,13 +52,13 @@
 
 
 class LeaseTimer(StrEnum):
-    """What a candidate's timer is for; see `Candidate.timer_fired`."""
+    """The purpose of a candidate's timer; see `Candidate.timer_fired`."""
 
-    PREPARE_TIMEOUT = "preparing"
-    PROPOSE_TIMEOUT = "proposing"
-    RENEWAL = "renew"
-    HANDOVER_RETRY = "again"
-    EXPIRY = "end"
+    PREPARE_TIMEOUT = "prepare_timeout"
+    PROPOSE_TIMEOUT = "propose_timeout"
+    RENEWAL = "renewal"
+    HANDOVER_RETRY = "handover_retry"
+    EXPIRY = "expiry"
 
 
 RESPONSE_TIMERS = {
@@ -69,10 +70,10 @@
 class Candidate:
     """One process's candidacy for one role; `manager.LeaseManager` owns one for each role.
 
-    It adds to `actions`, which the owner takes after each call, and asks for timers by `set_timer`.
+    It appends to `actions`, which the owner collects after each call, and requests timers by `set_timer`.
 
-    Parameters: `wall_clock_ms`, Unix time, only used where all voters have lost their memory; `term_ms`, the
-    lease's term; `drift` as `CLOCK_DRIFT`.
+    Parameters: `wall_clock_ms`, Unix time, used only if all voters have lost their memory; `term_ms`, the
+    lease term; `drift`, as `CLOCK_DRIFT`.
     """
 
     def __init__(
@@ -99,30 +100,30 @@
         self.expires_ms = 0.0  # of the lease, by this process's clock
         self.token = 0
         self._proposed_token = 0
-        self.highest_claimed_token = 0  # of others, as membership says
+        self.highest_claimed_token = 0  # by other members, as reported by membership
         self.state = b""
         self.is_leader = False
         self._backoff_ms = INITIAL_BACKOFF_MS
-        self._cooldown_until_ms = 0.0  # no proposal before then
-        self._named_successor_ms = -1e18  # when a leader handed the role to this process
-        self.reason = "it has not been tried for"  # why this process does not lead, for operators
+        self._cooldown_until_ms = 0.0  # no proposal before this time
+        self._named_successor_ms = -1e18  # when a leader named this process its successor
+        self.reason = "no proposal has been made yet"  # why this process does not lead, for operators
         self.actions: list[Action] = []
         self.set_timer: Callable[[LeaseTimer, float, ProposalNumber], None] = _no_timer
 
     def majority(self) -> int:
-        """How many voters have to agree."""
+        """Return the number of voters that must agree."""
         return majority(len(self._voters))
 
     def set_voters(self, voters: list[str], epoch: int, now: float) -> None:
-        """Replace the voter set; a proposal in flight fails, as it counted majorities of the old set."""
+        """Replace the voter set; a pending proposal fails, as it counted a majority of the old set."""
         self._voters = voters
         self.voters_epoch = epoch
         if self.step is not ProposalStep.IDLE:
-            self.reason = "the voters have changed"
+            self.reason = "the voter set has changed"
             self._fail(0.0, now)
 
     def holds(self, now: float) -> bool:
-        """Whether this process may act for the role at this instant; to be checked before each act."""
+        """Return whether this process may act for the role now; must be checked before each action."""
         return self.is_leader and now < self.expires_ms - STOP_MARGIN_MS
 
     # Acquiring and renewing
@@ -138,13 +139,13 @@
         self._send_request()
 
     def _send_request(self) -> None:
-        """Send this step's request to all voters, and watch for time-out."""
+        """Send this step's request to all voters and set the response timer."""
         self._resends = 0
         self._broadcast(self._request)
         self._set_response_timer()
 
     def _resend_request(self) -> None:
-        """Send it again to the voters that have not responded."""
+        """Resend this step's request to the voters that have not responded."""
         preparing = self.step is ProposalStep.PREPARING
         responded = self._prepare_responses if preparing else self._accepted_by
         self._resends += 1
@@ -157,11 +158,11 @@
         self.set_timer(RESPONSE_TIMERS[self.step], RESPONSE_TIMEOUT_MS, self.proposal)
 
     def must_wait(self, now: float) -> bool:
-        """Whether a proposal would be out of place now: leading, in flight, or cooling down."""
+        """Return whether no proposal may start now: leading, proposal pending, or in a cooldown."""
         return self.is_leader or self.step is not ProposalStep.IDLE or now < self._cooldown_until_ms
 
     def take_over(self, now: float) -> None:
-        """The leader names this process its successor: propose at once, and retry at short intervals."""
+        """Propose immediately as the leader's named successor, with retries at short intervals."""
         if not self.is_leader and self.step is ProposalStep.IDLE:
             self._named_successor_ms = now
             self.propose(now)
@@ -170,7 +171,7 @@
         self._cooldown_until_ms = max(self._cooldown_until_ms, now + duration_ms)
 
     def handle_response(self, message: PrepareResponse | ProposeResponse, sender: str, now: float) -> None:
-        """A voter's response; one to an earlier proposal or phase is ignored."""
+        """Handle a voter's response; a response to an earlier proposal or phase is ignored."""
         if message.proposal != self.proposal or sender not in self._voters:
             return
         match message:
@@ -189,15 +190,17 @@
         leases_of_others = [r.lease for r in responses if r.lease is not None and not self._is_own(r.lease)]
         if leases_of_others:
             remaining_ms = max(lease.remaining_ms for lease in leases_of_others)
-            self.reason = f"{leases_of_others[0].proposal.candidate} holds it for {remaining_ms:.0f} ms more"
-            # No rival proposes: there is only a lease to wait for, so the backoff need not grow.
+            self.reason = (
+                f"{leases_of_others[0].proposal.candidate} holds the lease for another {remaining_ms:.0f} ms"
+            )
+            # There is no competing proposal, only a lease that must expire, so the backoff need not grow.
             self._backoff_ms = INITIAL_BACKOFF_MS / 2.0
             wait_ms = remaining_ms * (1.0 + self._drift) + INITIAL_BACKOFF_MS * self._rng.random()
             return self._fail(wait_ms, now)
         latest = max(responses, key=lambda response: response.token)
         if not self.is_leader:
-            # Beyond all that a majority has accepted. After a restart of the entire fleet nothing but the
-            # wall clock keeps tokens rising.
+            # Greater than any token that a majority has accepted. After a restart of the entire fleet, only
+            # the wall clock ensures that tokens increase.
             highest_known = max(latest.token, self.highest_claimed_token)
             self._proposed_token = max(highest_known + 1, self._wall_clock_ms())
             self.state = latest.state
@@ -209,7 +212,7 @@
         self._send_request()
 
     def _is_own(self, lease: Lease) -> bool:
-        """Whether a lease is of this very incarnation; a former one may still be at work, so it counts."""
+        """Return whether a lease belongs to this very incarnation, as a former one may still be active."""
         return lease.proposal.proposer() == (self._name, self._incarnation)
 
     def _handle_propose_response(self, message: ProposeResponse, sender: str, now: float) -> None:
@@ -220,7 +223,7 @@
             return
         self.step = ProposalStep.IDLE
         expires_ms = self._proposed_at_ms + self._term_ms * (1.0 - self._drift)
-        if now >= expires_ms - STOP_MARGIN_MS:  # the responses came too late for the lease to be of use
+        if now >= expires_ms - STOP_MARGIN_MS:  # responses too late: the lease has nearly expired
             return self._fail(INITIAL_BACKOFF_MS, now)
         self.expires_ms = expires_ms
         self._backoff_ms = INITIAL_BACKOFF_MS
@@ -234,22 +237,22 @@
             self.actions.append(LeaseAcquired(self.role, self.token, self.state))
 
     def _handle_rejection(self, highest_promised: ProposalNumber, now: float) -> None:
-        """A voter is bound to a rival's proposal: the next one goes beyond that, after a backoff."""
+        """Fail, as a voter has promised a competing proposal; the next proposal number exceeds that one."""
         self._round = max(self._round, highest_promised.round)
-        self.reason = f"{highest_promised.candidate} tries for it too"
+        self.reason = f"{highest_promised.candidate} has a proposal with a higher number"
         self._fail(0.0, now)
 
     def _fail(self, min_wait_ms: float, now: float) -> None:
-        """End this proposal; backoff that doubles, with jitter, separates rival candidates."""
+        """End this proposal; exponential backoff with jitter separates competing candidates."""
         self.step = ProposalStep.IDLE
         if not self.is_leader and now - self._named_successor_ms < HANDOVER_WINDOW_MS:
-            # Voters may not have received the release yet, or have promised a higher round to the old leader.
+            # Voters may not have the release yet, or may have promised the old leader a higher round.
             delay_ms = HANDOVER_RETRY_DELAY_MS * (0.5 + self._rng.random())
             self.set_timer(LeaseTimer.HANDOVER_RETRY, delay_ms, self.proposal)
             return
         self._backoff_ms = min(MAX_BACKOFF_MS, 2.0 * self._backoff_ms)
         wait_ms = max(min_wait_ms, self._backoff_ms * (0.5 + self._rng.random()))
-        if self.is_leader:  # a renewal: what remains of the lease is time to retry
+        if self.is_leader:  # a renewal may be retried until the lease expires
             self.set_timer(LeaseTimer.RENEWAL, min(wait_ms, MAX_RENEWAL_RETRY_DELAY_MS), self.proposal)
         else:
             self._cooldown_until_ms = now + wait_ms
@@ -257,9 +260,9 @@
     # Timers
 
     def timer_fired(self, timer: LeaseTimer, proposal: ProposalNumber, now: float) -> None:
-        """A timer has come due that was set during `proposal`.
+        """Handle a timer that was set during `proposal`.
 
-        An expiry counts whichever proposal is in flight; all other timers only if it is still theirs.
+        An expiry is valid whichever proposal is current; all other timers only if theirs is still current.
         """
         if timer is LeaseTimer.EXPIRY:
             if self.is_leader and now >= self.expires_ms - STOP_MARGIN_MS:
@@ -279,13 +282,13 @@
             return self._resend_request()
         preparing = self.step is ProposalStep.PREPARING
         count = len(self._prepare_responses) if preparing else len(self._accepted_by)
-        self.reason = f"{count} of {len(self._voters)} voters answer, and {self.majority()} are needed"
+        self.reason = f"{count} of {len(self._voters)} voters responded, and {self.majority()} are needed"
         self._fail(0.0, now)
 
     # Giving up the lease
 
     def stop(self, reason: str, now: float) -> None:
-        """Lead no more, and have the work stopped."""
+        """Give up leadership and have the role's work stopped."""
         self.is_leader = False
         self.step = ProposalStep.IDLE
         self.reason = reason
@@ -293,9 +296,9 @@
         self._cool_down(COOLDOWN_AFTER_LOSS_MS * (0.5 + self._rng.random()), now)
 
     def release(self, successor: str, now: float) -> None:
-        """Give up the lease before it expires, if this process leads.
+        """Release the lease before it expires, if this process leads.
 
-        The work stops before the voters are notified, so that no successor begins while it goes on.
+        The work stops before the voters are notified, so that no successor starts while it is still running.
         """
         if not self.is_leader:
             return
@@ -311,4 +314,4 @@
 
 
 def _no_timer(timer: LeaseTimer, delay_ms: float, proposal: ProposalNumber) -> None:
-    """Until the owner has set `Candidate.set_timer`."""
+    """Default of `Candidate.set_timer` until the owner sets it."""
--- a/dunlinloft/fleet/leases/manager.py
+++ b/dunlinloft/fleet/leases/manager.py
@@ -1,8 +1,8 @@
 """The lease manager: all singleton roles of one process, as a pure state machine.
 
-Events in, actions out. It owns the process's candidacies, its part among the voters, and the state table's
-primary, and decides when a candidate stands. The members' order of preference (`preference`) is the same
-everywhere, so as a rule one proposes at a time. Nobody stands against a leader that is alive.
+It turns events into actions. It owns the process's candidates, its voter, and the state table's primary, and
+decides when a candidate proposes. All members compute the same order of preference (`preference`), so usually
+only one proposes at a time. No member proposes against a live leader.
 """
 
 from __future__ import annotations
@@ -61,23 +61,23 @@
 )
 from dunlinloft.fleet.leases.voting_member import VotingMember
 
-REVIEW_INTERVAL_MS = 400.0  # between looks at whether to stand for a role; give or take a fifth
-PROPOSAL_DELAY_STEP_MS = 60.0  # each member waits so much longer than the one preferred to it
+REVIEW_INTERVAL_MS = 400.0  # between checks for vacant roles; with 20% jitter
+PROPOSAL_DELAY_STEP_MS = 60.0  # additional delay of a member for each member preferred to it
 MAX_PROPOSAL_DELAY_MS = 1_200.0
-NOT_PRIMARY = "this process does not hold the ledger"  # operators see it
+NOT_PRIMARY = "this process does not hold the ledger"  # shown to operators
 
 
 class ManagerTimer(StrEnum):
-    """What the manager's own timers are for; those of candidates are `LeaseTimer`."""
+    """The purpose of the manager's own timers; candidates use `LeaseTimer`."""
 
-    REVIEW = "look"
-    PROPOSE = "stand"
-    TABLE = "ledger"
+    REVIEW = "review"
+    PROPOSE = "propose"
+    TABLE = "table"
 
 
 @dataclass(slots=True, frozen=True)
 class _Timer:
-    """What a timer was set for: a role's, in a proposal, or the table's, in a generation."""
+    """A pending timer: of a role's proposal, of a generation of the table's timers, or the manager's own."""
 
     kind: ManagerTimer | LeaseTimer
     role: str = ""
@@ -94,12 +94,12 @@
 
 
 class LeaseManager:
-    """One process's part in all singleton roles of its fleet; a host gives it events and carries out actions.
+    """Manages all singleton roles for one process; a host passes events to it and executes the actions.
 
-    Parameters: `incarnation`, a random number that no other start of this process has; `voters`, the
-    configured ones; `wall_clock_ms`, Unix time; `now`, here and in all methods, the host's monotonic clock in
-    ms; `term_ms`, of leases; `drift` as `candidate.CLOCK_DRIFT`. Raises `ValueError` where a voter is named
-    twice, as majorities would then not overlap.
+    Parameters: `incarnation`, a random number unique to this start of the process; `voters`, the configured
+    voters; `wall_clock_ms`, Unix time; `now`, here and in all methods, the host's monotonic clock in ms;
+    `term_ms`, the lease term; `drift`, as `candidate.CLOCK_DRIFT`. Raises `ValueError` for a duplicate voter,
+    as majorities would then not overlap.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
         drift: float = CLOCK_DRIFT,
     ) -> None:  # fmt: skip
         if len(set(voters)) < len(voters):
-            raise ValueError(f"voters: {', '.join(voters)}: one is named twice")
+            raise ValueError(f"voters: {', '.join(voters)}: duplicate voter")
         self.name = name
         self._rng = rng
         self.candidates = {
@@ -119,7 +119,7 @@
             candidate.set_timer = partial(self._set_role_timer, role)
         with_table = STATE_TABLE_ROLE in roles
         configured = VoterSet(0, tuple(voters))
-        # This process's part among the voters.
+        # The acceptor and the table replica of this process, if it is a voter.
         self.member = VotingMember(name, incarnation, configured, with_table, rng, now, term_ms, drift)
         self.table = TablePrimary(voters, rng) if with_table else None
         if self.table is not None:
@@ -129,22 +129,22 @@
         self._observed = MembershipObserved(frozenset((name,)), {})
         self._timers: dict[int, _Timer] = {}
         self._last_timer_token = 0
-        self._scheduled_proposals: set[str] = set()  # roles with a stand timer
+        self._scheduled_proposals: set[str] = set()  # roles with a pending `PROPOSE` timer
         self._actions: list[Action] = []
 
     @property
     def voters(self) -> VoterSet:
-        """The voter set that this process has adopted."""
+        """The voter set adopted by this process."""
         return self.member.voters
 
     def begin(self, now: float) -> list[Action]:
-        """Start; the process can be reached."""
+        """Start the manager once the process is reachable."""
         self._actions = []
         self._set_timer(_Timer(ManagerTimer.REVIEW), REVIEW_INTERVAL_MS * self._rng.random())
         return self._actions
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Process one event; the actions to carry out, in order."""
+        """Process one event and return the actions to execute, in order."""
         self._actions = []
         match event:
             case MessageReceived():
@@ -167,7 +167,7 @@
         return self._actions
 
     def holds(self, role: str, now: float) -> bool:
-        """Whether this process may act for the role at this instant; to be checked before each act."""
+        """Return whether this process may act for the role now; must be checked before each action."""
         return role in self.candidates and self.candidates[role].holds(now)
 
     # Timers
@@ -200,10 +200,10 @@
         else:
             self._propose_if_vacant(timer.role, now)
 
-    # Standing
+    # Proposing
 
     def _review(self, now: float) -> None:
-        """Repeat requests that were not responded to, and stand for vacant roles."""
+        """Resend unanswered requests, and schedule proposals for vacant roles."""
         self._actions += self.member.recovery_requests()
         if self.holds(STATE_TABLE_ROLE, now):
             self._actions += self.voter_change.requests()
@@ -222,7 +222,7 @@
         self._schedule_proposals(now)
 
     def _schedule_proposals(self, now: float) -> None:
-        """Plan to stand for each vacant role, after a delay by this process's rank in the preference."""
+        """Schedule a proposal for each vacant role, delayed by this process's rank in preference."""
         if not self._observed.healthy:
             return
         for index, (role, candidate) in enumerate(sorted(self.candidates.items())):
@@ -236,7 +236,7 @@
             self._set_timer(timer, delay_ms * (0.9 + 0.2 * self._rng.random()))
 
     def _propose_if_vacant(self, role: str, now: float) -> None:
-        """The delay is over: propose, unless another has come first."""
+        """Propose at the end of the delay, unless another member has acquired the role."""
         self._scheduled_proposals.discard(role)
         candidate = self.candidates[role]
         if self._is_vacant(role) and not candidate.must_wait(now) and self._observed.healthy:
@@ -244,7 +244,7 @@
             self._take_actions(candidate, now)
 
     def _is_vacant(self, role: str) -> bool:
-        """Whether no other member that is alive claims to lead the role."""
+        """Return whether no other live member claims to lead the role."""
         claim = self._observed.claims.get(role)
         return claim is None or claim[0] == self.name or claim[0] not in self._observed.alive
 
@@ -262,7 +262,7 @@
             case Prepare() | Propose() | TableRead() | TableWrite() as message if (
                 message.voters_epoch != self.voters.epoch
             ):
-                # Whichever side is behind catches up by this announcement, or by the reply to it.
+                # The side with the older voter set catches up by this announcement, or by the response to it.
                 self._actions.append(self.member.voter_set_for(sender))
             case TableRead() | TableWrite() as message:
                 self._actions += self.member.handle_table_message(message, sender)
@@ -279,7 +279,7 @@
                 self._handle_candidate_message(message, sender, now)
 
     def _handle_table_response(self, message: TablePage | TableWriteAck, sender: str, now: float) -> None:
-        # A page without a token responds to this process's replica, which recovers.
+        # A page without a token is a response to the recovery of this process's replica.
         if isinstance(message, TablePage) and not message.token and self.member.replica is not None:
             self._actions += self.member.handle_table_message(message, sender)
         elif self.table is not None and self.holds(STATE_TABLE_ROLE, now):
@@ -341,7 +341,7 @@
     # Changes of voters
 
     def voter_change_blocked_reason(self, now: float) -> str:
-        """Why the voters can't be changed here and now, for operators; empty where they can."""
+        """Return why the voters can't be changed by this process now, for operators; empty if they can."""
         if self.table is None or not self.holds(STATE_TABLE_ROLE, now):
             return NOT_PRIMARY
         if self._pending_change is not None:
@@ -352,7 +352,7 @@
         return self.voter_change.waiting_for(table_complete, now)
 
     def _handle_voter_change_request(self, event: VoterChangeRequested, now: float) -> None:
-        """Write the row that decides the change; it takes effect once that is committed."""
+        """Write the row that decides the change, which takes effect once the row is committed."""
         try:
             reason = self.voter_change_blocked_reason(now)
             if reason or self.table is None:
@@ -367,25 +367,25 @@
             self._take_table_actions(now)
 
     def _resume_voter_change(self, table: TablePrimary, now: float) -> None:
-        """The table is open here: see the latest change through, wherever the former primary left it."""
+        """Complete the latest change after the table was opened, wherever the former primary stopped."""
         stored = table.rows.get(VOTERS_KEY)
         row = decode_voter_row(stored.value) if stored is not None else None
         if row is not None and row.epoch >= self.voters.epoch:
             return self._apply_voter_change(row, now)
         names = self.voters.names
-        if self.voters.epoch:  # a majority lost the row with its memory: what was adopted by it stands
+        if self.voters.epoch:  # a majority lost the row with its memory; the adopted set stays valid
             table.write(VOTERS_KEY, VoterRow(self.voters.epoch, names, names).encode(), 0)
             self._take_table_actions(now)
         self._actions += self.voter_change.begin(self.voters, names)
 
     def _apply_voter_change(self, row: VoterRow, now: float) -> None:
-        """A change is decided: adopt it here and have the voters do so."""
+        """Adopt a committed change and have the voters adopt it."""
         voters = VoterSet(row.epoch, row.names)
         self._adopt(voters, now)
         self._actions += self.voter_change.begin(voters, row.previous_names)
 
     def _adopt(self, voters: VoterSet, now: float) -> None:
-        """Adopt a voter set in all components, unless it is known already."""
+        """Adopt a voter set in all components, unless it is already known."""
         if voters.epoch <= self.voters.epoch:
             return
         self.member.adopt(voters, now)
--- a/tests/test_lease_progress.py
+++ b/tests/test_lease_progress.py
@@ -36,7 +36,7 @@
     world.run(3.0 * TERM_MS)
     assert not any(world.holders(duty) for duty in world.duties)
     reasons = {process.core.candidates["d0"].reason for process in world.processes.values() if process.alive}
-    assert any("of 3 voters answer, and 2 are needed" in reason for reason in reasons)
+    assert any("of 3 voters responded, and 2 are needed" in reason for reason in reasons)
 
 
 def test_fifty_candidates_elect_one_leader() -> None:
