--- a/dunlinloft/fleet/leases/messages.py
+++ b/dunlinloft/fleet/leases/messages.py
@@ -1,8 +1,8 @@
 """Messages between voters and candidates, and the events and actions of `manager.LeaseManager`.
 
-All messages are encoded as arrays: the order of fields is the wire format, their names are not. A later
-version may add fields at the end, which an older one skips. Every message begins with the role that it is
-about; it is empty where the message concerns the voters themselves.
+All messages are encoded as arrays: the order of the fields is part of the wire format, their names are not. A
+newer version may append fields, which an older version skips. Every message begins with the role that it
+concerns, which is empty if the message concerns the voters themselves.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 class ProposalNumber(NamedTuple):
     """Orders the proposals for a role (PaxosLease: ballot number).
 
-    No number is used twice, not even by a process that has lost its memory: the incarnation is drawn anew at
-    each start.
+    No number is used twice, not even by a process that has lost its memory, since each start of a process
+    draws a new random incarnation.
     """
 
     round: int
@@ -28,7 +28,7 @@
     incarnation: int  # of the candidate's process
 
     def proposer(self) -> tuple[str, int]:
-        """The process that proposes: name and incarnation."""
+        """Return the name and incarnation of the proposing process."""
         return self.candidate, self.incarnation
 
 
@@ -36,23 +36,23 @@
 
 
 class VoterSet(Struct, array_like=True, gc=False, frozen=True):
-    """The voters after the `epoch`-th change; epoch 0 is the configured set."""
+    """The voters after change number `epoch`; epoch 0 is the configured set."""
 
     epoch: int
     names: tuple[str, ...]
 
     def majority(self) -> int:
-        """How many voters have to agree."""
+        """Return the number of voters that must agree."""
         return majority(len(self.names))
 
 
 def majority(count: int) -> int:
-    """The size of a majority of `count` voters: any two majorities share a voter."""
+    """Return the size of a majority of `count` voters; any two majorities share a voter."""
     return count // 2 + 1
 
 
 class Lease(Struct, array_like=True, gc=False):
-    """A lease that a voter has accepted and that has not expired on its clock."""
+    """A lease that a voter has accepted and that has not expired on the voter's clock."""
 
     proposal: ProposalNumber
     token: int
@@ -60,27 +60,27 @@
 
 
 class Prepare(Struct, array_like=True, tag=11, gc=False):
-    """Phase 1 request of a candidate, to all voters (PaxosLease: prepare request)."""
+    """Phase 1 request from a candidate to all voters (PaxosLease: prepare request)."""
 
     role: str
     proposal: ProposalNumber
-    voters_epoch: int = 0  # of the voter set whose majority the candidate counts
+    voters_epoch: int = 0  # epoch of the candidate's voter set
 
 
 class PrepareResponse(Struct, array_like=True, tag=12, gc=False):
-    """A voter's phase 1 response; a rejection names the proposal that the voter is bound to."""
+    """A voter's phase 1 response; a rejection contains the proposal number that the voter has promised."""
 
     role: str
     proposal: ProposalNumber
     granted: bool
     highest_promised: ProposalNumber
-    lease: Lease | None  # that this voter has accepted, of any candidate
-    token: int  # the greatest that this voter has accepted
-    state: bytes  # that was handed on with that token
+    lease: Lease | None  # accepted by this voter, of any candidate
+    token: int  # the highest that this voter has accepted
+    state: bytes  # the role's state that came with that token
 
 
 class Propose(Struct, array_like=True, tag=13, gc=False):
-    """Phase 2 request: a lease for `term_ms` from when the voter receives it."""
+    """Phase 2 request: a lease for `term_ms` from its receipt by the voter."""
 
     role: str
     proposal: ProposalNumber
@@ -91,7 +91,7 @@
 
 
 class ProposeResponse(Struct, array_like=True, tag=14, gc=False):
-    """A voter's phase 2 response; a rejection names the proposal that the voter is bound to."""
+    """A voter's phase 2 response; a rejection contains the proposal number that the voter has promised."""
 
     role: str
     proposal: ProposalNumber
@@ -100,7 +100,7 @@
 
 
 class Release(Struct, array_like=True, tag=15, gc=False):
-    """The leader gives up the lease of this proposal before its end; `successor` should propose next."""
+    """The leader releases the lease of this proposal before it expires; `successor` should propose next."""
 
     role: str
     proposal: ProposalNumber
@@ -110,7 +110,7 @@
 
 
 class TokensRequest(Struct, array_like=True, tag=16, gc=False):
-    """A voter that has started without memory requests the tokens that other voters know of."""
+    """Requests the tokens known to other voters; sent by a voter that has started without memory."""
 
     role: str
     request_id: int
@@ -118,17 +118,17 @@
 
 
 class TokensResponse(Struct, array_like=True, tag=17, gc=False):
-    """The greatest token of each role that a voter knows of."""
+    """The highest token of each role known to a voter."""
 
     role: str
     request_id: int
-    recovered: bool  # False: it has started without memory itself, and has not recovered yet
+    recovered: bool  # False if the sender itself has started without memory and not recovered yet
     tokens: dict[str, int]
-    voters_epoch: int = 0  # that it has adopted
+    voters_epoch: int = 0  # adopted by the sender
 
 
 class VoterSetUpdate(Struct, array_like=True, tag=18, gc=False):
-    """Announces the voter set. With a `request_id` it is to be acknowledged, and the tokens merged."""
+    """Announces the voter set; a non-zero `request_id` requests an ack, after merging the tokens."""
 
     role: str
     voters: VoterSet
@@ -148,7 +148,7 @@
 
 
 class TableRow(Struct, array_like=True, gc=False, frozen=True):
-    """A row of the state table: the `sequence`-th write of the leader with this token."""
+    """A row of the state table: write number `sequence` of the leader with this token."""
 
     key: str
     token: int
@@ -156,38 +156,38 @@
     value: bytes
 
     def version(self) -> tuple[int, int]:
-        """Of two rows of a key the one of the greater version is valid."""
+        """Return the sort key by which the greater of two rows with the same key is valid."""
         return self.token, self.sequence
 
 
 class TableRead(Struct, array_like=True, tag=31, gc=False):
-    """Requests the rows after a key. With a token, the replica rejects lower ones from then on."""
+    """Requests the rows after a key. If it has a token, the replica then rejects lower tokens."""
 
     role: str
-    token: int  # of the primary; 0 from a replica that recovers
+    token: int  # of the primary; 0 from a recovering replica
     read_id: int
     after_key: str
     voters_epoch: int = 0
 
 
 class TablePage(Struct, array_like=True, tag=32, gc=False):
-    """A replica's response to a read: one page of its rows, and the state that they belong to."""
+    """A replica's response to a read: one page of its rows and the state of the replica."""
 
     role: str
     token: int
     read_id: int
     after_key: str
     base_token: int  # of the primary that last replaced all rows
-    highest_token: int  # that any primary has presented here
+    highest_token: int  # presented to this replica by any primary
     rows_lost: bool  # acknowledged rows may be missing
-    recovering: bool  # this replica has started without memory, and awaits the base
+    recovering: bool  # this replica has started without memory and awaits the base
     rows: list[TableRow]
     has_more: bool
-    incarnation: int  # of this replica: what it promised does not bind its next incarnation
+    incarnation: int  # of this replica; its promises don't bind its next incarnation
 
 
 class TableWrite(Struct, array_like=True, tag=33, gc=False):
-    """A page of a new base, or, with a `page_count` of 0, more rows of the present base."""
+    """A page of a new base, or further rows of the current base if `page_count` is 0."""
 
     role: str
     token: int
@@ -196,12 +196,12 @@
     page_count: int
     rows_lost: bool
     rows: list[TableRow]
-    incarnation: int = 0  # not 0: the base is for this incarnation of a recovering replica alone
+    incarnation: int = 0  # if not 0, the base is only for this incarnation of a recovering replica
     voters_epoch: int = 0
 
 
 class TableWriteAck(Struct, array_like=True, tag=34, gc=False):
-    """Acknowledges that the rows of that write are stored."""
+    """Acknowledges that the rows of a write are stored."""
 
     role: str
     token: int
@@ -239,18 +239,18 @@
 
 @dataclass(slots=True)
 class MembershipObserved:
-    """What membership says at present; it may be late or wrong, and safety does not depend on it."""
+    """The current view of the membership, which may be outdated or wrong; safety does not depend on it."""
 
     alive: frozenset[str]  # members that may lead: alive and not draining
-    claims: dict[str, tuple[str, int]]  # by role: who says that it leads, and its token
-    healthy: bool = True  # whether this process gets its turns in time; otherwise it does not stand
+    claims: dict[str, tuple[str, int]]  # by role: the member that claims to lead it, and its token
+    healthy: bool = True  # whether this process is scheduled in time; otherwise it does not propose
     zones: dict[str, str] = field(default_factory=dict)  # by member
     voters: VoterSet | None = None  # the latest that any member has adopted
 
 
 @dataclass(slots=True)
 class HandoverRequested:
-    """Operators, or a drain, want a role led elsewhere."""
+    """Operators or a drain request that another member leads a role."""
 
     role: str
     successor: str = ""  # "": any candidate
@@ -258,7 +258,7 @@
 
 @dataclass(slots=True)
 class RoleStateChanged:
-    """The small state of a role's work has changed; a successor receives it."""
+    """The state of a role, which a successor receives, has changed."""
 
     role: str
     state: bytes
@@ -266,7 +266,7 @@
 
 @dataclass(slots=True)
 class WriteRequested:
-    """Operators, or another component, want a row written; `WriteCompleted` of this id follows."""
+    """Operators or another component request a write of a row; `WriteCompleted` with this id follows."""
 
     key: str
     value: bytes
@@ -275,7 +275,7 @@
 
 @dataclass(slots=True)
 class VoterChangeRequested:
-    """Operators want one voter added or removed; `WriteCompleted` of this id follows."""
+    """Operators request that one voter is added or removed; `WriteCompleted` with this id follows."""
 
     add: str
     remove: str
@@ -306,16 +306,16 @@
 
 @dataclass(slots=True)
 class LeaseAcquired:
-    """This process leads the role from now on, and presents the token with each act."""
+    """This process now leads the role, and presents the token with each action."""
 
     role: str
     token: int
-    state: bytes  # from its predecessor
+    state: bytes  # from the predecessor
 
 
 @dataclass(slots=True)
 class LeaseLost:
-    """This process no longer leads the role: its work stops at once, even half done."""
+    """This process no longer leads the role and must stop its work immediately, even if incomplete."""
 
     role: str
     token: int
@@ -333,10 +333,7 @@
 
 @dataclass(slots=True)
 class WriteCompleted:
-    """The outcome of a write request.
-
-    It is committed, or its outcome is unknown (neither `committed` nor a `rejection`), or it was rejected.
-    """
+    """The outcome of a write request: committed, rejected, or unknown (`committed` and `rejection` unset)."""
 
     request_id: int
     committed: bool
--- a/dunlinloft/fleet/leases/preference.py
+++ b/dunlinloft/fleet/leases/preference.py
@@ -1,4 +1,4 @@
-"""Which members should lead a role, in order of preference; the same at all that see the same members."""
+"""The order in which members are preferred as leaders of a role, equal for all members with the same view."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class _Rank(NamedTuple):
-    """What members are ordered by, the most important first."""
+    """The sort key of members, by descending importance."""
 
     roles_led: int
     zone_rotation: int
@@ -18,16 +18,17 @@
 
 
 def preference_order(role: str, observed: MembershipObserved, role_index: int = 0) -> list[str]:
-    """Members in the order in which they should stand for a role, the `role_index`-th of all.
+    """Return the members in the order in which they should propose for a role, the `role_index`-th of all.
 
-    Those that lead the fewest other roles come first. Among these the zones rotate with the roles, so that
-    the loss of a zone takes few of them; then by rendezvous hashing (Thaler and Ravishankar 1998).
+    Members that lead the fewest other roles come first. Among these, the preferred zone rotates with the
+    role, so that the loss of a zone affects few roles. Remaining ties are resolved by rendezvous hashing
+    (Thaler and Ravishankar 1998).
     """
     roles_led = Counter(leader for other, (leader, _) in observed.claims.items() if other != role)
     zones = sorted({observed.zones.get(name, "") for name in observed.alive})
 
     def rank(name: str) -> _Rank:
-        """Lower ranks stand first."""
+        """Return the sort key of a member; the lowest is preferred."""
         rotation = (zones.index(observed.zones.get(name, "")) - role_index) % len(zones)
         return _Rank(roles_led[name], rotation, rendezvous.rank(role, name))
 
--- a/dunlinloft/fleet/leases/table_primary.py
+++ b/dunlinloft/fleet/leases/table_primary.py
@@ -1,11 +1,11 @@
-"""The state table's primary: the fleet's small records, stored in the memory of the voters.
-
-After the view change of Viewstamped Replication Revisited (Liskov and Cowling 2012, section 4.2), with
-fencing tokens for view numbers. The leader of the table's role first reads from a majority of the replicas,
-each of which rejects lower tokens from then on; of what they have, that of the greatest *base* is valid. It
-has a majority replace what they have by this, with its own token as the base, and only then accepts writes.
-So an acknowledged row is in every later base; one that was not acknowledged, and that a read did not find,
-never reappears.
+"""The state table's primary. The table holds small records of the fleet in the memory of the voters.
+
+The protocol follows the view change of Viewstamped Replication Revisited (Liskov and Cowling 2012, section
+4.2) with fencing tokens as view numbers. The leader of the table's role first reads from a majority of the
+replicas, each of which then rejects lower tokens. The rows of the replicas with the greatest *base* are
+valid. The leader has a majority replace their rows by these, with its own token as the new base, and only
+then accepts writes. Therefore an acknowledged row is in every later base, and an unacknowledged row that a
+read did not find never reappears.
 """
 
 from __future__ import annotations
@@ -37,43 +37,43 @@
     paginate,
 )
 
-RESPONSE_TIMEOUT_MS = 80.0  # for replicas' responses; requests are sent again, at doubling intervals
+RESPONSE_TIMEOUT_MS = 80.0  # for the responses of replicas; requests are resent at doubling intervals
 MAX_RESEND_INTERVAL_MS = 2_000.0
-MAX_RESTORE_RESENDS = 8  # while a majority takes the base; then the primary reads again
+MAX_RESTORE_RESENDS = 8  # of the base, before the primary starts reading again
 
 
 class TableStep(StrEnum):
-    """Where a primary stands; operators see the value (`step`)."""
+    """The step of a primary; its value is shown to operators (`step`)."""
 
     IDLE = "idle"  # this process is not the primary
-    READING = "reading"  # from a majority
-    RESTORING = "restoring"  # a majority replaces what it has by the new base
+    READING = "reading"  # reads from a majority
+    RESTORING = "restoring"  # has a majority replace its rows by the new base
     OPEN = "open"  # accepts writes
 
 
 class WriteRejected(Exception):
-    """A row that was not taken; the text says why, for operators."""
+    """A write that was rejected; the text is the reason, for operators."""
 
 
 @dataclass(slots=True)
 class _PendingWrite:
-    """A message that some replicas have not acknowledged yet."""
+    """A write that some replicas have not acknowledged yet."""
 
     message: TableWrite
     replicas: list[str]
-    request_id: int = 0  # of the write request that it serves; 0: of none, or already completed
+    request_id: int = 0  # of the corresponding write request; 0 if none, or already completed
     acknowledged_by: set[str] = field(default_factory=set)
 
     def missing(self) -> list[str]:
-        """The replicas that have not acknowledged it."""
+        """Return the replicas that have not acknowledged it."""
         return [replica for replica in self.replicas if replica not in self.acknowledged_by]
 
 
 class TablePrimary:
-    """The part of the leader of `STATE_TABLE_ROLE`; idle at all other processes.
+    """The primary, active on the leader of `STATE_TABLE_ROLE` and idle on all other processes.
 
-    `manager.LeaseManager` owns it, takes its `actions` after each call, and gives it messages and timers only
-    while the lease is valid.
+    `manager.LeaseManager` owns it, collects its `actions` after each call, and passes messages and timers to
+    it only while the lease is valid.
     """
 
     def __init__(self, voters: list[str], rng: random.Random) -> None:
@@ -87,22 +87,22 @@
         self._read = TableReadSession(0)
         self._last_write_id = 0
         self._last_sequence = 0
-        self._timer_generation = 0  # timers of earlier ones are ignored
+        self._timer_generation = 0  # timers of earlier generations are ignored
         self._resends = 0
         self._resend_interval_ms = RESPONSE_TIMEOUT_MS
         self._writes: dict[int, _PendingWrite] = {}
-        self._incarnations: dict[str, int] = {}  # of each replica, the latest that is known
-        self._has_base: set[str] = set()  # replicas that took the base in the incarnation that was read
-        self._added: set[str] = set()  # voters added since the base was made, which do not have it yet
+        self._incarnations: dict[str, int] = {}  # by replica: its latest known incarnation
+        self._has_base: set[str] = set()  # replicas that stored the base in the incarnation that was read
+        self._added: set[str] = set()  # voters added after the base was created that do not have it yet
         self.actions: list[Action] = []
         self.set_timer: Callable[[float, int], None] = _no_timer
 
     def majority(self) -> int:
-        """How many replicas have to store a row."""
+        """Return the number of replicas that must store a row."""
         return majority(len(self._voters))
 
     def set_voters(self, voters: list[str], epoch: int) -> None:
-        """Replace the voter set. An open table goes on with the new one; added voters are sent all rows."""
+        """Replace the voter set. An open table continues with the new set; added voters receive all rows."""
         added = set(voters) - set(self._voters)
         self._voters = voters
         self.voters_epoch = epoch
@@ -111,7 +111,7 @@
         self._added = (self._added | added) & set(voters)
         for write_id, write in list(self._writes.items()):
             write.replicas = [replica for replica in write.replicas if replica in voters]
-            # A copy: the message of the old epoch may still be on its way.
+            # A copy, since the message with the old epoch may still be in transit.
             write.message = replace(write.message, voters_epoch=epoch)
             self._check_committed(write_id, write)
         if self.step is TableStep.OPEN:
@@ -120,17 +120,17 @@
             self.timer_fired(self._timer_generation)
 
     def majority_is_complete(self) -> bool:
-        """Whether a majority of the voters has all rows, under this primary's base."""
+        """Return whether a majority of the voters has all rows with this primary's base."""
         behind = self._added.union(*(write.missing() for write in self._writes.values()))
         return self.step is TableStep.OPEN and len(set(self._voters) - behind) >= self.majority()
 
     def start(self, token: int) -> None:
-        """This process has acquired the lease: read what there is."""
+        """Start reading, as this process has acquired the lease."""
         self.token = token
         self._start_reading()
 
     def stop(self) -> None:
-        """It has lost the lease: the outcome of writes in flight is unknown."""
+        """Stop, as this process has lost the lease; the outcome of pending writes is unknown."""
         self._timer_generation += 1
         self.actions += [
             WriteCompleted(write.request_id, False) for write in self._writes.values() if write.request_id
@@ -139,7 +139,7 @@
         self._writes = {}
 
     def _start_reading(self) -> None:
-        """Begin from scratch: what a replica promised and has forgotten since does not bind it."""
+        """Start reading from scratch, as a replica that has lost its memory is not bound by its promise."""
         self.step = TableStep.READING
         self.rows_lost = False
         self._resend_interval_ms = RESPONSE_TIMEOUT_MS
@@ -192,14 +192,14 @@
             self._send(page, index, len(pages), replicas, incarnation=incarnation)
 
     def timer_fired(self, generation: int) -> None:
-        """Send again what was not acknowledged; while open, also probe whether replicas have restarted."""
+        """Resend unacknowledged messages; while open, also probe whether replicas have restarted."""
         if generation != self._timer_generation:
             return
         if self.step is TableStep.READING:
             return self._request_pages()
         self._resends += 1
         if self.step is TableStep.RESTORING and self._resends > MAX_RESTORE_RESENDS:
-            return self._start_reading()  # a replica that was read is unreachable: others may do
+            return self._start_reading()  # a replica that was read is unreachable; try others
         for write in self._writes.values():
             self.actions.extend(SendMessage(replica, write.message) for replica in write.missing())
         if self.step is TableStep.OPEN:
@@ -211,7 +211,7 @@
         self.set_timer(self._resend_interval_ms, self._timer_generation)
 
     def handle(self, message: TablePage | TableWriteAck, sender: str) -> None:
-        """A replica's response; those to an earlier primary are ignored."""
+        """Handle a replica's response; a response to an earlier primary is ignored."""
         if sender not in self._voters or message.token != self.token or self.step is TableStep.IDLE:
             return
         if isinstance(message, TableWriteAck):
@@ -226,7 +226,7 @@
             self._restore()
 
     def _handle_restarted(self, replica: str, incarnation: int) -> None:
-        """A replica has lost its memory: what it acknowledged is void, and it needs the base."""
+        """Handle a replica that has lost its memory: its acknowledgements are void, and it needs the base."""
         if self.step not in (TableStep.RESTORING, TableStep.OPEN):
             return
         self._incarnations[replica] = incarnation
@@ -245,7 +245,7 @@
             self._send_base([replica], incarnation)
 
     def _restore(self) -> None:
-        """A majority was read: what it has is the new base."""
+        """Send the rows read from a majority as the new base."""
         result = self._read.result()
         self.rows_lost = result.rows_lost
         for n, row in enumerate(sorted(result.rows.values(), key=TableRow.version)):
@@ -262,7 +262,7 @@
             return
         read = self._read.last_pages.get(replica)
         if self.step is TableStep.RESTORING and read is not None and read.incarnation != message.incarnation:
-            # It has forgotten its promise to reject lower tokens, and may have stored older rows since.
+            # The replica has lost its promise to reject lower tokens and may have stored older rows since.
             return self._start_reading()
         if self._incarnations.setdefault(replica, message.incarnation) != message.incarnation:
             return  # a delayed acknowledgement of a former incarnation
@@ -275,7 +275,7 @@
         self._check_committed(message.write_id, write)
 
     def _check_committed(self, write_id: int, write: _PendingWrite) -> None:
-        """A row is committed once a majority of the present voters stores it; a write ends with the last."""
+        """Commit a write that a majority of the current voters has stored; end it once all replicas have."""
         if write.request_id and len(write.acknowledged_by.intersection(self._voters)) >= self.majority():
             self.actions.append(WriteCompleted(write.request_id, True))
             write.request_id = 0
@@ -297,4 +297,4 @@
 
 
 def _no_timer(delay_ms: float, generation: int) -> None:
-    """Until the owner has set `TablePrimary.set_timer`."""
+    """Default of `TablePrimary.set_timer` until the owner sets it."""
--- a/dunlinloft/fleet/leases/table_read.py
+++ b/dunlinloft/fleet/leases/table_read.py
@@ -1,6 +1,6 @@
-"""Reading the state table back from several replicas, page by page.
+"""Reads the state table from several replicas, page by page.
 
-Used by the primary at the start of its term, and by a replica that has started without memory.
+Used by the primary when it acquires the lease, and by a replica that has started without memory.
 """
 
 from __future__ import annotations
@@ -13,38 +13,38 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadResult:
-    """What the replicas that were read have between them."""
+    """The combined result of the replicas that were read."""
 
-    base_token: int  # the greatest of them
-    highest_token: int  # that any primary has presented to one of them
+    base_token: int  # the greatest of these replicas
+    highest_token: int  # presented by any primary to any of them
     rows_lost: bool  # acknowledged rows may be missing
-    rows: dict[str, TableRow]  # of the replicas with that base
+    rows: dict[str, TableRow]  # of the replicas with the greatest base
 
 
 class TableReadSession:
-    """One read of several replicas, each during a single incarnation of it.
+    """One read of several replicas, each within a single incarnation of the replica.
 
-    Rows of two incarnations must not be mixed: the later one may have lost what the earlier one had stored.
+    Rows of two incarnations must not be mixed, as the later one may have lost rows that the earlier one had.
     """
 
     def __init__(self, read_id: int) -> None:
         self.read_id = read_id  # pages of other sessions are ignored
-        self._after_key: dict[str, str] = {}  # by replica: where its next page begins
+        self._after_key: dict[str, str] = {}  # by replica: the key after which its next page begins
         self._rows: dict[str, dict[str, TableRow]] = {}
         self._incarnations: dict[str, int] = {}
-        self.last_pages: dict[str, TablePage] = {}  # of the replicas that were read completely
+        self.last_pages: dict[str, TablePage] = {}  # of the replicas that were completely read
 
     def after_key(self, replica: str) -> str:
-        """The key after which this replica's next page begins."""
+        """Return the key after which this replica's next page begins."""
         return self._after_key.get(replica, "")
 
     def request(self, replica: str, token: int, voters_epoch: int) -> SendMessage:
-        """The request for a replica's next page, with the primary's token, or 0 from a replica."""
+        """Return the request for a replica's next page; `token` is the primary's, or 0 from a replica."""
         read = TableRead(STATE_TABLE_ROLE, token, self.read_id, self.after_key(replica), voters_epoch)
         return SendMessage(replica, read)
 
     def requests(self, replicas: list[str], token: int, voters_epoch: int) -> list[SendMessage]:
-        """The same, for all replicas that were not read completely."""
+        """Return the requests for the next pages of all replicas that were not completely read."""
         return [
             self.request(replica, token, voters_epoch)
             for replica in replicas
@@ -52,12 +52,12 @@
         ]
 
     def discard(self, replica: str) -> None:
-        """Forget what a replica has sent: it has to be read from the beginning."""
+        """Discard the pages of a replica, which must be read from the beginning."""
         for state in (self._after_key, self._rows, self._incarnations, self.last_pages):
             state.pop(replica, None)
 
     def handle_page(self, page: TablePage, replica: str) -> bool:
-        """Take a page; whether another has to be requested from this replica."""
+        """Store a page; return whether another must be requested from this replica."""
         expected = page.read_id == self.read_id and page.after_key == self.after_key(replica)
         if not expected or replica in self.last_pages:
             return False
@@ -74,7 +74,7 @@
         return False
 
     def result(self) -> ReadResult:
-        """What was read; at least one replica must have been read completely."""
+        """Return the result; at least one replica must have been completely read."""
         pages = self.last_pages.values()
         base_token = max(page.base_token for page in pages)
         highest_token = max(page.highest_token for page in pages)
--- a/dunlinloft/fleet/leases/table_replica.py
+++ b/dunlinloft/fleet/leases/table_replica.py
@@ -1,6 +1,6 @@
-"""A replica of the state table: what one voter stores, in memory alone.
+"""A replica of the state table, stored by one voter in memory only.
 
-`voting_member.VotingMember` owns it; `table_primary` has the protocol and its source.
+`voting_member.VotingMember` owns it; `table_primary` describes the protocol and its source.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class _StagedBase:
-    """Pages of a new base that is not complete yet; pages of two sendings must not be mixed."""
+    """Pages of an incomplete new base; pages of two transmissions must not be mixed."""
 
     token: int = 0
     first_write_id: int = 0
@@ -32,11 +32,12 @@
 class TableReplica:
     """One voter's copy of the table.
 
-    It starts without memory, and requests from the other replicas the greatest token that a primary has
-    presented: from so many that every majority contains one of them. Then it waits for the complete base from
-    a primary with no lower token, which by that learns that what this replica's former incarnation had stored
-    or promised is void. Where too many other replicas have lost their memory too, it continues with what the
-    rest have; acknowledged rows may then be lost, and `rows_lost` says so.
+    It starts without memory and requests from the other replicas the highest token that a primary has
+    presented, until it has responses from so many that every majority contains one of them. Then it waits for
+    the complete base from a primary whose token is not lower. That primary thereby learns that the rows and
+    promises of this replica's former incarnation are void. If too many other replicas have lost their memory
+    too, this one continues with the rows of the rest; acknowledged rows may then be lost, which `rows_lost`
+    reports.
     """
 
     def __init__(self, name: str, voters: list[str], incarnation: int) -> None:
@@ -45,30 +46,30 @@
         self.voters_epoch = 0
         self.set_voters(voters, 0)
         self._recovery = TableReadSession(incarnation)
-        self._without_memory: set[str] = set()  # other replicas that recover themselves
+        self._without_memory: set[str] = set()  # other replicas that are recovering
         self.rows: dict[str, TableRow] = {}
         self.base_token = 0
         self.highest_token = 0
-        self.ready = not self._others  # False: it has not got the base yet
-        self.reading_peers = not self.ready  # it does not know yet which token was presented last
+        self.ready = not self._others  # False while it has not received the base
+        self.reading_peers = not self.ready  # whether the highest presented token is still unknown
         self.rows_lost = False
         self._staged = _StagedBase()
-        self.rejected = 0  # requests with an outdated token
+        self.rejected = 0  # number of requests with an outdated token
 
     def set_voters(self, voters: list[str], epoch: int) -> None:
-        """Replace the voter set; this process is in the new one too."""
+        """Replace the voter set; the new one also contains this process."""
         self.voters_epoch = epoch
         self._others = [voter for voter in voters if voter != self._name]
         self._required = len(voters) - majority(len(voters)) + 1
 
     def recovery_requests(self) -> list[SendMessage]:
-        """Requests to the other replicas while it does not know which token was presented last."""
+        """Return requests to the other replicas while the highest presented token is unknown."""
         if not self.reading_peers:
             return []
         return self._recovery.requests(self._others, 0, self.voters_epoch)
 
     def handle_recovery_page(self, page: TablePage, sender: str) -> list[SendMessage]:
-        """Another replica's response to that; the request for its next page, if there is one."""
+        """Handle a response to a recovery request; return the request for the next page, if any."""
         if not self.reading_peers or sender not in self._others or page.read_id != self._recovery.read_id:
             return []
         if page.recovering:
@@ -86,7 +87,7 @@
         if len(read) >= self._required:
             self.reading_peers = False
             self.highest_token = self._recovery.result().highest_token
-            self.ready = not self.highest_token  # there has never been a primary, and so no base
+            self.ready = not self.highest_token  # 0: no primary, and therefore no base, ever existed
         elif read | self._without_memory >= set(self._others):
             self.reading_peers = False
             self.ready = True
@@ -98,7 +99,7 @@
                 self.rows_lost = result.rows_lost or self.highest_token > 0  # 0: there were no rows to lose
 
     def handle_read(self, message: TableRead) -> TablePage | None:
-        """A page for a primary, which has a token, or for a recovering replica, which has none."""
+        """Return a page for a primary, whose request has a token, or for a recovering replica."""
         if message.token:
             if not self.ready or message.token < self.highest_token:
                 self.rejected += message.token < self.highest_token
@@ -116,9 +117,9 @@
         )  # fmt: skip
 
     def handle_write(self, message: TableWrite) -> TableWriteAck | TablePage | None:
-        """Store rows of the present base, or a page of a new one, which replaces all rows once complete.
+        """Store rows of the current base, or a page of a new one, which replaces all rows once complete.
 
-        A recovering replica responds with an empty page that says so, as it needs the base first.
+        A recovering replica responds with an empty page marked as recovering, as it needs the base first.
         """
         if self.reading_peers or message.token < self.highest_token:
             self.rejected += message.token < self.highest_token
@@ -130,7 +131,7 @@
         if message.page_count and (self.base_token != message.token or not self.ready):
             self._stage(message)
         elif self.base_token != message.token:
-            return None  # the base that these rows belong to has not come yet
+            return None  # the base of these rows has not been received yet
         for row in message.rows if not message.page_count else ():
             merge_row(self.rows, row)
         return TableWriteAck(STATE_TABLE_ROLE, message.token, message.write_id, self.incarnation)
--- a/dunlinloft/fleet/leases/voter.py
+++ b/dunlinloft/fleet/leases/voter.py
@@ -1,7 +1,7 @@
-"""A voter: the acceptor of PaxosLease (Trencseni, Gazso, Reinhardt 2012), with its state in memory alone.
+"""A voter: the acceptor of PaxosLease (Trencseni, Gazso, Reinhardt 2012), with its state in memory only.
 
-A process that has started does not know what it promised and accepted before, so it takes no part until
-whatever that was has expired.
+A restarted process does not know what it promised and accepted before, so it does not vote until all of that
+has expired.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
     majority,
 )
 
-MAX_ROLES = 256  # bounds the memory that a flood of made-up role names can take
+MAX_ROLES = 256  # limits the memory that a flood of unknown role names can use
 
 
 class _AcceptorState:
-    """What is stored of one role."""
+    """The acceptor's state of one role."""
 
     __slots__ = ("accepted", "expires_ms", "highest_promised", "state", "token")
 
@@ -40,15 +40,16 @@
 
 
 class Voter:
-    """One voter's memory of all roles; `manager.LeaseManager` gives it the messages that come.
+    """One voter's state of all roles; `manager.LeaseManager` passes received messages to it.
 
-    It votes once two conditions hold. The longest lease has expired since its start, so nothing that a former
-    incarnation may have promised or accepted is still valid. And it knows the tokens that were issued, either
-    from so many other voters that every majority contains one of them, or from all others, where they have
-    lost their memory too (the entire fleet was started; then the wall clock has to keep tokens rising).
+    It votes once two conditions hold. First, the longest lease term has passed since its start, so that
+    nothing that a former incarnation may have promised or accepted is still valid. Second, it knows the
+    tokens that were issued: either from so many other voters that every majority contains one of them, or
+    from all others if they have lost their memory too (after a start of the entire fleet; then the wall clock
+    must keep tokens increasing).
 
-    Parameters: `started_ms` by the process's own monotonic clock; `max_term_ms`, the longest lease that any
-    candidate may propose; `drift`, by how much two clocks' rates may differ, as a fraction.
+    Parameters: `started_ms`, by the process's own monotonic clock; `max_term_ms`, the longest lease that any
+    candidate may propose; `drift`, the maximum relative difference of two clocks' rates.
     """
 
     def __init__(
@@ -58,15 +59,15 @@
         self._drift = drift
         self._max_term_ms = max_term_ms
         self._recovery_until_ms = started_ms + max_term_ms * (1.0 + drift)
-        self._responded: dict[str, bool] = {}  # by other voter: whether it has recovered itself
+        self._responded: dict[str, bool] = {}  # by other voter: whether it has recovered
         self._tokens: dict[str, int] = {}
         self._states: dict[str, _AcceptorState] = {}
         self._recovered = False
-        self.request_id = int(started_ms)  # so that no response to a former incarnation is taken
+        self.request_id = int(started_ms)  # excludes responses to a former incarnation
         self.set_voters(voters)
 
     def set_voters(self, voters: Sequence[str]) -> None:
-        """Replace the voter set; this process is in the new one too."""
+        """Replace the voter set; the new one also contains this process."""
         self._others = [other for other in voters if other != self._name]
         self._required = len(voters) - majority(len(voters)) + 1
         self._responded = {
@@ -75,27 +76,27 @@
         self._check_recovered()
 
     def recovered(self) -> bool:
-        """Whether it knows the tokens that were issued."""
+        """Return whether this voter knows the tokens that were issued."""
         return self._recovered
 
     def _check_recovered(self) -> None:
-        """Recovery is final: a later change of voters makes it forget nothing."""
+        """Update whether this voter has recovered; a later change of voters does not revert that."""
         informed = sum(self._responded.values())
         self._recovered |= informed >= self._required or len(self._responded) == len(self._others)
 
     def may_vote(self, now: float) -> bool:
-        """Whether it takes part yet."""
+        """Return whether this voter may vote."""
         return now >= self._recovery_until_ms and self.recovered()
 
     def recovery_requests(self, voters_epoch: int = 0) -> list[SendMessage]:
-        """Requests to the voters that have not responded with their memory intact; none once recovered."""
+        """Return requests to the voters that have not responded with intact memory; none once recovered."""
         if self.recovered():
             return []
         request = TokensRequest("", self.request_id, voters_epoch)
         return [SendMessage(other, request) for other in self._others if not self._responded.get(other)]
 
     def handle_tokens_response(self, message: TokensResponse, sender: str) -> None:
-        """Another voter's response to `recovery_requests`."""
+        """Handle another voter's response to `recovery_requests`."""
         if message.request_id != self.request_id or sender not in self._others:
             return
         self._responded[sender] = message.recovered or self._responded.get(sender, False)
@@ -103,26 +104,26 @@
         self.merge_tokens(message.tokens)
 
     def merge_tokens(self, tokens: dict[str, int]) -> None:
-        """Take note that these tokens were issued."""
+        """Record that these tokens were issued."""
         for role, token in tokens.items():
             self._tokens[role] = max(self._tokens.get(role, 0), token)
             if role in self._states:
                 self._states[role].token = max(self._states[role].token, token)
 
     def tokens(self) -> dict[str, int]:
-        """The greatest token of each role that this voter knows of."""
+        """Return the highest token of each role known to this voter."""
         return self._tokens | {
             role: max(state.token, self._tokens.get(role, 0)) for role, state in self._states.items()
         }
 
     def tokens_response(self, message: TokensRequest, voters_epoch: int = 0) -> TokensResponse:
-        """The response to another voter that recovers."""
+        """Return the response to another voter that recovers."""
         return TokensResponse("", message.request_id, self.recovered(), self.tokens(), voters_epoch)
 
     def handle(
         self, message: Prepare | Propose | Release, now: float
     ) -> PrepareResponse | ProposeResponse | None:
-        """The response to a candidate; None for a release, and while this voter does not vote."""
+        """Return the response to a candidate; None for a release, and while this voter may not vote."""
         if not self.may_vote(now):
             return None
         state = self._states.get(message.role)
@@ -141,7 +142,7 @@
         return None
 
     def _handle_prepare(self, state: _AcceptorState, message: Prepare, now: float) -> PrepareResponse:
-        # Equal: the candidate repeats a request whose response was lost.
+        # Equal if the candidate resends a request whose response was lost.
         granted = message.proposal >= state.highest_promised
         if granted:
             state.highest_promised = message.proposal
@@ -153,12 +154,13 @@
         )
 
     def _handle_propose(self, state: _AcceptorState, message: Propose, now: float) -> ProposeResponse:
-        # A longer term would outlast the recovery time of a voter that restarts.
+        # A longer term would exceed the recovery time of a restarted voter.
         accepted = message.proposal >= state.highest_promised and message.term_ms <= self._max_term_ms
         if accepted:
             state.highest_promised = message.proposal
             state.accepted = message.proposal
-            # This clock may run faster than the leader's: the drift is added here, and subtracted there.
+            # The local clock may run faster than the leader's, so the voter adds the drift and the leader
+            # subtracts it.
             state.expires_ms = now + message.term_ms * (1.0 + self._drift)
             self._take_state(state, message.token, message.state)
         return ProposeResponse(message.role, message.proposal, accepted, state.highest_promised)
@@ -168,7 +170,7 @@
         if state.accepted.proposer() != proposal.proposer() or state.accepted > proposal:
             return
         state.expires_ms = 0.0
-        # A renewal by the same proposal may still be on its way: it has to be rejected from now on.
+        # A renewal with the same proposal may still be in transit and must be rejected from now on.
         beyond = ProposalNumber(proposal.round, proposal.candidate, proposal.incarnation + 1)
         state.highest_promised = max(state.highest_promised, beyond)
         self._take_state(state, message.token, message.state)
--- a/dunlinloft/fleet/leases/voters.py
+++ b/dunlinloft/fleet/leases/voters.py
@@ -1,18 +1,21 @@
 """Changes of the voter set while the fleet runs, one member at a time.
 
-As in the single-server changes of Raft (Ongaro 2014, chapter 4): majorities of two sets that differ by one
-member always overlap. Which set follows which is decided by a row of the state table. Once that is committed,
-the table's primary has the voters adopt the set; whoever has adopted it rejects requests of an older epoch.
-
-The next change may begin only when nothing depends on the set before the last any more:
-
-1. a majority of the old voters and one of the new have adopted the new set, and have confirmed that in the
-   same incarnations: there was an instant at which all of them knew it. So no majority of the old set can be
-   had, and a voter that restarts finds one that knows, whichever majority it asks;
-2. with the confirmation they have merged the tokens that they knew at the first acknowledgement: tokens go on
-   rising;
-3. the longest lease has passed since: what the old voters granted has expired, or was renewed by the new;
-4. a majority of the new voters has the complete state table.
+As in the single-server changes of Raft (Ongaro 2014, chapter 4), majorities of two sets that differ by one
+member always overlap. A row of the state table determines the next set. Once the row is committed, the
+table's primary has the voters adopt the set, and voters that have adopted it reject requests of an older
+epoch.
+
+The next change may begin only when nothing depends any more on the set that the latest change replaced:
+
+1. A majority of the old voters and a majority of the new voters have adopted the new set and confirmed this
+   in the same incarnations, so there was an instant at which all of them knew it. Therefore no majority of
+   the old set can form, and a restarted voter finds a voter that knows the new set in whichever majority it
+   queries.
+2. With the confirmation they have merged the tokens that were known at the first acknowledgement, so tokens
+   keep increasing.
+3. The longest lease term has passed since, so leases granted by the old voters have expired or were renewed
+   by the new ones.
+4. A majority of the new voters has the complete state table.
 """
 
 from __future__ import annotations
@@ -25,27 +28,27 @@
 
 from dunlinloft.fleet.leases.messages import SendMessage, VoterSet, VoterSetAck, VoterSetUpdate, majority
 
-VOTERS_KEY = "voters"  # of the row of the state table that holds the latest change
-MIN_VOTERS = 3  # with fewer no voter may fail
+VOTERS_KEY = "voters"  # key of the state table's row that contains the latest change
+MIN_VOTERS = 3  # fewer tolerate no failure of a voter
 MAX_VOTERS = 7
 
 
 class VoterChangeStep(StrEnum):
-    """How far the latest change is, at the state table's primary."""
+    """The step of the latest change, on the state table's primary."""
 
     IDLE = "idle"  # this process is not the primary
-    ADOPTING = "adopting"  # waits for first acknowledgements
-    CONFIRMING = "telling"  # waits for confirmations, which carry tokens
+    ADOPTING = "adopting"  # waits for the first acknowledgements
+    CONFIRMING = "telling"  # waits for confirmations, which include tokens
     EXPIRING = "resting"  # waits for the old voters' leases to expire
     COMPLETE = "settled"  # the next change may begin
 
 
 class VoterChangeRejected(Exception):
-    """A change of voters that can't be made; the text says why, for operators."""
+    """A change of voters that was rejected; the text is the reason, for operators."""
 
 
 class VoterRow(msgspec.Struct, frozen=True, rename={"previous_names": "before"}):
-    """What the state table holds of the latest change, as JSON."""
+    """The state table's row of the latest change, encoded as JSON."""
 
     epoch: int
     previous_names: tuple[str, ...]
@@ -57,7 +60,7 @@
 
 
 def decode_voter_row(value: bytes) -> VoterRow | None:
-    """Decode a row's value; None where it is malformed."""
+    """Decode a row's value; None if it is malformed."""
     try:
         return msgspec.json.decode(value, type=VoterRow)
     except msgspec.DecodeError:
@@ -65,9 +68,10 @@
 
 
 def next_voters(voters: VoterSet, add: str, remove: str, alive: Collection[str]) -> tuple[str, ...]:
-    """The voters' names with one added or one removed; raises `VoterChangeRejected`.
+    """Return the voters' names with one added or one removed; raises `VoterChangeRejected`.
 
-    `alive` are the members that are alive: without a majority of them the new set could decide nothing.
+    `alive` contains the live members: without a majority of live voters, the new set could not decide
+    anything.
     """
     if bool(add) == bool(remove):
         raise VoterChangeRejected("one voter is added or removed at a time")
@@ -91,9 +95,9 @@
 
 
 class VoterChange:
-    """The state table's primary sees a change through, and says when the next may begin.
+    """Completes a change on the state table's primary, and determines when the next may begin.
 
-    `term_ms` is the longest lease, `drift` by how much two clocks' rates may differ, as a fraction.
+    `term_ms` is the longest lease term, `drift` the maximum relative difference of two clocks' rates.
     """
 
     def __init__(self, rng: random.Random, term_ms: float, drift: float) -> None:
@@ -103,15 +107,15 @@
         self._voters = VoterSet(0, ())
         self._previous_names: tuple[str, ...] = ()
         self._request_id = 0
-        self._acknowledged_by: set[str] = set()  # in this step
-        self._incarnations: dict[str, int] = {}  # of those that acknowledged first
+        self._acknowledged_by: set[str] = set()  # in the current step
+        self._incarnations: dict[str, int] = {}  # of the voters at their first acknowledgement
         self._tokens: dict[str, int] = {}
         self._expired_at_ms = 0.0
 
     def begin(self, voters: VoterSet, previous_names: tuple[str, ...]) -> list[SendMessage]:
         """Have a committed voter set adopted.
 
-        From the first step, as it is not known how far a former primary got.
+        Starts with the first step, as the progress made by a former primary is unknown.
         """
         self._voters = voters
         self._previous_names = previous_names
@@ -120,7 +124,7 @@
         return self._enter(VoterChangeStep.ADOPTING if voters.epoch else VoterChangeStep.COMPLETE)
 
     def stop(self) -> None:
-        """This process is no longer the primary."""
+        """Stop, as this process is no longer the primary."""
         self.step = VoterChangeStep.IDLE
 
     def _enter(self, step: VoterChangeStep) -> list[SendMessage]:
@@ -130,7 +134,7 @@
         return self.requests()
 
     def requests(self) -> list[SendMessage]:
-        """This step's request, to the voters that have not acknowledged it."""
+        """Return this step's requests to the voters that have not acknowledged them."""
         if self.step not in (VoterChangeStep.ADOPTING, VoterChangeStep.CONFIRMING):
             return []
         tokens = self._tokens if self.step is VoterChangeStep.CONFIRMING else {}
@@ -142,7 +146,7 @@
         return [*names, *(name for name in self._previous_names if name not in names)]
 
     def handle_ack(self, message: VoterSetAck, sender: str, now: float) -> list[SendMessage]:
-        """A voter's acknowledgement; one that has not recovered its memory does not count yet."""
+        """Handle a voter's acknowledgement, which does not count until the voter has recovered its memory."""
         if message.request_id != self._request_id or message.voters_epoch != self._voters.epoch:
             return []
         if self.step not in (VoterChangeStep.ADOPTING, VoterChangeStep.CONFIRMING) or not message.recovered:
@@ -152,7 +156,7 @@
             for role, token in message.tokens.items():
                 self._tokens[role] = max(self._tokens.get(role, 0), token)
         elif self._incarnations.get(sender, message.incarnation) != message.incarnation:
-            # It has lost its memory in between, so the first acknowledgements prove nothing: start over.
+            # The voter has lost its memory since, so the first acknowledgements are void: start over.
             return self.begin(self._voters, self._previous_names)
         if sender in self._incarnations:
             self._acknowledged_by.add(sender)
@@ -168,13 +172,13 @@
         return len(self._acknowledged_by.intersection(names)) >= majority(len(names))
 
     def check_complete(self, table_complete: bool, now: float) -> bool:
-        """Whether the next change may begin; `table_complete`: a majority of the voters has all rows."""
+        """Return whether the next change may begin; `table_complete`: a majority of voters has all rows."""
         if self.step is VoterChangeStep.EXPIRING and table_complete and now >= self._expired_at_ms:
             self.step = VoterChangeStep.COMPLETE
         return self.step is VoterChangeStep.COMPLETE
 
     def waiting_for(self, table_complete: bool, now: float) -> str:
-        """What it still waits for, for operators; empty where the next change may begin."""
+        """Return the condition that is not met yet, for operators; empty if the next change may begin."""
         count = len(self._acknowledged_by.intersection(self._voters.names))
         progress = f"{count} of {len(self._voters.names)} voters"
         match self.step:
--- a/dunlinloft/fleet/leases/voting_member.py
+++ b/dunlinloft/fleet/leases/voting_member.py
@@ -1,6 +1,6 @@
-"""One process's part among the voters: the acceptor of leases and the replica of the state table.
+"""The voting components of one process: the acceptor of leases and the replica of the state table.
 
-A process that is not a voter has neither, but follows the voter set.
+A process that is not a voter has neither, but keeps track of the voter set.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class VotingMember:
-    """Owned by `manager.LeaseManager`; parameters as there. `with_table`: the fleet has a state table."""
+    """Owned by `manager.LeaseManager`, with its parameters; `with_table`: the fleet has a state table."""
 
     def __init__(
         self, name: str, incarnation: int, voters: VoterSet, with_table: bool, rng: random.Random,
@@ -42,14 +42,14 @@
             self._become_voter(now)
 
     def _become_voter(self, now: float) -> None:
-        """Without memory: takes no part until it knows what there was."""
+        """Create the components without memory; they do not take part until they have recovered."""
         names = list(self.voters.names)
         self.acceptor = Voter(self._name, names, now, self._term_ms, self._drift)
         if self._with_table:
             self.replica = TableReplica(self._name, names, self._rng.getrandbits(31))
 
     def adopt(self, voters: VoterSet, now: float) -> None:
-        """Follow a newer voter set."""
+        """Adopt a newer voter set."""
         self.voters = voters
         if self._name not in voters.names:
             self.acceptor = None
@@ -62,7 +62,7 @@
             self.replica.set_voters(list(voters.names), voters.epoch)
 
     def recovery_requests(self) -> list[SendMessage]:
-        """Requests to other voters while this one recovers its memory."""
+        """Return requests to other voters while this one recovers its memory."""
         requests: list[SendMessage] = []
         if self.acceptor is not None:
             requests += self.acceptor.recovery_requests(self.voters.epoch)
@@ -71,12 +71,12 @@
         return requests
 
     def handle_tokens(self, message: TokensRequest | TokensResponse, sender: str) -> list[SendMessage]:
-        """Voters exchange the tokens that were issued, when one of them recovers."""
+        """Handle the exchange of issued tokens between voters when one of them recovers."""
         replies: list[SendMessage] = []
         if message.voters_epoch != self.voters.epoch:
             replies.append(self.voter_set_for(sender))
             if isinstance(message, TokensRequest) or message.voters_epoch > self.voters.epoch:
-                return replies  # whoever is behind catches up first, and requests again
+                return replies  # the side that is behind catches up first, then requests again
         if self.acceptor is None:
             return replies
         if isinstance(message, TokensRequest):
@@ -87,11 +87,11 @@
         return replies
 
     def voter_set_for(self, recipient: str) -> SendMessage:
-        """The announcement of this voter set to a process whose messages bear another epoch."""
+        """Return the announcement of this voter set to a process whose messages have another epoch."""
         return SendMessage(recipient, VoterSetUpdate("", self.voters))
 
     def acknowledge(self, message: VoterSetUpdate, sender: str) -> list[SendMessage]:
-        """Respond to a voter set that this process has adopted, or that is older than its own."""
+        """Respond to an announced voter set that is adopted by this process, or older than its own."""
         if message.voters.epoch < self.voters.epoch:
             return [self.voter_set_for(sender)]
         if not message.request_id:
@@ -106,7 +106,7 @@
     def handle_table_message(
         self, message: TableRead | TableWrite | TablePage, sender: str
     ) -> list[SendMessage]:
-        """A request of the table's primary or of another replica, or a page for this one's recovery."""
+        """Handle a request from the primary or another replica, or a page for this replica's recovery."""
         if self.replica is None:
             return []
         if isinstance(message, TablePage):
--- a/dunlinloft/fleet/leases/watch.py
+++ b/dunlinloft/fleet/leases/watch.py
@@ -1,7 +1,7 @@
-"""The divergence watch, a singleton role: which members disagree about the membership, and for how long.
+"""The divergence watch, a singleton role that finds members with differing views of the membership.
 
-Its leader queries all members for the digests of their views, a share of them at each step. So a member's
-cost does not depend on the fleet's size, and the leader's is one message a member and round.
+Its leader queries all members for the digests of their views, a fraction of them at each step. Thus the cost
+of a member does not depend on the fleet's size, and that of the leader is one message per member and round.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 DIVERGENCE_WATCH_ROLE = "divergence-watch"
 ROUND_MS = 3_000.0  # every member is queried once in a round
-MAX_DIGEST_AGE_MS = 3.0 * ROUND_MS  # two missed rounds: an older digest says nothing about the present
+MAX_DIGEST_AGE_MS = 3.0 * ROUND_MS  # allows for two missed rounds; older digests are outdated
 
 
 @dataclass(slots=True)
 class ViewGroup:
-    """Members whose views are the same."""
+    """Members with equal views."""
 
     digest: int
     members: list[str]
@@ -24,34 +24,34 @@
 
 @dataclass(slots=True, frozen=True)
 class _Report:
-    """The digest that a member reported last."""
+    """The digest most recently reported by a member."""
 
     digest: int
     received_ms: float
 
 
 class DivergenceWatch:
-    """What the role's leader has gathered; empty at all other members."""
+    """The reports collected by the role's leader; empty on all other members."""
 
     def __init__(self) -> None:
-        self.token = 0  # 0: this process is not the leader
+        self.token = 0  # 0 if this process is not the leader
         self._reports: dict[str, _Report] = {}  # by member
         self._first_reported_ms: dict[int, float] = {}  # by digest
-        self._to_query: list[str] = []  # members left in this round
+        self._to_query: list[str] = []  # members still to be queried in this round
 
     def on_start(self, token: int, state: bytes) -> None:
-        """This process leads: gathers anew, which takes one round. No state is carried over."""
+        """Start to collect reports as the leader, which takes one round; no state is carried over."""
         self._reports = {}
         self._first_reported_ms = {}
         self._to_query = []
         self.token = token
 
     def on_stop(self) -> None:
-        """This process no longer leads."""
+        """Stop, as this process no longer leads."""
         self.token = 0
 
     def next_queries(self, members: list[str], step_ms: float) -> list[str]:
-        """Members to query now, if this is called every `step_ms`."""
+        """Return the members to query now, when called every `step_ms`."""
         if not self._to_query:
             self._to_query = list(members)
         count = max(1, round(len(members) * step_ms / ROUND_MS))
@@ -60,13 +60,13 @@
         return queried
 
     def record_digest(self, member: str, digest: int, now: float) -> None:
-        """Record the digest of a member's view, as its acknowledgements carry it."""
+        """Record the digest of a member's view, which its acks contain."""
         if self.token:
             self._reports[member] = _Report(digest, now)
             self._first_reported_ms.setdefault(digest, now)
 
     def groups(self, now: float) -> list[ViewGroup]:
-        """Members by their view, the largest group first, then the oldest view."""
+        """Return members grouped by view, sorted by descending size, then by the age of the view."""
         found: dict[int, ViewGroup] = {}
         fresh = {
             member: report
