--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -1,25 +1,25 @@
-"""Helpers of the tests of leases: worlds in virtual time, their faults, and what is observed of them."""
+"""Helpers for the lease tests: simulated worlds, fault injection, and queries of their state."""
 
 from __future__ import annotations
 
 from dunlinloft.fleet.leases.manager import LeaseManager
 from lab.virtual.duties import Process, World
 
-TERM_MS = 3000.0  # of a lease, as `World` has it
-# What the world's oracle says of a broken rule.
+TERM_MS = 3000.0  # lease term, the default of `World`
+# Parts of the texts by which the world's oracle reports a violated invariant.
 TWO_LEADERS = "is held by"
 OUTDATED_TOKEN = "token"
 
 
 def all_roles_led(world: World) -> bool:
-    """Whether each role has a leader that would act now."""
+    """Return whether each role has a leader that may act now."""
     return all(world.holders(duty) for duty in world.duties)
 
 
 def world_with_leaders(
     seed: int, core: type[LeaseManager] = LeaseManager, members: int = 8, voters: int = 5
 ) -> World:
-    """A world that has run until each role is led."""
+    """Return a world that has run until each role has a leader."""
     world = World(seed, members, voters, core=core)
     assert world.run(30_000.0, lambda: all_roles_led(world)) < 30_000.0, f"a role has no leader, seed {seed}"
     return world
@@ -35,13 +35,13 @@
 
 
 def voters_without_memory(world: World, exclude: str) -> int:
-    """How many voters, this one not counted, are dead or have not recovered their memory yet."""
+    """Return how many voters, except `exclude`, are dead or have not recovered their memory."""
     others = (world.processes[name] for name in world.voters if name != exclude)
     return sum(not p.alive or not has_recovered(p) for p in others)
 
 
 def has_recovered(process: Process) -> bool:
-    """Whether a voter knows the tokens that were issued, and has the state table's base."""
+    """Return whether a voter knows the tokens that were issued and has the state table's base."""
     member = process.core.member
     if member.acceptor is None or not member.acceptor.recovered():
         return False
@@ -49,9 +49,9 @@
 
 
 def inject_random_faults(world: World, duration_ms: float, allow_memory_loss: bool = False) -> None:
-    """Faults at random: kills, restarts, suspensions, partitions, loss, replayed messages, handovers.
+    """Inject random kills, restarts, suspensions, partitions, message loss, replays and handovers.
 
-    The draws of the world's random source, and their order, decide what the seeds of the tests play.
+    The order of draws from the world's random source determines the runs of the tests' seeds.
     """
     rng, end = world.rng, world.now + duration_ms
     # Unless memory loss is allowed, a majority of the voters keeps its memory at any time.
@@ -84,14 +84,14 @@
             case 8:
                 world.hand_over(rng.choice(world.duties), rng.choice(("", other)))
         for holder in world.holders(world.duties[0]):
-            if rng.random() < 0.4:  # leaders are the most worthwhile to suspend
+            if rng.random() < 0.4:  # suspended leaders are the most likely to violate an invariant
                 world.stop(holder)
                 world.after(rng.choice((1_000.0, 4_000.0)), world.cont, holder)
         world.run(rng.random() * 900.0)
 
 
 def write_rows(world: World, duration_ms: float) -> None:
-    """Let operators write rows all the while."""
+    """Write rows at regular intervals for this time."""
     for _ in range(int(duration_ms / 150.0)):
         world.book.enter(f"k{world.rng.randrange(5)}")
         world.run(150.0)
--- a/tests/test_lease_planted_faults.py
+++ b/tests/test_lease_planted_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the lease state machines are caught by the oracle of the virtual world."""
+"""The oracle of the simulated world detects faults planted in the lease state machines."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class ManagerIgnoringDrift(LeaseManager):
-    """Takes all clocks for equally fast."""
+    """Assumes that all clocks run at the same rate."""
 
     def __init__(
         self, name: str, incarnation: int, voters: list[str], roles: list[str], rng: random.Random,
@@ -46,7 +46,7 @@
 
 
 class CandidateReusingTokens(Candidate):
-    """Gives a token that has been given before."""
+    """Issues tokens that were issued before."""
 
     def _handle_prepare_response(self, message: PrepareResponse, sender: str, now: float) -> None:
         message.token = 0
@@ -61,7 +61,7 @@
 
 
 def violations(seeds: int, allow_memory_loss: bool) -> set[str]:
-    """The invariants that random faults break, by the text of the violation."""
+    """Return the invariants violated under random faults, as parts of the oracle's texts."""
     found = set()
     for seed in range(seeds):
         world = World(seed, members=9, voters=3)
@@ -90,7 +90,7 @@
 
 
 def partition_leaders(core: type[LeaseManager]) -> None:
-    """Holders that lose their voters, among clocks that differ by as much as is stated."""
+    """Partition leaders from their voters while clock rates differ by the configured drift."""
     for seed in range(20):
         world = World(seed, members=6, voters=3, duties=2, drift=0.1, core=core)
         assert world.run(60_000.0, partial(all_roles_led, world)) < 60_000.0
@@ -108,7 +108,7 @@
 
 
 def restart_voters_under_a_lease() -> None:
-    """All voters forget while a holder holds, whom the other candidates take for gone."""
+    """Restart all voters while a leader is active that the other candidates believe to be dead."""
     for seed in range(8):
         world = world_with_leaders(seed, voters=3)
         world.token_matters = False
--- a/tests/test_lease_progress.py
+++ b/tests/test_lease_progress.py
@@ -1,4 +1,4 @@
-"""A vacant role finds a leader, a role that is led stays where it is, and roles spread over members."""
+"""Vacant roles get leaders, roles with a leader stay in place, and roles are spread over members."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         world.run(8_000.0)
 
 
-def test_a_planned_handover_takes_a_few_round_trips_and_carries_the_state() -> None:
+def test_a_planned_handover_takes_a_few_round_trips_and_transfers_the_state() -> None:
     world = world_with_leaders(2)
     holder = world.holders("d0")[0]
     process = world.processes[holder]
@@ -44,7 +44,7 @@
     assert world.run(30_000.0, lambda: all_roles_led(world)) < 15_000.0
 
 
-def test_flapping_links_do_not_move_a_role_to_and_fro() -> None:
+def test_flapping_links_do_not_move_a_role_back_and_forth() -> None:
     world = world_with_leaders(8)
     count = len(world.history)
     for _ in range(20):
--- a/tests/test_member_count.py
+++ b/tests/test_member_count.py
@@ -1,4 +1,4 @@
-"""Shares of budgets: what processes take by their views while members die, join and are partitioned."""
+"""Shares of budgets that processes use by their views while members die, join and are partitioned."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PartitionedFleet:
-    """Any number of processes in any partitions: what their shares of a budget add up to."""
+    """Processes in arbitrary partitions, each with its count of members."""
 
     def __init__(self, count: int) -> None:
         self.names = [f"n{n}" for n in range(count)]
--- a/tests/test_member_wire.py
+++ b/tests/test_member_wire.py
@@ -1,4 +1,4 @@
-"""Bytes of member messages: encoding, limits, rejection, and corrupt input."""
+"""Wire format of member messages: encoding, size limits, rejection, and corrupt input."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import SUSPECT, Header, Ping, Record, State, estimated_size
 
-START = 1_700_000_000_000  # an incarnation: a start by the wall clock, ms
+START = 1_700_000_000_000  # an incarnation: start time by the wall clock, ms
 
 
 def ping(records: int = 3) -> Ping:
-    """A ping that carries so many suspicions."""
+    """Return a ping with this number of piggybacked suspicions."""
     metadata: dict[str, Any] = {"zone": "linz", "tier": 0.0, "draining": False}
     records_sent = [
         Record(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: the laws of merging, fleets in virtual time with faults, and faults planted in the code."""
+"""Membership: properties of merging, simulated fleets with faults, and faults planted in the code."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     with_metadata: bool,
     suspecters: list[str],
 ) -> Record:
-    """A version of an incarnation's metadata has one content; suspecters go with suspicions alone."""
+    """Build a record; metadata depends only on its version, and only suspicions have suspecters."""
     metadata: dict[str, Any] | None = {"n": f"{name}{incarnation}{version}"} if with_metadata else None
     suspected_by = suspecters if status == SUSPECT else []
     return Record(name, incarnation, revision, status, 7, "addr", version, metadata, suspected_by)
@@ -60,7 +60,7 @@
 
 
 def merged_view(records: list[Record]) -> dict[str, Any]:
-    """What a view believes after these records, in their order."""
+    """Return the contents of a view after merging these records in order."""
     view = View(random.Random(0))
     for record in records:
         view.merge(record, 0.0)
@@ -118,18 +118,18 @@
     assert suspicion_timeout_ms(1000, 1) > suspicion_timeout_ms(100, 1) > suspicion_timeout_ms(10, 1)
 
 
-# A fleet in virtual time
+# Simulated fleets
 
 
 def agreed_fleet(size: int, seed: int, core: type[Membership] = Membership, **more: Any) -> Fleet:
-    """A fleet whose members all have joined and agree."""
+    """Return a fleet whose members have all joined and have equal views."""
     fleet = Fleet(size, seed, core, at_once=True, **more)
     assert fleet.run(30_000.0, fleet.agreed) < 30_000.0
     return fleet
 
 
 def assert_agreement(fleet: Fleet, limit_ms: float = 30_000.0) -> None:
-    """All views agree with the truth within this time."""
+    """Assert that all views match the actual state of the fleet within this time."""
     assert fleet.run(limit_ms, fleet.agreed) < limit_ms, f"no agreement, seed {fleet.seed}"
 
 
@@ -278,7 +278,7 @@
     fleet.run(10_000.0)
     flaps = sum(fleet.flaps.values())
     fleet.run(20_000.0)
-    assert sum(fleet.flaps.values()) - flaps <= 12  # others see no conflict any more
+    assert sum(fleet.flaps.values()) - flaps <= 12  # other members no longer see a conflict
     assert first.core.name_conflicts and second.core.name_conflicts
     assert (first.core.muted, second.core.muted) == (False, True)
     first.alive = False
@@ -288,17 +288,17 @@
     assert all(process.core.view.members["n6"].address == "addr:elsewhere" for process in others)
 
 
-# Faults planted in the code: each check above fails where what it checks is missing
+# Faults planted in the code: the checks above fail without the mechanisms that they cover
 
 
 class MembershipWithoutRefutation(Membership):
     def _handle_own_record(self, record: Record) -> None:
-        """Lets all claims about it stand."""
+        """Refute no claims."""
 
 
 class MembershipWithoutLocalHealth(Membership):
     def _handle_timer(self, token: int, now: float) -> None:
-        self._timers[token] = replace(self._timers[token], due_ms=now)  # as if it were never late
+        self._timers[token] = replace(self._timers[token], due_ms=now)  # no timer counts as late
         super()._handle_timer(token, now)
 
 
@@ -324,7 +324,7 @@
 
 
 def suspicions_by_starved_members(core: type[Membership]) -> int:
-    """How often members without processor time suspect healthy ones, while links lose datagrams."""
+    """Return how often members without CPU time suspect healthy ones while datagrams are lost."""
     fleet = agreed_fleet(30, 8, core)
     starved = fleet.names[::5]
     for name in starved:
@@ -335,7 +335,7 @@
     return sum(fleet.processes[name].core.suspicions_raised - before[name] for name in starved)
 
 
-def test_without_local_health_the_starved_suspect_more() -> None:
+def test_without_local_health_starved_members_suspect_more() -> None:
     assert suspicions_by_starved_members(MembershipWithoutLocalHealth) > 3 * (
         suspicions_by_starved_members(Membership) + 1
     )
--- a/tests/test_membership_parts.py
+++ b/tests/test_membership_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the membership by themselves: queue of updates, pool of names, health, round trips, probes."""
+"""Unit tests of membership components: update queue, name pool, local health, round trips, probes."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 
 
 def record_of(name: str, include_metadata: bool) -> Record | None:
-    """Records of all names but `unknown`."""
+    """Return a record for any name except `unknown`."""
     if name == "unknown":
         return None
     return Record(name, 1, 0, ALIVE, 7, "addr", 1, {"zone": "linz"} if include_metadata else None)
 
 
-# Queue of updates
+# Update queue
 
 
 @pytest.mark.parametrize("members", [1, 10, 200])
@@ -87,7 +87,7 @@
     assert [record.metadata for record in queue.next_records(record_of)] == [None]
 
 
-# Pool of names
+# Name pool
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -164,7 +164,7 @@
 
 
 class MembershipDriver:
-    """A membership whose timers are fired by hand, among members that answer nothing by themselves."""
+    """Drives a membership and its timers; the other members respond only when a test does so."""
 
     def __init__(self, *others: str) -> None:
         self.core = Membership("n1", "addr:n1", [], 5, 5, random.Random(1))
@@ -176,11 +176,11 @@
         self.core.handle(api.PushPullReceived(State(self.header(others[0]), records), "addr", False), 0.0)
 
     def header(self, name: str) -> Header:
-        """A header as a member would send it that agrees with this one."""
+        """Return a header from a member whose view agrees with this one."""
         return Header(name, 1, 0, self.core.digest(), self.core.alive_count())
 
     def perform(self, actions: list[api.Action]) -> None:
-        """Record what is sent, and keep the timers."""
+        """Record sent messages and timers."""
         for action in actions:
             match action:
                 case api.SetTimer():
@@ -192,18 +192,18 @@
                     self.streams.append(action)
 
     def probe(self, name: str) -> int:
-        """Probe a member; the number of the probe."""
+        """Probe a member and return the probe's number."""
         self.core.actions = []
         number = self.core.prober.probe(name, self.now)
         self.perform(self.core.actions)
         return number
 
     def receive(self, message: Message) -> None:
-        """A datagram from the member in its header."""
+        """Deliver a datagram from the member named in its header."""
         self.perform(self.core.handle(api.MessageReceived(message, f"addr:{message.header.name}"), self.now))
 
     def run(self, until_ms: float) -> None:
-        """Fire timers in order, each when it is due."""
+        """Fire timers in order at their due times."""
         while self.timers and min(self.timers)[0] <= until_ms:
             self.now, token = min(self.timers)
             self.timers.remove((self.now, token))
@@ -211,7 +211,7 @@
         self.now = until_ms
 
     def sent_of(self, kind: type[Message]) -> list[str]:
-        """Addresses that messages of a kind were sent to."""
+        """Return the addresses to which messages of a type were sent."""
         return [address for address, message in self.sent if isinstance(message, kind)]
 
 
@@ -279,7 +279,7 @@
     assert (address, ack.number, ack.target) == ("addr:n3", 41, "n2")
 
 
-# Claims about other members and about oneself
+# Claims about other members and about the process itself
 
 
 def test_a_suspicion_of_oneself_is_refuted_by_a_higher_revision() -> None:
--- a/tests/test_state_table.py
+++ b/tests/test_state_table.py
@@ -1,4 +1,4 @@
-"""The state table loses no acknowledged row, says when it may have, and is read back by a successor."""
+"""The state table keeps acknowledged rows or reports a possible loss, and a successor reads it back."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.lease_world import inject_random_faults, write_rows
 
 
-def test_no_acknowledged_row_is_lost_in_storms() -> None:
+def test_no_acknowledged_row_is_lost_under_random_faults() -> None:
     kept = openings = 0
     for seed in range(12):
         world = World(seed, 7, 5 if seed % 3 else 3, duties=1, loss=0.1 * (seed % 2), ledger=True)
@@ -31,7 +31,7 @@
     write_rows(world, 3_000.0)
     assert world.book.kept > 5
     holder = world.holders(STATE_TABLE_ROLE)[0]
-    for name in world.names[:3]:  # a majority starts anew at once
+    for name in world.names[:3]:  # a majority restarts simultaneously
         world.kill(name)
         world.start(name)
     if holder not in world.names[:3]:
@@ -41,7 +41,7 @@
     assert world.run(40_000.0, lambda: world.book.openings > before) < 40_000.0
     assert world.book.losses == 1
     write_rows(world, 2_000.0)
-    assert world.book.acked  # it goes on from there
+    assert world.book.acked  # the table accepts writes again
 
 
 def test_a_primary_that_writes_before_it_reads_is_caught() -> None:
--- a/tests/test_voter_changes.py
+++ b/tests/test_voter_changes.py
@@ -1,4 +1,4 @@
-"""Voters change one at a time while the fleet runs, and majorities always overlap."""
+"""Voters are changed one at a time while the fleet runs, and majorities always overlap."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def change_voters(world: World, add: str = "", remove: str = "", duration_ms: float = 8_000.0) -> bool:
-    """Operators change the voters; whether that is adopted within this time."""
+    """Request a change of voters; return whether it is adopted within this time."""
     before, end = max(world.epochs), world.now + duration_ms
     while max(world.epochs) == before and world.now < end:
         world.book.change(add, remove)
@@ -41,7 +41,7 @@
     return max(world.epochs) > before
 
 
-def test_voters_change_one_by_one_in_storms_and_no_row_is_lost() -> None:
+def test_voters_change_one_by_one_under_random_faults_and_no_row_is_lost() -> None:
     changes = kept = 0
     for seed in range(10):
         world = World(seed, 8, 5 if seed % 2 else 3, duties=1, loss=0.05 * (seed % 3), ledger=True)
@@ -73,7 +73,7 @@
     world.run(5_000.0)
     for name in ("m0", "m1", "m2"):
         world.kill(name)
-    world.kill("m3")  # which starts anew with the old configuration, whose voters are all dead
+    world.kill("m3")  # it restarts with the old configuration, whose voters are all dead
     world.start("m3")
     assert world.run(30_000.0, lambda: has_recovered(world.processes["m3"])) < 30_000.0
     for name in ("m6", "m7"):
@@ -117,7 +117,7 @@
 
 
 def remove_granting_voters(seed: int) -> None:
-    """The voters that gave a duty are removed, while its holder hears of none of that."""
+    """Remove the voters that granted a lease while its holder is partitioned from the change."""
     world = World(seed, 9, 5, duties=1, ledger=True)
     assert world.run(30_000.0, lambda: world.book.openings > 0 and all_roles_led(world)) < 30_000.0
     for duty, to in ((STATE_TABLE_ROLE, "m5"), ("d0", "m6")):
@@ -154,7 +154,7 @@
         if isinstance(event, MessageReceived) and isinstance(event.message, Prepare | Propose):
             event = MessageReceived(replace(event.message, voters_epoch=self.voters.epoch), event.sender)
         elif isinstance(event, MembershipObserved):
-            event.voters = None  # nor does the news come by gossip, which nothing may rest on
+            event.voters = None  # gossip announces no voter set either, since safety must not depend on it
         return original(self, event, now)
 
     patch.setattr(LeaseManager, "handle", handle)
