--- a/dunlinloft/fleet/leases/candidate.py
+++ b/dunlinloft/fleet/leases/candidate.py
@@ -302,7 +302,7 @@
         """
         if not self.is_leader:
             return
-        self.stop(f"handed over to {successor or 'whoever is next'}", now)
+        self.stop(f"handed over to {successor or 'the next candidate'}", now)
         self._cool_down(COOLDOWN_AFTER_HANDOVER_MS, now)
         message = Release(self.role, self.proposal, successor, self.token, self.state)
         self._broadcast(message)
--- a/dunlinloft/fleet/leases/manager.py
+++ b/dunlinloft/fleet/leases/manager.py
@@ -345,7 +345,7 @@
         if self.table is None or not self.holds(STATE_TABLE_ROLE, now):
             return NOT_PRIMARY
         if self._pending_change is not None:
-            return "a change of voters is on its way"
+            return "another change of voters is in progress"
         table_complete = self.table.majority_is_complete()
         if self.voter_change.check_complete(table_complete, now):
             return ""
--- a/dunlinloft/fleet/leases/table_primary.py
+++ b/dunlinloft/fleet/leases/table_primary.py
@@ -166,7 +166,7 @@
             raise WriteRejected("the ledger is being read back from a majority of the voters")
         if not 0 < len(key.encode()) <= MAX_KEY_BYTES or len(value) > MAX_VALUE_BYTES:
             raise WriteRejected(
-                f"a key must be 1 to {MAX_KEY_BYTES} bytes, a value at most {MAX_VALUE_BYTES}"
+                f"a key must be 1 to {MAX_KEY_BYTES} bytes, a value at most {MAX_VALUE_BYTES} bytes"
             )
         if key not in self.rows and len(self.rows) >= MAX_ROWS:
             raise WriteRejected(f"the ledger is full: it has {MAX_ROWS} rows")
--- a/dunlinloft/fleet/leases/voters.py
+++ b/dunlinloft/fleet/leases/voters.py
@@ -78,18 +78,18 @@
     if add in voters.names:
         raise VoterChangeRejected(f"{add} is a voter already")
     if add and add not in alive:
-        raise VoterChangeRejected(f"{add} is no member that is there")
+        raise VoterChangeRejected(f"{add} is not a live member")
     if remove and remove not in voters.names:
         raise VoterChangeRejected(f"{remove} is no voter")
     names = tuple(name for name in (*voters.names, add) if name and name != remove)
     if not MIN_VOTERS <= len(names) <= MAX_VOTERS:
         raise VoterChangeRejected(
-            f"there would be {len(names)} voters; {MIN_VOTERS} to {MAX_VOTERS} are possible"
+            f"the change would result in {len(names)} voters; {MIN_VOTERS} to {MAX_VOTERS} are allowed"
         )
     present = sum(name in alive for name in names)
     if present < majority(len(names)):
         raise VoterChangeRejected(
-            f"{present} of {len(names)} voters would be there, and {majority(len(names))} are needed"
+            f"{present} of {len(names)} voters would be alive, and {majority(len(names))} are needed"
         )
     return names
 
@@ -183,14 +183,14 @@
         progress = f"{count} of {len(self._voters.names)} voters"
         match self.step:
             case VoterChangeStep.IDLE:
-                return "the ledger is not open here"
+                return "the ledger is not open on this process"
             case VoterChangeStep.ADOPTING:
                 return f"{progress} have adopted change {self._voters.epoch}"
             case VoterChangeStep.CONFIRMING:
-                return f"{progress} have said again that they have adopted change {self._voters.epoch}"
+                return f"{progress} have confirmed the adoption of change {self._voters.epoch}"
             case VoterChangeStep.EXPIRING if now < self._expired_at_ms:
                 left_s = (self._expired_at_ms - now) / 1000.0
                 return f"leases by the voters before change {self._voters.epoch} last {left_s:.1f} s more"
             case VoterChangeStep.EXPIRING if not table_complete:
-                return "no majority of the voters has the whole ledger yet"
+                return "no majority of the voters has a complete copy of the ledger yet"
         return ""
