--- a/dunlinloft/node/fleet/singleton_roles.py
+++ b/dunlinloft/node/fleet/singleton_roles.py
@@ -308,7 +308,7 @@
         return AdminReply(200, {
             "self": self._name, "change": current.epoch, "configured": self._voters, "holder": owner,
             "voters": [{"name": name, "there": name in alive} for name in current.names],
-            "behind": outdated, "why_no_change": core.why_no_voter_change(now),
+            "behind": outdated, "why_no_change": core.voter_change_blocked_reason(now),
             "here": core.holds(STATE_TABLE_ROLE, now),
         })  # fmt: skip
 
