--- a/dunlinloft/__init__.py
+++ b/dunlinloft/__init__.py
@@ -1,6 +1,6 @@
-"""A router fleet for a language model: its programs, its pure parts, and the command line.
+"""A router fleet for language-model servers: programs, I/O-free state machines, and the command line.
 
-Both programs share the modules beside the packages: `settings` (a process's own), `configuration` (the
-operator's) and its `validation`, `quota_bounds`, `exceptions`. `[tool.importlinter]` in pyproject.toml says
-which package may import which, and `./dunlin test` checks it.
+Both programs share the top-level modules: `settings` (of one process), `configuration` (set by operators) and
+its `validation`, `quota_bounds`, `exceptions`. `[tool.importlinter]` in pyproject.toml defines which package
+may import which, and `./dunlin test` checks it.
 """
--- a/dunlinloft/__main__.py
+++ b/dunlinloft/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m dunlinloft`: the command line."""
+"""Runs the command line: `python -m dunlinloft`."""
 
 from dunlinloft.cli import main
 
--- a/dunlinloft/cli/consoles.py
+++ b/dunlinloft/cli/consoles.py
@@ -13,7 +13,7 @@
 plain_stdout = Console(highlight=False, soft_wrap=True)
 
 
-def report_invalid(problem: Exception | str) -> ExitCode:
-    """Print why a command could not do its work to standard error; returns the exit status."""
+def report_invalid_input(problem: Exception | str) -> ExitCode:
+    """Print an error to standard error; returns the exit status for invalid input."""
     stderr.print(f"[red]{escape(str(problem))}[/]", highlight=False)
     return ExitCode.INVALID_INPUT
--- a/dunlinloft/cli/handlers/capacity.py
+++ b/dunlinloft/cli/handlers/capacity.py
@@ -12,7 +12,7 @@
 
 from dunlinloft.cli.admin_client import decode_document
 from dunlinloft.cli.admin_documents import MembershipDocument
-from dunlinloft.cli.consoles import report_invalid, stderr
+from dunlinloft.cli.consoles import report_invalid_input, stderr
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.handlers import fleet_members
 from dunlinloft.cli.tables import PLAIN_STYLE
@@ -61,9 +61,9 @@
         wanted_seeds = read_seeds(seeds) if seeds else []
         wanted_sizes = read_seeds(sizes) if sizes else []
     except BadSeeds as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     if unknown:
-        return report_invalid(f"{unknown[0]}: no such experiment; known are {', '.join(EXPERIMENTS)}")
+        return report_invalid_input(f"{unknown[0]}: no such experiment; known are {', '.join(EXPERIMENTS)}")
     plan = Plan([EXPERIMENTS[name] for name in names], quick, checks, wanted_seeds, wanted_sizes)
     report = _run(plan)
     if json_file:
--- a/dunlinloft/cli/handlers/cells.py
+++ b/dunlinloft/cli/handlers/cells.py
@@ -10,7 +10,7 @@
 
 from dunlinloft.cli.admin_client import AdminRequestError, decode_document, request_document
 from dunlinloft.cli.admin_documents import CellDocument, DirectoryDocument
-from dunlinloft.cli.consoles import report_invalid, stdout
+from dunlinloft.cli.consoles import report_invalid_input, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
 
@@ -45,7 +45,7 @@
         raw = request_document(admin, "/admin/fleet/cell")
         document = decode_document(raw, CellDocument)
     except AdminRequestError as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     if as_json:
         stdout.print_json(json.dumps(raw))
     else:
@@ -83,9 +83,9 @@
         raw = request_document(admin, "/admin/directory")
         document = decode_document(raw, DirectoryDocument)
     except AdminRequestError as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     if service and service not in document.services:
-        return report_invalid(f"{admin}: no cell of a service {service!r} is known there")
+        return report_invalid_input(f"{admin}: no cell of a service {service!r} is known there")
     if as_json:
         stdout.print_json(json.dumps(raw))
     else:
--- a/dunlinloft/cli/handlers/exploration.py
+++ b/dunlinloft/cli/handlers/exploration.py
@@ -7,7 +7,7 @@
 
 from rich.markup import escape
 
-from dunlinloft.cli.consoles import report_invalid, stdout
+from dunlinloft.cli.consoles import report_invalid_input, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from lab.explore.duties import Duties
 from lab.explore.ledger import LedgerSystem
@@ -92,7 +92,7 @@
         encoded = json.loads(Path(trace_file).read_text(encoding="utf-8"))
         trace = [tuple(move) for move in encoded]
     except (OSError, ValueError, TypeError) as error:
-        return report_invalid(f"{trace_file}: no trace: {error}")
+        return report_invalid_input(f"{trace_file}: no trace: {error}")
     systems = [RANDOM_WALK_SYSTEMS[name], *EXHAUSTIVE_SYSTEMS[name]]
     violated = [system for system in systems if replay(system, trace)[1]]
     violation = _print_replay((violated or systems)[0], trace)
--- a/dunlinloft/cli/handlers/fleet_members.py
+++ b/dunlinloft/cli/handlers/fleet_members.py
@@ -16,7 +16,7 @@
     watch_document,
 )
 from dunlinloft.cli.admin_documents import FleetMember, MembershipDocument
-from dunlinloft.cli.consoles import report_invalid, stdout
+from dunlinloft.cli.consoles import report_invalid_input, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
 
@@ -87,7 +87,7 @@
         raw = request_document(admin)
         document = decode_document(raw, MembershipDocument)
     except AdminRequestError as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     if as_json:
         print(json.dumps(raw, indent=2))
     else:
--- a/dunlinloft/cli/handlers/leases.py
+++ b/dunlinloft/cli/handlers/leases.py
@@ -10,7 +10,7 @@
 
 from dunlinloft.cli.admin_client import AdminRequestError, decode_document, request_document
 from dunlinloft.cli.admin_documents import LeasesDocument
-from dunlinloft.cli.consoles import report_invalid, stdout
+from dunlinloft.cli.consoles import report_invalid_input, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
 
@@ -23,7 +23,7 @@
         raw = request_document(admin, "/admin/duties")
         document = decode_document(raw, LeasesDocument)
     except AdminRequestError as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     if as_json:
         print(json.dumps(raw, indent=2))
     else:
@@ -67,6 +67,6 @@
     try:
         request_document(admin, f"/admin/duties/hand-over?{query}", "POST")
     except AdminRequestError as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     stdout.print(f"{lease} is handed over to {successor or 'whoever is next'}", highlight=False)
     return ExitCode.SUCCESS
--- a/dunlinloft/cli/handlers/membership_bounds.py
+++ b/dunlinloft/cli/handlers/membership_bounds.py
@@ -6,7 +6,7 @@
 from rich.progress import Progress, TimeElapsedColumn
 from rich.table import Table
 
-from dunlinloft.cli.consoles import report_invalid, stderr, stdout
+from dunlinloft.cli.consoles import report_invalid_input, stderr, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.progress import PERCENT_COLUMNS
 from dunlinloft.cli.tables import PLAIN_STYLE
@@ -21,11 +21,13 @@
     names = [name.strip() for name in only.split(",")] if only else list(EXPERIMENTS)
     unknown = [name for name in names if name not in EXPERIMENTS]
     if unknown:
-        return report_invalid(f"no experiment is {unknown[0]!r}; expected some of {', '.join(EXPERIMENTS)}")
+        return report_invalid_input(
+            f"no experiment is {unknown[0]!r}; expected some of {', '.join(EXPERIMENTS)}"
+        )
     try:
         wanted = read_seeds(seeds)
     except BadSeeds as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     with Progress(*PERCENT_COLUMNS, TimeElapsedColumn(), console=stderr, transient=True) as progress:
         bar = progress.add_task(f"{size} members, {core}", total=len(wanted) * len(names))
         measurements, violations = measure(
--- a/dunlinloft/cli/handlers/releases.py
+++ b/dunlinloft/cli/handlers/releases.py
@@ -19,7 +19,7 @@
     watch_document,
 )
 from dunlinloft.cli.admin_documents import ReleaseDocument, ReleasePlan
-from dunlinloft.cli.consoles import report_invalid, stdout
+from dunlinloft.cli.consoles import report_invalid_input, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
 
@@ -57,7 +57,7 @@
         try:
             query["since"] = f"{parse_unix_time(since):.3f}"
         except ValueError:
-            return report_invalid(
+            return report_invalid_input(
                 f"--since: {since!r} is no time; expected now, Unix seconds or 2026-12-01T08:00:00"
             )
     given = {key: value for key, value in query.items() if value}
@@ -81,7 +81,7 @@
     try:
         request_document(admin, f"{ADMIN_PATH}/{path}?{urllib.parse.urlencode(query)}", "POST")
     except AdminRequestError as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     stdout.print(f"{confirmation}; see `release status`", highlight=False)
     return ExitCode.SUCCESS
 
@@ -145,7 +145,7 @@
         raw = request_document(admin, ADMIN_PATH)
         document = decode_document(raw, ReleaseDocument)
     except AdminRequestError as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     if as_json:
         print(json.dumps(raw, indent=2))
     else:
@@ -164,7 +164,7 @@
     try:
         document = decode_document(request_document(admin, ADMIN_PATH), ReleaseDocument)
     except AdminRequestError as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     rows = Table("release", "ended", "how", "at", "by", "why", **PLAIN_STYLE)
     for row in document.history:
         end_time = time.strftime("%d %b %H:%M:%S", time.gmtime(row.completed_s))
--- a/dunlinloft/cli/handlers/scale.py
+++ b/dunlinloft/cli/handlers/scale.py
@@ -12,7 +12,7 @@
 from rich.markup import escape
 from rich.table import Table
 
-from dunlinloft.cli.consoles import report_invalid, stderr
+from dunlinloft.cli.consoles import report_invalid_input, stderr
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
 from dunlinloft.exceptions import DunlinloftError
@@ -119,7 +119,7 @@
     try:
         plan = _plan(options)
     except (BadSeeds, OptionError) as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     started_s = time.monotonic()
 
     def report_progress(text: str) -> None:
@@ -134,7 +134,7 @@
     try:
         results = play(plan, report_progress, save)
     except Refused as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     except WorkerDied as error:
         stderr.print(f"[red]{escape(str(error))}[/]", highlight=False)
         return ExitCode.CHECK_FAILED
--- a/dunlinloft/cli/handlers/scenarios.py
+++ b/dunlinloft/cli/handlers/scenarios.py
@@ -8,7 +8,7 @@
 from rich.progress import Progress, TimeElapsedColumn
 from rich.table import Table
 
-from dunlinloft.cli.consoles import report_invalid, stderr, stdout
+from dunlinloft.cli.consoles import report_invalid_input, stderr, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.progress import PERCENT_COLUMNS
 from dunlinloft.cli.tables import PLAIN_STYLE
@@ -47,7 +47,7 @@
         wanted = read_seeds(seeds)
         _require_playable(scenario, name, host)
     except (BadScenario, BadSeeds) as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     results = summary(scenario, host)
     try:
         _play(Run(scenario, host, wanted, jobs, Path(logs) if logs else None), results)
@@ -161,7 +161,7 @@
     try:
         rows, method = compare_results(read(Path(first)), read(Path(second)))
     except BadResults as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     stdout.print(f"A: {first}\nB: {second}", highlight=False)
     table = Table(**PLAIN_STYLE)
     for column in ("figure", "A", "spread of A", "B", "spread of B", "B - A", "95% of it", "verdict"):
@@ -180,7 +180,7 @@
     try:
         text = page(read(Path(results)))
     except BadResults as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     Path(html_file).write_text(text, encoding="utf-8")
     stdout.print(f"{html_file} is written", highlight=False)
     return ExitCode.SUCCESS
--- a/dunlinloft/cli/handlers/shared_state.py
+++ b/dunlinloft/cli/handlers/shared_state.py
@@ -9,7 +9,7 @@
 
 from dunlinloft.cli.admin_client import AdminRequestError, decode_document, request_document
 from dunlinloft.cli.admin_documents import KeyAffinity, SharedLimits, SharedStateDocument
-from dunlinloft.cli.consoles import report_invalid, stdout
+from dunlinloft.cli.consoles import report_invalid_input, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
 
@@ -20,7 +20,7 @@
         raw = request_document(admin, "/admin/shared")
         document = decode_document(raw, SharedStateDocument)
     except AdminRequestError as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     limits = document.limits
     affinity = document.affinity
     if as_json:
--- a/dunlinloft/cli/handlers/state_table.py
+++ b/dunlinloft/cli/handlers/state_table.py
@@ -11,7 +11,7 @@
 
 from dunlinloft.cli.admin_client import AdminRequestError, decode_document, request_document
 from dunlinloft.cli.admin_documents import StateTableDocument, VotersDocument
-from dunlinloft.cli.consoles import report_invalid, stdout
+from dunlinloft.cli.consoles import report_invalid_input, stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
 
@@ -33,7 +33,7 @@
         raw = request_document(admin, TABLE_PATH)
         document = decode_document(raw, StateTableDocument)
     except AdminRequestError as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     if as_json:
         print(json.dumps(raw, indent=2))
     else:
@@ -83,7 +83,7 @@
         raw = request_document(admin, VOTERS_PATH)
         document = decode_document(raw, VotersDocument)
     except AdminRequestError as error:
-        return report_invalid(error)
+        return report_invalid_input(error)
     missing = [row.name for row in document.voters if not row.alive]
     if as_json:
         print(json.dumps(raw, indent=2))
--- a/dunlinloft/configuration.py
+++ b/dunlinloft/configuration.py
@@ -1,7 +1,7 @@
 """The operator's configuration: its fields, types and defaults, defined once.
 
-`dunlinloft.validation` makes the model from these types that checks an operator's document. It runs on the
-control plane alone, and this module imports nothing of it: a node that starts must not load pydantic.
+`dunlinloft.validation` derives the pydantic models that check an operator's document from these types. This
+module must not import it: only the control plane validates, and nodes start without loading pydantic.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from dunlinloft.coordination.state import Document
 from dunlinloft.exceptions import ConfigurationError
 
-# What model servers of a service are started with; passed on as it is, and read by nobody here.
+# Options that a service's model servers are started with; passed through uninterpreted.
 RuntimeOptions: TypeAlias = dict[str, Any]
 
 
 class Backend(Struct, frozen=True):
-    """A service that a route's requests may go to, and its weight among the route's others."""
+    """A service that a route sends requests to, and its weight relative to the route's other backends."""
 
     service: str
     weight: float = 1.0
 
 
 class Route(Struct, frozen=True, rename={"inter_token_latency_target_ms": "gap_aim_ms"}):
-    """Which requests go to which service, with their time limit and retry policy."""
+    """Matches requests to services, with their timeout and retry policy."""
 
     name: str
     hostname: str
@@ -44,12 +44,12 @@
     inter_token_latency_target_ms: float | None = None
 
     def targets(self) -> tuple[Backend, ...]:
-        """The services that requests may go to, with their weights."""
+        """Return the services that requests may be sent to, with their weights."""
         return self.backends or (Backend(self.service or ""),)
 
 
 class Service(Struct, frozen=True):
-    """A service that model servers register for."""
+    """A service that model servers register with."""
 
     name: str
     health_check_path: str = "/"
@@ -58,7 +58,7 @@
 
 
 class Limits(Struct, frozen=True):
-    """Limits on what a client may send, and on how long it may take to."""
+    """Limits on the size of client requests and on the time to receive them."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -67,7 +67,7 @@
 
 
 class Tenant(Struct, frozen=True):
-    """A customer: its API keys and its rate limit, in requests or tokens a second."""
+    """A customer: its API keys and its rate limit, in requests or tokens per second."""
 
     name: str
     api_keys: tuple[str, ...] = ()
@@ -89,7 +89,7 @@
 
 
 def to_configuration(document: Document) -> Configuration:
-    """The typed form of a document that was validated before. Raises `ConfigurationError`."""
+    """Convert a validated document to its typed form. Raises `ConfigurationError`."""
     try:
         return msgspec.convert(document, Configuration, strict=False)
     except msgspec.ValidationError as error:
--- a/dunlinloft/exceptions.py
+++ b/dunlinloft/exceptions.py
@@ -1,15 +1,15 @@
-"""The errors that callers of more than one package handle. Each is raised with a text for operators."""
+"""Exceptions shared between packages. Each carries a message for operators."""
 
 from __future__ import annotations
 
 
 class DunlinloftError(Exception):
-    """Base of the router's own errors; never raised itself."""
+    """Base class of the product's exceptions; never raised directly."""
 
 
 class SettingsError(DunlinloftError):
-    """A process's settings can't be used; the text says where and what was expected."""
+    """A process's settings can't be used; the message names the file and the cause."""
 
 
 class ConfigurationError(DunlinloftError):
-    """An operator's configuration doesn't fit its types; the text has the path."""
+    """An operator's configuration is invalid; the message contains the path of the offending field."""
--- a/dunlinloft/quota_bounds.py
+++ b/dunlinloft/quota_bounds.py
@@ -1,7 +1,7 @@
-"""The bounds of the quota rule that a deployment's settings state, in the form of the pure core.
+"""Converts the quota bounds in a deployment's settings to the type that the quota state machines take.
 
-Apart from `dunlinloft.settings`, which imports no other package of the product, so that the transport below
-the programs may read settings.
+Separate from `dunlinloft.settings`, which imports no other package of the product, so that the transport
+layer below the programs may read settings.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def quota_bounds(timing_bounds: TimingBounds) -> QuotaBounds:
-    """The interval, overshoot and tolerance of tenants' quotas; both programs give them to their quotas."""
+    """Return the interval, overshoot and tolerance of tenants' quotas, as both programs use them."""
     return QuotaBounds(
         timing_bounds.quota_interval_s, timing_bounds.quota_overshoot, timing_bounds.quota_tolerance
     )
--- a/dunlinloft/settings.py
+++ b/dunlinloft/settings.py
@@ -1,7 +1,7 @@
 """A process's settings: the TOML file that DUNLINLOFT_CONFIG names, decoded and checked.
 
-Both programs read it at their start; `dunlinloft.transport.program` and the programs may import this module,
-which imports none of them. Field names are the keys of the file unless `rename` says otherwise.
+Both programs read it at startup. `dunlinloft.transport.program` and the programs may import this module,
+which imports none of them. Field names are the keys of the file unless `rename` maps them.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from dunlinloft.exceptions import SettingsError
 
 SETTINGS_VARIABLE = "DUNLINLOFT_CONFIG"  # the environment variable that names the settings file
-CONTROL_PORT_OFFSET = 0  # of the control plane's listener in the internal port range
+CONTROL_PORT_OFFSET = 0  # control plane listener, relative to the start of the internal port range
 
 
 class Listeners(Struct, frozen=True):
-    """Addresses to listen on, as host:port; None where the process has no such listener."""
+    """Addresses to listen on, as host:port; None if the process has no such listener."""
 
     frontend: str | None = None
     readiness: str | None = None
@@ -27,7 +27,7 @@
 
 
 class ProcessLimits(Struct, frozen=True):
-    """Resources that the machine grants the process."""
+    """Resources that the machine grants to the process."""
 
     memory_mb: int = 256
     max_open_files: int = 1_024
@@ -35,13 +35,13 @@
 
 
 class FaultTolerance(Struct, frozen=True):
-    """Losses at one time that the deployment must survive."""
+    """Simultaneous failures that the deployment must survive."""
 
     hosts_lost: int = 0
 
 
 class TimingBounds(Struct, frozen=True, rename={"prefix_reuse_s": "again_s"}):
-    """The deployment's bounds on times, retries and quotas."""
+    """The deployment's bounds on timeouts, retries and quotas."""
 
     grace_period_s: float = 8.0
     drain_timeout_ms: float = 2_000.0
@@ -52,12 +52,12 @@
     quota_interval_s: float = 8.0
     quota_overshoot: float = 0.1
     quota_tolerance: float = 0.0
-    # A server that has a prompt's prefix cached is preferred for so long after the prefix's last use.
+    # How long after its last use a prompt prefix counts as cached, so that its server is preferred.
     prefix_reuse_s: float = 3.0
 
 
 class Settings(Struct, frozen=True):
-    """The settings of one process. Unknown keys are ignored, as the platform may add some."""
+    """The settings of one process. Unknown keys are ignored because the platform may add some."""
 
     node_name: str
     ip_address: str
@@ -74,14 +74,14 @@
     limits: ProcessLimits = ProcessLimits()
     fault_tolerance: FaultTolerance = FaultTolerance()
     timing_bounds: TimingBounds = TimingBounds()
-    path: str | None = None  # the file that the settings were read from
+    path: str | None = None  # of the file that the settings were read from
 
     def control_address(self, host: str) -> str:
-        """The host:port at which a control plane on `host` listens for nodes and replicas."""
+        """Return the host:port at which a control plane on `host` listens for nodes and replicas."""
         return f"{host}:{self.internal_port_range[0] + CONTROL_PORT_OFFSET}"
 
     def seed_addresses(self) -> tuple[str, ...]:
-        """The host:port of each seed's control plane, for nodes and replicas."""
+        """Return the host:port of each seed node's control plane, for nodes and replicas."""
         return tuple(self.control_address(seed.rsplit(":", 1)[0]) for seed in self.seed_nodes)
 
 
@@ -97,6 +97,6 @@
 
 
 def split_host_port(address: str) -> tuple[str, int]:
-    """The host and the port of `host:port`."""
+    """Split `host:port` into the host and the port number."""
     host, port = address.rsplit(":", 1)
     return host, int(port)
--- a/dunlinloft/validation.py
+++ b/dunlinloft/validation.py
@@ -1,9 +1,9 @@
-"""Validation of an operator's change before the control plane accepts it.
+"""Validation of an operator's configuration change before the control plane accepts it.
 
-The pydantic models are made from the types of `dunlinloft.configuration`, so that fields and defaults are
-defined once; this module adds what the types don't say. `Replica` is given `validate`.
+The pydantic models are derived from the types of `dunlinloft.configuration`, so that fields and defaults are
+defined once; this module adds the constraints that types can't express. `validate` is passed to `Replica`.
 
-Only the control plane, the lab and tests may import this module: it loads pydantic.
+Only the control plane, the lab and tests may import this module, because it loads pydantic.
 """
 
 from __future__ import annotations
@@ -35,31 +35,31 @@
 MAX_ERRORS_SHOWN = 3
 
 Value = TypeVar("Value")
-Annotation: TypeAlias = Any  # of a field: a class, a generic alias or a union
-# A rule raises `ValueError` with a text for operators.
+Annotation: TypeAlias = Any  # a field's type: a class, a generic alias or a union
+# A rule raises `ValueError` with a message for operators.
 FieldRule: TypeAlias = Callable[[float], float]
 ModelRule: TypeAlias = Callable[[Any], None]
 
 
-def _not_negative(weight: float) -> float:
+def _check_non_negative(weight: float) -> float:
     if weight < 0.0:
         raise ValueError("a weight of 0 or more expected")
     return weight
 
 
-def _positive(timeout_ms: float) -> float:
+def _check_positive(timeout_ms: float) -> float:
     if timeout_ms <= 0.0:
         raise ValueError("more than 0 expected")
     return timeout_ms
 
 
-def _has_target(route: Route) -> None:
+def _check_target(route: Route) -> None:
     if route.service is None and not sum(backend.weight for backend in route.backends) > 0.0:
         raise ValueError("a service, or backends whose weights don't sum to 0, expected")
 
 
-def _is_consistent(configuration: Configuration) -> None:
-    """Routes name known services, and no two have the same host and prefix; tenants share no API key."""
+def _check_consistency(configuration: Configuration) -> None:
+    """Check that routes name known services and don't collide, and that tenants share no API key."""
     services = {service.name for service in configuration.services}
     matches: set[tuple[str, str]] = set()
     for route in configuration.routes:
@@ -78,28 +78,28 @@
 
 
 FIELD_RULES: dict[tuple[type[Struct], str], FieldRule] = {
-    (Backend, "weight"): _not_negative,
-    (Route, "timeout_ms"): _positive,
+    (Backend, "weight"): _check_non_negative,
+    (Route, "timeout_ms"): _check_positive,
 }
-# Fields that are checked before a type's others: the first errors are the ones that operators are shown.
+# Fields that are checked before the other fields of their type, because only the first errors are reported.
 CHECKED_FIRST: dict[type[Struct], tuple[str, ...]] = {Route: ("name", "hostname", "path_prefix", "type")}
-MODEL_RULES: dict[type[Struct], ModelRule] = {Route: _has_target, Configuration: _is_consistent}
+MODEL_RULES: dict[type[Struct], ModelRule] = {Route: _check_target, Configuration: _check_consistency}
 
 
 class _Model(BaseModel):
-    """Base of all models. Unknown fields are ignored here; the document itself keeps them."""
+    """Base class of all models. Unknown fields are ignored here; the stored document keeps them."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
 class _ModelFactory:
-    """Makes the pydantic model of a msgspec type and of those that its fields refer to."""
+    """Creates the pydantic models of a msgspec type and of the types that its fields refer to."""
 
     def __init__(self) -> None:
         self._models: dict[type[Struct], type[BaseModel]] = {}
 
     def model_of(self, struct: type[Struct]) -> type[BaseModel]:
-        """The model with the fields, encoded names and defaults of `struct`, and its rules."""
+        """Return the model with the fields, encoded names, defaults and rules of `struct`."""
         if struct not in self._models:
             self._models[struct] = self._make(struct)
         return self._models[struct]
@@ -118,11 +118,11 @@
             fields[field.name] = (annotation, Field(default, alias=field.encode_name))
         validators: dict[str, Any] = {}
         if model_rule := MODEL_RULES.get(struct):
-            validators["check"] = model_validator(mode="after")(_checked(model_rule))
+            validators["check"] = model_validator(mode="after")(_as_validator(model_rule))
         return create_model(struct.__name__, __base__=_Model, __validators__=validators, **fields)
 
     def _model_annotation(self, annotation: Annotation) -> Annotation:
-        """An annotation with each msgspec type in it replaced by its model."""
+        """Replace each msgspec type in an annotation by its model."""
         if isinstance(annotation, type) and issubclass(annotation, Struct):
             return self.model_of(annotation)
         arguments = typing.get_args(annotation)
@@ -132,11 +132,11 @@
         return origin[tuple(map(self._model_annotation, arguments))]
 
 
-def _checked(rule: ModelRule) -> Callable[[Value], Value]:
-    """A rule in the form of a validator."""
+def _as_validator(rule: ModelRule) -> Callable[[Value], Value]:
+    """Adapt a rule to a pydantic validator."""
 
     def check(model: Value) -> Value:
-        """Pydantic reports the rule's `ValueError` with the model's path."""
+        """Apply the rule; pydantic reports its `ValueError` with the model's path."""
         rule(model)
         return model
 
@@ -147,7 +147,7 @@
 
 
 def validate(document: Document, change: ConfigurationChange) -> Valid | Invalid:
-    """Whether a change may be accepted on top of a document; `Invalid` has the errors for the operator."""
+    """Decide whether a change to a document is acceptable; `Invalid` carries the errors for the operator."""
     try:
         version = _version_of(change.body)
         if change.kind == ChangeKind.UPDATE:
@@ -173,7 +173,7 @@
 
 
 def _check_update(body: Document) -> None:
-    """Raises `ConfigurationError` for a body that can't be applied to a document."""
+    """Raise `ConfigurationError` for a body that can't be applied to a document."""
     upsert = body.get("upsert", {})
     delete = body.get("delete", {})
     if not isinstance(upsert, dict) or not isinstance(delete, dict):
@@ -190,7 +190,7 @@
 
 
 def _check_document(document: Document) -> None:
-    """Raises `ConfigurationError` with the path of each error, or of the first few of many."""
+    """Raise `ConfigurationError` with the paths of the first `MAX_ERRORS_SHOWN` errors."""
     try:
         _CONFIGURATION_MODEL.model_validate(document)
     except ValidationError as error:
