--- a/dunlinloft/cli/admin_client.py
+++ b/dunlinloft/cli/admin_client.py
@@ -19,8 +19,8 @@
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.exceptions import DunlinloftError
 
-REQUEST_TIMEOUT_S = 3.0  # an operator waits; the endpoint answers from memory
-WATCH_INTERVAL_S = 1.0  # between two requests of a live display
+REQUEST_TIMEOUT_S = 3.0  # short, as an operator is waiting and the endpoint responds from memory
+WATCH_INTERVAL_S = 1.0  # between refreshes of a live display
 
 # A JSON object of the admin endpoint, as `--json` prints it.
 AdminDocument: TypeAlias = dict[str, Any]
@@ -28,13 +28,13 @@
 
 
 class AdminRequestError(DunlinloftError):
-    """The admin endpoint gave no usable answer; the text says why."""
+    """A request to the admin endpoint failed; the message gives the reason."""
 
 
 def request_document(admin: str, path: str = "/admin/fleet", method: str = "GET") -> AdminDocument:
-    """The JSON object at a path of the admin endpoint `admin` (host:port).
+    """Request the JSON object at a path of the admin endpoint `admin` (host:port).
 
-    Raises `AdminRequestError` where there is no endpoint, or it rejects the request.
+    Raises `AdminRequestError` if the endpoint is unreachable, rejects the request or returns no JSON object.
     """
     try:
         request = urllib.request.Request(f"http://{admin}{path}", method=method)
@@ -43,37 +43,37 @@
     except urllib.error.HTTPError as error:
         if error.code == 404:
             raise AdminRequestError(
-                f"{admin}: this node has none of it: see `fleet` in its configuration"
+                f"{admin}: this node does not serve this document; check `fleet` in its configuration"
             ) from None
         raise AdminRequestError(f"{admin}: {_rejection_reason(error)}") from None
     except (OSError, ValueError) as error:
         reason = getattr(error, "reason", error)
-        raise AdminRequestError(f"{admin}: no admin endpoint there: {reason}") from None
+        raise AdminRequestError(f"{admin}: admin endpoint not reachable: {reason}") from None
     if not isinstance(document, dict):
-        raise AdminRequestError(f"{admin}: what the endpoint says is no object")
+        raise AdminRequestError(f"{admin}: the endpoint's response is not a JSON object")
     return document
 
 
 def decode_document(document: AdminDocument, view: type[View]) -> View:
-    """The fields of a document that a command reads. Raises `AdminRequestError` where they don't fit."""
+    """Decode the fields that a command reads. Raises `AdminRequestError` if their types don't match."""
     try:
         return msgspec.convert(document, view)
     except msgspec.ValidationError as error:
-        raise AdminRequestError(f"the endpoint's document is not understood: {error}") from None
+        raise AdminRequestError(f"the endpoint's document can't be decoded: {error}") from None
 
 
 def _rejection_reason(error: urllib.error.HTTPError) -> str:
-    """The endpoint's own reason, with the member to ask instead where it names one."""
+    """Return the endpoint's error text, with the responsible member if it names one."""
     try:
         document = json.load(error)
-        owner = f" ({document['holder']} does)" if document.get("holder") else ""
+        owner = f" (ask {document['holder']})" if document.get("holder") else ""
         return f"{document['error']}{owner}"
     except (OSError, ValueError, KeyError, TypeError):
-        return f"the endpoint says {error.code}"
+        return f"the endpoint responded with HTTP status {error.code}"
 
 
 def watch_document(admin: str, path: str, view: type[View], render: Callable[[View], Group]) -> ExitCode:
-    """Display the document at a path, refreshed until the operator interrupts."""
+    """Display the document at a path and refresh it until Ctrl-C."""
     try:
         with Live(console=stdout, auto_refresh=False) as live:
             while True:
--- a/dunlinloft/cli/admin_documents.py
+++ b/dunlinloft/cli/admin_documents.py
@@ -1,7 +1,7 @@
-"""What the commands read of the admin endpoint's documents, in the field's terms.
+"""Types of the admin endpoint's documents, with only the fields that commands read.
 
-The names that a document has for its fields are encoded: `docs/operations.md` lists them, and `--json` prints
-the document as it came. Numbers that are printed as they came are `int | float`.
+`field(name=...)` maps a field to its name in the document where they differ: `docs/operations.md` lists those
+names, and `--json` prints the document unchanged. Numbers that are printed unformatted are `int | float`.
 """
 
 from __future__ import annotations
@@ -10,34 +10,34 @@
 
 
 class Position(Struct, frozen=True):
-    """A node's position among the members that share a budget, counted from 0."""
+    """A node's index (from 0) among the members that share a budget, and their number."""
 
     number: int
     nodes: int
 
 
 class OwnMember(Struct, frozen=True):
-    """What a node says of itself."""
+    """The state that a node reports of itself."""
 
     name: str
     state: str
-    conflicting_address: str = field(name="rival")  # of another machine with this name; empty where none
+    conflicting_address: str = field(name="rival")  # of another machine with this name; empty if none
 
 
 class Divergence(Struct, frozen=True):
-    """Members whose view differs from the node's."""
+    """Members whose membership view differs from the node's."""
 
     members: int
     longest_s: int | float
 
 
 class FleetMember(Struct, frozen=True):
-    """A member as the node sees it."""
+    """A member in the node's membership view."""
 
     name: str
     state: str
     since_s: float
-    started_ms: int | float = field(name="life")  # the incarnation: Unix time of its start
+    started_ms: int | float = field(name="life")  # Unix time of its start, which identifies the incarnation
     revision: int
     accusers: list[str]
     rtt_ms: float
@@ -60,24 +60,24 @@
 
 
 class LeaseRow(Struct, frozen=True):
-    """A singleton role and who holds its lease."""
+    """A singleton role and the holder of its lease."""
 
     role: str = field(name="duty")
-    owner: str = field(name="holder")  # empty where nobody holds it
+    owner: str = field(name="holder")  # empty if nobody holds it
     token: int
-    remaining_s: float | None = None  # None but at the owner
+    remaining_s: float | None = None  # known only at the owner
     unowned_reason: str = field(name="why", default="")
 
 
 class DivergedGroup(Struct, frozen=True):
-    """Members that have had one view, other than the rest, for some time."""
+    """Members that share a view which differs from the rest of the fleet's."""
 
     members: list[str]
     duration_s: float = field(name="for_s")
 
 
 class LeaseEvent(Struct, frozen=True):
-    """A change of a lease that the node took part in."""
+    """A lease change that the node took part in."""
 
     time: str
     event: str = field(name="what")
@@ -106,17 +106,17 @@
 
 
 class TableEntry(Struct, frozen=True):
-    """A write that an operator requested, and how far it is."""
+    """A write that an operator requested, and its state."""
 
     number: int = field(name="entry")
     state: str
 
 
 class StateTableDocument(Struct, frozen=True):
-    """`/admin/ledger`: the state table, complete at its owner alone."""
+    """`/admin/ledger`: the replicated state table, complete only at its owner."""
 
     own_name: str = field(name="self")
-    owner: str = field(name="holder")  # empty where nobody holds the table's lease
+    owner: str = field(name="holder")  # empty if nobody holds the table's lease
     is_owner: bool = field(name="here")
     rows_lost: bool = field(name="lost")
     rows: list[TableRow]
@@ -133,39 +133,39 @@
 
 
 class VotersDocument(Struct, frozen=True):
-    """`/admin/voters`: the voters in force, those configured, and members that know others."""
+    """`/admin/voters`: the current voters, the configured ones, and members with an outdated voter list."""
 
     own_name: str = field(name="self")
     change: int
     voters: list[Voter]
     configured: list[str]
-    outdated: dict[str, str] = field(name="behind")  # the voters that a member takes for them, by its name
+    outdated: dict[str, str] = field(name="behind")  # by member name: the voters that it assumes
     change_blocked_reason: str = field(name="why_no_change")
-    is_owner: bool = field(name="here")  # of the state table: voters change there
+    is_owner: bool = field(name="here")  # of the state table, which applies voter changes
     owner: str = field(name="holder")
 
 
 class SharedVerdict(Struct, frozen=True):
-    """What the fleet holds against a model server."""
+    """The fleet's outlier verdict on a model server."""
 
     name: str
     avoid: bool
-    slowdown: float = field(name="slow")  # against its peers
-    classes: list[str]  # of requests that avoid it; all where empty
+    slowdown: float = field(name="slow")  # factor relative to its peers
+    classes: list[str]  # request classes that avoid it; empty means all
 
 
 class QuotaShare(Struct, frozen=True):
-    """A tenant's quota and this member's share of it, in requests a second."""
+    """A tenant's quota and this member's share of it, in requests per second."""
 
     share_per_s: float = field(name="part_per_s")
     quota_per_s: float
 
 
 class SharedLimits(Struct, frozen=True):
-    """Shares of tenants' quotas."""
+    """This member's shares of tenants' quotas and of the retry limit."""
 
     in_use: bool
-    fallback: bool  # the demand of too few members is known: even shares
+    fallback: bool  # even shares, because the demand of too few members is known
     known: int
     counted: int
     shares: dict[str, QuotaShare] = field(name="parts")
@@ -178,7 +178,7 @@
     in_use: bool
     home_zones: list[str] = field(name="homes")
     unavailable: list[str] = field(name="out")
-    redirected: list[str] = field(name="open")  # all members know, so that keys go elsewhere
+    redirected: list[str] = field(name="open")  # known as failed to all members: keys use other zones
     isolated: bool = field(name="cut_off")
     elsewhere: dict[str, list[str]] = field(name="others")
     counts: dict[str, int]
@@ -190,13 +190,13 @@
     kind: str
     writer: str
     version: int
-    source: str = field(name="from")  # the member that it came from; empty for the node's own
+    source: str = field(name="from")  # the member that relayed it; empty for the node's own
     age_s: float
     bytes: int
 
 
 class SharedStateDocument(Struct, frozen=True):
-    """`/admin/shared`: what members replicate to each other."""
+    """`/admin/shared`: the state that members replicate to each other."""
 
     own_name: str = field(name="self")
     shared_kinds: list[str] = field(name="share")
@@ -207,10 +207,10 @@
 
 
 class DirectoryKnowledge(Struct, frozen=True):
-    """What a cell's member knows of its service from the directory."""
+    """What a cell member has learned about its service from the directory."""
 
     unanswered: int
-    age_s: int | float | None  # None before its first answer
+    age_s: int | float | None  # None before its first response
     bound_s: float
     service_members: int | None
     cells: int | None
@@ -226,14 +226,14 @@
     members: int
     max_members: int = field(name="most")
     reporter: bool
-    splits: int = field(name="cuts")  # and merges
+    splits: int = field(name="cuts")  # including merges
     position: Position = field(name="place")
     fallback: bool
     directory: DirectoryKnowledge
 
 
 class DirectoryCell(Struct, frozen=True):
-    """A cell as the directory knows it."""
+    """A cell in the directory's view."""
 
     region: str
     cell: str
@@ -251,20 +251,20 @@
 
     name: str
     fleet: str
-    learning: bool  # started lately: it may not know all cells yet
+    learning: bool  # started recently and may not know all cells yet
     processes: int
     services: dict[str, list[DirectoryCell]]
 
 
 class ReleaseOrder(Struct, frozen=True):
-    """What the release controller told members to obey."""
+    """The traffic share that the release controller told members to apply."""
 
-    release: int  # 0 where there is none
+    release: int  # 0 if there is none
     share: float
 
 
 class ReleasePlan(Struct, frozen=True):
-    """A release in full."""
+    """A release with its stages and progress."""
 
     id: int
     state: str
@@ -277,7 +277,7 @@
 
 
 class HarmEvidence(Struct, frozen=True):
-    """Evidence of harm in a metric, for a request class."""
+    """Evidence of a regression in a metric of a request class, new servers against old."""
 
     metric: str
     request_class: str = field(name="class")
@@ -300,14 +300,14 @@
 
 
 class ReleaseDocument(Struct, frozen=True):
-    """`/admin/releases`: the release, complete at its controller alone."""
+    """`/admin/releases`: the current release, complete only at its controller."""
 
     own_name: str = field(name="self")
     is_controller: bool = field(name="steward")
     controller: str = field(name="holder")
     plan: ReleasePlan | None = field(name="release")
     order: ReleaseOrder
-    stale: bool  # the controller has not been heard for long
+    stale: bool  # the controller has not been heard from for too long
     blocked_reason: str = field(name="held")
     lacks_capacity: bool = field(name="short")
     baked_s: float
--- a/dunlinloft/cli/commands/__init__.py
+++ b/dunlinloft/cli/commands/__init__.py
@@ -1,5 +1,5 @@
-"""Arguments and options of all commands, one module a command group.
+"""Arguments and options of all commands, one module per command group.
 
-A command's doc comment is the help that operators read. Each command imports its handler only when it runs.
-Only `dunlinloft.cli.root` may import this package.
+A command's docstring is its help text. Each command imports its handler only when it runs. Only
+`dunlinloft.cli.root` may import this package.
 """
--- a/dunlinloft/cli/commands/explore.py
+++ b/dunlinloft/cli/commands/explore.py
@@ -9,15 +9,22 @@
 
 @click.command("explore")
 @click.argument("system", type=click.Choice(["duties", "ledger", "membership", "voters"]))
-@click.option("--depth", type=click.IntRange(1), default=40, show_default=True, help="Moves to a state.")
-@click.option("--states", type=click.IntRange(1), default=100_000, show_default=True, help="At most.")
 @click.option(
-    "--walk", "moves", type=click.IntRange(0), default=100_000, show_default=True, help="At random."
+    "--depth", type=click.IntRange(1), default=40, show_default=True, help="Maximum depth, in events."
 )
-@click.option("--seed", type=int, default=1, show_default=True, help="Of the walk.")
+@click.option("--states", type=click.IntRange(1), default=100_000, show_default=True, help="Maximum states.")
+@click.option(
+    "--walk",
+    "moves",
+    type=click.IntRange(0),
+    default=100_000,
+    show_default=True,
+    help="Steps of random walks.",
+)
+@click.option("--seed", type=int, default=1, show_default=True, help="Seed of the random walks.")
 @click.option("--jobs", type=click.IntRange(1), default=1, show_default=True, help="Processes.")
-@click.option("--trace", type=click.Path(dir_okay=False), help="Write what breaks something here.")
-@click.option("--replay", "replayed", type=click.Path(dir_okay=False), help="Play such a trace instead.")
+@click.option("--trace", type=click.Path(dir_okay=False), help="Write a violating trace here.")
+@click.option("--replay", "replayed", type=click.Path(dir_okay=False), help="Replay this trace instead.")
 def explore(
     system: str,
     depth: int,
@@ -28,9 +35,9 @@
     trace: str | None,
     replayed: str | None,
 ) -> None:
-    """Try all orders of events on the fleet's cores, and walk at random beyond.
+    """Explore all event orders of a state machine up to a depth, then sample larger ones by random walks.
 
-    Exit status: 0 where nothing broke, 1 where something did, 2 for a bad file.
+    Exit status: 0 if no property is violated, 1 if one is, 2 for an invalid trace file.
     """
     from dunlinloft.cli.handlers import exploration
 
--- a/dunlinloft/cli/commands/fleet.py
+++ b/dunlinloft/cli/commands/fleet.py
@@ -1,4 +1,4 @@
-"""The command group `fleet`: one node's view of the fleet, by way of its admin endpoint."""
+"""The command group `fleet`: one node's view of the fleet, read from its admin endpoint."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @click.group()
 def fleet() -> None:
-    """Look at a fleet of nodes by way of one node's admin endpoint."""
+    """Inspect a fleet of nodes through one node's admin endpoint."""
 
 
 @fleet.command("members")
 @admin_option
 @json_option
 def show_members(admin: str, as_json: bool) -> None:
-    """Who is there, and who is not; exit status 1 where views differ or a name is taken twice."""
+    """Show the membership; exit status 1 if views differ or two machines share a name."""
     from dunlinloft.cli.handlers import fleet_members
 
     sys.exit(fleet_members.show_members(admin, as_json))
@@ -27,7 +27,7 @@
 @fleet.command("watch")
 @admin_option
 def watch_members(admin: str) -> None:
-    """The same, live, until Ctrl-C."""
+    """Show the membership, refreshed until Ctrl-C."""
     from dunlinloft.cli.handlers import fleet_members
 
     sys.exit(fleet_members.watch_members(admin))
@@ -37,18 +37,18 @@
 @admin_option
 @json_option
 def show_cell(admin: str, as_json: bool) -> None:
-    """A node's cell and what it knows of its whole service; exit status 1 where the fallback is in force."""
+    """Show a node's cell and what it knows of its service; exit status 1 if the fallback is active."""
     from dunlinloft.cli.handlers import cells
 
     sys.exit(cells.show_cell(admin, as_json))
 
 
 @fleet.command("directory")
-@click.option("--service", default="", help="This service's cells alone.")
+@click.option("--service", default="", help="Only this service's cells.")
 @admin_option
 @json_option
 def show_directory(admin: str, service: str, as_json: bool) -> None:
-    """The cells that a process of the directory knows; exit status 1 where some are stale."""
+    """Show the cells that a directory process knows; exit status 1 if one is stale or it still learns."""
     from dunlinloft.cli.handlers import cells
 
     sys.exit(cells.show_directory(admin, service, as_json))
@@ -58,7 +58,7 @@
 @admin_option
 @json_option
 def show_leases(admin: str, as_json: bool) -> None:
-    """Who holds which duty; exit status 1 where nobody holds one."""
+    """Show who holds the lease of each singleton role (duty); exit status 1 if one has no holder."""
     from dunlinloft.cli.handlers import leases
 
     sys.exit(leases.show_leases(admin, as_json))
@@ -68,30 +68,32 @@
 @admin_option
 @json_option
 def show_shared_state(admin: str, as_json: bool) -> None:
-    """What the members share, with ages; exit status 1 where a fallback is in force."""
+    """Show the state that members replicate, with ages; exit status 1 if a fallback is active."""
     from dunlinloft.cli.handlers import shared_state
 
     sys.exit(shared_state.show_shared_state(admin, as_json))
 
 
 @fleet.command("ledger")
-@click.option("--set", "entries", multiple=True, metavar="KEY=VALUE", help="Such as limit/TENANT=120.")
+@click.option(
+    "--set", "entries", multiple=True, metavar="KEY=VALUE", help="Entry to write, such as limit/TENANT=120."
+)
 @admin_option
 @json_option
 def update_state_table(entries: tuple[str, ...], admin: str, as_json: bool) -> None:
-    """The fleet's small records; exit status 1 where an entry is not kept."""
+    """Write to and show the replicated state table; exit status 1 if a write is not committed."""
     from dunlinloft.cli.handlers import state_table
 
     sys.exit(state_table.update_state_table(admin, entries, as_json))
 
 
 @fleet.command("voters")
-@click.option("--add", default="", metavar="MEMBER", help="Have this member vote too.")
-@click.option("--remove", default="", metavar="MEMBER", help="Have this one vote no more.")
+@click.option("--add", default="", metavar="MEMBER", help="Member to add to the voters.")
+@click.option("--remove", default="", metavar="MEMBER", help="Member to remove from the voters.")
 @admin_option
 @json_option
 def change_voters(add: str, remove: str, admin: str, as_json: bool) -> None:
-    """Who votes, and other voters, one at a time; exit status 1 where one is missing or a change fails."""
+    """Add or remove a voter, then show all; exit status 1 if one is missing or outdated or a change fails."""
     from dunlinloft.cli.handlers import state_table
 
     sys.exit(state_table.change_voters(admin, add, remove, as_json))
@@ -100,11 +102,11 @@
 @fleet.command("hand-over")
 @click.argument("lease", metavar="DUTY")
 @click.option(
-    "--to", "successor", default="", help="The member that should hold it; whoever is next where not given."
+    "--to", "successor", default="", help="Member that takes the lease; the node chooses one by default."
 )
 @admin_option
 def transfer_lease(lease: str, successor: str, admin: str) -> None:
-    """Have the holder hand a duty over."""
+    """Transfer the lease of a singleton role (duty) to another member."""
     from dunlinloft.cli.handlers import leases
 
     sys.exit(leases.transfer_lease(admin, lease, successor))
--- a/dunlinloft/cli/commands/release.py
+++ b/dunlinloft/cli/commands/release.py
@@ -11,25 +11,27 @@
 
 @click.group()
 def release() -> None:
-    """Staged releases: begin, watch, halt and take back, by way of the ledger holder's admin endpoint."""
+    """Manage staged releases through the admin endpoint of the node that holds the `ledger` lease."""
 
 
 @release.group("start")
 def start_release() -> None:
-    """Begin a release."""
+    """Start a release."""
 
 
 @start_release.command("servers")
-@click.option("--since", default="", metavar="TIME", help="Servers started from then on are new.")
+@click.option("--since", default="", metavar="TIME", help="Servers started at or after TIME are new.")
 @click.option("--names", default="", metavar="A,B,...", help="These servers are new.")
-@click.option("--stages", default="", metavar="1,5,25,50,100", help="Percent of first sends, stage by stage.")
-@click.option("--bake", default="", metavar="30s", help="How long each stage is looked at, at least.")
+@click.option(
+    "--stages", default="", metavar="1,5,25,50,100", help="Percent of first attempts in each stage."
+)
+@click.option("--bake", default="", metavar="30s", help="Minimum time to observe each stage.")
 @reason_option
 @admin_option
 def start_server_release(since: str, names: str, stages: str, bake: str, reason: str, admin: str) -> None:
-    """Let servers of a new build have traffic in stages.
+    """Send traffic to servers of a new build in stages.
 
-    TIME is `now`, Unix seconds or ISO 8601. Begin before the first of them starts.
+    TIME is `now`, Unix seconds or ISO 8601. Start the release before the first of the new servers starts.
     """
     from dunlinloft.cli.handlers import releases
 
@@ -40,7 +42,7 @@
 @admin_option
 @json_option
 def show_status(admin: str, as_json: bool) -> None:
-    """How far it is and on what evidence; exit status 1 where it is halted or taken back."""
+    """Show progress and evidence; exit status 1 if halted, rolled back or the controller is not heard."""
     from dunlinloft.cli.handlers import releases
 
     sys.exit(releases.show_status(admin, as_json))
@@ -49,7 +51,7 @@
 @release.command("watch")
 @admin_option
 def watch_status(admin: str) -> None:
-    """The same, live, until Ctrl-C."""
+    """Show the release, refreshed until Ctrl-C."""
     from dunlinloft.cli.handlers import releases
 
     sys.exit(releases.watch_status(admin))
@@ -58,7 +60,7 @@
 @release.command("history")
 @admin_option
 def show_history(admin: str) -> None:
-    """Releases that have ended, how and why."""
+    """Show completed releases with their outcome and reason."""
     from dunlinloft.cli.handlers import releases
 
     sys.exit(releases.show_history(admin))
@@ -71,14 +73,14 @@
     @reason_option
     @admin_option
     def send_action(reason: str, admin: str) -> None:
-        """`help` is what operators read of it."""
+        """Send the action; the option `help` above is the command's help text."""
         from dunlinloft.cli.handlers import releases
 
         sys.exit(releases.control(admin, action, reason))
 
 
-_add_control_command("pause", "Stay in this stage; harm is still looked for.")
-_add_control_command("resume", "Go on after a pause or halt.")
-_add_control_command("skip", "Go on to the next stage at once, where no harm was seen.")
-_add_control_command("halt", "Freeze the share.")
-_add_control_command("abort", "Take the new servers back to nothing.")
+_add_control_command("pause", "Stay in this stage; regressions are still detected.")
+_add_control_command("resume", "Continue after a pause or halt.")
+_add_control_command("skip", "Advance to the next stage now, unless a regression was detected.")
+_add_control_command("halt", "Freeze the new servers' traffic share.")
+_add_control_command("abort", "Roll back: reduce the new servers' traffic share to zero.")
--- a/dunlinloft/cli/commands/state.py
+++ b/dunlinloft/cli/commands/state.py
@@ -10,14 +10,14 @@
 
 @click.group()
 def state() -> None:
-    """Look at control planes' data directories; only `begin` changes one."""
+    """Inspect control planes' data directories; only `begin` changes one."""
 
 
 @state.command("inspect")
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
-@click.option("--json", "as_json", is_flag=True, help="As one line of JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print one line of JSON.")
 def inspect(folder: str, as_json: bool) -> None:
-    """Say what FOLDER recovers to: view, chain, version, orders remembered, servers known."""
+    """Show the state that FOLDER recovers to: view, chain, version, remembered changes, known servers."""
     from dunlinloft.cli.handlers import replica_state
 
     sys.exit(replica_state.inspect(Path(folder), as_json))
@@ -26,7 +26,7 @@
 @state.command("verify")
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 def verify(folder: str) -> None:
-    """Read every block in FOLDER. Exit status: 0 all whole, 1 a torn end, 2 no state can be read."""
+    """Read every block in FOLDER. Exit status: 0 all complete, 1 torn end, 2 no readable state."""
     from dunlinloft.cli.handlers import replica_state
 
     sys.exit(replica_state.verify(Path(folder)))
@@ -35,7 +35,7 @@
 @state.command("newest")
 @click.argument("folders", nargs=-1, required=True, type=click.Path(exists=True, file_okay=False))
 def newest(folders: tuple[str, ...]) -> None:
-    """Say which of these data directories holds the newest state. Exit status: 2 where none can be read."""
+    """Find the data directory with the newest state. Exit status: 2 if none is readable."""
     from dunlinloft.cli.handlers import replica_state
 
     sys.exit(replica_state.find_newest([Path(folder) for folder in folders]))
@@ -47,11 +47,14 @@
 @click.option(
     "--after-epoch", required=True, type=click.IntRange(0), help="The highest epoch in any directory."
 )
-@click.option("--i-know-what-is-lost", "confirmed", is_flag=True, help="Without it, nothing is changed.")
+@click.option(
+    "--i-know-what-is-lost", "confirmed", is_flag=True, help="Confirm; without it, nothing is changed."
+)
 def begin(folder: str, address: str, after_epoch: int, confirmed: bool) -> None:
-    """Begin a new epoch from the state in FOLDER, after more disks were lost than may be.
+    """Begin a new epoch from the state in FOLDER, after more disks were lost than replication tolerates.
 
-    The process must not run. All other control planes start with empty directories, and copy this state.
+    The process must be stopped. All other control planes must start with empty directories; they copy this
+    state.
     """
     from dunlinloft.cli.handlers import replica_state
 
--- a/dunlinloft/cli/commands/world.py
+++ b/dunlinloft/cli/commands/world.py
@@ -1,4 +1,4 @@
-"""The command `world`: the control side under injected faults in virtual time."""
+"""The command `world`: simulation of the control plane with injected faults in virtual time."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 @click.command("world")
-@click.option("--seeds", type=click.IntRange(1), default=10_000, show_default=True, help="So many.")
-@click.option("--first", type=click.IntRange(0), default=0, show_default=True, help="The first one.")
+@click.option("--seeds", type=click.IntRange(1), default=10_000, show_default=True, help="Number of seeds.")
+@click.option("--first", type=click.IntRange(0), default=0, show_default=True, help="First seed.")
 @click.option("--jobs", type=click.IntRange(1), default=1, show_default=True, help="Processes.")
 @click.option(
     "--scope",
     type=click.Choice([PROCESSES, REPLICAS]),
     default=PROCESSES,
     show_default=True,
-    help="Whole control planes and nodes, or the replicas' state machines alone.",
+    help="Whole control planes and nodes, or only the replicas' state machines.",
 )
 def world(seeds: int, first: int, jobs: int, scope: str) -> None:
-    """Play the control side under overlapping faults in virtual time, by seed.
+    """Simulate the control plane with overlapping faults in virtual time, one run per seed.
 
-    Prints the shortest schedule of each seed that breaks a rule. Exit status: 0 where none does, 1 else.
+    Prints the shortest fault schedule for each seed that violates a rule. Exit status: 0 if none, else 1.
     """
     from dunlinloft.cli.handlers import simulated_world
 
--- a/dunlinloft/cli/consoles.py
+++ b/dunlinloft/cli/consoles.py
@@ -1,4 +1,4 @@
-"""The terminal that handlers write to, and how they report an error."""
+"""Consoles that handlers print to, and error reporting."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 stdout = Console()
 stderr = Console(stderr=True, soft_wrap=True)
-# For lines that a script or a person copies: neither coloured by content nor broken at the terminal's width.
+# For output that is copied or read by scripts: no highlighting, no wrapping at the terminal's width.
 plain_stdout = Console(highlight=False, soft_wrap=True)
 
 
--- a/dunlinloft/cli/handlers/capacity.py
+++ b/dunlinloft/cli/handlers/capacity.py
@@ -1,4 +1,4 @@
-"""`dunlinloft lab capacity`: a figure's samples, the line through them, and its value at the target size."""
+"""`dunlinloft lab capacity`: samples of each metric, the fitted line, and its value at the target size."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 from lab.capacity.tools import best_ms
 from lab.runner import BadSeeds, read_seeds
 
-TABLE_WIDTH = 190  # columns, where the output is no terminal
+TABLE_WIDTH = 190  # columns, if the output is not a terminal
 COLUMNS = ("experiment", "figure", "unit", "means", "slope", "±", "intercept", "r²", "at", "", "±", "checked")
 
 
 def _measure_fleet_members(members: int, seed: int) -> dict[str, float]:
-    """The time that `fleet members` takes to print a node's view, and the bytes printed."""
+    """Measure the time that `fleet members` takes to print a node's view, and the bytes printed."""
     host = Host(members)
     fill(host.core, members)
     document = decode_document(host.peers.status()[1], MembershipDocument)
     printed = io.StringIO()
 
     def write() -> None:
-        """Print the view, over that of the write before."""
+        """Print the view, overwriting the previous output."""
         printed.seek(0)
         Console(file=printed, width=TABLE_WIDTH).print(
             fleet_members.render_members(document), highlight=False
@@ -45,7 +45,7 @@
 
 
 FLEET_MEMBERS_EXPERIMENT = Experiment(
-    "command", "an operator's `fleet members`", "members", sizes.SERVERS, (250, 500, 1000, 2000),
+    "command", "the `fleet members` command", "members", sizes.SERVERS, (250, 500, 1000, 2000),
     (20, 40, 80), (1, 2, 3), (Figure("print", "ms", TIMED), Figure("printed", "B")), _measure_fleet_members,
 )  # fmt: skip
 EXPERIMENTS = LAB_EXPERIMENTS | {FLEET_MEMBERS_EXPERIMENT.name: FLEET_MEMBERS_EXPERIMENT}
@@ -54,7 +54,7 @@
 def measure_capacity(
     only: str | None, seeds: str | None, sizes: str | None, quick: bool, checks: bool, json_file: str | None
 ) -> ExitCode:
-    """Run the experiments; fails where a run did not end. Unknown names, seeds or sizes are rejected."""
+    """Run the experiments; fails if a run did not complete. Rejects unknown names, seeds or sizes."""
     names = only.split(",") if only else list(EXPERIMENTS)
     unknown = [name for name in names if name not in EXPERIMENTS]
     try:
@@ -63,7 +63,7 @@
     except BadSeeds as error:
         return report_invalid_input(error)
     if unknown:
-        return report_invalid_input(f"{unknown[0]}: no such experiment; known are {', '.join(EXPERIMENTS)}")
+        return report_invalid_input(f"{unknown[0]}: unknown experiment; available: {', '.join(EXPERIMENTS)}")
     plan = Plan([EXPERIMENTS[name] for name in names], quick, checks, wanted_seeds, wanted_sizes)
     report = _run(plan)
     if json_file:
@@ -86,7 +86,7 @@
 
 
 def _print_report(report: Report) -> None:
-    """Print the fitted lines, and the runs that did not end."""
+    """Print the fitted lines, and the runs that did not complete."""
     table = Table(*COLUMNS, **PLAIN_STYLE)
     for row in report.rows:
         table.add_row(*_cells(row))
--- a/dunlinloft/cli/handlers/cells.py
+++ b/dunlinloft/cli/handlers/cells.py
@@ -1,4 +1,4 @@
-"""`dunlinloft fleet cell` and `directory`: a node's own cell, and all cells that the directory knows."""
+"""`dunlinloft fleet cell` and `directory`: a node's own cell, and all cells known to the directory."""
 
 from __future__ import annotations
 
@@ -16,31 +16,31 @@
 
 
 def cell_lines(document: CellDocument) -> list[str]:
-    """A node's cell for a person to read; warnings come last, where the eye stops."""
+    """Format a node's cell as text; warnings come last, where they are noticed."""
     position = document.position
     known = document.directory
     lines = [
         f"service {escape(document.service)} in {escape(document.region)}: cell {document.cell}, "
-        f"epoch {document.epoch}, {document.members} members there of {document.max_members} at most"
-        + (", and this one reports" if document.reporter else ""),
-        f"part {position.number + 1} of {position.nodes}; {document.splits} cuts or merges since the start",
+        f"epoch {document.epoch}, {document.members} of at most {document.max_members} members"
+        + (", of which this is the reporter" if document.reporter else ""),
+        f"budget share {position.number + 1} of {position.nodes}; {document.splits} splits or merges so far",
     ]
     if known.age_s is None:
-        lines.append("[red]the directory has not answered yet[/]")
+        lines.append("[red]the directory has not responded yet[/]")
     else:
         lines.append(
-            f"the directory: {known.service_members} members in {known.cells} cells, known for "
-            f"{known.age_s} s at the oldest ({known.bound_s:.0f} s is the bound)"
+            f"directory: {known.service_members} members in {known.cells} cells, oldest data "
+            f"{known.age_s} s old (bound {known.bound_s:.0f} s)"
         )
     if known.unanswered:
-        lines.append(f"[yellow]{known.unanswered} questions to it in a row had no answer[/]")
+        lines.append(f"[yellow]the last {known.unanswered} directory requests were not answered[/]")
     if document.fallback:
-        lines.append("[yellow]the fallback is in force: no part of a budget grows[/]")
+        lines.append("[yellow]the fallback is active: budget shares do not grow[/]")
     return lines
 
 
 def show_cell(admin: str, as_json: bool) -> ExitCode:
-    """Print a node's cell; fails where the fallback is in force."""
+    """Print a node's cell; fails if the fallback is active."""
     try:
         raw = request_document(admin, "/admin/fleet/cell")
         document = decode_document(raw, CellDocument)
@@ -55,7 +55,7 @@
 
 
 def render_directory(document: DirectoryDocument, service: str = "") -> Group:
-    """All cells of a service, or of all services where none is named; stale ones first."""
+    """Render the cells of a service, or of all services if none is named; stale ones first."""
     services = {name: cells for name, cells in document.services.items() if service in ("", name)}
     counted = sum(cell.counted for cells in services.values() for cell in cells)
     lines = [
@@ -64,7 +64,7 @@
         f"{sum(map(len, services.values()))} cells, {counted} members"
     ]
     if document.learning:
-        lines.append("[yellow]it has started lately and may not know of all yet[/]")
+        lines.append("[yellow]it started lately and may not know all cells yet[/]")
     columns = ("service", "region", "cell", "epoch", "members", "load", "program", "age s", "")
     rows = Table(*columns, **PLAIN_STYLE)
     flat = [(name, cell) for name, cells in services.items() for cell in cells]
@@ -78,14 +78,14 @@
 
 
 def show_directory(admin: str, service: str, as_json: bool) -> ExitCode:
-    """Print the cells that a process of the directory knows; fails where some are stale."""
+    """Print the cells that a directory process knows; fails if one is stale or it is still learning."""
     try:
         raw = request_document(admin, "/admin/directory")
         document = decode_document(raw, DirectoryDocument)
     except AdminRequestError as error:
         return report_invalid_input(error)
     if service and service not in document.services:
-        return report_invalid_input(f"{admin}: no cell of a service {service!r} is known there")
+        return report_invalid_input(f"{admin}: no known cell of service {service!r}")
     if as_json:
         stdout.print_json(json.dumps(raw))
     else:
--- a/dunlinloft/cli/handlers/config_check.py
+++ b/dunlinloft/cli/handlers/config_check.py
@@ -1,7 +1,7 @@
-"""`dunlinloft check`: everything that is wrong with a node's configuration, each problem with its path.
+"""`dunlinloft check`: all problems of a node's configuration, each with its path.
 
-The node's own reader decodes the file repeatedly; each time, the value that it rejects is reported and
-replaced by a valid example. So the problems are those that the node would report, one start after another.
+The node's own parser decodes the file repeatedly; each time, the value that it rejects is reported and
+replaced by a valid example. So the problems are those that the node would report over successive starts.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from dunlinloft.balancer.settings import MalformedInput
 from dunlinloft.node.config import parse_config, parse_directory, path_in
 
-MAX_PROBLEMS = 200  # that are reported; a file with more is no configuration
-MIN_KEY_SIMILARITY = 0.8  # difflib's ratio from which an unknown key is taken for a misspelt missing one
+MAX_PROBLEMS = 200  # reported; a file with more is hardly a configuration
+MIN_KEY_SIMILARITY = 0.8  # difflib ratio from which an unknown key counts as a misspelling of a missing one
 
-# The path in the file of each setting that the balancer's settings name otherwise.
+# File path of each setting that has a different name in the balancer's settings.
 FILE_PATHS = {
     "aim_ms": "objective_ms", "deadline_ms": "give_up_ms", "worth": "importance", "nodes": "siblings",
     "number": "my_number", "tiers": "stages", "share": "fraction", "max_attempts": "permissions.max_attempts",
@@ -40,7 +40,7 @@
 
 
 class _TrackedObject(dict[str, JsonValue]):
-    """A JSON object that records which keys its reader looked up."""
+    """A JSON object that records which keys were looked up."""
 
     def __init__(self, pairs: list[tuple[str, Any]]) -> None:
         super().__init__(pairs)
@@ -51,7 +51,7 @@
         return super().__getitem__(key)
 
     def get(self, key: str, default: JsonValue = None) -> JsonValue:
-        """As of a dict; records the key."""
+        """Return the value as `dict.get` does; records the key."""
         self.looked_up.add(key)
         return super().get(key, default)
 
@@ -61,7 +61,7 @@
     """A problem of a configuration file."""
 
     text: str
-    path: str | None = None  # of the value or key in the file; None where the problem is the whole file's
+    path: str | None = None  # of the value or key in the file; None if the problem concerns the whole file
 
     def __str__(self) -> str:
         return self.text if self.path is None else f"{self.path}: {self.text}"
@@ -69,31 +69,31 @@
 
 @dataclass
 class _Findings:
-    """Problems in the order in which the reader met them, and the paths that were replaced on the way."""
+    """Problems in the order in which the parser found them, and the paths whose values were replaced."""
 
     problems: list[Problem] = field(default_factory=list)
     replaced: set[str] = field(default_factory=set)
 
 
 def check_file(path: Path, of_directory: bool = False) -> list[Problem]:
-    """All problems of a configuration file; none where a process can start with it.
+    """Return all problems of a configuration file; none if a process can start with it.
 
-    `of_directory` tells a file for a process of the directory of cells from one for a node.
+    `of_directory`: the file is for a process of the cell directory instead of a node.
     """
     try:
         root = json.loads(path.read_text(encoding="utf-8"), object_pairs_hook=_TrackedObject)
     except OSError as error:
-        return [Problem(f"can't be read: {error.strerror}")]
+        return [Problem(f"file not readable: {error.strerror}")]
     except (ValueError, RecursionError) as error:
-        return [Problem(f"not JSON: {error!s:.200}")]
+        return [Problem(f"not valid JSON: {error!s:.200}")]
     if not isinstance(root, _TrackedObject):
-        return [Problem("must be an object")]
+        return [Problem("must be a JSON object")]
     problems = _rejected_values(root, parse_directory if of_directory else parse_config)
     return problems + _misspelt_keys(root, "")
 
 
 def _rejected_values(root: _TrackedObject, parse: Callable[[_TrackedObject], object]) -> list[Problem]:
-    """The values that the reader rejects; each is replaced in `root`, so that it gets to the next."""
+    """Return the values that the parser rejects; each is replaced in `root`, so that parsing gets further."""
     findings = _Findings()
     for _ in range(MAX_PROBLEMS):
         try:
@@ -111,7 +111,7 @@
 
 
 def _replace_rejected(root: _TrackedObject, error: MalformedInput, findings: _Findings) -> None:
-    """Report a value once, and replace it by the reader's valid example."""
+    """Report a value once, and replace it by the parser's valid example."""
     assert error.location is not None
     location = error.location
     container, key, example = location.container, location.key, location.example
@@ -123,12 +123,12 @@
 
 
 def _without_key(text: str, key: str | int) -> str:
-    """The reader's text without the key that it begins with: the path ends in it already."""
+    """Remove the leading key from the parser's message, because the path already ends in it."""
     return text.removeprefix(f"{key!r}").removeprefix(":").strip()
 
 
 def _with_file_path(text: str, root: _TrackedObject) -> Problem:
-    """A problem that the balancer's settings report in their own names, with the file's path and names."""
+    """Convert a message of the balancer's settings to the paths and names of the file."""
     path, _, message = text.partition(": ")
     settings = dict.get(root, "settings", {})
     match = re.fullmatch(r"(classes|tenants)\[(.*)\](?:\.(\w+))?", path)
@@ -145,7 +145,7 @@
 
 
 def _misspelt_keys(value: object, path: str) -> list[Problem]:
-    """Keys that the reader did not look up, and that resemble one that it looked up in vain."""
+    """Return keys that were not looked up and resemble a key that was looked up but is missing."""
     problems: list[Problem] = []
     if isinstance(value, _TrackedObject):
         missing = [key for key in value.looked_up if key not in value]
--- a/dunlinloft/cli/handlers/exploration.py
+++ b/dunlinloft/cli/handlers/exploration.py
@@ -1,4 +1,4 @@
-"""`dunlinloft explore`: how many states were explored, and the shortest trace that violates a property."""
+"""`dunlinloft explore`: model checking of the fleet's state machines; prints the shortest violating trace."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 from lab.explore.search import Found, Move, System, exhaust_with, replay, shorten, wander
 from lab.explore.voters import VotersSystem
 
-# Bounded small enough to be exhausted.
+# Bounds are small enough for exhaustive search.
 EXHAUSTIVE_SYSTEMS: dict[str, list[System]] = {
     "duties": [Duties(copies=0, releases=0), Duties(held=False, restarts=0)],
     "ledger": [LedgerSystem()],
     "membership": [MembershipSystem()],
     "voters": [VotersSystem()],
 }
-# Larger ones, which random walks sample.
+# Larger systems, sampled by random walks.
 RANDOM_WALK_SYSTEMS: dict[str, System] = {
     "duties": Duties(tries=4, copies=3, restarts=2, waits=30),
     "ledger": LedgerSystem(writes=4, restarts=3, copies=4),
     "membership": MembershipSystem(),
     "voters": VotersSystem(restarts=3, asked=3, copies=2),
 }
-RANDOM_WALK_STEPS = 80  # of one walk
+RANDOM_WALK_STEPS = 80  # per walk
 
 
 def explore(
     name: str, depth: int, states: int, seed: int, moves: int, jobs: int, trace_file: str | None
 ) -> ExitCode:
-    """Explore all orders of events to a depth, then walk at random; fails where a property is violated."""
+    """Explore all event orders up to a depth, then walk at random; fails if a property is violated."""
     for system in EXHAUSTIVE_SYSTEMS[name]:
         found = exhaust_with(system, depth, states, jobs)
         if found.broken:
             return _report_violation(system, found, trace_file)
         bounds = ", ".join(f"{key.strip('_')} {value}" for key, value in _bounds(system).items())
-        extent = "all there are" if found.whole else f"all to depth {found.depth}"
+        extent = "exhaustive" if found.whole else f"exhaustive to depth {found.depth}"
         stdout.print(
             f"{name} ({bounds}): {found.states} states, {extent}; {_pace_text(found)}", highlight=False
         )
@@ -51,20 +51,20 @@
     if found.broken:
         return _report_violation(RANDOM_WALK_SYSTEMS[name], found, trace_file)
     stdout.print(
-        f"{name}, walks (seed {seed}): {found.states} states, depth {found.depth}; {_pace_text(found)}"
+        f"{name}, random walks (seed {seed}): {found.states} states, depth {found.depth}; {_pace_text(found)}"
     )
     return ExitCode.SUCCESS
 
 
 def _bounds(system: System) -> dict[str, int]:
-    """How often each kind of event may happen in a system."""
+    """Return how often each kind of event may occur in a system."""
     limits = getattr(system, "_most", None)
     return limits if limits is not None else {k: v for k, v in vars(system).items() if isinstance(v, int)}
 
 
 def _pace_text(found: Found) -> str:
     pace = found.states / max(1e-3, found.seconds)
-    return f"{found.moves} moves in {found.seconds:.0f} s, {pace:.0f} states a second"
+    return f"{found.moves} moves in {found.seconds:.0f} s, {pace:.0f} states/s"
 
 
 def _report_violation(system: System, found: Found, trace_file: str | None) -> ExitCode:
@@ -72,27 +72,27 @@
     _print_replay(system, trace)
     if trace_file:
         Path(trace_file).write_text(json.dumps([list(move) for move in trace]), encoding="utf-8")
-        stdout.print(f"{trace_file} is written: see --replay", highlight=False)
+        stdout.print(f"wrote {trace_file}; replay it with --replay", highlight=False)
     return ExitCode.CHECK_FAILED
 
 
 def _print_replay(system: System, trace: list[Move]) -> str:
-    """Print a trace step by step; returns the violation that it ends in, or an empty text."""
+    """Print a trace step by step; returns the violation that it ends in, or an empty string."""
     lines, violation = replay(system, trace)
     for number, line in enumerate(lines, 1):
         stdout.print(f"{number:3d}  {line}", highlight=False, markup=False, soft_wrap=True)
-    verdict = f"[red]{escape(violation)}[/]" if violation else "nothing is broken by it"
+    verdict = f"[red]{escape(violation)}[/]" if violation else "no property is violated"
     stdout.print(verdict, highlight=False)
     return violation
 
 
 def replay_file(name: str, trace_file: str) -> ExitCode:
-    """Replay a trace that an earlier exploration wrote; fails where it violates a property."""
+    """Replay a trace written by an earlier exploration; fails if it violates a property."""
     try:
         encoded = json.loads(Path(trace_file).read_text(encoding="utf-8"))
         trace = [tuple(move) for move in encoded]
     except (OSError, ValueError, TypeError) as error:
-        return report_invalid_input(f"{trace_file}: no trace: {error}")
+        return report_invalid_input(f"{trace_file}: not a trace file: {error}")
     systems = [RANDOM_WALK_SYSTEMS[name], *EXHAUSTIVE_SYSTEMS[name]]
     violated = [system for system in systems if replay(system, trace)[1]]
     violation = _print_replay((violated or systems)[0], trace)
--- a/dunlinloft/cli/handlers/fleet_members.py
+++ b/dunlinloft/cli/handlers/fleet_members.py
@@ -21,12 +21,12 @@
 from dunlinloft.cli.tables import PLAIN_STYLE
 
 STATE_COLOURS = {"alive": "green", "suspect": "yellow", "dead": "red", "left": "dim", "quiet": "yellow"}
-STATE_ORDER = {"suspect": 0, "dead": 1, "alive": 2, "left": 3}  # what needs attention comes first
+STATE_ORDER = {"suspect": 0, "dead": 1, "alive": 2, "left": 3}  # sorted by need for attention
 LAST_IN_ORDER = 9
 
 
 def render_members(document: MembershipDocument) -> Group:
-    """The membership view for a person: summary lines and warnings first, then a row a member."""
+    """Render the membership view: summary lines and warnings, then one row per member."""
     columns = ("member", "state", "for", "started", "rev", "accusers", "rtt ms", "agrees", "zone", "notes")
     rows = Table(*columns, **PLAIN_STYLE)
     ordered = sorted(
@@ -43,19 +43,19 @@
     divergence = document.divergence
     position = document.position
     lines = [
-        f"fleet {document.fleet} as {own.name} sees it: {document.alive_members} members there, "
-        f"part {position.number + 1} of {position.nodes}",
-        f"own state {own.state}, local health {document.health} (0 is well), "
-        f"{document.messages_s:.0f} messages and {document.bytes_s:.0f} bytes a second",
+        f"fleet {document.fleet} in the view of {own.name}: {document.alive_members} members alive, "
+        f"budget share {position.number + 1} of {position.nodes}",
+        f"own state {own.state}, local health {document.health} (0 is healthy), "
+        f"{document.messages_s:.0f} messages/s, {document.bytes_s:.0f} bytes/s",
     ]
     if divergence.members:
         lines.append(
-            f"[yellow]{divergence.members} views differ from this, "
+            f"[yellow]{divergence.members} members have a different view, "
             f"the longest for {divergence.longest_s} s[/]"
         )
     if own.conflicting_address:
         address = escape(own.conflicting_address)
-        lines.append(f"[red]another machine has the name {escape(own.name)}: {address}[/]")
+        lines.append(f"[red]another machine uses the name {escape(own.name)}: {address}[/]")
     return lines
 
 
@@ -82,7 +82,7 @@
 
 
 def show_members(admin: str, as_json: bool) -> ExitCode:
-    """Print the members; fails where views differ or another machine has this node's name."""
+    """Print the members; fails if views differ or another machine uses this node's name."""
     try:
         raw = request_document(admin)
         document = decode_document(raw, MembershipDocument)
--- a/dunlinloft/cli/handlers/leases.py
+++ b/dunlinloft/cli/handlers/leases.py
@@ -1,4 +1,4 @@
-"""`dunlinloft fleet duties` and `hand-over`: leases of the fleet's singleton roles and who holds them."""
+"""`dunlinloft fleet duties` and `hand-over`: the leases of the fleet's singleton roles and their holders."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
 
-HISTORY_SHOWN = 10  # latest lease changes that are printed
+HISTORY_SHOWN = 10  # most recent lease changes printed
 
 
 def show_leases(admin: str, as_json: bool) -> ExitCode:
-    """Print who holds which role; fails where nobody holds one."""
+    """Print the holder of each role; fails if a role has none."""
     try:
         raw = request_document(admin, "/admin/duties")
         document = decode_document(raw, LeasesDocument)
@@ -36,7 +36,8 @@
     own = document.own_name
     voters = document.voters
     stdout.print(
-        f"as {own} sees it, which {_voting_status(document)}; voters {', '.join(voters)}", highlight=False
+        f"in the view of {own}, which {_voting_status(document)}; voters: {', '.join(voters)}",
+        highlight=False,
     )
     rows = Table("duty", "holder", "token", "left", "why nobody", **PLAIN_STYLE)
     for row in document.leases:
@@ -46,7 +47,7 @@
     stdout.print(rows)
     for group in document.diverged_groups:
         names = ", ".join(group.members)
-        stdout.print(f"one view for {group.duration_s:.0f} s: {names}", highlight=False, markup=False)
+        stdout.print(f"diverged view for {group.duration_s:.0f} s: {names}", highlight=False, markup=False)
     for event in document.history[-HISTORY_SHOWN:]:
         reason = f": {event.reason}" if event.reason else ""
         stdout.print(
@@ -57,16 +58,16 @@
 
 def _voting_status(document: LeasesDocument) -> str:
     if document.may_vote:
-        return "votes"
-    return "does not vote now" if document.own_name in document.voters else "is no voter"
+        return "may vote"
+    return "may not vote now" if document.own_name in document.voters else "is not a voter"
 
 
 def transfer_lease(admin: str, lease: str, successor: str) -> ExitCode:
-    """Request the holder to hand a role's lease to a successor; an empty one lets the node choose."""
+    """Request the holder to transfer a role's lease; with an empty successor the node chooses one."""
     query = urllib.parse.urlencode({"duty": lease, "to": successor})
     try:
         request_document(admin, f"/admin/duties/hand-over?{query}", "POST")
     except AdminRequestError as error:
         return report_invalid_input(error)
-    stdout.print(f"{lease} is handed over to {successor or 'whoever is next'}", highlight=False)
+    stdout.print(f"{lease}: transfer requested to {successor or 'the next candidate'}", highlight=False)
     return ExitCode.SUCCESS
--- a/dunlinloft/cli/handlers/membership_bounds.py
+++ b/dunlinloft/cli/handlers/membership_bounds.py
@@ -1,4 +1,4 @@
-"""`dunlinloft lab members`: measurements of membership in virtual time against its bounds."""
+"""`dunlinloft lab members`: membership measured in virtual time against its bounds."""
 
 from __future__ import annotations
 
@@ -17,13 +17,11 @@
 def measure_membership(
     size: int, seeds: str, jobs: int, only: str | None, core: str, minutes: float
 ) -> ExitCode:
-    """Run the experiments; fails where a bound is missed."""
+    """Run the experiments; fails if a bound is missed or a rule violated."""
     names = [name.strip() for name in only.split(",")] if only else list(EXPERIMENTS)
     unknown = [name for name in names if name not in EXPERIMENTS]
     if unknown:
-        return report_invalid_input(
-            f"no experiment is {unknown[0]!r}; expected some of {', '.join(EXPERIMENTS)}"
-        )
+        return report_invalid_input(f"unknown experiment {unknown[0]!r}; available: {', '.join(EXPERIMENTS)}")
     try:
         wanted = read_seeds(seeds)
     except BadSeeds as error:
@@ -36,7 +34,7 @@
     table = Table("experiment", "figure", "samples", "p50", "p99", "max", "bound", "", **PLAIN_STYLE)
     for found in measurements:
         bound = f"{found.bound.of} {found.bound.most:g}" if found.bound else ""
-        verdict = "" if found.bound is None else "[green]kept[/]" if found.kept() else "[red]missed[/]"
+        verdict = "" if found.bound is None else "[green]met[/]" if found.kept() else "[red]missed[/]"
         values = (f"{found.value(of):.2f}" for of in ("p50", "p99", "max"))
         text = EXPERIMENTS[found.experiment].text
         table.add_row(text, found.figure, str(len(found.samples)), *values, bound, verdict)
--- a/dunlinloft/cli/handlers/releases.py
+++ b/dunlinloft/cli/handlers/releases.py
@@ -1,4 +1,4 @@
-"""`dunlinloft release`: staged releases, by way of the admin endpoint of the release controller's node."""
+"""`dunlinloft release`: staged releases, managed through the release controller's admin endpoint."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from dunlinloft.cli.tables import PLAIN_STYLE
 
 ADMIN_PATH = "/admin/releases"
-EVIDENCE_SHOWN = 6  # rows, the strongest evidence first
+EVIDENCE_SHOWN = 6  # rows printed, strongest evidence first
 STATE_COLOURS = {
     "baking": "cyan",
     "paused": "yellow",
@@ -37,7 +37,7 @@
 
 
 def parse_unix_time(text: str) -> float:
-    """Unix seconds of `now`, a number, or an ISO 8601 time (UTC where it names no zone).
+    """Convert `now`, Unix seconds or an ISO 8601 time (UTC if it has no offset) to Unix seconds.
 
     Raises `ValueError` for anything else.
     """
@@ -51,29 +51,29 @@
 
 
 def start(admin: str, since: str, names: str, stages: str, bake: str, reason: str) -> ExitCode:
-    """Begin a release of the servers named, or of those started since a time."""
+    """Start a release of the named servers, or of those started since a time."""
     query = {"names": names, "stages": stages, "bake": bake, "why": reason, "by": _operator_name()}
     if since:
         try:
             query["since"] = f"{parse_unix_time(since):.3f}"
         except ValueError:
             return report_invalid_input(
-                f"--since: {since!r} is no time; expected now, Unix seconds or 2026-12-01T08:00:00"
+                f"--since: invalid time {since!r}; expected now, Unix seconds or 2026-12-01T08:00:00"
             )
     given = {key: value for key, value in query.items() if value}
-    return _post(admin, "start", given, "the release begins")
+    return _post(admin, "start", given, "release started")
 
 
 def control(admin: str, action: str, reason: str) -> ExitCode:
     """Send one action to the release controller: pause, resume, skip, halt or abort."""
     query = {"what": action, "why": reason, "by": _operator_name()}
-    return _post(admin, "say", query, f"{action}: taken")
+    return _post(admin, "say", query, f"{action}: accepted")
 
 
 def _operator_name() -> str:
     try:
         return getpass.getuser()
-    except (OSError, KeyError):  # a machine that has no name for its user
+    except (OSError, KeyError):  # the user ID has no account name
         return "unknown"
 
 
@@ -87,11 +87,11 @@
 
 
 def render_release(document: ReleaseDocument) -> Group:
-    """A release for a person to read: as a follower obeys it, or in full from its controller."""
+    """Render a release: in full from its controller, otherwise the share that this member applies."""
     if not document.is_controller:
         return _render_follower(document)
     if document.plan is None:
-        return Group(f"{escape(document.own_name)} is the steward; there has been no release")
+        return Group(f"{escape(document.own_name)} is the release controller; there has been no release")
     rows = Table("evidence", "class", "new", "bad", "old", "bad", "says", **PLAIN_STYLE)
     for evidence in document.evidence[:EVIDENCE_SHOWN]:
         new_ratio = evidence.new_bad / max(1, evidence.new)
@@ -100,26 +100,26 @@
             evidence.metric, escape(evidence.request_class), str(evidence.new), f"{new_ratio:.2%}",
             str(evidence.old), f"{old_ratio:.2%}", f"{evidence.value:.2f}",
         )  # fmt: skip
-    total = f"evidence of harm in all {document.value:.2f}; at 100 it is taken back"
+    total = f"total evidence of harm {document.value:.2f}; the release is rolled back at 100"
     return Group(*_release_lines(document, document.plan), rows, total)
 
 
 def _render_follower(document: ReleaseDocument) -> Group:
-    """What a node that isn't the controller's obeys."""
+    """Render the share that a node other than the controller applies."""
     order = document.order
     controller = document.controller or "nobody"
-    obeyed = f"release {order.release}, new servers get {order.share:.0%} at most" if order.release else ""
+    obeyed = f"release {order.release}, new servers get at most {order.share:.0%}" if order.release else ""
     lines = [
-        f"as {escape(document.own_name)} obeys it: {obeyed or 'no release'}",
-        f"the steward is {escape(controller)}: ask there",
+        f"applied by {escape(document.own_name)}: {obeyed or 'no release'}",
+        f"the release controller is {escape(controller)}: use its admin endpoint",
     ]
     if document.stale:
-        lines.append("[yellow]the steward is not heard: this share stays[/]")
+        lines.append("[yellow]the release controller is not heard from: the share stays as it is[/]")
     return Group(*lines)
 
 
 def _release_lines(document: ReleaseDocument, plan: ReleasePlan) -> list[str]:
-    """The release's state, its progress through the stages, and what stops it."""
+    """Format the release's state, its progress through the stages, and what blocks it."""
     state = plan.state
     stages = " ".join(
         f"[bold]{share:.0%}[/]" if number == plan.stage else f"{share:.0%}"
@@ -127,20 +127,20 @@
     )
     lines = [
         f"release {plan.id}: [{STATE_COLOURS.get(state, 'white')}]{state}[/], "
-        f"new servers get {plan.share:.0%} at most; stages {stages}",
+        f"new servers get at most {plan.share:.0%}; stages {stages}",
         f"{document.new_servers} of {document.servers} servers are new; "
-        f"this stage has baked {document.baked_s:.0f} of {plan.bake_s:.0f} s",
+        f"baked {document.baked_s:.0f} of {plan.bake_s:.0f} s in this stage",
         f"latest change by {escape(plan.changed_by)}: {escape(plan.reason or 'no reason given')}",
     ]
     if document.blocked_reason:
-        lines.append(f"[yellow]it holds: {escape(document.blocked_reason)}[/]")
+        lines.append(f"[yellow]blocked: {escape(document.blocked_reason)}[/]")
     if document.lacks_capacity and state == "back":
-        lines.append("[red]the old servers can't bear all: calls of little worth are refused meanwhile[/]")
+        lines.append("[red]the old servers lack capacity: less important requests are rejected meanwhile[/]")
     return lines
 
 
 def show_status(admin: str, as_json: bool) -> ExitCode:
-    """Print the release; fails where it is halted, taken back, undone, or its controller isn't reached."""
+    """Print the release; fails if it is halted, rolled back, undone, or its controller isn't heard from."""
     try:
         raw = request_document(admin, ADMIN_PATH)
         document = decode_document(raw, ReleaseDocument)
@@ -160,7 +160,7 @@
 
 
 def show_history(admin: str) -> ExitCode:
-    """Print the releases that have ended; only the controller's node knows them."""
+    """Print the completed releases; only the controller's node has them."""
     try:
         document = decode_document(request_document(admin, ADMIN_PATH), ReleaseDocument)
     except AdminRequestError as error:
@@ -173,7 +173,7 @@
         rows.add_row(str(row.id), end_time, state, stage, escape(row.changed_by), escape(row.reason))
     if not document.is_controller:
         controller = escape(document.controller or "nobody")
-        stdout.print(f"{escape(document.own_name)} is not the steward; ask {controller}")
+        stdout.print(f"{escape(document.own_name)} is not the release controller; ask {controller}")
     else:
         stdout.print(rows)
     return ExitCode.SUCCESS
--- a/dunlinloft/cli/handlers/replica_state.py
+++ b/dunlinloft/cli/handlers/replica_state.py
@@ -1,4 +1,4 @@
-"""`dunlinloft state`: what replicas' data directories hold, and a new epoch where a quorum is lost."""
+"""`dunlinloft state`: inspects replicas' data directories, and begins a new epoch after quorum loss."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from dunlinloft.controlplane.member_cache import MemberCache
 from dunlinloft.coordination.records import DurableState, Record
 
-DIGEST_CHARACTERS = 12  # of a history's digest that are printed
+DIGEST_CHARACTERS = 12  # printed of a history's digest
 
 
 @dataclass(frozen=True)
@@ -27,29 +27,29 @@
     name: str
     size: int  # bytes
     blocks: int  # complete ones
-    complete_bytes: int  # up to the end of the last complete block
+    complete_bytes: int  # offset of the end of the last complete block
 
     @property
     def torn(self) -> bool:
-        """Whether the file ends in bytes that are no complete block."""
+        """Whether the file ends in an incomplete block."""
         return self.complete_bytes < self.size
 
 
 @dataclass(frozen=True)
 class RecoveredDirectory:
-    """A data directory and the newest state that it recovers to."""
+    """A data directory and the newest state that recovery yields."""
 
     folder: Path
     durable: DurableState
 
     @property
     def highest_epoch(self) -> int:
-        """The highest epoch that the replica knows of, decided or not."""
+        """The highest epoch known to the replica, decided or not."""
         return _highest_epoch(self.durable)
 
 
 class DirectorySummary(Struct, frozen=True):
-    """What a data directory recovers to; `state inspect --json` prints these names in this order."""
+    """The state that a data directory recovers to; `inspect --json` prints these names in this order."""
 
     format: int
     slot: int
@@ -65,12 +65,12 @@
     version: int
     routes: int
     orders_remembered: int
-    log_records: dict[str, int]  # by the record's printed name
+    log_records: dict[str, int]  # counts by the record's printed name
     servers_known: int
 
 
 def report_file(path: Path) -> FileReport | None:
-    """The blocks that a file holds; None where there is no file."""
+    """Count a file's blocks; None if the file doesn't exist."""
     if not path.exists():
         return None
     data = path.read_bytes()
@@ -80,7 +80,7 @@
 
 
 def report_files(folder: Path) -> list[FileReport]:
-    """All files of a replica that exist."""
+    """Report on the replica's files that exist."""
     paths = [
         make(folder, which)
         for which in (0, 1)
@@ -90,7 +90,7 @@
 
 
 def summarize(folder: Path, recovered: RecoveredState) -> DirectorySummary:
-    """What a directory recovers to from a slot and its log."""
+    """Summarize the state recovered from a slot and its log."""
     durable = recovered.durable
     view = durable.view
     state = durable.state
@@ -116,19 +116,19 @@
 
 
 def _record_name(record: Record) -> str:
-    """The name by which operators know a record: made of its tag, whatever its class is called."""
+    """Return the record name shown to operators, which depends only on its tag, not on its class name."""
     return f"{str(record.__struct_config__.tag).capitalize()}Record"
 
 
 def inspect(folder: Path, as_json: bool) -> ExitCode:
-    """Print what a data directory recovers to; changes nothing."""
+    """Print the state that a data directory recovers to, without changing it."""
     try:
         recovered = data_directory.recover(folder)
     except (StoreError, OSError) as error:
         plain_stdout.print(f"{error}")
         return ExitCode.INVALID_INPUT
     if recovered is None:
-        plain_stdout.print(f"{folder}: no state; a replica that starts with it is a new one")
+        plain_stdout.print(f"{folder}: no state; a replica started with it is a new one")
         return ExitCode.INVALID_INPUT
     summary = summarize(folder, recovered)
     if as_json:
@@ -140,22 +140,26 @@
 
 
 def verify(folder: Path) -> ExitCode:
-    """Read every block; fails where a file is torn, and is invalid where no state recovers."""
+    """Read every block; fails if a file is torn, and is invalid if no state can be recovered."""
     reports = report_files(folder)
     if not reports:
-        plain_stdout.print(f"{folder}: no files of a replica")
+        plain_stdout.print(f"{folder}: no replica files")
         return ExitCode.INVALID_INPUT
     for report in reports:
         rest = report.size - report.complete_bytes
-        end = f"; {rest} bytes from byte {report.complete_bytes} are no whole block" if report.torn else ""
-        plain_stdout.print(f"{report.name}: {report.blocks} whole blocks in {report.size} bytes{end}")
+        end = (
+            f"; {rest} bytes from byte {report.complete_bytes} are not a complete block"
+            if report.torn
+            else ""
+        )
+        plain_stdout.print(f"{report.name}: {report.blocks} complete blocks in {report.size} bytes{end}")
     try:
         recovered = data_directory.recover(folder)
     except (StoreError, OSError) as error:
         plain_stdout.print(f"{error}")
         return ExitCode.INVALID_INPUT
     if recovered is None:
-        plain_stdout.print("no slot can be read: a replica that starts with this is a new one")
+        plain_stdout.print("no readable slot: a replica started with this directory is a new one")
         return ExitCode.INVALID_INPUT
     plain_stdout.print(
         f"recovers to version {recovered.durable.state.version} from slot-{recovered.slot},"
@@ -165,7 +169,7 @@
 
 
 def find_newest(folders: list[Path]) -> ExitCode:
-    """Print what each directory recovers to, the newest state first."""
+    """Print the state that each directory recovers to, newest first."""
     found = _recover_all(folders)
     if not found:
         return ExitCode.INVALID_INPUT
@@ -187,7 +191,7 @@
 
 
 def _recover_all(folders: list[Path]) -> list[RecoveredDirectory]:
-    """The directories that recover to a state, in the order given; prints why others don't."""
+    """Recover the directories that hold a state, in the order given; prints why others don't."""
     found: list[RecoveredDirectory] = []
     for folder in folders:
         try:
@@ -210,7 +214,7 @@
 def begin_epoch(folder: Path, address: str, after_epoch: int, confirmed: bool) -> ExitCode:
     """Begin a new epoch from a directory's state, once the operator confirms the loss.
 
-    Without the confirmation nothing is written. The directory itself keeps a log of it.
+    Without the confirmation nothing is written. The new epoch is logged in the directory.
     """
     try:
         recovered = data_directory.recover(folder)
@@ -224,16 +228,16 @@
     known_epoch = _highest_epoch(durable)
     if after_epoch < known_epoch:
         plain_stdout.print(
-            f"--after-epoch: {folder} knows of epoch {known_epoch}; name the highest in any directory"
+            f"--after-epoch: {folder} has epoch {known_epoch}; give the highest epoch in any directory"
         )
         return ExitCode.INVALID_INPUT
     version = durable.state.version
     if not confirmed:
         plain_stdout.print(
-            f"would begin epoch {after_epoch + 1} from version {version}; give --i-know-what-is-lost to do so"
+            f"would begin epoch {after_epoch + 1} from version {version}; confirm with --i-know-what-is-lost"
         )
         return ExitCode.CHECK_FAILED
     member = store.begin_new_epoch(folder, address, after_epoch + 1)
     plain_stdout.print(f"epoch {after_epoch + 1} begins from version {version}, as {member.id}")
-    plain_stdout.print(f"{folder / store.NEW_EPOCHS_FILE} says so")
+    plain_stdout.print(f"recorded in {folder / store.NEW_EPOCHS_FILE}")
     return ExitCode.SUCCESS
--- a/dunlinloft/cli/handlers/router_fleet.py
+++ b/dunlinloft/cli/handlers/router_fleet.py
@@ -20,11 +20,11 @@
 API_KEY = "key-of-the-lab"
 SERVICE = "pool"
 MODEL_SERVERS = 3
-LOG_TAIL_CHARACTERS = 500  # printed of each process that did not come up
+LOG_TAIL_CHARACTERS = 500  # printed of each process's log if the fleet does not become ready
 
 
 def initial_configuration() -> Document:
-    """Routes for a resumable stream, a plain stream and a plain request, and one tenant."""
+    """Return routes for a resumable stream, a plain stream and a plain request, and one tenant."""
     common = {"hostname": HOSTNAME, "service": SERVICE, "target_latency_ms": 300, "max_attempts": 2}
     return {
         "version": 1,
@@ -58,24 +58,24 @@
 def _print_instructions(fleet: RouterFleet, status: int) -> None:
     front = fleet.data[0].host
     control = fleet.control_addresses()[0]
-    plain_stdout.print(f"first configuration: {status}")
+    plain_stdout.print(f"initial configuration: HTTP status {status}")
     for process in (*fleet.control, *fleet.data):
         assert process.process is not None
         plain_stdout.print(
             f"{process.name:10} {process.host:12} pid {process.process.pid}  log {process.log}"
         )
-    plain_stdout.print("\nask (any node will do):")
+    plain_stdout.print("\nsend a request (to any node):")
     plain_stdout.print(
         f"  curl -N -H 'Host: {HOSTNAME}' -H 'Api-Key: {API_KEY}' -H 'X-Attempt-Id: 1' -d hello "
         f"http://{front}:{FRONT}/stream/chat/1"
     )
     plain_stdout.print("read the configuration:")
     plain_stdout.print(f"  curl http://{control}/configuration/describe")
-    plain_stdout.print("Ctrl-C ends all.")
+    plain_stdout.print("press Ctrl-C to stop all processes")
 
 
 async def _serve_until_signal(fleet: RouterFleet) -> None:
-    """Serve until SIGINT or SIGTERM, or until the fleet fails to come up (`TimeoutError`)."""
+    """Serve until SIGINT or SIGTERM. Raises `TimeoutError` if the fleet does not become ready."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -93,20 +93,22 @@
 
 
 def serve(controls: int, nodes: int, network: int) -> ExitCode:
-    """Start a fleet on 127.NETWORK.x.y and serve until a signal; fails where it does not come up."""
+    """Start a fleet on 127.NETWORK.x.y and serve until a signal; fails if it does not become ready."""
     with tempfile.TemporaryDirectory(prefix="dunlinloft-") as folder:
         fleet = RouterFleet(Path(folder), network, controls, nodes)
         fleet.start()
         try:
             asyncio.run(_serve_until_signal(fleet))
         except TimeoutError:
-            plain_stdout.print("the fleet did not come up; the last words of its processes:")
+            plain_stdout.print("the fleet did not become ready; the ends of its processes' logs:")
             for process in (*fleet.control, *fleet.data):
                 tail = process.log.read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
                 plain_stdout.print(f"{process.name}: {tail}")
             return ExitCode.CHECK_FAILED
         finally:
-            signal.signal(signal.SIGINT, signal.SIG_IGN)  # a second Ctrl-C must not leave processes behind
+            signal.signal(
+                signal.SIGINT, signal.SIG_IGN
+            )  # a second Ctrl-C must not leave child processes running
             fleet.stop()
-    plain_stdout.print("all processes have ended")
+    plain_stdout.print("all processes have stopped")
     return ExitCode.SUCCESS
--- a/dunlinloft/cli/handlers/scale.py
+++ b/dunlinloft/cli/handlers/scale.py
@@ -1,4 +1,4 @@
-"""`dunlinloft lab scale`: what a member costs at several fleet sizes, and the lines through the figures."""
+"""`dunlinloft lab scale`: the cost of a member at several fleet sizes, and lines fitted to the metrics."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from lab.scale.run import play, write
 from lab.scale.worker import WorkerDied
 
-MAX_DEATHS_SHOWN = 5  # false death declarations that are printed of a size
-TABLE_WIDTH = 150  # columns, where the output is no terminal
+MAX_DEATHS_SHOWN = 5  # false death declarations printed per sample
+TABLE_WIDTH = 150  # columns, if the output is not a terminal
 stdout = Console()
 if not stdout.is_terminal:
     stdout.width = TABLE_WIDTH
-# Each figure's title and format.
+# Title and format of each metric.
 FIGURES = {
     "agreed_s": ("views agree, s", ".2f"),
     "messages_s": ("messages/s a member", ".2f"),
@@ -57,17 +57,17 @@
 KIND_TITLES = {"alone": "the nodes alone", "sockets": "on sockets", "virtual": "in virtual time"}
 
 
-# More keys of each member's `fleet` object, as JSON values.
+# Extra keys of each member's `fleet` object, as JSON values.
 FleetKeys: TypeAlias = dict[str, Any]
 
 
 class OptionError(DunlinloftError):
-    """An option's value that can't be parsed; the text says what was expected."""
+    """An option's value can't be parsed; the message says what was expected."""
 
 
 @dataclass(frozen=True)
 class ScaleOptions:
-    """The options of `lab scale` as given; durations in seconds where the name says so."""
+    """The options of `lab scale` as given; names end in the unit of a duration."""
 
     sizes: str
     virtual_sizes: str
@@ -90,18 +90,18 @@
 
 
 def parse_sizes(text: str) -> list[int]:
-    """Sizes written as `50,100,200`; `none` means no size. Raises `OptionError`."""
+    """Parse sizes such as `50,100,200`; `none` means no size. Raises `OptionError`."""
     if text.strip() == "none":
         return []
     items = [item.strip() for item in text.split(",")]
     for item in items:
         if not item.isdigit():
-            raise OptionError(f"{item!r} is no size; expected whole numbers with commas between, or none")
+            raise OptionError(f"invalid size {item!r}; expected comma-separated whole numbers, or none")
     return sorted({int(item) for item in items})
 
 
 def parse_fleet_keys(pairs: tuple[str, ...]) -> FleetKeys:
-    """Keys of a `fleet` object, each written as KEY=JSON. Raises `OptionError`."""
+    """Parse keys of a `fleet` object, each written as KEY=JSON. Raises `OptionError`."""
     keys: FleetKeys = {}
     for pair in pairs:
         key, equals, value = pair.partition("=")
@@ -110,12 +110,12 @@
         except ValueError:
             equals = ""
         if not key or not equals:
-            raise OptionError(f"{pair!r:.60} is no key of the fleet object; expected KEY=JSON")
+            raise OptionError(f"invalid key of the fleet object {pair!r:.60}; expected KEY=JSON")
     return keys
 
 
 def measure_scale(options: ScaleOptions) -> ExitCode:
-    """Measure all sizes; fails where a size does not count or a living member was declared dead."""
+    """Measure all sizes; fails if a sample is invalid, a live member was declared dead or a crash missed."""
     try:
         plan = _plan(options)
     except (BadSeeds, OptionError) as error:
@@ -123,11 +123,11 @@
     started_s = time.monotonic()
 
     def report_progress(text: str) -> None:
-        """Print a line of progress with the seconds since the start."""
+        """Print a progress message with the seconds since the start."""
         stderr.print(f"{time.monotonic() - started_s:6.1f} s  {text}", highlight=False)
 
     def save(results: Results) -> None:
-        """Write the results so far, where a file is asked for."""
+        """Write the results so far if an output file was requested."""
         if options.json_file:
             write(results, Path(options.json_file))
 
@@ -139,7 +139,7 @@
         stderr.print(f"[red]{escape(str(error))}[/]", highlight=False)
         return ExitCode.CHECK_FAILED
     except KeyboardInterrupt:
-        stderr.print("interrupted; what had been started was ended")
+        stderr.print("interrupted; all started processes were stopped")
         return ExitCode.CHECK_FAILED
     save(results)
     _print_results(results)
@@ -148,7 +148,7 @@
 
 
 def _plan(options: ScaleOptions) -> Plan:
-    """Raises `BadSeeds` or `OptionError`."""
+    """Build the plan from the options. Raises `BadSeeds` or `OptionError`."""
     return Plan(
         parse_sizes(options.sizes),
         parse_sizes(options.virtual_sizes),
@@ -171,13 +171,13 @@
 
 
 def _is_successful(sample: Sample) -> bool:
-    """Whether a sample counts, no living member was declared dead, and every crash was detected."""
+    """Whether a sample counts, no live member was declared dead, and every crash was detected."""
     figures = sample.figures
     return sample.counted() and not figures.get("false_deaths") and not figures.get("unknown")
 
 
 def _print_results(results: Results) -> None:
-    """Print figures by size for each kind, the lines through them, and the samples that don't count."""
+    """Print metrics by size for each kind, the fitted lines, and the samples that don't count."""
     for kind, title in KIND_TITLES.items():
         samples = [sample for sample in results.samples if sample.kind == kind]
         if samples:
@@ -191,9 +191,7 @@
             text = f"{title}, {sample.size} members, seed {sample.seed} does not count: {reason}"
             stdout.print(f"[yellow]{escape(text)}[/]", highlight=False)
         for death in sample.false_deaths[:MAX_DEATHS_SHOWN]:
-            text = (
-                f"{sample.size} members, seed {sample.seed}: {death.by} called {death.name} dead, which lived"
-            )
+            text = f"{sample.size} members, seed {sample.seed}: {death.by} wrongly declared {death.name} dead"
             stdout.print(f"[red]{escape(text)}[/]", highlight=False)
 
 
--- a/dunlinloft/cli/handlers/scenarios.py
+++ b/dunlinloft/cli/handlers/scenarios.py
@@ -1,4 +1,4 @@
-"""`dunlinloft lab run`, `compare`, `report` and `list`: scenarios played and their results."""
+"""`dunlinloft lab run`, `compare`, `report` and `list`: scenario runs and their results."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from lab.runner import BadSeeds, Run, play_all, read_seeds
 from lab.scenario import SHIPPED, BadScenario, Scenario, load
 
-MAX_BREAKS_SHOWN = 12  # rule violations that are printed of a seed
+MAX_BREAKS_SHOWN = 12  # rule violations printed per seed
 
-# A row a seed: each column's title, figure and format.
+# Title, metric and format of each column.
 SEED_COLUMNS = (
     ("goodput", "goodput", ".3f"), ("worst", "worst_10s", ".3f"), ("refused", "refused", ".3f"),
     ("lost", "lost", ".4f"), ("att/req", "attempts", ".3f"), ("p50 ms", "p50_ms", ".0f"),
@@ -41,7 +41,7 @@
     logs: str | None,
     changes: tuple[str, ...] = (),
 ) -> ExitCode:
-    """Play a scenario with some of its values changed; fails where a rule or an expectation is violated."""
+    """Run a scenario with some of its values changed; fails if a rule or an expectation is violated."""
     try:
         scenario = load(name, changes)
         wanted = read_seeds(seeds)
@@ -52,7 +52,7 @@
     try:
         _play(Run(scenario, host, wanted, jobs, Path(logs) if logs else None), results)
     except KeyboardInterrupt:
-        stderr.print("interrupted; what had been started was ended")
+        stderr.print("interrupted; all started processes were stopped")
         return ExitCode.CHECK_FAILED
     results.results.sort(key=lambda result: wanted.index(result.seed))
     if json_file:
@@ -64,13 +64,13 @@
     _print_results(results)
     counted = results.counted()
     if not counted:
-        stderr.print("[red]no run counts: each of them was late or came to no end[/]")
+        stderr.print("[red]no run counts: each one was late or did not complete[/]")
     successful = counted and all(result.kept() for result in results.results if result.counted)
     return ExitCode.SUCCESS if successful else ExitCode.CHECK_FAILED
 
 
 def _require_playable(scenario: Scenario, name: str, host: str) -> None:
-    """Raises `BadScenario` where the host can't play the scenario."""
+    """Raise `BadScenario` if the host can't run the scenario."""
     if host == "processes":
         from lab.processes.day import unfit
 
@@ -79,13 +79,13 @@
 
 
 def _play(task: Run, results: Results) -> None:
-    """Play all seeds with a progress bar; results arrive in the order in which seeds end."""
+    """Run all seeds with a progress bar; results arrive in the order in which seeds complete."""
     with Progress(*PERCENT_COLUMNS, TimeElapsedColumn(), console=stderr, transient=True) as progress:
         bar = progress.add_task(f"{task.scenario.name}, {task.host}", total=len(task.seeds))
         shares: dict[int, float] = {}
 
         def advance(seed: int, share: float) -> None:
-            """Take note of the share of a seed's day that has been played."""
+            """Record the completed share of a seed's run."""
             shares[seed] = share
             progress.update(bar, completed=sum(shares.values()))
 
@@ -95,31 +95,31 @@
 
 
 def _verdict(result: Result) -> str:
-    """A seed's verdict in a word or two."""
+    """Summarize a seed's outcome in one or two words."""
     if result.crashed:
         return "[red]no result[/]"
     if not result.counted:
         return f"[yellow]late by {result.late_ms:.0f} ms[/]"
     if result.broken:
-        return f"[red]broken: {', '.join(result.broken)}[/]"
-    return "[red]missed[/]" if result.missed else "[green]kept[/]"
+        return f"[red]violated: {', '.join(result.broken)}[/]"
+    return "[red]missed[/]" if result.missed else "[green]passed[/]"
 
 
 def _detail_lines(result: Result) -> list[str]:
-    """Rule violations and missed expectations of a seed, a line each."""
+    """Format a seed's rule violations and missed expectations, one per line."""
     lines = [
         f"at {violation.at / 1000.0:.2f} s, {violation.rule}: {violation.who}: {violation.what}"
         for violation in result.breaks[:MAX_BREAKS_SHOWN]
     ]
     omitted = sum(result.broken.values()) - len(lines)
-    lines += [f"and {omitted} breaks more"] if omitted > 0 else []
-    lines += [f"{miss.figure} is {miss.got:.4f}, and {miss.wanted} was expected" for miss in result.missed]
+    lines += [f"and {omitted} more violations"] if omitted > 0 else []
+    lines += [f"{miss.figure} is {miss.got:.4f}, expected {miss.wanted}" for miss in result.missed]
     lines += [result.crashed.strip()] if result.crashed else []
     return [f"seed {result.seed}: {line}" for line in lines]
 
 
 def _print_results(results: Results) -> None:
-    """Print a row a seed, a row a request class, and what was violated."""
+    """Print one row per seed, one row per request class, and the violations."""
     stdout.print(f"{results.scenario}, {results.host}: {results.about}", highlight=False)
     stdout.print(_seed_table(results))
     counted = results.counted()
@@ -141,11 +141,11 @@
 
 
 def _class_table(counted: list[Result]) -> Table:
-    """Each class's figures, as means over the seeds that count."""
+    """Build a table of each class's metrics, as means over the seeds that count."""
     table = Table("class", *(title for title, _, _ in CLASS_COLUMNS), **PLAIN_STYLE)
 
     def mean(figure: str) -> float:
-        """Of a figure over the seeds that count."""
+        """Return the mean of a metric over the seeds that count."""
         return sum(result.figures[figure] for result in counted) / len(counted)
 
     for name in sorted({key.split(".")[1] for key in counted[0].figures if key.startswith("class.")}):
@@ -155,7 +155,7 @@
 
 
 def compare(first: str, second: str) -> ExitCode:
-    """Print the same seeds of two result files side by side."""
+    """Compare two result files seed by seed."""
     from lab.compare import compare as compare_results
 
     try:
@@ -174,7 +174,7 @@
 
 
 def write_report(results: str, html_file: str) -> ExitCode:
-    """Write a self-contained page of a result file."""
+    """Write a self-contained report page from a result file."""
     from lab.report import page
 
     try:
@@ -182,12 +182,12 @@
     except BadResults as error:
         return report_invalid_input(error)
     Path(html_file).write_text(text, encoding="utf-8")
-    stdout.print(f"{html_file} is written", highlight=False)
+    stdout.print(f"wrote {html_file}", highlight=False)
     return ExitCode.SUCCESS
 
 
 def list_scenarios() -> ExitCode:
-    """Print the shipped scenarios; fails where the installation has none."""
+    """Print the shipped scenarios; fails if the installation has none."""
     table = Table("scenario", "about")
     for path in sorted(SHIPPED.glob("*.toml")):
         table.add_row(path.stem, load(str(path)).about)
--- a/dunlinloft/cli/handlers/shared_state.py
+++ b/dunlinloft/cli/handlers/shared_state.py
@@ -1,4 +1,4 @@
-"""`dunlinloft fleet state`: what members replicate to each other, with the age of each record."""
+"""`dunlinloft fleet state`: the state that members replicate, with the age of each record."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def show_shared_state(admin: str, as_json: bool) -> ExitCode:
-    """Print the shared state; fails where a fallback is in force."""
+    """Print the shared state; fails if a fallback is active."""
     try:
         raw = request_document(admin, "/admin/shared")
         document = decode_document(raw, SharedStateDocument)
@@ -33,7 +33,7 @@
 
 def _print_shared_state(document: SharedStateDocument) -> None:
     stdout.print(
-        f"as {document.own_name} has it; shared are {', '.join(document.shared_kinds)}", highlight=False
+        f"in the view of {document.own_name}; shared: {', '.join(document.shared_kinds)}", highlight=False
     )
     lines = (
         *_verdict_lines(document),
@@ -54,7 +54,7 @@
 
 
 def _verdict_lines(document: SharedStateDocument) -> list[str]:
-    """The fleet's shared outlier verdicts on servers."""
+    """Format the fleet's shared outlier verdicts on servers."""
     if "verdicts" not in document.shared_kinds:
         return []
     lines = []
@@ -63,32 +63,32 @@
         findings = [f"avoided for {classes}"] if verdict.avoid else []
         findings += [f"{verdict.slowdown:.1f} times slower than its peers"] if verdict.slowdown > 1.0 else []
         lines.append(f"[yellow]server {escape(verdict.name)}: {escape(', '.join(findings))}[/]")
-    return lines or ["no server is spoken against"]
+    return lines or ["no server is avoided or slow"]
 
 
 def _limit_lines(limits: SharedLimits) -> list[str]:
-    """This member's share of the tenants' rate limits."""
+    """Format this member's share of the tenants' rate limits."""
     if not limits.in_use:
         return []
     known = f"demand of {limits.known} of {limits.counted} members is known"
-    lines = [f"[yellow]{known}; the others count with even parts[/]" if limits.fallback else known]
+    lines = [f"[yellow]{known}; even shares are assumed for the others[/]" if limits.fallback else known]
     for tenant, share in limits.shares.items():
-        lines.append(f"{escape(tenant)}: {share.share_per_s:.1f} of {share.quota_per_s:.0f} a second here")
-    return [*lines, f"loops together allow {limits.retry_share:.0%} of retries"]
+        lines.append(f"{escape(tenant)}: {share.share_per_s:.1f} of {share.quota_per_s:.0f} requests/s here")
+    return [*lines, f"fleet-wide retry limit: {limits.retry_share:.0%} of local retries"]
 
 
 def _affinity_lines(affinity: KeyAffinity) -> list[str]:
-    """The zones that requests with an idempotency key are pinned to."""
+    """Format the zones that requests with an idempotency key are pinned to."""
     if not affinity.in_use:
         return []
-    lines = [f"keyed requests have homes in {', '.join(affinity.home_zones)}"]
+    lines = [f"home zones of keyed requests: {', '.join(affinity.home_zones)}"]
     if affinity.isolated:
-        lines.append("[red]too few members are heard: repeats of keyed requests are refused[/]")
+        lines.append("[red]too few members are reachable: retries of keyed requests are rejected[/]")
     for zone in affinity.unavailable:
-        status = "keys go elsewhere" if zone in affinity.redirected else "the others do not all know yet"
-        lines.append(f"[yellow]{escape(zone)} is out for this node: {status}[/]")
+        status = "its keys use other zones" if zone in affinity.redirected else "not all members know yet"
+        lines.append(f"[yellow]zone {escape(zone)} is unavailable for this node: {status}[/]")
     for name, zones in affinity.elsewhere.items():
         if zones:
-            lines.append(f"[yellow]{escape(name)} sends keys of {escape(', '.join(zones))} elsewhere[/]")
+            lines.append(f"[yellow]{escape(name)} sends keys of {escape(', '.join(zones))} to other zones[/]")
     counts = [f"{count} {outcome}" for outcome, count in sorted(affinity.counts.items())]
-    return [*lines, f"so far {', '.join(counts)}"] if counts else lines
+    return [*lines, f"counts: {', '.join(counts)}"] if counts else lines
--- a/dunlinloft/cli/handlers/simulated_world.py
+++ b/dunlinloft/cli/handlers/simulated_world.py
@@ -1,4 +1,4 @@
-"""`dunlinloft world`: seeds of the simulated control side, and the shortest schedule of each violation."""
+"""`dunlinloft world`: simulated control-plane runs, and the shortest fault schedule of each violation."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def play_replicas(seeds: Sequence[int], jobs: int) -> ExitCode:
-    """Play the replicas' state machines alone; fails where a seed violates a rule."""
+    """Simulate only the replicas' state machines; fails if a seed violates a rule."""
     started_s = time.monotonic()
     results = replicas.play_all(seeds, jobs)
     violations = [result for result in results if result.violation]
@@ -26,14 +26,14 @@
     acknowledged = sum(result.acknowledged for result in results)
     elapsed_s = time.monotonic() - started_s
     plain_stdout.print(
-        f"{len(violations)} of {len(results)} seeds broken; {acknowledged} orders acknowledged;"
+        f"{len(violations)} of {len(results)} seeds failed; {acknowledged} changes acknowledged;"
         f" {elapsed_s:.0f} s"
     )
     return ExitCode.CHECK_FAILED if violations else ExitCode.SUCCESS
 
 
 def play_processes(seeds: Sequence[int], jobs: int) -> ExitCode:
-    """Play whole processes; prints a violation as soon as it is found, and fails where there is one."""
+    """Simulate whole processes; prints each violation when it is found, and fails if there is one."""
     started_s = time.monotonic()
     broken = 0
     acknowledged = 0
@@ -50,9 +50,9 @@
     elapsed_s = time.monotonic() - started_s
     peak_mib = resource.getrusage(resource.RUSAGE_CHILDREN).ru_maxrss / KIB_PER_MIB
     plain_stdout.print(
-        f"{broken} of {len(seeds)} seeds broken; {acknowledged} orders acknowledged,"
-        f" {served} requests served; all works again after {slowest_recovery_ms:.0f} ms at most;"
-        f" {elapsed_s:.0f} s, {peak_mib:.0f} MiB a job"
+        f"{broken} of {len(seeds)} seeds failed; {acknowledged} changes acknowledged,"
+        f" {served} requests served; slowest recovery {slowest_recovery_ms:.0f} ms;"
+        f" {elapsed_s:.0f} s, at most {peak_mib:.0f} MiB per job"
     )
     return ExitCode.CHECK_FAILED if broken else ExitCode.SUCCESS
 
--- a/dunlinloft/cli/handlers/state_table.py
+++ b/dunlinloft/cli/handlers/state_table.py
@@ -1,4 +1,4 @@
-"""`dunlinloft fleet ledger` and `voters`: the replicated state table and the members that vote on it."""
+"""`dunlinloft fleet ledger` and `voters`: the replicated state table, and the members that vote on leases."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 TABLE_PATH = "/admin/ledger"
 VOTERS_PATH = "/admin/voters"
-POLL_INTERVAL_S = 0.1  # between two looks at an entry that is not committed yet
+POLL_INTERVAL_S = 0.1  # between checks of a pending entry
 MAX_POLLS = 20
-# States of an entry as the endpoint encodes them.
+# Entry states as the endpoint encodes them.
 COMMITTED, PENDING, UNKNOWN = "kept", "under way", "unknown"
 
 
 def update_state_table(admin: str, entries: tuple[str, ...], as_json: bool) -> ExitCode:
-    """Write entries, each as KEY=VALUE, then print the table; fails where an entry is not committed."""
+    """Write entries, each given as KEY=VALUE, then print the table; fails if an entry is not committed."""
     status = ExitCode.SUCCESS
     try:
         for entry in entries:
@@ -55,23 +55,21 @@
 def _print_state_table(document: StateTableDocument) -> None:
     if not document.is_owner:
         owner = document.owner or "nobody"
-        stdout.print(
-            f"{document.own_name} does not hold the ledger; {owner} does: ask there", highlight=False
-        )
+        stdout.print(f"{document.own_name} does not hold the ledger; its holder is {owner}", highlight=False)
         return
     if document.rows_lost:
         stdout.print(
-            "[red]rows may be lost: a majority of the voters has forgotten. Enter what is missing[/]"
+            "[red]rows may be lost: a majority of the voters lost their state. Write missing rows again[/]"
         )
     rows = Table("key", "value", "token", **PLAIN_STYLE)
     for row in document.rows:
         rows.add_row(escape(row.key), escape(row.value), str(row.token))
-    stdout.print(f"the ledger is {document.step}, token {document.token}", highlight=False)
+    stdout.print(f"ledger: {document.step}, token {document.token}", highlight=False)
     stdout.print(rows)
 
 
 def change_voters(admin: str, add: str, remove: str, as_json: bool) -> ExitCode:
-    """Add or remove a voter where one is named, then print all; fails where one is missing or behind."""
+    """Add or remove a voter if one is named, then print all; fails if one is missing or outdated."""
     status = ExitCode.SUCCESS
     try:
         if add or remove:
@@ -96,25 +94,27 @@
     names = [row.name for row in document.voters]
     configured = document.configured
     quorum = len(names) // 2 + 1
-    source = f"as {document.own_name} has it, after change {document.change}"
-    stdout.print(f"{source}: {', '.join(names)} vote, {quorum} have to agree", highlight=False)
+    source = f"in the view of {document.own_name}, after change {document.change}"
+    stdout.print(f"{source}: {', '.join(names)} vote, quorum {quorum}", highlight=False)
     if missing:
-        stdout.print(f"[red]not there: {escape(', '.join(missing))}[/]", highlight=False)
+        stdout.print(f"[red]not alive: {escape(', '.join(missing))}[/]", highlight=False)
     if set(names) != set(configured):
         listed = escape(", ".join(configured))
-        stdout.print(f"[yellow]the configuration still names {listed}: bring the files up to date[/]")
+        stdout.print(f"[yellow]the configuration still names {listed}: update the configuration files[/]")
     if len(names) % 2 == 0:
-        stdout.print("[yellow]an even number: add or remove one more[/]")
+        stdout.print("[yellow]even number of voters: add or remove one[/]")
     for name, known_voters in document.outdated.items():
-        stdout.print(f"[yellow]{escape(name)} takes them for {escape(known_voters)}[/]", highlight=False)
+        stdout.print(
+            f"[yellow]{escape(name)} still assumes the voters {escape(known_voters)}[/]", highlight=False
+        )
     if document.change_blocked_reason:
         owner = document.owner or "nobody"
-        reason = document.change_blocked_reason if document.is_owner else f"ask {owner}, the holder"
-        stdout.print(f"no change here now: {escape(reason)}", highlight=False)
+        reason = document.change_blocked_reason if document.is_owner else f"ask the holder, {owner}"
+        stdout.print(f"voters can't be changed here now: {escape(reason)}", highlight=False)
 
 
 def _await_entry(admin: str, number: int) -> str:
-    """The state of an entry once it is decided, or after the last poll."""
+    """Poll an entry until it is decided or `MAX_POLLS` is reached; returns its last state."""
     state = PENDING
     for _ in range(MAX_POLLS):
         entries = decode_document(request_document(admin, TABLE_PATH), StateTableDocument).entries
--- a/dunlinloft/cli/options.py
+++ b/dunlinloft/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share."""
+"""Options shared by several commands."""
 
 from __future__ import annotations
 
@@ -21,17 +21,15 @@
     The option's former name `--door` is rejected with a hint rather than accepted.
     """
     former = click.option("--door", hidden=True, expose_value=False, is_eager=True, callback=_reject_renamed)
-    current = click.option(
-        "--admin", required=True, help="Where a node's `management` listens, as host:port."
-    )
+    current = click.option("--admin", required=True, help="A node's `management` address, as host:port.")
     return former(current(command))
 
 
 def json_option(command: Command) -> Command:
     """Add `--json`, which prints the endpoint's document unabridged."""
-    return click.option("--json", "as_json", is_flag=True, help="All that the endpoint tells.")(command)
+    return click.option("--json", "as_json", is_flag=True, help="Print the full JSON document.")(command)
 
 
 def reason_option(command: Command) -> Command:
-    """Add `--why`, the operator's reason that is recorded with a change."""
-    return click.option("--why", "reason", default="", help="Kept with who said it and when.")(command)
+    """Add `--why`, the operator's reason, which is recorded with a change."""
+    return click.option("--why", "reason", default="", help="Recorded with user name and time.")(command)
--- a/dunlinloft/cli/progress.py
+++ b/dunlinloft/cli/progress.py
@@ -1,4 +1,4 @@
-"""The progress bar of commands that play many seeds."""
+"""The progress bar of commands that run many seeds."""
 
 from __future__ import annotations
 
--- a/dunlinloft/cli/root.py
+++ b/dunlinloft/cli/root.py
@@ -1,4 +1,4 @@
-"""The program `dunlinloft`: all command groups under one name."""
+"""The program `dunlinloft` with all its command groups."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 def main() -> None:
-    """dunlinloft: a load-balancing node, its fleet, and the lab that proves them."""
+    """dunlinloft: a load-balancing node, its fleet, and the lab that tests and measures them."""
 
 
 for command in (serve, directory, check, fleet, release, explore, lab, state, world):
--- a/dunlinloft/cli/tables.py
+++ b/dunlinloft/cli/tables.py
@@ -1,4 +1,4 @@
-"""The appearance that all printed tables share."""
+"""The style shared by all printed tables."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TableStyle(TypedDict):
-    """The keyword arguments of `rich.table.Table` that all tables are made with."""
+    """Keyword arguments that all tables pass to `rich.table.Table`."""
 
     box: box.Box
     padding: tuple[int, int]
--- a/tests/test_cli_state.py
+++ b/tests/test_cli_state.py
@@ -1,4 +1,4 @@
-"""`dunlinloft state`: a data directory is inspected without a change, and a new epoch begins from it."""
+"""Tests of `dunlinloft state`: inspecting a data directory without changing it, and beginning a new epoch."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A directory after one change."""
+    """A data directory with one committed configuration change."""
     store = ReplicaStore(tmp_path, "0")
     order = ConfigurationChange(
         ChangeKind.REPLACE, 0, "digest", {"version": 7, "routes": [{"name": "r"}], "services": []}
@@ -45,20 +45,20 @@
 
 @dataclass(frozen=True)
 class CommandResult:
-    """What a command came to."""
+    """Exit status and output of a command."""
 
     exit_code: int
     output: str
 
 
 def run_state(*arguments: str) -> CommandResult:
-    """Run `dunlinloft state` with these arguments."""
+    """Run `dunlinloft state` with the arguments."""
     result = CliRunner().invoke(main, ["state", *arguments])
     return CommandResult(result.exit_code, result.output)
 
 
 def file_contents(folder: Path) -> dict[str, bytes]:
-    """The bytes of all files in a folder, by name."""
+    """Return the contents of all files in a folder, by name."""
     return {path.name: path.read_bytes() for path in folder.iterdir()}
 
 
@@ -85,7 +85,7 @@
     before = file_contents(folder)
     result = run_state("verify", str(folder))
     assert result.exit_code == 1
-    assert f"4 bytes from byte {len(complete)} are no whole block" in result.output
+    assert f"4 bytes from byte {len(complete)} are not a complete block" in result.output
     assert "recovers to version 7" in result.output
     assert file_contents(folder) == before
 
@@ -140,7 +140,7 @@
     cluster.submit(empty_change(1, 0), statuses.append)
     cluster.run(500.0)
     for address in cluster.seeds[1:]:
-        cluster.wipe(address)  # one disk more than may be lost
+        cluster.wipe(address)  # one disk more than replication tolerates
         cluster.start(address)
     cluster.kill(cluster.seeds[0])
     cluster.run(2_000.0)
--- a/tests/test_process_settings.py
+++ b/tests/test_process_settings.py
@@ -1,4 +1,4 @@
-"""A router process's settings: its keys are the platform's, and errors name the file and the key."""
+"""Tests of a router process's settings: decoding of the platform's keys, and error messages."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @pytest.fixture
 def settings_file(tmp_path: Path) -> Path:
-    """A file with the keys that every process is given."""
+    """Write a settings file with only the required keys."""
     path = tmp_path / "settings.toml"
     path.write_text(MINIMAL)
     return path
 
 
-def test_the_platforms_keys_are_read_and_unknown_ones_ignored(settings_file: Path) -> None:
+def test_platform_keys_are_decoded_and_unknown_keys_ignored(settings_file: Path) -> None:
     settings_file.write_text(
         f'seed_nodes = ["10.0.0.1:7003", "10.0.0.2"]\nlater = 1\n{MINIMAL}'
         "[timing_bounds]\nagain_s = 4.5\nquota_interval_s = 9\nquota_overshoot = 0.2\n"
@@ -44,7 +44,9 @@
     ],
     ids=["top level", "renamed", "no TOML"],
 )
-def test_unusable_settings_are_refused_by_file_and_key(text: str, expected: str, settings_file: Path) -> None:
+def test_invalid_settings_are_rejected_with_file_and_key(
+    text: str, expected: str, settings_file: Path
+) -> None:
     settings_file.write_text(text)
     with pytest.raises(SettingsError) as caught:
         read_settings(str(settings_file))
@@ -52,6 +54,6 @@
     assert expected in str(caught.value)
 
 
-def test_a_file_that_is_missing_is_named(tmp_path: Path) -> None:
+def test_missing_settings_file_is_named_in_the_error(tmp_path: Path) -> None:
     with pytest.raises(SettingsError, match=r"nowhere\.toml: No such file or directory"):
         read_settings(str(tmp_path / "nowhere.toml"))
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -1,4 +1,4 @@
-"""Which of an operator's configurations are accepted, and how errors in others are reported."""
+"""Tests of the validation of operators' configurations and of the reported errors."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def route(name: str = "r", **changes: Any) -> dict[str, Any]:
-    """A valid route, with some fields changed."""
+    """Return a valid route with some fields changed."""
     fields = {
         "name": name,
         "hostname": "a.example",
@@ -28,7 +28,7 @@
 
 
 def document_with(**changes: Any) -> Document:
-    """A valid configuration, with some fields changed."""
+    """Return a valid configuration with some fields changed."""
     body: Document = {
         "version": 3,
         "routes": [route()],
@@ -38,18 +38,18 @@
     return {**body, **changes}
 
 
-def validated(body: Document, kind: str = "replace", document: Document | None = None) -> Valid | Invalid:
-    """The verdict on a change with this body on top of a document."""
+def validate_body(body: Document, kind: str = "replace", document: Document | None = None) -> Valid | Invalid:
+    """Validate a change with this body to a document."""
     return validate(document or {}, ConfigurationChange(kind, 0, "digest", body))
 
 
-def test_a_valid_configuration_is_accepted_with_unknown_fields() -> None:
-    assert validated(document_with(later={"a": 1})) == Valid(3)
+def test_valid_configuration_with_unknown_fields_is_accepted() -> None:
+    assert validate_body(document_with(later={"a": 1})) == Valid(3)
     split: dict[str, Any] = {
         "service": None,
         "backends": [{"service": "s", "weight": 90}, {"service": "s", "weight": 0}],
     }
-    assert validated(document_with(routes=[route(**split)])) == Valid(3)
+    assert validate_body(document_with(routes=[route(**split)])) == Valid(3)
 
 
 @pytest.mark.parametrize(
@@ -69,25 +69,25 @@
         ({"tenants": [{"name": "t", "api_keys": ["k"]}, {"name": "u", "api_keys": ["k"]}]}, "tenants.u"),
     ],
 )
-def test_an_invalid_configuration_is_rejected_with_the_path(invalid: Document, path: str) -> None:
-    verdict = validated(document_with(**invalid))
+def test_invalid_configuration_is_rejected_with_path(invalid: Document, path: str) -> None:
+    verdict = validate_body(document_with(**invalid))
     assert isinstance(verdict, Invalid)
     assert path in verdict.reason
 
 
 @pytest.mark.parametrize("data", [b"", b'{"version":', b"[1]", b"\xff\xfe", b"[" * 100_000])
-def test_a_body_that_is_no_complete_document_is_rejected(data: bytes) -> None:
+def test_malformed_request_body_is_rejected(data: bytes) -> None:
     assert isinstance(parse_document(data), Invalid)
 
 
-def test_an_update_changes_only_what_it_names() -> None:
+def test_update_leaves_other_items_unchanged() -> None:
     document = document_with()
     update = {
         "version": 5,
         "upsert": {"routes": [route("new"), route(timeout_ms=7)]},
         "delete": {"tenants": ["t"]},
     }
-    assert validated(update, "update", document) == Valid(5)
+    assert validate_body(update, "update", document) == Valid(5)
     after = apply_change(document, ConfigurationChange("update", 3, "d", update))
     assert [(route["name"], route["timeout_ms"]) for route in after["routes"]] == [("r", 7), ("new", 100)]
     assert after["tenants"] == []
@@ -108,8 +108,8 @@
         {"version": 5, "upsert": {"limits": [{"name": "x"}]}},
     ],
 )
-def test_an_update_with_an_invalid_result_is_rejected(update: Document) -> None:
-    assert isinstance(validated(update, "update", document_with(limits={"max_body_bytes": 10})), Invalid)
+def test_update_with_invalid_result_is_rejected(update: Document) -> None:
+    assert isinstance(validate_body(update, "update", document_with(limits={"max_body_bytes": 10})), Invalid)
 
 
 @pytest.mark.parametrize(
@@ -149,8 +149,10 @@
         (route(service="x"), ["Value error, routes.r: service 'x' is not known"]),
     ],
 )
-def test_the_error_of_a_route_names_its_path_and_what_was_expected(invalid: Any, texts: list[str]) -> None:
-    assert validated(document_with(routes=[invalid])) == (Invalid("; ".join(texts)) if texts else Valid(3))
+def test_route_errors_name_path_and_expected_value(invalid: Any, texts: list[str]) -> None:
+    assert validate_body(document_with(routes=[invalid])) == (
+        Invalid("; ".join(texts)) if texts else Valid(3)
+    )
 
 
 @pytest.mark.parametrize(
@@ -175,11 +177,11 @@
     ],
     ids=["limits", "tenants", "the first three alone"],
 )
-def test_the_errors_of_a_document_name_their_paths(invalid: Document, texts: list[str]) -> None:
-    assert validated(document_with(**invalid)) == Invalid("; ".join(texts))
+def test_document_errors_name_their_paths(invalid: Document, texts: list[str]) -> None:
+    assert validate_body(document_with(**invalid)) == Invalid("; ".join(texts))
 
 
-def test_operators_field_names_are_decoded_into_the_types_names() -> None:
+def test_encoded_field_names_are_decoded() -> None:
     configuration = to_configuration(document_with(routes=[route(gap_aim_ms=40)]))
     assert configuration.routes[0].inter_token_latency_target_ms == 40.0
     assert configuration.tenants[0].api_keys == ("k",)
