--- a/dunlinloft/cli/admin_documents.py
+++ b/dunlinloft/cli/admin_documents.py
@@ -257,7 +257,7 @@
 
 
 class ReleaseOrder(Struct, frozen=True):
-    """The traffic share that the release controller told members to apply."""
+    """The traffic share of new servers that the release controller tells members to apply."""
 
     release: int  # 0 if there is none
     share: float
--- a/dunlinloft/cli/commands/release.py
+++ b/dunlinloft/cli/commands/release.py
@@ -73,7 +73,7 @@
     @reason_option
     @admin_option
     def send_action(reason: str, admin: str) -> None:
-        """Send the action; the option `help` above is the command's help text."""
+        """Send the action; the decorator's `help` is the command's help text."""
         from dunlinloft.cli.handlers import releases
 
         sys.exit(releases.control(admin, action, reason))
--- a/dunlinloft/cli/handlers/capacity.py
+++ b/dunlinloft/cli/handlers/capacity.py
@@ -90,9 +90,9 @@
     table = Table(*COLUMNS, **PLAIN_STYLE)
     for row in report.rows:
         table.add_row(*_cells(row))
-    out = Console()
-    out = out if out.is_terminal else Console(width=TABLE_WIDTH)
-    out.print(table)
+    table_console = Console()
+    table_console = table_console if table_console.is_terminal else Console(width=TABLE_WIDTH)
+    table_console.print(table)
     for problem in report.failed:
         stderr.print(f"[red]{escape(problem)}[/]", highlight=False)
 
--- a/dunlinloft/cli/handlers/cells.py
+++ b/dunlinloft/cli/handlers/cells.py
@@ -64,7 +64,7 @@
         f"{sum(map(len, services.values()))} cells, {counted} members"
     ]
     if document.learning:
-        lines.append("[yellow]it started lately and may not know all cells yet[/]")
+        lines.append("[yellow]it has started lately and may not know of all yet[/]")
     columns = ("service", "region", "cell", "epoch", "members", "load", "program", "age s", "")
     rows = Table(*columns, **PLAIN_STYLE)
     flat = [(name, cell) for name, cells in services.items() for cell in cells]
--- a/dunlinloft/cli/handlers/exploration.py
+++ b/dunlinloft/cli/handlers/exploration.py
@@ -43,7 +43,7 @@
         bounds = ", ".join(f"{key.strip('_')} {value}" for key, value in _bounds(system).items())
         extent = "exhaustive" if found.whole else f"exhaustive to depth {found.depth}"
         stdout.print(
-            f"{name} ({bounds}): {found.states} states, {extent}; {_pace_text(found)}", highlight=False
+            f"{name} ({bounds}): {found.states} states, {extent}; {_rate_text(found)}", highlight=False
         )
     if not moves:
         return ExitCode.SUCCESS
@@ -51,7 +51,7 @@
     if found.broken:
         return _report_violation(RANDOM_WALK_SYSTEMS[name], found, trace_file)
     stdout.print(
-        f"{name}, random walks (seed {seed}): {found.states} states, depth {found.depth}; {_pace_text(found)}"
+        f"{name}, random walks (seed {seed}): {found.states} states, depth {found.depth}; {_rate_text(found)}"
     )
     return ExitCode.SUCCESS
 
@@ -62,9 +62,9 @@
     return limits if limits is not None else {k: v for k, v in vars(system).items() if isinstance(v, int)}
 
 
-def _pace_text(found: Found) -> str:
-    pace = found.states / max(1e-3, found.seconds)
-    return f"{found.moves} moves in {found.seconds:.0f} s, {pace:.0f} states/s"
+def _rate_text(found: Found) -> str:
+    states_per_s = found.states / max(1e-3, found.seconds)
+    return f"{found.moves} moves in {found.seconds:.0f} s, {states_per_s:.0f} states/s"
 
 
 def _report_violation(system: System, found: Found, trace_file: str | None) -> ExitCode:
--- a/dunlinloft/cli/handlers/membership_bounds.py
+++ b/dunlinloft/cli/handlers/membership_bounds.py
@@ -23,23 +23,25 @@
     if unknown:
         return report_invalid_input(f"unknown experiment {unknown[0]!r}; available: {', '.join(EXPERIMENTS)}")
     try:
-        wanted = read_seeds(seeds)
+        seed_list = read_seeds(seeds)
     except BadSeeds as error:
         return report_invalid_input(error)
     with Progress(*PERCENT_COLUMNS, TimeElapsedColumn(), console=stderr, transient=True) as progress:
-        bar = progress.add_task(f"{size} members, {core}", total=len(wanted) * len(names))
+        bar = progress.add_task(f"{size} members, {core}", total=len(seed_list) * len(names))
         measurements, violations = measure(
-            names, size, wanted, core, minutes, jobs, lambda: progress.advance(bar)
+            names, size, seed_list, core, minutes, jobs, lambda: progress.advance(bar)
         )
     table = Table("experiment", "figure", "samples", "p50", "p99", "max", "bound", "", **PLAIN_STYLE)
-    for found in measurements:
-        bound = f"{found.bound.of} {found.bound.most:g}" if found.bound else ""
-        verdict = "" if found.bound is None else "[green]met[/]" if found.kept() else "[red]missed[/]"
-        values = (f"{found.value(of):.2f}" for of in ("p50", "p99", "max"))
-        text = EXPERIMENTS[found.experiment].text
-        table.add_row(text, found.figure, str(len(found.samples)), *values, bound, verdict)
+    for measurement in measurements:
+        bound = f"{measurement.bound.of} {measurement.bound.most:g}" if measurement.bound else ""
+        verdict = (
+            "" if measurement.bound is None else "[green]met[/]" if measurement.kept() else "[red]missed[/]"
+        )
+        values = (f"{measurement.value(statistic):.2f}" for statistic in ("p50", "p99", "max"))
+        text = EXPERIMENTS[measurement.experiment].text
+        table.add_row(text, measurement.figure, str(len(measurement.samples)), *values, bound, verdict)
     stdout.print(table)
     for line in violations:
         stdout.print(f"[red]{escape(line)}[/]", highlight=False)
-    within_bounds = not violations and all(found.kept() for found in measurements)
+    within_bounds = not violations and all(measurement.kept() for measurement in measurements)
     return ExitCode.SUCCESS if within_bounds else ExitCode.CHECK_FAILED
--- a/dunlinloft/cli/handlers/releases.py
+++ b/dunlinloft/cli/handlers/releases.py
@@ -46,8 +46,8 @@
     try:
         return float(text)
     except ValueError:
-        moment = datetime.fromisoformat(text)
-    return (moment if moment.tzinfo else moment.replace(tzinfo=UTC)).timestamp()
+        parsed_time = datetime.fromisoformat(text)
+    return (parsed_time if parsed_time.tzinfo else parsed_time.replace(tzinfo=UTC)).timestamp()
 
 
 def start(admin: str, since: str, names: str, stages: str, bake: str, reason: str) -> ExitCode:
@@ -108,9 +108,9 @@
     """Render the share that a node other than the controller applies."""
     order = document.order
     controller = document.controller or "nobody"
-    obeyed = f"release {order.release}, new servers get at most {order.share:.0%}" if order.release else ""
+    applied = f"release {order.release}, new servers get at most {order.share:.0%}" if order.release else ""
     lines = [
-        f"applied by {escape(document.own_name)}: {obeyed or 'no release'}",
+        f"applied by {escape(document.own_name)}: {applied or 'no release'}",
         f"the release controller is {escape(controller)}: use its admin endpoint",
     ]
     if document.stale:
--- a/dunlinloft/cli/handlers/replica_state.py
+++ b/dunlinloft/cli/handlers/replica_state.py
@@ -82,8 +82,8 @@
 def report_files(folder: Path) -> list[FileReport]:
     """Report on the replica's files that exist."""
     paths = [
-        make(folder, which)
-        for which in (0, 1)
+        make(folder, slot)
+        for slot in (0, 1)
         for make in (data_directory.snapshot_path, data_directory.log_path)
     ]
     return [report for path in paths if (report := report_file(path)) is not None]
@@ -146,9 +146,9 @@
         plain_stdout.print(f"{folder}: no replica files")
         return ExitCode.INVALID_INPUT
     for report in reports:
-        rest = report.size - report.complete_bytes
+        trailing_bytes = report.size - report.complete_bytes
         end = (
-            f"; {rest} bytes from byte {report.complete_bytes} are not a complete block"
+            f"; {trailing_bytes} bytes from byte {report.complete_bytes} are not a complete block"
             if report.torn
             else ""
         )
--- a/dunlinloft/cli/handlers/router_fleet.py
+++ b/dunlinloft/cli/handlers/router_fleet.py
@@ -106,9 +106,7 @@
                 plain_stdout.print(f"{process.name}: {tail}")
             return ExitCode.CHECK_FAILED
         finally:
-            signal.signal(
-                signal.SIGINT, signal.SIG_IGN
-            )  # a second Ctrl-C must not leave child processes running
+            signal.signal(signal.SIGINT, signal.SIG_IGN)  # a second Ctrl-C must not leave children running
             fleet.stop()
     plain_stdout.print("all processes have stopped")
     return ExitCode.SUCCESS
--- a/dunlinloft/cli/handlers/scale.py
+++ b/dunlinloft/cli/handlers/scale.py
@@ -201,10 +201,10 @@
     for sample in samples:
         title = f"{sample.size}, seed {sample.seed}" if several_seeds else str(sample.size)
         table.add_column(title, justify="right")
-    for name, (title, form) in FIGURES.items():
+    for name, (title, format_spec) in FIGURES.items():
         values = [sample.figures.get(name) for sample in samples]
         if any(value is not None for value in values):
-            table.add_row(title, *(_number(value, form) for value in values))
+            table.add_row(title, *(_number(value, format_spec) for value in values))
     return table
 
 
@@ -222,5 +222,5 @@
     return table
 
 
-def _number(value: float | None, form: str = ".3g") -> str:
-    return "" if value is None else format(value, form)
+def _number(value: float | None, format_spec: str = ".3g") -> str:
+    return "" if value is None else format(value, format_spec)
--- a/dunlinloft/cli/handlers/scenarios.py
+++ b/dunlinloft/cli/handlers/scenarios.py
@@ -17,7 +17,7 @@
 from lab.runner import BadSeeds, Run, play_all, read_seeds
 from lab.scenario import SHIPPED, BadScenario, Scenario, load
 
-MAX_BREAKS_SHOWN = 12  # rule violations printed per seed
+MAX_VIOLATIONS_SHOWN = 12  # rule violations printed per seed
 
 # Title, metric and format of each column.
 SEED_COLUMNS = (
@@ -44,17 +44,17 @@
     """Run a scenario with some of its values changed; fails if a rule or an expectation is violated."""
     try:
         scenario = load(name, changes)
-        wanted = read_seeds(seeds)
+        seed_list = read_seeds(seeds)
         _require_playable(scenario, name, host)
     except (BadScenario, BadSeeds) as error:
         return report_invalid_input(error)
     results = summary(scenario, host)
     try:
-        _play(Run(scenario, host, wanted, jobs, Path(logs) if logs else None), results)
+        _play(Run(scenario, host, seed_list, jobs, Path(logs) if logs else None), results)
     except KeyboardInterrupt:
         stderr.print("interrupted; all started processes were stopped")
         return ExitCode.CHECK_FAILED
-    results.results.sort(key=lambda result: wanted.index(result.seed))
+    results.results.sort(key=lambda result: seed_list.index(result.seed))
     if json_file:
         write(results, Path(json_file))
     if html_file:
@@ -109,7 +109,7 @@
     """Format a seed's rule violations and missed expectations, one per line."""
     lines = [
         f"at {violation.at / 1000.0:.2f} s, {violation.rule}: {violation.who}: {violation.what}"
-        for violation in result.breaks[:MAX_BREAKS_SHOWN]
+        for violation in result.breaks[:MAX_VIOLATIONS_SHOWN]
     ]
     omitted = sum(result.broken.values()) - len(lines)
     lines += [f"and {omitted} more violations"] if omitted > 0 else []
@@ -135,7 +135,10 @@
 def _seed_table(results: Results) -> Table:
     table = Table("seed", *(title for title, _, _ in SEED_COLUMNS), "rules", **PLAIN_STYLE)
     for result in results.results:
-        cells = [format(result.figures[key], form) if result.figures else "" for _, key, form in SEED_COLUMNS]
+        cells = [
+            format(result.figures[key], format_spec) if result.figures else ""
+            for _, key, format_spec in SEED_COLUMNS
+        ]
         table.add_row(str(result.seed), *cells, _verdict(result))
     return table
 
@@ -149,7 +152,7 @@
         return sum(result.figures[figure] for result in counted) / len(counted)
 
     for name in sorted({key.split(".")[1] for key in counted[0].figures if key.startswith("class.")}):
-        cells = [format(mean(f"class.{name}.{key}"), form) for _, key, form in CLASS_COLUMNS]
+        cells = [format(mean(f"class.{name}.{key}"), format_spec) for _, key, format_spec in CLASS_COLUMNS]
         table.add_row(name, *cells)
     return table
 
--- a/dunlinloft/cli/handlers/simulated_world.py
+++ b/dunlinloft/cli/handlers/simulated_world.py
@@ -35,13 +35,13 @@
 def play_processes(seeds: Sequence[int], jobs: int) -> ExitCode:
     """Simulate whole processes; prints each violation when it is found, and fails if there is one."""
     started_s = time.monotonic()
-    broken = 0
+    failed_count = 0
     acknowledged = 0
     served = 0
     slowest_recovery_ms = 0.0
     for result in processes.play_all(seeds, jobs):
         if result.summary is None:
-            broken += 1
+            failed_count += 1
             _print_violation(result.seed, deployment_of(result.seed), result.violation, result.schedule)
             continue
         acknowledged += result.summary.acknowledged
@@ -50,11 +50,11 @@
     elapsed_s = time.monotonic() - started_s
     peak_mib = resource.getrusage(resource.RUSAGE_CHILDREN).ru_maxrss / KIB_PER_MIB
     plain_stdout.print(
-        f"{broken} of {len(seeds)} seeds failed; {acknowledged} changes acknowledged,"
+        f"{failed_count} of {len(seeds)} seeds failed; {acknowledged} changes acknowledged,"
         f" {served} requests served; slowest recovery {slowest_recovery_ms:.0f} ms;"
         f" {elapsed_s:.0f} s, at most {peak_mib:.0f} MiB per job"
     )
-    return ExitCode.CHECK_FAILED if broken else ExitCode.SUCCESS
+    return ExitCode.CHECK_FAILED if failed_count else ExitCode.SUCCESS
 
 
 def _print_violation(seed: int, deployment: object, violation: str, schedule: Sequence[Fault]) -> None:
