--- a/dunlinloft/cli/handlers/config_check.py
+++ b/dunlinloft/cli/handlers/config_check.py
@@ -17,7 +17,7 @@
 from dunlinloft.balancer.settings import MalformedInput
 from dunlinloft.node.config import parse_config, parse_directory, path_in
 
-MAX_PROBLEMS = 200  # reported; a file with more is hardly a configuration
+MAX_PROBLEMS = 200  # reported per file; a file with more is unlikely to be a configuration
 MIN_KEY_SIMILARITY = 0.8  # difflib ratio from which an unknown key counts as a misspelling of a missing one
 
 # File path of each setting that has a different name in the balancer's settings.
--- a/tests/test_process_settings.py
+++ b/tests/test_process_settings.py
@@ -42,7 +42,7 @@
         (f"{MINIMAL}[timing_bounds]\nagain_s = 'x'", "got `str` - at `$.timing_bounds.again_s`"),
         ("node_name", "Expected '=' after a key in a key/value pair"),
     ],
-    ids=["top level", "renamed", "no TOML"],
+    ids=["top level", "renamed key", "invalid TOML"],
 )
 def test_invalid_settings_are_rejected_with_file_and_key(
     text: str, expected: str, settings_file: Path
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -175,7 +175,7 @@
             ],
         ),
     ],
-    ids=["limits", "tenants", "the first three alone"],
+    ids=["limits", "tenants", "first three errors"],
 )
 def test_document_errors_name_their_paths(invalid: Document, texts: list[str]) -> None:
     assert validate_body(document_with(**invalid)) == Invalid("; ".join(texts))
