--- a/dunlinloft/balancer/attempt_timeout.py
+++ b/dunlinloft/balancer/attempt_timeout.py
@@ -17,7 +17,7 @@
     """Return the timeout of an attempt.
 
     It is limited to a multiple of the usual delay: calls to a failed zone that wait until their deadline
-    would fill the concurrency slots of the tier above.
+    would fill the concurrency slots of the tier above (incident i2750ee).
 
     Parameters
     ----------
--- a/dunlinloft/balancer/balancer.py
+++ b/dunlinloft/balancer/balancer.py
@@ -306,15 +306,15 @@
                 queue.popleft()
 
     def _send(self, call: Call, server: Server, now_ms: float) -> bool:
-        """Send an attempt if every rule allows it, and return whether it was sent.
+        """Send an attempt if every rule (1 to 6) allows it, and return whether it was sent.
 
-        All attempts are sent from here.
+        All attempts are sent from here. `tests.checker` lists the rules.
         """
         remaining_ms = call.deadline_ms - now_ms if call.complete else call.ttl_ms
         if not self._may_send(call, server, remaining_ms, now_ms):
             return False
         slow_start_share = server.slow_start_share(now_ms, self.settings)
-        if slow_start_share < 1.0:  # the budget of a server in slow start
+        if slow_start_share < 1.0:  # the budget of a server in slow start (rule 4)
             if self._selection.slow_start_budget(server, slow_start_share, now_ms) < 1.0:
                 return False
             server.slow_start_budget.tokens -= 1.0
@@ -340,17 +340,17 @@
         return True
 
     def _may_send(self, call: Call, server: Server, remaining_ms: float, now_ms: float) -> bool:
-        """Check all rules but the slow start budget, which consumes a token and comes last."""
-        # Neither answered, in flight nor past its deadline.
+        """Check rules 1, 2, 3, 5 and 6; the slow start budget (rule 4) consumes a token and comes last."""
+        # Neither answered, in flight nor past its deadline (rule 1).
         if call.id not in self._calls or call.in_flight or remaining_ms <= self.settings.tick_ms:
             return False
         if call.attempts >= self.settings.max_attempts or not self.retry_policy.may_send(call, now_ms):
             return False
-        if call.group is not None and server.group(call.cls.dedup_scope) != call.group:
+        if call.group is not None and server.group(call.cls.dedup_scope) != call.group:  # rule 2
             return False
-        if not server.in_service or self.server_set.servers.get(server.id) is not server:
+        if not server.in_service or self.server_set.servers.get(server.id) is not server:  # rule 3
             return False
-        return not call.attempts or self.retry_policy.within_budget(now_ms)
+        return not call.attempts or self.retry_policy.within_budget(now_ms)  # rule 5
 
     def _check_idle(self, call: Call, server: Server, now_ms: float) -> None:
         """Close the idle connections to a server if they have been idle for too long to be trusted."""
--- a/dunlinloft/balancer/delay_controller.py
+++ b/dunlinloft/balancer/delay_controller.py
@@ -145,7 +145,7 @@
 
         The window follows from the answer rate at the target delay by Little's law, plus a number of calls
         per server. Without these, a window would lower the answer rate, and that the next window, if the
-        usual delay is above the target.
+        usual delay is above the target (incident i35d8eb).
         """
         if self.answer_rate.span_s < 1.0:  # an unlimited first window has overloaded a tier within 2 s
             return INITIAL_CALLS_PER_SERVER * servers + self.answer_rate.events
--- a/dunlinloft/balancer/retry_policy.py
+++ b/dunlinloft/balancer/retry_policy.py
@@ -54,14 +54,17 @@
         self._retries.add(now_ms)
 
     def within_budget(self, now_ms: float) -> bool:
-        """Return whether the retry budget allows one more retry now."""
+        """Return whether the retry budget allows one more retry now (rule 5)."""
         ratio = self._settings.retry_budget_ratio
         requests = self._requests.count(now_ms)
         floor = self._settings.retry_budget_floor / self.processes
         return ratio is None or self._retries.count(now_ms) + 1 <= floor + ratio * requests
 
     def may_send(self, call: Call, now_ms: float) -> bool:
-        """Return whether the call's class allows another attempt now; always true for the first one."""
+        """Return whether the call's class allows another attempt now (rule 2).
+
+        It always allows the first one.
+        """
         return self.send_window_ms(call, now_ms) > 0.0
 
     def send_window_ms(self, call: Call, now_ms: float) -> float:
--- a/dunlinloft/balancer/selection.py
+++ b/dunlinloft/balancer/selection.py
@@ -144,7 +144,7 @@
         return available, fallback
 
     def slow_start_budget(self, server: Server, slow_start_share: float, now_ms: float) -> float:
-        """Refill and return this replica's budget of attempts to a server in slow start.
+        """Refill and return this replica's budget of attempts to a server in slow start (rule 4).
 
         The server's capacity is estimated from the answer rate of its peers, so that the budgets of any
         number of replicas add up to `SLOW_START_BUDGET_SHARE` of what the server can take.
--- a/dunlinloft/controlplane/disk_writer.py
+++ b/dunlinloft/controlplane/disk_writer.py
@@ -60,7 +60,7 @@
         try:
             await asyncio.get_running_loop().run_in_executor(self._executor, self._cache.write, members)
         except OSError as error:
-            logging.warning("event=disk_error operation=write_members error=%s", error)
+            logging.warning("event=disk_refused at=servers error=%s", error)
 
     def write(self, action: Persist) -> None:
         """Queue a record that the replica has to persist."""
@@ -92,7 +92,7 @@
                 await loop.run_in_executor(self._executor, store.append, records)
                 return
             except OSError as error:
-                logging.error("event=disk_error operation=append error=%s", error)
+                logging.error("event=disk_refused at=write error=%s", error)
                 await asyncio.sleep(DISK_RETRY_INTERVAL_S)
 
 
@@ -137,5 +137,5 @@
         try:
             return await loop.run_in_executor(executor, open_store)
         except OSError as error:
-            logging.error("event=disk_error operation=open error=%s", error)
+            logging.error("event=disk_refused at=open error=%s", error)
             await asyncio.sleep(DISK_RETRY_INTERVAL_S)
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -6,7 +6,8 @@
 2. A request that may have been executed is sent again only if its class allows that, within its deduplication
    group and window. It is rejected only if a retry by the client is safe.
 3. Nothing is sent to a server that has been out of service for longer than the grace period.
-4. A server in slow start gets no more attempts than its budget. This is tested in `test_balancer_properties`.
+4. A server in slow start gets no more attempts than its budget. This is tested in `test_balancer_properties`,
+   for one balancer alone: what it sends to such a server in any window.
 5. Retries stay within the configured budget.
 6. Whether a rejection proves that an attempt was not executed depends on the settings.
 """
--- a/tests/test_balancer_admission.py
+++ b/tests/test_balancer_admission.py
@@ -15,7 +15,7 @@
 
 
 def test_burst_at_first_tier_is_queued_and_rejected_in_time() -> None:
-    # Without a limit, calls that their clients had given up on occupied all slots.
+    # Without a limit, calls that their clients had given up on occupied all slots (incident i4cdd30).
     node = Node(servers=2)
     node.serve(200)
     for n in range(300):
--- a/tests/test_balancer_retries.py
+++ b/tests/test_balancer_retries.py
@@ -132,7 +132,10 @@
 
 
 def test_sliding_window_that_is_never_read_drops_old_events() -> None:
-    """A node without a retry budget stored a time for each of 1,025 retries, growing without limit."""
+    """A node without a retry budget stored a time for each of 1,025 retries, growing without limit.
+
+    (Seen in case2060.)
+    """
     counter = SlidingWindowCounter(1000.0)
     for n in range(500):
         counter.add(100.0 * n)
@@ -189,7 +192,10 @@
 
 
 def test_attempt_times_out_after_several_usual_delays() -> None:
-    """Calls to a failed zone waited until their deadline and occupied the slots of the tier above."""
+    """Calls to a failed zone waited until their deadline and occupied the slots of the tier above.
+
+    (Seen in incident i2750ee.)
+    """
     node = Node(servers=4, tier=1, propagates_deadline=False)
     (early,) = sends(node.request("early"))
     assert early.timeout_ms > 2000.0  # there is no usual delay yet
--- a/tests/test_balancer_selection.py
+++ b/tests/test_balancer_selection.py
@@ -62,7 +62,10 @@
 
 
 def test_fast_server_does_not_get_all_calls_if_most_servers_look_slow() -> None:
-    """Three of four servers looked slow for a moment; the fourth got eight calls and was overloaded."""
+    """Three of four servers looked slow for a moment; the fourth got eight calls and was overloaded.
+
+    (Seen in case7198.)
+    """
     node = Node(servers=4)
     *slow, fast = node.balancer.server_set.ready
     for server in slow:
--- a/tests/test_balancer_server_set.py
+++ b/tests/test_balancer_server_set.py
@@ -41,7 +41,10 @@
 
 
 def test_replicas_subset_a_large_fleet_evenly() -> None:
-    """If many replicas each use all servers, they need more connections than the servers accept."""
+    """If many replicas each use all servers, they need more connections than the servers accept.
+
+    (Seen in incident i29d3aa.)
+    """
     callers = dict.fromkeys(range(60), 0)
     load = dict.fromkeys(callers, 0.0)
     for replica_index in range(40):
--- a/tests/test_control_replicas.py
+++ b/tests/test_control_replicas.py
@@ -116,7 +116,10 @@
 
 @pytest.mark.parametrize("wiped", [None, 0, 2])
 def test_replicas_restarted_with_other_seeds_find_each_other(wiped: int | None) -> None:
-    """Guards against a non-durable initial view, which is lost if all replicas restart with new seeds."""
+    """Guards against a non-durable initial view, which is lost if all replicas restart with new seeds.
+
+    All replicas lost power after `seed_turnover` (seen in hunt 6ae8-19).
+    """
     cluster = Cluster(11)
     operator = Operator(cluster)
     cluster.after(300.0, operator.change)
--- a/tests/test_delay_controller.py
+++ b/tests/test_delay_controller.py
@@ -69,7 +69,10 @@
 
 
 def test_integral_covers_all_time_between_answers() -> None:
-    """`window` updates the rates for each request, which must not shorten the time of the integral."""
+    """`window` updates the rates for each request, which must not shorten the time of the integral.
+
+    (Seen in incident i45f18d.)
+    """
     without_window, with_window = DelayController(), DelayController()
     for controller in (without_window, with_window):
         now = 1000.0
@@ -83,7 +86,10 @@
 
 
 def test_shed_share_decays_without_new_samples() -> None:
-    """Replicas shed 80% because of samples ten seconds old, and so got no answers to show a recovery."""
+    """Replicas shed 80% because of samples ten seconds old, and so got no answers to show a recovery.
+
+    (Seen in incident i45f18d.)
+    """
     controller = DelayController()
     now = record_steady_delay(controller, 2000.0, 50)
     shed_share = controller.shed_share(now)
@@ -147,7 +153,10 @@
 
 
 def test_window_admits_calls_whose_delay_meets_the_target() -> None:
-    """A window for three quarters of the target rejected calls although the controller's error was zero."""
+    """A window for three quarters of the target rejected calls although the controller's error was zero.
+
+    (Seen in case2553.)
+    """
     controller, delay_ms = DelayController(), 0.99 * TARGET_SHARE * 1000.0
     now = record_steady_delay(controller, delay_ms, 300, gap_ms=10.0)
     assert controller.shed_share(now) == 0.0
@@ -167,7 +176,10 @@
 
 
 def test_window_does_not_collapse_if_the_usual_delay_is_above_the_target() -> None:
-    """Each window lowered the answer rate, and that the next window, although the servers were idle."""
+    """Each window lowered the answer rate, and that the next window, although the servers were idle.
+
+    (Seen in incident i35d8eb.)
+    """
     controller, now, delay_s = DelayController(), 0.0, 0.5  # with a latency target of 1 s
     in_flight = 20.0
     for _ in range(600):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -343,7 +343,7 @@
         async with node_harness(tmp_path, server) as harness:
             reply = await harness.ask("a", "pay", budget="0.001")  # no time left for an attempt
             assert reply.status == 503 and not server.seen
-            assert 0.0 < float(reply.headers["retry-after"]) <= 0.5
+            assert 0.0 < float(reply.headers["retry-after"]) <= 0.5  # T1, see `retry_policy`
 
     run(test())
 
@@ -497,7 +497,7 @@
 def test_idle_clients_are_closed_while_sockets_are_short(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """If idle clients hold all sockets, every attempt must open a new connection."""
+    """If idle clients hold all sockets, every attempt must open a new connection (case2060)."""
     clock = [1000.0]
     monkeypatch.setattr(frontend, "now_ms", lambda: clock[0])
 
@@ -523,7 +523,10 @@
 
 
 def test_finished_requests_and_connections_are_freed_without_garbage_collection(tmp_path: Path) -> None:
-    """Reference cycles kept 1,400 closed client connections alive until a rare full garbage collection."""
+    """Reference cycles kept 1,400 closed client connections alive until a rare full garbage collection.
+
+    (Seen in case2060.)
+    """
 
     async def test() -> None:
         server = Server(*[answer() + CLOSE] * 4, RESET)
--- a/tests/test_router_processes.py
+++ b/tests/test_router_processes.py
@@ -201,7 +201,10 @@
 def test_stream_past_its_deadline_is_aborted_without_a_second_response(
     run_scenario: Callable[..., None],
 ) -> None:
-    """Guards against a refusal written into a stream that is being relayed when its deadline passes."""
+    """Guards against a refusal written into a stream that is being relayed when its deadline passes.
+
+    (Seen as MIXED in the hunt on voehl-slotnetz.)
+    """
 
     async def scenario(running: RunningFleet) -> None:
         running.set_behaviour(lambda: Behaviour(events=50, event_s=0.1))
--- a/tests/test_server_registrar.py
+++ b/tests/test_server_registrar.py
@@ -1,4 +1,8 @@
-"""`ServerRegistrar`: which requests are acknowledged, depending on contact with a majority."""
+"""`ServerRegistrar`: which requests are acknowledged, depending on contact with a majority.
+
+Without that contact a server is answered 503. Draining and deregistration are acknowledged once a majority
+has them.
+"""
 
 from __future__ import annotations
 
