--- a/dunlinloft/fleet/releases/controller.py
+++ b/dunlinloft/fleet/releases/controller.py
@@ -27,7 +27,7 @@
 from dunlinloft.fleet.releases.request import InvalidReleaseRequest, ReleaseRequest
 from dunlinloft.fleet.releases.traffic import MemberTally, ReleaseTraffic
 
-LOOK_INTERVAL_MS = 500.0  # how often the host calls `look`
+EVALUATION_INTERVAL_MS = 500.0  # how often the host calls `look`
 MAX_TALLY_AGE_MS = 3_000.0  # an older tally counts as missing
 ORDER_SETTLING_MS = 1_000.0  # a stage's baking counts from so long after all members have applied its order
 MIN_STAGE_CALLS = 20  # of the new build in a stage
@@ -83,7 +83,7 @@
         self._writing: Plan | None = None  # of which it is not known yet whether it is committed
         self.order = NO_ORDER
         self._last_step = 0
-        self._last_look_ms = 0.0
+        self._last_evaluation_ms = 0.0
         self._reset()
 
     # Start and stop
@@ -94,7 +94,7 @@
         self.token = token
         self.plan = plan
         self._committed = plan
-        self._last_look_ms = now
+        self._last_evaluation_ms = now
         self._last_step = 0
         self._reset()
         self._taking_over = True
@@ -235,14 +235,14 @@
 
     # Looks
 
-    def look(self, tallies: list[MemberTally], member_count: int, now: float) -> Order | None:
+    def evaluate(self, tallies: list[MemberTally], member_count: int, now: float) -> Order | None:
         """Judge what members report; the order in force, to be repeated to all, or None without a release.
 
         `member_count` is how many members are alive, this one among them. The host calls it every
         `LOOK_INTERVAL_MS` while its lease is valid.
         """
-        elapsed_ms = min(2.0 * LOOK_INTERVAL_MS, now - self._last_look_ms)
-        self._last_look_ms = now
+        elapsed_ms = min(2.0 * EVALUATION_INTERVAL_MS, now - self._last_evaluation_ms)
+        self._last_evaluation_ms = now
         plan = self.plan
         if not self.token or plan is None:
             return None
@@ -350,8 +350,8 @@
             return
         self._last_rollback_step_ms = now
         rate = self._traffic.total_rate()
-        bearable = self._traffic.bearable_rate()
-        useless = self._traffic.new_build_is_useless()
+        bearable = self._traffic.old_server_capacity()
+        useless = self._traffic.new_build_is_failing()
         share = 0.0 if useless or not rate else max(0.0, 1.0 - bearable / rate)
         self.capacity_short = rate > 0.0 and bearable < (1.0 - MIN_ROLLBACK_SHARE) * rate
         share = min(plan.share, share if share >= MIN_ROLLBACK_SHARE else 0.0)
--- a/dunlinloft/fleet/releases/traffic.py
+++ b/dunlinloft/fleet/releases/traffic.py
@@ -11,7 +11,7 @@
 JUDGED_WINDOW_MS = 2_000.0  # calls within it are judged together
 RATE_SMOOTHING = 0.3  # weight of one look's rate in the moving average
 FAILURE_DECAY = 0.9  # of the recent calls of the new build, from look to look
-USELESS_FAILURE_SHARE = 0.5  # a build that fails so often bears no load, however short the old servers are
+FAILING_BUILD_SHARE = 0.5  # a build that fails so often bears no load, however short the old servers are
 
 
 @dataclass(slots=True)
@@ -117,15 +117,15 @@
         """Calls/s to all servers."""
         return self.rates.new + self.rates.old
 
-    def bearable_rate(self) -> float:
+    def old_server_capacity(self) -> float:
         """Calls/s that the old servers can bear, by the most that they have borne in this release."""
         return self._peak_rate_per_weight * self._weights.old
 
-    def new_build_is_useless(self) -> bool:
+    def new_build_is_failing(self) -> bool:
         """Whether the new build fails so often that it takes no load off the old servers."""
         return (
             self._recent_new_calls >= 1.0
-            and self._recent_new_failures >= USELESS_FAILURE_SHARE * self._recent_new_calls
+            and self._recent_new_failures >= FAILING_BUILD_SHARE * self._recent_new_calls
         )
 
 
--- a/dunlinloft/fleet/shared_state/core.py
+++ b/dunlinloft/fleet/shared_state/core.py
@@ -368,7 +368,7 @@
         before = self.verdicts
         self.verdicts = self.verdict_pool.update(received, self._status.start_ids, elapsed_ms, now)
         self.verdict_pool.expire_users(now)
-        self.observations.doubted = self.verdict_pool.doubted
+        self.observations.suspected_servers = self.verdict_pool.suspected_servers
         trials = any(verdict.trial for verdict in self.verdicts)
         return [ApplyVerdicts(self.verdicts)] if trials or before != self.verdicts else []
 
--- a/dunlinloft/fleet/shared_state/observations.py
+++ b/dunlinloft/fleet/shared_state/observations.py
@@ -22,7 +22,7 @@
 SUCCESS_TIME_CONSTANT_MS = 700.0
 # Time constant of failures, and of the responses of a server that is in doubt.
 ODDS_TIME_CONSTANT_MS = 4_000.0
-DOUBT_MS = 30_000.0  # after a failure
+SUSPICION_MS = 30_000.0  # after a failure
 ALL_CLASSES = 0  # the class hash under which delays are reported
 TESTED_SLOWDOWN = 3.0  # delay over the peers': the alternative that is tested for
 # Odds from which a server is reported unprompted; delays vary by chance.
@@ -49,13 +49,21 @@
 class Observation:
     """What was observed of one server, for one class."""
 
-    __slots__ = ("error_odds", "failed_ms", "loss_odds", "proven", "reported_ms", "successes", "updated_ms")
+    __slots__ = (
+        "error_odds",
+        "failed_ms",
+        "loss_odds",
+        "reported_ms",
+        "successes",
+        "suspect_successes",
+        "updated_ms",
+    )
 
     def __init__(self) -> None:
         self.error_odds = 0.0
         self.loss_odds = 0.0
         self.successes = 0.0  # responses
-        self.proven = 0.0  # responses while it was in doubt, which decay more slowly
+        self.suspect_successes = 0.0  # responses while it was in doubt, which decay more slowly
         self.updated_ms = -math.inf
         self.failed_ms = -math.inf
         self.reported_ms = -math.inf
@@ -67,7 +75,7 @@
             factor = math.exp((self.updated_ms - now) / ODDS_TIME_CONSTANT_MS)
             self.error_odds *= factor
             self.loss_odds *= factor
-            self.proven *= factor
+            self.suspect_successes *= factor
         self.updated_ms = now
 
     def as_of(self, now: float) -> ObservedOdds:
@@ -75,7 +83,7 @@
         factor = math.exp((self.updated_ms - now) / ODDS_TIME_CONSTANT_MS)
         successes = self.successes * math.exp((self.updated_ms - now) / SUCCESS_TIME_CONSTANT_MS)
         return ObservedOdds(
-            self.error_odds * factor, self.loss_odds * factor, successes + self.proven * factor
+            self.error_odds * factor, self.loss_odds * factor, successes + self.suspect_successes * factor
         )
 
 
@@ -89,7 +97,7 @@
         self._usual_ms: dict[int, float] = {}  # by class: mean delay
         self._failure_share = 0.0  # of all attempts
         self._unresponsive: frozenset[int] = frozenset()
-        self.doubted: set[int] = set()  # servers that others report as faulty
+        self.suspected_servers: set[int] = set()  # servers that others report as faulty
         self.unreported = 0  # rows that stood out and did not fit a report
 
     def _evidence(self, failed: bool) -> float:
@@ -115,7 +123,7 @@
             self._add_success(row, server, now)
             return self._add_delay(server, class_hash, duration_ms, now)
         row.successes = 0.0
-        row.proven = 0.0
+        row.suspect_successes = 0.0
         row.failed_ms = now
         if outcome == AttemptOutcome.ERROR:
             row.error_odds = min(MAX_ODDS, row.error_odds + evidence)
@@ -123,8 +131,8 @@
             row.loss_odds = min(MAX_ODDS, row.loss_odds + evidence)
 
     def _add_success(self, row: Observation, server: int, now: float) -> None:
-        if server in self.doubted or now - row.failed_ms < DOUBT_MS:
-            row.proven += 1.0
+        if server in self.suspected_servers or now - row.failed_ms < SUSPICION_MS:
+            row.suspect_successes += 1.0
         else:
             row.successes += 1.0
 
@@ -193,7 +201,7 @@
             errors, losses, successes = odds
             if errors + losses > (REPORT_ODDS if class_hash else REPORT_SLOW_ODDS):
                 row.reported_ms = now
-            elif server not in self.doubted and now - row.reported_ms > REPORT_MS:
+            elif server not in self.suspected_servers and now - row.reported_ms > REPORT_MS:
                 continue
             if errors + losses >= 0.5 or successes >= 0.5:
                 failure_age_ms = int(min(60_000.0, now - row.failed_ms))
--- a/dunlinloft/fleet/shared_state/verdicts.py
+++ b/dunlinloft/fleet/shared_state/verdicts.py
@@ -27,7 +27,7 @@
 AVOID_ODDS = 7.0  # pooled log odds from which a server is avoided
 KEEP_ODDS = 2.0  # and below which it no longer is
 SLOW_ODDS = 4.0  # from which a server is taken for slow: it gets less, but is not avoided
-DOUBT_ODDS = 5.0  # from which all processes report on a server
+SUSPECT_ODDS = 5.0  # from which all processes report on a server
 # A failure older than this counts half for each response that others had since.
 STALE_FAILURE_MS = 1_500.0
 STALE_HALVINGS = 1.0  # for each of these responses
@@ -137,9 +137,9 @@
         self._rng = rng
         self._avoided: dict[tuple[int, int], float] = {}  # server and class (0: all), and since when
         self._slow: dict[int, _Slow] = {}
-        self._accused_ms: dict[int, float] = {}  # by avoided server: the last report against it
+        self._last_evidence_ms: dict[int, float] = {}  # by avoided server: the last report against it
         self._users: dict[int, dict[str, float]] = {}  # by server: who reported on it, and when last
-        self.doubted: set[int] = set()  # servers that all should report on
+        self.suspected_servers: set[int] = set()  # servers that all should report on
         self.capped = 0  # verdicts beyond `MAX_AVOIDED_SHARE`
 
     def update(
@@ -158,11 +158,11 @@
         """
         reports = [r for r in received if r.report.tier == self._tier and _is_healthy(r.report)]
         pooled = self._pool(reports, start_ids, now)
-        self.doubted = {
+        self.suspected_servers = {
             server
             for (server, class_hash), odds in pooled.by_class.items()
             if odds.errors + sum(odds.losses.values())
-            >= (SLOW_ODDS if class_hash == ALL_CLASSES else DOUBT_ODDS)
+            >= (SLOW_ODDS if class_hash == ALL_CLASSES else SUSPECT_ODDS)
         } | {server for server, _ in self._avoided}
         self._judge(pooled, start_ids, now)
         return self._verdicts(elapsed_ms, now)
@@ -205,11 +205,11 @@
             total = pooled.by_server[server].odds(self._zone)
             candidates |= self._judge_server(server, total, by_class)
             if any(odds > 0.0 for odds in by_class.values()):
-                self._accused_ms[server] = now
+                self._last_evidence_ms[server] = now
         for server, class_hash in self._avoided:
             # Without a report nobody has tried the server, which is evidence of nothing.
             unreported = server not in pooled.by_server
-            recent = now - self._accused_ms.get(server, -math.inf) < VERDICT_EXPIRY_MS
+            recent = now - self._last_evidence_ms.get(server, -math.inf) < VERDICT_EXPIRY_MS
             if unreported and server in start_ids and recent:
                 candidates[server, class_hash] = KEEP_ODDS
         worst: dict[int, float] = {}
@@ -219,7 +219,9 @@
         avoided = set(sorted(worst, key=lambda server: (-worst[server], server))[:max_avoided])
         self.capped += len(worst) - len(avoided)
         self._avoided = {key: self._avoided.get(key, now) for key in candidates if key[0] in avoided}
-        self._accused_ms = {server: at for server, at in self._accused_ms.items() if server in avoided}
+        self._last_evidence_ms = {
+            server: at for server, at in self._last_evidence_ms.items() if server in avoided
+        }
 
     def _judge_delays(
         self, pooled: dict[tuple[int, int], _PooledOdds], start_ids: dict[int, int], now: float
--- a/dunlinloft/node/fleet/peers.py
+++ b/dunlinloft/node/fleet/peers.py
@@ -31,7 +31,7 @@
     Ping,
     State,
 )
-from dunlinloft.fleet.releases.controller import LOOK_INTERVAL_MS
+from dunlinloft.fleet.releases.controller import EVALUATION_INTERVAL_MS
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.shared_state.core import RELEASES
 from dunlinloft.fleet.wire import MAX_STATE_BYTES, MessageRejected, RejectReason, Wire
@@ -215,7 +215,7 @@
         self._loop.call_later(COUNT_S, self._count)
         self._loop.call_later(LOAD_S, self._tell_load)
         if self.releases is not None:
-            self._loop.call_later(LOOK_INTERVAL_MS / 1000.0, self._look)
+            self._loop.call_later(EVALUATION_INTERVAL_MS / 1000.0, self._look)
 
     def _look(self) -> None:
         """Let the steward of releases look, if that is this process."""
@@ -226,7 +226,7 @@
         except Exception:
             self.counts["errors"] += 1
             logs.exception("fleet error", "the releases' part")
-        self._loop.call_later(LOOK_INTERVAL_MS / 1000.0, self._look)
+        self._loop.call_later(EVALUATION_INTERVAL_MS / 1000.0, self._look)
 
     def releases_status(self) -> AdminReply:
         """All that the admin endpoint tells of releases."""
--- a/dunlinloft/node/fleet/releases.py
+++ b/dunlinloft/node/fleet/releases.py
@@ -64,7 +64,7 @@
             if isinstance(held.content, Tally) and held.content.tier == self._shared.tier
         ]
         tallies.append(MemberTally(store.name, store.incarnation, 0.0, self._shared.follower.tally()))
-        order: Order | None = self.controller.look(tallies, self._shared.membership.member_count, now)
+        order: Order | None = self.controller.evaluate(tallies, self._shared.membership.member_count, now)
         if order is not None:
             self._issue_order(ReleaseOrderIssued(order))
 
--- a/lab/capacity/control.py
+++ b/lab/capacity/control.py
@@ -9,7 +9,7 @@
 from dunlinloft.fleet.leases.table_read import TableReadSession
 from dunlinloft.fleet.leases.table_rows import STATE_TABLE_ROLE, page_after
 from dunlinloft.fleet.messages import ApplicationMessage, Header
-from dunlinloft.fleet.releases.controller import LOOK_INTERVAL_MS, ReleaseController
+from dunlinloft.fleet.releases.controller import EVALUATION_INTERVAL_MS, ReleaseController
 from dunlinloft.fleet.releases.follower import MAX_COUNTS
 from dunlinloft.fleet.releases.messages import CallCounts, Order, Plan, Tally
 from dunlinloft.fleet.releases.traffic import MemberTally
@@ -113,13 +113,13 @@
         ]  # fmt: skip
 
     for _ in range(3):  # obeyed, and seen once
-        now += LOOK_INTERVAL_MS
-        steward.look(told(), members, now)
+        now += EVALUATION_INTERVAL_MS
+        steward.evaluate(told(), members, now)
     took = []
     for _ in range(8):
-        now, calls = now + LOOK_INTERVAL_MS, calls + 40
+        now, calls = now + EVALUATION_INTERVAL_MS, calls + 40
         tellings = told()
-        took.append(best_ms(partial(steward.look, tellings, members, now), 1))
+        took.append(best_ms(partial(steward.evaluate, tellings, members, now), 1))
     assert not steward.waiting_for, steward.waiting_for
     size = float(len(encode(full_tally(steward.order, 400))))
     return {"look": min(took), "judged": max(took), "tally": size}
--- a/lab/capacity/shared.py
+++ b/lab/capacity/shared.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from dunlinloft.fleet.messages import ApplicationMessage, Header
-from dunlinloft.fleet.releases.controller import LOOK_INTERVAL_MS, MAX_TALLY_AGE_MS
+from dunlinloft.fleet.releases.controller import EVALUATION_INTERVAL_MS, MAX_TALLY_AGE_MS
 from dunlinloft.fleet.releases.follower import ReleaseFollower
 from dunlinloft.fleet.releases.messages import Order, Tally
 from dunlinloft.fleet.shared_state import messages as shared
@@ -104,7 +104,7 @@
         """The first member is the steward of a release, and says so again and again."""
         order = Order(7, 1, 1, 0.05, 1e12, (), True)
         self.give(self.processes[self.names[0]], shared.ReleaseOrderIssued(order))
-        self.after(LOOK_INTERVAL_MS, self.steer)
+        self.after(EVALUATION_INTERVAL_MS, self.steer)
 
 
 def _pulse(members: int, seed: int) -> dict[str, float]:
--- a/lab/virtual/member.py
+++ b/lab/virtual/member.py
@@ -14,7 +14,7 @@
 from dunlinloft.fleet.member_count import MemberCount
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import ApplicationMessage, MetadataValue
-from dunlinloft.fleet.releases.controller import LOOK_INTERVAL_MS
+from dunlinloft.fleet.releases.controller import EVALUATION_INTERVAL_MS
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.shared_state.core import AFFINITY, RELEASES, SharedState, class_hash
 from dunlinloft.node.fleet.peers import COUNT_S, of_tier
@@ -167,7 +167,7 @@
     def _look(self) -> None:
         if self.releases is not None and self.work is not None:
             self.releases.tick(self.work.holds(STATE_TABLE_ROLE))
-            self.later(LOOK_INTERVAL_MS, self._look)
+            self.later(EVALUATION_INTERVAL_MS, self._look)
 
     def begin(self) -> None:
         """The process can be reached."""
--- a/tests/test_release_controller.py
+++ b/tests/test_release_controller.py
@@ -82,7 +82,7 @@
                 for name, member in self.members.items()
                 if name not in self.not_reporting
             ]
-            self.controller.look(tallies, len(self.members), self.now)
+            self.controller.evaluate(tallies, len(self.members), self.now)
             self.complete_writes()
             self.shares.append(self.controller.order.share if self.controller.order.release_id else 1.0)
         return (self.now - start) / 1000.0
