--- a/dunlinloft/fleet/shared_state/__init__.py
+++ b/dunlinloft/fleet/shared_state/__init__.py
@@ -1,5 +1,5 @@
-"""State replicated among the processes of a fleet, each value with a bound on its staleness.
+"""State replicated among the processes of a fleet, each value with an upper bound on its staleness.
 
-`core.SharedState` joins the parts; a host (`dunlinloft.node.fleet.shared`, the virtual host) gives it events
-and carries out its actions. Why each bound holds: `docs/shared.md`.
+`core.SharedState` combines the components. A host (`dunlinloft.node.fleet.shared` or the virtual host) passes
+events to it and executes its actions. `docs/shared.md` explains why each bound holds.
 """
--- a/dunlinloft/fleet/shared_state/affinity.py
+++ b/dunlinloft/fleet/shared_state/affinity.py
@@ -1,10 +1,11 @@
-"""Affinity of keyed requests to groups: each key has a home group, so a retry needs nobody's memory.
-
-A retry of a call that may have run has to go to the group of the first attempt, whichever process it comes
-to. So the first goes to the key's home, which all processes compute alike (rendezvous hashing, Thaler and
-Ravishankar 1998, over the groups that the configuration names). A process sends a key elsewhere only while
-its home is unavailable, and only after the others know that it may; then it reports these keys. A process
-that cannot know refuses a retry, which is harmless, and counts that. Why it is safe: `docs/shared.md`.
+"""Affinity of keyed requests to groups: each key has a home group, so most retries are routed statelessly.
+
+A retry of a call that may have run has to go to the group of the first attempt, whichever process receives
+it. The first attempt therefore goes to the key's home group, which all processes compute alike (rendezvous
+hashing, Thaler and Ravishankar 1998, over the configured groups). A process binds a key to another group only
+while its home is unavailable, and only after the other processes know that it may; it then reports the bound
+keys. A process that cannot know a key's group refuses the retry, which is harmless, and counts the refusal.
+`docs/shared.md` explains why this is safe.
 """
 
 from __future__ import annotations
@@ -23,27 +24,27 @@
 )
 from dunlinloft.fleet.shared_state.store import MAX_CLOCK_DRIFT
 
-# Without heartbeats of a majority no older than this, the process may be isolated.
+# Without heartbeats from a majority that are no older than this, the process may be isolated.
 MAX_HEARTBEAT_AGE_MS = 3_000.0
-UNAVAILABLE_AFTER_MS = 800.0  # a group has to be unhealthy for this long
-AVAILABLE_AFTER_MS = 3_000.0  # and healthy again for this long
-# Healthy servers, relative to the greatest group, below which a group is unhealthy.
+UNAVAILABLE_AFTER_MS = 800.0  # how long a group is unhealthy before it is announced as unavailable
+AVAILABLE_AFTER_MS = 3_000.0  # how long it is healthy again before it is available
+# A group is unhealthy below this ratio of its healthy servers to the servers of the largest group.
 MIN_HEALTHY_SHARE = 0.3
-MAX_BOUND_KEYS = 60  # away from home at a time; beyond that requests are refused
+MAX_BOUND_KEYS = 60  # keys bound away from home at a time; requests for more are refused
 
 
 class RefusalReason(StrEnum):
-    """Why a keyed request is refused; operators see the values."""
+    """Why a keyed request is refused; the values appear in statistics."""
 
     NONE = ""
-    ISOLATED = "cut off"  # this process has no fresh heartbeats of a majority
+    ISOLATED = "cut off"  # this process has no fresh heartbeats from a majority
     BINDINGS_UNKNOWN = "not told"  # another process may have bound the key, and its bindings are not known
-    TOO_MANY_KEYS = "too many"
+    TOO_MANY_KEYS = "too many"  # `MAX_BOUND_KEYS` are bound already
 
 
 @dataclass(slots=True)
 class KeyRoute:
-    """The group that a keyed request is sent to; none ("") if it is refused."""
+    """The group that a keyed request is sent to; empty if the request is refused."""
 
     group: str
     refusal: RefusalReason = RefusalReason.NONE
@@ -60,8 +61,8 @@
 class PeerBindings:
     """What is known of the bindings of another process."""
 
-    epoch: int  # the latest that is known of
-    read_epoch: int = -1  # the latest whose bindings were read
+    epoch: int  # the latest known
+    read_epoch: int = -1  # the latest whose bindings were received
     unavailable: frozenset[str] = frozenset()
     keys: dict[int, Binding] = field(default_factory=dict)
     expires_ms: float = 0.0  # when this row is removed
@@ -69,11 +70,11 @@
 
 @dataclass(slots=True)
 class Quorum:
-    """When the heartbeats of the other members that count expire, one time for each member."""
+    """When the heartbeats of the other members that count expire, one entry per member."""
 
     fresh_until: list[float]
-    acked_until: list[float]  # of those whose heartbeat knows this process's epoch
-    member_count: int  # all that count, this process included
+    acked_until: list[float]  # only of members whose heartbeat acknowledges this process's epoch
+    member_count: int  # all members that count, including this process
 
 
 def preference(key: int, groups: list[str]) -> list[str]:
@@ -83,20 +84,20 @@
 
 
 def _majority_until(ends: list[float], member_count: int) -> float:
-    """Until when these members, with this process, are a majority."""
-    needed = member_count // 2  # others
+    """Until when these members and this process form a majority."""
+    needed = member_count // 2  # besides this process
     if not needed:
         return math.inf
     return sorted(ends, reverse=True)[needed - 1] if len(ends) >= needed else -math.inf
 
 
 class Affinity:
-    """One process's bindings, and what it knows of the others'.
+    """One process's bindings, and the known bindings of its peers.
 
     Parameters
     ----------
     groups
-        All groups that the configuration names; the same at all processes.
+        All configured groups; the same at all processes.
     window_ms
         The time for which a retry has to go to the group of the first attempt.
     """
@@ -111,12 +112,12 @@
         self._healthy_since: dict[str, float] = {}
         self.keys: dict[int, Binding] = {}  # bound away from home by this process
         self.peers: dict[tuple[str, int], PeerBindings] = {}  # by name and incarnation
-        self.fresh_until_ms = -math.inf  # a majority's heartbeats are fresh
-        self.acked_until_ms = -math.inf  # a majority is known to know this process's epoch
-        self.counts: Counter[str] = Counter()  # elsewhere, and refusals by reason
+        self.fresh_until_ms = -math.inf  # until when a majority's heartbeats are fresh
+        self.acked_until_ms = -math.inf  # until when a majority acknowledges this process's epoch
+        self.counts: Counter[str] = Counter()  # keys bound elsewhere, and refusals by reason
 
     def route(self, key: int, retry: bool, now: float) -> KeyRoute:
-        """The group for a request with this key; `retry` if its caller has sent it before."""
+        """Return the group for a request with this key; `retry` if its caller has sent it before."""
         home, *others = preference(key, self.groups)
         own = self.keys.get(key)
         if own is not None:
@@ -124,7 +125,7 @@
         if retry:
             return self._route_retry(key, home, now)
         if now < self.unavailable.get(home, math.inf) or now >= self.acked_until_ms:
-            return KeyRoute(home)  # it is available, or the others would not know of a binding
+            return KeyRoute(home)  # it is available, or the peers would not know of a binding
         return self._bind(key, home, others, now)
 
     def _route_retry(self, key: int, home: str, now: float) -> KeyRoute:
@@ -152,19 +153,19 @@
         self.counts[reason.value] += 1
         return KeyRoute("", reason)
 
-    # What is known of the groups and of the others
+    # State of groups and peers
 
     def update(
         self, groups: dict[str, tuple[int, int]], quorum: Quorum, alive: dict[str, int], now: float
     ) -> AffinityBindings | None:
-        """Update from the state of the groups and the members; the bindings to report, if they changed.
+        """Update from the state of groups and members; return the bindings to report if they changed.
 
         Parameters
         ----------
         groups
-            By group: healthy servers, and servers in service.
+            Healthy servers and servers in service, by group.
         quorum
-            The heartbeats that are fresh.
+            Expiry times of the fresh heartbeats.
         alive
             The other members that are alive, with their incarnations.
         """
@@ -182,21 +183,21 @@
     def _update_quorum(self, quorum: Quorum, same_epoch: bool, now: float) -> None:
         self.fresh_until_ms = _majority_until(quorum.fresh_until, quorum.member_count)
         acked = _majority_until(quorum.acked_until, quorum.member_count) if same_epoch else -math.inf
-        if now >= acked:  # no majority is known to know: no key is bound elsewhere until it does again
+        if now >= acked:  # no majority acknowledges the epoch: bind no key elsewhere until one does again
             self.unavailable = dict.fromkeys(self.unavailable, math.inf)
         elif now >= self.acked_until_ms:
-            # From now on each fresh heartbeat of one of these was written after it knew the epoch.
+            # After this delay every fresh heartbeat of these members was written with the epoch known.
             ready_ms = now + MAX_HEARTBEAT_AGE_MS * (1.0 + 2.0 * MAX_CLOCK_DRIFT)
             self.unavailable = {group: min(at, ready_ms) for group, at in self.unavailable.items()}
         self.acked_until_ms = acked
 
     def bindings(self, now: float) -> AffinityBindings:
-        """The bindings that this process reports."""
+        """Return the bindings that this process reports."""
         keys = [BoundKey(key, bound.group, int(bound.expires_ms - now)) for key, bound in self.keys.items()]
         return AffinityBindings(self.epoch, sorted(self.unavailable), keys)
 
     def _update_groups(self, groups: dict[str, tuple[int, int]], now: float) -> None:
-        """Mark groups unavailable or available, each after a delay."""
+        """Mark groups as unavailable or available, each after its delay."""
         largest = max((in_service for _, in_service in groups.values()), default=0)
         changed = False
         for group in self.groups:
@@ -218,7 +219,7 @@
         self.epoch += changed
 
     def bindings_received(self, name: str, incarnation: int, bindings: AffinityBindings, now: float) -> None:
-        """Take in the bindings of another process."""
+        """Merge the bindings of another process."""
         if not bindings.epoch:
             return
         peer = self._peer(name, incarnation, bindings.epoch, now)
@@ -231,7 +232,7 @@
             }
 
     def epoch_received(self, name: str, incarnation: int, epoch: int, now: float) -> None:
-        """A member's heartbeat says that it knows of this epoch of another process."""
+        """Record an epoch of another process that a member's heartbeat reports as known."""
         self._peer(name, incarnation, epoch, now)
 
     def _peer(self, name: str, incarnation: int, epoch: int, now: float) -> PeerBindings:
@@ -248,7 +249,7 @@
         return now + (self._window_ms + 2.0 * MAX_HEARTBEAT_AGE_MS) * (1.0 + 2.0 * MAX_CLOCK_DRIFT)
 
     def known_epochs(self, alive: dict[str, int]) -> list[KnownEpoch]:
-        """The epochs known here, of former incarnations too, for this process's heartbeat."""
+        """Return the known epochs, also of former incarnations, for this process's heartbeat."""
         return [
             KnownEpoch(name, incarnation, peer.epoch, alive.get(name) == incarnation)
             for (name, incarnation), peer in self.peers.items()
--- a/dunlinloft/fleet/shared_state/anti_entropy.py
+++ b/dunlinloft/fleet/shared_state/anti_entropy.py
@@ -1,8 +1,9 @@
-"""Anti-entropy by pull gossip: each process pulls the records that are new at a few others.
+"""Anti-entropy by pull gossip: each process pulls new records from a few partners.
 
-Pulled, not pushed: a response is younger than its request, so the time in transit is bounded by the puller's
-own clock, however long a link held a datagram back. Partners are the next ones in two orders of all names
-(the same at all processes that see the same members, so each is pulled from by two) and one at random.
+Records are pulled rather than pushed because a response is younger than its request: the puller bounds the
+time in transit by its own clock, however long a link delayed a datagram. A process's partners are its
+successors in two orders of all names (the same at all processes that see the same members, so each process is
+pulled from by two others) and one random member.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 from dunlinloft.fleet.shared_state.messages import Entry, Message, PullRequest, PullResponse, SendMessage
 from dunlinloft.fleet.shared_state.store import MAX_CLOCK_DRIFT, Store
 
-PULL_INTERVAL_MS = 200.0  # of each partner
-MAX_ENTRIES_BYTES = 1150  # of a datagram, for records
-ENTRY_OVERHEAD_BYTES = 26  # of a record beside its content and its writer's name
-MAX_RESPONSE_DATAGRAMS = 3  # to one request
-RANDOM_PARTNER_INTERVAL_MS = 15_000.0  # after which another random partner is drawn
-MAX_PENDING_REQUESTS = 8  # to one partner
+PULL_INTERVAL_MS = 200.0  # per partner
+MAX_ENTRIES_BYTES = 1150  # for the records of one datagram
+ENTRY_OVERHEAD_BYTES = 26  # of a record, besides its content and its writer's name
+MAX_RESPONSE_DATAGRAMS = 3  # per request
+RANDOM_PARTNER_INTERVAL_MS = 15_000.0  # after which another random partner is chosen
+MAX_PENDING_REQUESTS = 8  # per partner
 
 
 class Partner:
-    """A process that is pulled from: the cursor in its log, and the requests pending there."""
+    """A process that is pulled from: the cursor in its log, and its pending requests."""
 
     __slots__ = ("cursor", "incarnation", "out_of_order", "sent_ms")
 
@@ -30,12 +31,12 @@
         self.incarnation = incarnation
         self.cursor = 0
         self.sent_ms: dict[int, float] = {}  # by request id
-        # Responses that overtook earlier ones: from which cursor to which (used by the cells' directory).
+        # Responses that overtook earlier ones, by start cursor, with their end cursor; used by the directory.
         self.out_of_order: dict[int, int] = {}
 
 
 class AntiEntropy:
-    """Sends pull requests, responds to them, and chooses the partners."""
+    """Creates pull requests, responds to those of others, and chooses the partners."""
 
     def __init__(
         self, store: Store, rng: random.Random, max_response_datagrams: int = MAX_RESPONSE_DATAGRAMS
@@ -48,12 +49,12 @@
         self._random_partner = ""
         self._drawn_ms = -RANDOM_PARTNER_INTERVAL_MS
         self._next_index = 0
-        # No request has the id of an earlier one, nor of one of a former incarnation: a delayed response
-        # would pass for one to the later request, and its records for younger than they are.
+        # Ids start at a random number, so no request reuses the id of a former incarnation's: a delayed
+        # response would match the later request, and its records would seem younger than they are.
         self._request_id = rng.getrandbits(48)
 
     def set_members(self, alive: dict[str, int], now: float) -> None:
-        """Choose partners among the members that are alive, by name and incarnation."""
+        """Choose partners among the live members, given by name with their incarnations."""
         redraw = now - self._drawn_ms >= RANDOM_PARTNER_INTERVAL_MS
         if alive == self._alive and not redraw:
             return
@@ -75,7 +76,7 @@
         return (after or [name for _, name in ranked] or [""])[0]
 
     def pull(self, now: float) -> tuple[list[SendMessage], float]:
-        """A request to the next partner, and the time in ms until the next call."""
+        """Return a request to the next partner, and the time in ms until the next call."""
         names = list(self.partners)
         if not names:
             return [], PULL_INTERVAL_MS
@@ -105,7 +106,7 @@
         return []
 
     def _advance(self, partner: Partner, response: PullResponse) -> None:
-        """Move the cursor, unless a response before this one is missing, which is then requested again."""
+        """Advance the cursor unless an earlier response is missing, which is then requested again."""
         if response.from_cursor <= partner.cursor:
             partner.cursor = max(partner.cursor, response.cursor)
 
--- a/dunlinloft/fleet/shared_state/core.py
+++ b/dunlinloft/fleet/shared_state/core.py
@@ -1,7 +1,7 @@
-"""`SharedState`: one process's part in the shared state, a state machine of events and actions.
+"""`SharedState`: one process's replica of the shared state, a state machine of events and actions.
 
-It joins the store and anti-entropy with what is shared: verdicts on servers, quota shares, affinity,
-releases. The configuration says which of these features are in use; the others cost nothing.
+It connects the store and anti-entropy with the features that use them: verdicts on servers, quota shares,
+affinity and releases. The configuration enables features; disabled ones cost nothing.
 """
 
 from __future__ import annotations
@@ -50,19 +50,19 @@
 from dunlinloft.fleet.shared_state.store import MAX_CLOCK_DRIFT, Store
 from dunlinloft.fleet.shared_state.verdicts import ReceivedReport, VerdictPool
 
-# Features, as the configuration names them.
+# Features, by their names in the configuration.
 VERDICTS = "verdicts"
 LIMITS = "limits"
 AFFINITY = "affinity"
 RELEASES = "releases"
 FEATURES = (VERDICTS, LIMITS, AFFINITY, RELEASES)
-UPDATE_INTERVAL_MS = 250.0  # of what follows from the records
+UPDATE_INTERVAL_MS = 250.0  # between evaluations of the records
 HEARTBEAT_INTERVAL_MS = 750.0
-REPORT_INTERVAL_MS = 400.0  # of observation reports, while any server stands out
+REPORT_INTERVAL_MS = 400.0  # between observation reports while there is anything to report
 TALLY_INTERVAL_MS = 750.0  # while a release is in progress
-# Of a quota, and of the share of retries: smaller changes are not handed to the node.
+# Changes of a quota share (relative) or of the retry share (absolute) that are smaller are not applied.
 MIN_SHARE_CHANGE = 0.02
-LONG_AGO_MS = -1e18
+LONG_AGO_MS = -1e18  # before any reading of the clock
 
 
 class _Timer(StrEnum):
@@ -81,12 +81,12 @@
 
 
 def class_hash(name: str) -> int:
-    """A request class (or zone) in two bytes; 0 is reserved for all classes."""
+    """Hash the name of a request class or zone to two bytes; 0 is reserved for all classes."""
     return 1 + zlib.crc32(name.encode()) % 65535
 
 
 class SharedState:
-    """The shared state as one process holds it; owned by the host, which gives it events.
+    """The shared state as one process holds it; owned by the host, which passes events to it.
 
     Parameters
     ----------
@@ -95,7 +95,7 @@
     features
         Which of `FEATURES` are in use.
     quotas
-        Of tenants, requests a second.
+        By tenant, in requests/s.
     groups, window_ms
         See `Affinity`.
     """
@@ -121,7 +121,7 @@
         self._timers: dict[int, _Timer] = {}
         self._timer_token = 0
         self._quotas = dict(quotas)
-        self.operator_limits: dict[str, float] = {}  # by tenant, of the greatest fencing token so far
+        self.operator_limits: dict[str, float] = {}  # by tenant, with the greatest fencing token so far
         self.operator_limits_token = 0
         self._updated_ms = LONG_AGO_MS
         self._heartbeat_ms = LONG_AGO_MS
@@ -129,20 +129,20 @@
         self._tallied_ms = LONG_AGO_MS
         self._order_written_ms = LONG_AGO_MS
         self._read_bindings: dict[str, tuple[int, int]] = {}  # by writer: incarnation and version
-        self._has_reported = False  # the last observation report was not empty
+        self._has_reported = False  # whether the last observation report had rows
         self.verdicts: list[Verdict] = []
         self.quota_shares = ApplyQuotaShares({}, 1.0, True)
-        self._applied_shares = self.quota_shares  # the last that were handed to the node
+        self._applied_shares = self.quota_shares  # the shares last passed to the node
 
     def begin(self) -> list[Action]:
-        """Start the timers, once the process can be reached."""
+        """Return the actions that start the timers; called once the process is reachable."""
         return [
             self._set_timer(_Timer.PULL, 100.0 * self._rng.random()),
             self._set_timer(_Timer.UPDATE, UPDATE_INTERVAL_MS * self._rng.random()),
         ]
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Handle an event; the actions for the host."""
+        """Handle an event and return the actions for the host."""
         match event:
             case AttemptCompleted():
                 self._handle_attempt_completed(event, now)
@@ -169,7 +169,7 @@
         return []
 
     def route(self, key: int, retry: bool, now: float) -> KeyRoute:
-        """The group for a keyed request, before its first attempt; decided from memory."""
+        """Return the group for a keyed request before its first attempt, without waiting for peers."""
         return self.affinity.route(key, retry, now)
 
     def _set_timer(self, purpose: _Timer, delay_ms: float) -> SetTimer:
@@ -200,7 +200,7 @@
             )
 
     def set_quotas(self, quotas: dict[str, float]) -> None:
-        """The quotas of the settings; limits that operators have set take precedence."""
+        """Replace the configured quotas; limits that operators have set take precedence."""
         self._quotas = dict(quotas)
         self.quota_allocator.quotas = self._quotas | {
             tenant: limit for tenant, limit in self.operator_limits.items() if tenant in self._quotas
@@ -215,7 +215,7 @@
             self._apply_operator_limits(limits)
 
     def _apply_operator_limits(self, limits: OperatorLimits) -> None:
-        """Apply the limits of the greatest token; they stay in force when their writer is gone."""
+        """Apply the limits of the greatest token; they stay in force after their writer has left."""
         if limits.token >= self.operator_limits_token:
             self.operator_limits_token = limits.token
             self.operator_limits = dict(limits.limits)
@@ -224,7 +224,7 @@
     # Releases
 
     def _handle_release_order(self, order: Order, now: float) -> list[Action]:
-        """Write this process's order again at intervals: its age shows that the controller is alive."""
+        """Apply this process's own order, and rewrite it periodically as a sign of life."""
         if order != self.follower.order or now - self._order_written_ms >= HEARTBEAT_INTERVAL_MS:
             self._order_written_ms = now
             self.store.write(RELEASE, encode(order), order, now)
@@ -235,11 +235,11 @@
         if not self.follower.new_servers_changed:
             return []
         self.follower.new_servers_changed = False
-        self._tallied_ms = LONG_AGO_MS  # the tally that acknowledges the order goes out at once
+        self._tallied_ms = LONG_AGO_MS  # send the tally that acknowledges the order at once
         return [LimitNewServers(self.follower.new_servers(), self.follower.order.share)]
 
     def _update_release(self, now: float) -> list[Action]:
-        """Apply the newest order, from its controller or from a member that has applied it."""
+        """Apply the newest order, received from its controller or from a member that has applied it."""
         newest = NO_ORDER
         age_ms = 0.0
         for _, record in self.store.others(RELEASE):
@@ -257,7 +257,7 @@
             self.store.write(TALLY, encode(tally), tally, now)
         return actions
 
-    # The periodic update
+    # Periodic update
 
     def _update(self, now: float) -> list[Action]:
         max_age_ms = max(quota_shares.MAX_DEMAND_AGE_MS, MAX_HEARTBEAT_AGE_MS)
@@ -282,7 +282,7 @@
         return actions
 
     def _update_affinity(self, heartbeats: list[_ReceivedHeartbeat], now: float) -> None:
-        """Take in the others' bindings first, then decide which keys may be bound here."""
+        """Merge the peers' bindings, then decide whether keys may be bound here."""
         alive = self.membership.alive
         self._read_bindings = {
             writer: version for writer, version in self._read_bindings.items() if writer in alive
@@ -299,12 +299,12 @@
             self.store.write(AFFINITY_BINDINGS, encode(bindings), bindings, now)
 
     def _quorum(self, heartbeats: list[_ReceivedHeartbeat], now: float) -> Quorum:
-        """Until when heartbeats are fresh; and take in the epochs that they know of."""
+        """Return when the heartbeats expire, and record the epochs that they know of."""
         quorum = Quorum([], [], self.membership.member_count)
         for writer, age_ms, heartbeat in heartbeats:
             acked = False
             for name, incarnation, epoch, alive in heartbeat.known_epochs:
-                # A former incarnation of this process is another process.
+                # A former incarnation of this process counts as another process.
                 if (name, incarnation) != (self.name, self.store.incarnation):
                     self.affinity.epoch_received(name, incarnation, epoch, now)
                 else:
--- a/dunlinloft/fleet/shared_state/messages.py
+++ b/dunlinloft/fleet/shared_state/messages.py
@@ -1,8 +1,8 @@
 """Records and messages of the shared state, and the events and actions of `core.SharedState`.
 
-A record is a writer's latest value of a kind. It travels with an upper bound on its age, to which each hop
+A record is a writer's latest value of a kind. It is sent with an upper bound on its age, to which each hop
 adds more than the time that passed there, so no two clocks are compared. All records and messages are encoded
-as arrays: the order of fields is the wire format, their names are not.
+as arrays: the order of the fields is part of the wire format, their names are not.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 RELEASE = 5
 TALLY = 6
 SUMMARY = 7
-# By kind, as operators see them.
+# By kind, as shown to operators.
 RECORD_KIND_NAMES = {
     OBSERVATION_REPORT: "findings", HEARTBEAT: "pulse", AFFINITY_BINDINGS: "bindings",
     OPERATOR_LIMITS: "orders", RELEASE: "release", TALLY: "tally", SUMMARY: "summary",
@@ -35,7 +35,7 @@
 
 
 class Entry(Struct, array_like=True, gc=False):
-    """A record in transit; `age_ms` is no less than its true age when it is sent."""
+    """A record in transit; `age_ms` is an upper bound on its age when it is sent."""
 
     kind: int
     writer: str
@@ -70,17 +70,17 @@
 
 
 class ServerStatistics(Struct, array_like=True, gc=False):
-    """What a process has lately observed of one server, for one class of requests; figures in tenths.
+    """A process's recent observations of one server and request class; numbers are in tenths.
 
-    `error_odds` and `loss_odds` (time-outs, failed connects, silence) are log odds that the server fails half
-    of its attempts rather than as its peers do, since that sum was last 0. `successes` are responses since
-    its last failure, decayed; `failure_age_ms` is the time since that failure. With a `class_hash` of 0 the
-    row is about delays in all classes: `error_odds` are log odds that the server is several times slower than
-    its peers, and `slowdown` is how many times.
+    `error_odds` and `loss_odds` (time-outs, failed connects, unresponsiveness) are log odds that the server
+    fails half of its attempts rather than as many as its peers, since the sum was last 0. `successes` is the
+    decayed number of responses since its last failure; `failure_age_ms` is the time since that failure. With
+    a `class_hash` of 0 the row covers delays in all classes: `error_odds` are log odds that the server is
+    several times slower than its peers, and `slowdown` is its delay divided by theirs.
     """
 
     server: int
-    start_id: int  # of the server's process: what is reported of one start is void for the next
+    start_id: int  # of the server's process: rows on an earlier start are ignored
     class_hash: int
     error_odds: int
     loss_odds: int
@@ -90,33 +90,33 @@
 
 
 class ObservationReport(Struct, array_like=True, gc=False):
-    """A process's statistics of the servers that stand out."""
+    """A process's statistics of the servers that deviate from their peers."""
 
     zone: str
     tier: int
-    used: int  # servers with a recent outcome
-    failing: int  # those of them that fail
-    health: int  # the writer's own lateness; 0 is healthy
+    used: int  # number of servers with a recent outcome
+    failing: int  # number of those that fail
+    health: int  # the writer's local health score (its own lateness); 0 is healthy
     statistics: list[ServerStatistics]
 
 
 class KnownEpoch(NamedTuple):
-    """The epoch of another process's bindings that a process knows of."""
+    """The latest epoch of another process's bindings that a process knows."""
 
     name: str
     incarnation: int
     epoch: int
-    alive: bool  # that incarnation, as far as the process knows
+    alive: bool  # whether the process sees that incarnation alive
 
 
 class Heartbeat(Struct, array_like=True, gc=False):
-    """What each process reports at regular intervals, whether it changed or not."""
+    """What each process reports periodically, whether it changed or not."""
 
     zone: str
     tier: int
-    demand: dict[str, float]  # by tenant, requests a second
-    allowed_retries: float  # a second, by its retry controller
-    measured_responses: float  # a second, on which the controller bases that
+    demand: dict[str, float]  # by tenant, in requests/s
+    allowed_retries: float  # retries/s that its retry controller allows
+    measured_responses: float  # responses/s on which the controller bases that
     known_epochs: list[KnownEpoch]  # of processes that may bind keys away from home
 
 
@@ -129,7 +129,7 @@
 
 
 class AffinityBindings(Struct, array_like=True, gc=False):
-    """The groups that a process finds unavailable, and the keys that it has bound elsewhere therefore."""
+    """The groups that a process finds unavailable, and the keys that it has therefore bound elsewhere."""
 
     epoch: int
     unavailable: list[str]
@@ -137,7 +137,7 @@
 
 
 class OperatorLimits(Struct, array_like=True, gc=False):
-    """Tenants' limits (requests a second) that operators have set in the state table, by its leader."""
+    """Tenants' limits (requests/s) that operators have set in the state table, written by its leader."""
 
     token: int  # the leader's fencing token
     limits: dict[str, float]
@@ -155,7 +155,7 @@
 
 
 def decode(kind: int, content: bytes) -> Content | None:
-    """The content of a record; None if it is malformed or its kind is unknown (of a newer version)."""
+    """Decode a record's content; None if it is malformed or of an unknown kind (of a newer version)."""
     try:
         match kind:
             case 1:
@@ -182,7 +182,7 @@
 
 @dataclass(slots=True)
 class MessageReceived:
-    """A message from the process of this name."""
+    """A message was received from the process with this name."""
 
     message: Message
     sender: str
@@ -190,25 +190,25 @@
 
 @dataclass(slots=True)
 class MembershipUpdated:
-    """This process's incarnation and local health, and the other members."""
+    """Membership changed: this process's incarnation and local health, and the other members."""
 
     incarnation: int
     alive: dict[str, int]  # the other members that are alive, with their incarnations
-    counted: frozenset[str]  # members, by name, that count in quorums and quota shares
-    member_count: int  # all that count, also those that are known by number only
-    health: int = 0  # this process's lateness; 0 is healthy
+    counted: frozenset[str]  # names of members that count in quorums and quota shares
+    member_count: int  # all members that count, also those known by number only
+    health: int = 0  # this process's local health score (its lateness); 0 is healthy
 
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A tenant's request has come in."""
+    """A tenant's request was received."""
 
     tenant: str
 
 
 @dataclass(slots=True)
 class AttemptCompleted:
-    """An attempt at a server is over."""
+    """An attempt at a server was completed."""
 
     server: int
     class_name: str
@@ -218,7 +218,7 @@
 
 @dataclass(slots=True)
 class OperatorLimitsRead:
-    """This process leads the state table under this fencing token, and these limits are in it."""
+    """This process leads the state table under this fencing token, and the table holds these limits."""
 
     token: int
     limits: dict[str, float]
@@ -226,20 +226,20 @@
 
 @dataclass(slots=True)
 class ReleaseOrderIssued:
-    """This process is the controller of releases, and this order of its is in force."""
+    """This process is the release controller, and this is its current order."""
 
     order: Order
 
 
 @dataclass(slots=True)
 class NodeStatus:
-    """What this node knows of its servers and its retry controller."""
+    """The node's view of its servers and of its retry controller."""
 
-    start_ids: dict[int, int]  # by listed server, of its process
-    unresponsive: frozenset[int]  # servers that have timed out with attempts in flight
-    groups: dict[str, tuple[int, int]]  # by group: servers that are healthy, and those in service
-    allowed_retries: float  # a second
-    measured_responses: float  # a second
+    start_ids: dict[int, int]  # of the server's process, by listed server
+    unresponsive: frozenset[int]  # servers that timed out with attempts in flight
+    groups: dict[str, tuple[int, int]]  # healthy servers and servers in service, by group
+    allowed_retries: float  # per second
+    measured_responses: float  # per second
     servers: dict[int, ObservedServer] = field(default_factory=dict)  # for releases
 
 
@@ -259,7 +259,7 @@
 
 @dataclass(slots=True)
 class SendMessage:
-    """Send a message to the process of this name."""
+    """Send a message to the process with this name."""
 
     recipient: str
     message: Message
@@ -271,30 +271,30 @@
 
     server: int
     avoid: bool = False
-    class_hashes: frozenset[int] = frozenset()  # the classes it is avoided for; empty: all
-    slowdown: float = 1.0  # its delay over its peers'
-    trial: bool = False  # this process may send one attempt there although it is avoided
+    class_hashes: frozenset[int] = frozenset()  # classes for which it is avoided; empty: all
+    slowdown: float = 1.0  # its delay divided by its peers'
+    trial: bool = False  # this process may send one attempt to it although it is avoided
 
 
 @dataclass(slots=True)
 class ApplyVerdicts:
-    """These verdicts are in force, in place of all earlier ones."""
+    """Apply these verdicts in place of all earlier ones."""
 
     verdicts: list[Verdict] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class ApplyQuotaShares:
-    """This process's shares of the tenants' quotas (requests a second), and its share of retries."""
+    """Apply this process's shares of the tenants' quotas (requests/s), and its share of retries."""
 
     quotas: dict[str, float]
     retry_share: float
-    fallback: bool  # the demand of some members is unknown: they are counted with even shares
+    fallback: bool  # the demand of some members is unknown, so they count with even shares
 
 
 @dataclass(slots=True)
 class LimitNewServers:
-    """These servers run the new release, and get this share of first attempts at most."""
+    """Limit these servers, which run the new release, to this share of first attempts."""
 
     servers: frozenset[int]
     share: float
--- a/dunlinloft/fleet/shared_state/observations.py
+++ b/dunlinloft/fleet/shared_state/observations.py
@@ -1,8 +1,8 @@
-"""What this process has observed of servers, as the statistics that it shares.
+"""This process's observations of servers, and the statistics of them that it shares.
 
-Wald's sequential probability ratio test, as the node's outlier ejection runs it on its own: each failure
-weighs failing half of the attempts against failing as the peers do, each response the other way, and the sum
-never falls below 0.
+The statistics are those of Wald's sequential probability ratio test, which the node's outlier ejection also
+runs locally: each failure is evidence that the server fails half of its attempts rather than as many as its
+peers, each response is evidence against it, and the sum never falls below 0.
 """
 
 from __future__ import annotations
@@ -14,32 +14,33 @@
 from dunlinloft.fleet.releases.follower import AttemptOutcome
 from dunlinloft.fleet.shared_state.messages import ObservationReport, ServerStatistics
 
-FAULTY_FAILURE_SHARE = 0.5  # of attempts: the alternative that is tested for
-MIN_FAILURE_SHARE = 0.01  # that the peers are assumed to have
-MAX_ODDS = 6.0  # of one process's row: one process alone does not suffice for a verdict
-# Time constant with which responses of a server that nobody doubts decay: those from before a fault say
-# nothing.
+FAULTY_FAILURE_SHARE = 0.5  # of attempts, under the alternative hypothesis
+MIN_FAILURE_SHARE = 0.01  # assumed of the peers
+MAX_ODDS = 6.0  # of one process's row, so that one process alone does not suffice for a verdict
+# Decay of the responses of a server that is not suspected; short, as responses from before a fault are no
+# evidence.
 SUCCESS_TIME_CONSTANT_MS = 700.0
-# Time constant of failures, and of the responses of a server that is in doubt.
+# Decay of failures, and of the responses of a suspected server.
 ODDS_TIME_CONSTANT_MS = 4_000.0
-SUSPICION_MS = 30_000.0  # after a failure
+SUSPICION_MS = 30_000.0  # how long a server counts as suspected after a failure
 ALL_CLASSES = 0  # the class hash under which delays are reported
-TESTED_SLOWDOWN = 3.0  # delay over the peers': the alternative that is tested for
-# Odds from which a server is reported unprompted; delays vary by chance.
+TESTED_SLOWDOWN = 3.0  # delay divided by the peers', under the alternative hypothesis
+# Odds from which a server is reported although no other process suspects it; greater for delays, which vary
+# by chance.
 REPORT_ODDS = 1.0
 REPORT_SLOW_ODDS = 2.0
-BASELINE_ATTEMPTS = 100.0  # over which the share of failures, and usual delays, are averaged
+BASELINE_ATTEMPTS = 100.0  # over which the share of failures and the usual delays are averaged
 SLOWDOWN_SAMPLES = 4.0  # over which a server's slowdown is averaged
-MAX_SLOWDOWN_EVIDENCE = 5.0  # delay over the peers', beyond which it is no more evidence
+MAX_SLOWDOWN_EVIDENCE = 5.0  # slowdown beyond which the evidence grows no more
 MAX_SLOWDOWN = 10.0  # that one response counts for
-REPORT_MS = 4_000.0  # for this long after a server stood out it is still reported
-RECENT_MS = 8_000.0  # servers used within this time count as used
-MAX_REPORTED_ROWS = 14  # of one report, the worst first
-EXPIRY_MS = 30_000.0  # without an attempt
+REPORT_MS = 4_000.0  # how long a server is reported after its odds last exceeded the threshold
+RECENT_MS = 8_000.0  # servers with an attempt within this time count as used
+MAX_REPORTED_ROWS = 14  # in one report, the worst first
+EXPIRY_MS = 30_000.0  # after which a row without an attempt is removed
 
 
 class ObservedOdds(NamedTuple):
-    """Log odds by errors and by losses, and responses, all decayed."""
+    """Log odds by errors and by losses, and the number of responses, all decayed."""
 
     errors: float
     losses: float
@@ -47,7 +48,7 @@
 
 
 class Observation:
-    """What was observed of one server, for one class."""
+    """The observations of one server for one class."""
 
     __slots__ = (
         "error_odds",
@@ -63,13 +64,13 @@
         self.error_odds = 0.0
         self.loss_odds = 0.0
         self.successes = 0.0  # responses
-        self.suspect_successes = 0.0  # responses while it was in doubt, which decay more slowly
+        self.suspect_successes = 0.0  # responses while it was suspected, which decay more slowly
         self.updated_ms = -math.inf
         self.failed_ms = -math.inf
         self.reported_ms = -math.inf
 
     def decay(self, now: float) -> None:
-        """Decay all figures to the present."""
+        """Decay all values to the present."""
         if self.updated_ms > -math.inf:
             self.successes *= math.exp((self.updated_ms - now) / SUCCESS_TIME_CONSTANT_MS)
             factor = math.exp((self.updated_ms - now) / ODDS_TIME_CONSTANT_MS)
@@ -79,7 +80,7 @@
         self.updated_ms = now
 
     def as_of(self, now: float) -> ObservedOdds:
-        """The figures as of now, without changing them."""
+        """Return the values decayed to now, without changing them."""
         factor = math.exp((self.updated_ms - now) / ODDS_TIME_CONSTANT_MS)
         successes = self.successes * math.exp((self.updated_ms - now) / SUCCESS_TIME_CONSTANT_MS)
         return ObservedOdds(
@@ -88,17 +89,17 @@
 
 
 class ServerObservations:
-    """All that this process has lately observed, by server and class."""
+    """This process's recent observations, by server and class."""
 
     def __init__(self) -> None:
         self.rows: dict[tuple[int, int], Observation] = {}
-        self._slowdowns: dict[int, tuple[float, int]] = {}  # by server: mean, and of how many samples
+        self._slowdowns: dict[int, tuple[float, int]] = {}  # mean and number of samples, by server
         self._start_ids: dict[int, int] = {}
         self._usual_ms: dict[int, float] = {}  # by class: mean delay
         self._failure_share = 0.0  # of all attempts
         self._unresponsive: frozenset[int] = frozenset()
         self.suspected_servers: set[int] = set()  # servers that others report as faulty
-        self.unreported = 0  # rows that stood out and did not fit a report
+        self.unreported = 0  # rows that were due and did not fit into a report
 
     def _evidence(self, failed: bool) -> float:
         peers = max(MIN_FAILURE_SHARE, min(self._failure_share, FAULTY_FAILURE_SHARE))
@@ -109,7 +110,7 @@
     def attempt_completed(
         self, server: int, class_hash: int, outcome: AttemptOutcome, duration_ms: float, now: float
     ) -> None:
-        """Count the outcome of an attempt: good, error or lost."""
+        """Record the outcome of an attempt: good, error or lost."""
         if server not in self._start_ids:
             return
         row = self.rows.setdefault((server, class_hash), Observation())
@@ -137,7 +138,7 @@
             row.successes += 1.0
 
     def _add_delay(self, server: int, class_hash: int, duration_ms: float, now: float) -> None:
-        """The same test for delays, taken as exponential: is it `TESTED_SLOWDOWN` times its peers'?"""
+        """Test for delays of `TESTED_SLOWDOWN` times the peers', assuming exponential distributions."""
         usual_ms = self._usual_ms.get(class_hash)
         if usual_ms:
             slowdown = min(MAX_SLOWDOWN, duration_ms / usual_ms)
@@ -146,7 +147,7 @@
             self._slowdowns[server] = mean + (slowdown - mean) / min(SLOWDOWN_SAMPLES, samples), samples
             row = self.rows.setdefault((server, ALL_CLASSES), Observation())
             row.decay(now)
-            # Delays have long tails: no single response is much evidence.
+            # Delays have long tails, so the evidence of a single response is limited.
             evidence = min(slowdown, MAX_SLOWDOWN_EVIDENCE) * (1.0 - 1.0 / TESTED_SLOWDOWN)
             evidence -= math.log(TESTED_SLOWDOWN)
             row.error_odds = min(MAX_ODDS, max(0.0, row.error_odds + evidence))
@@ -160,7 +161,7 @@
         )
 
     def update_servers(self, start_ids: dict[int, int], unresponsive: frozenset[int], now: float) -> None:
-        """Take the listed and the unresponsive servers; rows of former starts are removed."""
+        """Replace the listed and the unresponsive servers; remove the rows of former starts."""
         for key in list(self.rows):
             server = key[0]
             restarted = start_ids.get(server) != self._start_ids.get(server)
@@ -175,7 +176,7 @@
         self._unresponsive = unresponsive
 
     def _usage(self, now: float) -> tuple[int, int]:
-        """How many servers were used recently, and how many of them fail more than occasionally."""
+        """Count the servers used recently, and those of them that fail more than occasionally."""
         used = set()
         failing = set()
         for (server, class_hash), row in self.rows.items():
@@ -186,7 +187,7 @@
         return len(used), len(failing)
 
     def report(self, zone: str, tier: int, health: int, now: float) -> ObservationReport | None:
-        """The servers that stand out here, and how those do that others doubt; None if there are none."""
+        """Report servers that deviate here, and those that others suspect; None if there are none."""
         rows = list(self._reported_rows(now))
         if not rows:
             return None
--- a/dunlinloft/fleet/shared_state/quota_shares.py
+++ b/dunlinloft/fleet/shared_state/quota_shares.py
@@ -1,17 +1,17 @@
-"""Shares of tenants' quotas by demand, whose sum stays within the quota without coordination.
-
-Each process reports its demand and computes its own share by the same rule from what it has received. If the
-quota covers the demand, it is divided in proportion, otherwise by max-min fairness. Shares grow late and
-shrink at once: of its own demand a process takes the least that it reported within `DISSEMINATION_MS`, of the
-others' the greatest that it received within it. If everything reported before that has reached all, then
-every process takes for every other no less than that one takes for itself; a share falls with the demand of
-others, so each share is no more than the rule gives for one and the same set of demands, and these add up to
-the quota at most.
-
-Beyond the bound on its age a member's demand counts as an even share, so the sides of a partition keep to the
-even shares of the members on their side. With max-min fairness an even share is never taken from a process
-that demands it, so a side that still receives the other's small demand can exceed the quota only for as long
-as the bound.
+"""Shares of tenants' quotas by demand; their sum stays within the quota without coordination.
+
+Each process reports its demand and computes its own share by the same rule from the demands it has received.
+If the quota covers the total demand, it is divided in proportion to demand, otherwise by max-min fairness.
+Shares grow with a delay and shrink at once: a process uses the smallest of its own demands that it reported
+within `DISSEMINATION_MS`, and the greatest that it received from each other process within that time. If
+every earlier report has reached all members, each process assumes for every other at least the demand that
+the other assumes for itself. A share falls with the demand of others, so each share is at most what the rule
+gives for one common set of demands, and those shares add up to the quota at most.
+
+A member whose reported demand is older than the bound counts with an even share, so each side of a partition
+stays within the even shares of its members. Max-min fairness never takes an even share from a process that
+demands it, so a side that still uses the other side's small demand can exceed the quota only until the bound
+on its age.
 """
 
 from __future__ import annotations
@@ -23,26 +23,26 @@
 
 from dunlinloft.fleet.shared_state.messages import Heartbeat
 
-MAX_DEMAND_AGE_MS = 2_000.0  # a member whose demand may be older counts with an even share
-DISSEMINATION_MS = 1_200.0  # within which a reported value has reached all members, without a partition
+MAX_DEMAND_AGE_MS = 2_000.0  # a member whose reported demand may be older counts with an even share
+DISSEMINATION_MS = 1_200.0  # within which a reported value reaches all members, without a partition
 DEMAND_TIME_CONSTANT_MS = 4_000.0  # of the exponential average
-# A change of less than this share of the reported demand, or than one standard deviation by chance, is not
-# reported.
+# A change is not reported if it is less than this share of the reported demand, or less than one standard
+# deviation of the random variation.
 REPORT_HYSTERESIS = 0.08
-# Of an even share, that each process counts with at least: its next request may come at any time.
+# Share of an even share that each process is given at least, as its next request may come at any time.
 MIN_DEMAND_SHARE = 0.1
-MIN_MEASURED_RESPONSES = 3.0  # a second, from which a retry controller's rate counts
+MIN_MEASURED_RESPONSES = 3.0  # per second, from which a retry controller's rate counts
 
 
 class ReportedDemand(NamedTuple):
-    """A demand in requests a second, and from when it was in force."""
+    """A demand in requests/s, and since when it has been reported."""
 
     since_ms: float
     per_s: float
 
 
 def _append(reported: deque[ReportedDemand], per_s: float, now: float) -> None:
-    """Add the latest value, and keep those that were in force within the last `DISSEMINATION_MS`."""
+    """Append the latest value, and drop those replaced more than `DISSEMINATION_MS` ago."""
     if not reported or reported[-1].per_s != per_s:
         reported.append(ReportedDemand(now, per_s))
     while len(reported) > 1 and reported[1].since_ms <= now - DISSEMINATION_MS:
@@ -50,7 +50,7 @@
 
 
 class Demand:
-    """The rate of a tenant's requests at this process, and what was reported of it."""
+    """The rate of a tenant's requests at this process, and the values reported of it."""
 
     __slots__ = ("_count", "_started_ms", "_updated_ms", "reported")
 
@@ -66,7 +66,7 @@
         self._updated_ms = now
 
     def per_s(self, now: float) -> float:
-        """Requests a second, averaged over a second at least."""
+        """Return the rate in requests/s, averaged over at least a second."""
         span_ms = DEMAND_TIME_CONSTANT_MS * (
             1.0 - math.exp((self._started_ms - now) / DEMAND_TIME_CONSTANT_MS)
         )
@@ -75,13 +75,13 @@
 
 
 def quota_share(quota: float, own: float, others: list[float]) -> float:
-    """One process's share of a quota, by its own demand and the others'.
+    """Return one process's share of a quota from its own demand and the others'.
 
-    Grows with its own and falls with any other's; the shares of all add up to the quota at most.
+    The share grows with its own demand and falls with any other's; all shares add up to the quota at most.
     """
     total = own + sum(others)
     if total <= quota:
-        # The quotient first: for subnormal demands the product loses its digits, and gave more than all.
+        # Divide first: for subnormal demands the product loses precision, and the share exceeded the quota.
         return max(own, quota * (own / total)) if total else quota / (1 + len(others))
     remaining = quota
     count = 1 + len(others)
@@ -100,10 +100,10 @@
     def __init__(self, name: str, quotas: dict[str, float], now: float) -> None:
         self._name = name
         self._started_ms = now
-        self.quotas = dict(quotas)  # by tenant, requests a second
+        self.quotas = dict(quotas)  # by tenant, in requests/s
         self._own: dict[str, Demand] = {}
         self._received: dict[str, dict[str, deque[ReportedDemand]]] = {}  # by process and tenant
-        self.fallback = True  # some members count with an even share
+        self.fallback = True  # whether some members count with an even share
         self.known_count = 0  # members whose demand is known, this process included
 
     def request_received(self, tenant: str, now: float) -> None:
@@ -112,7 +112,7 @@
             self._own.setdefault(tenant, Demand(now)).add_request(now)
 
     def report_demand(self, now: float) -> dict[str, float]:
-        """The demand to report (requests a second, by tenant); it counts as reported from now on."""
+        """Return the demand to report, in requests/s by tenant; it counts as reported from now on."""
         found: dict[str, float] = {}
         for tenant, demand in self._own.items():
             value = round(demand.per_s(now), 1)
@@ -126,7 +126,7 @@
         return found
 
     def update_demand(self, heartbeats: Iterable[tuple[str, Heartbeat]], now: float) -> set[str]:
-        """Take the others' demand from heartbeats within the bound; the members whose demand is known."""
+        """Take the others' demand from heartbeats within the age bound; return who wrote them."""
         writers = set()
         for writer, heartbeat in heartbeats:
             writers.add(writer)
@@ -142,14 +142,14 @@
     def shares(
         self, counted: frozenset[str], member_count: int, fresh: set[str], now: float
     ) -> dict[str, float]:
-        """This process's share of each quota, in requests a second.
+        """Return this process's share of each quota, in requests/s.
 
         Parameters
         ----------
         counted
-            The other members that count, by name.
+            Names of the other members that count.
         member_count
-            All that count, this process and those known by number only included.
+            All members that count, including this process and those known by number only.
         fresh
             Members whose demand is known, from `update_demand`.
         """
@@ -174,9 +174,9 @@
 
 
 def retry_share(heartbeats: Iterable[Heartbeat]) -> float:
-    """The share of retries that all retry controllers together allow; 1 if too little is known.
+    """Return the share of retries that all retry controllers together allow; 1 if too little is known.
 
-    A controller that has measured little allows all retries; the others know better.
+    Controllers that have measured few responses are left out, as they allow all retries.
     """
     allowed = 0.0
     measured = 0.0
--- a/dunlinloft/fleet/shared_state/store.py
+++ b/dunlinloft/fleet/shared_state/store.py
@@ -1,7 +1,7 @@
 """Replicated records by kind and writer, as one process holds them, each with an upper bound on its age.
 
-Of two records of a kind and writer the one with the greater (incarnation, version) is valid, so merging is
-commutative, associative and idempotent; of two copies of a record the smaller bound on its age is valid.
+Of two records of the same kind and writer the one with the greater (incarnation, version) wins, so merging is
+commutative, associative and idempotent. Of two copies of a record the smaller bound on its age is kept.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
     decode,
 )
 
-# The rates of two clocks differ by this share at most: a time measured here is lengthened by it.
+# The rates of two clocks differ by at most this share; measured times are lengthened by it.
 MAX_CLOCK_DRIFT = 0.02
-# Of a record's content, by kind.
+# Size limit of a record's content, by kind.
 MAX_CONTENT_BYTES = {
     OBSERVATION_REPORT: 600, HEARTBEAT: 500, AFFINITY_BINDINGS: 1100, OPERATOR_LIMITS: 1000, RELEASE: 300,
     TALLY: 1100, SUMMARY: 400,
 }  # fmt: skip
-# Of a kind; beyond it the oldest record of an unknown writer is evicted, or else the oldest of all.
+# Records of a kind; beyond that the oldest record of an unknown writer is evicted, or else the oldest of all.
 MAX_WRITERS = 2048
 
 Key = tuple[int, str]
@@ -47,12 +47,12 @@
         self.version = entry.version
         self.data = entry.content
         self.content = content
-        self.written_ms = written_ms  # on this clock, no later than it was written
+        self.written_ms = written_ms  # lower bound on the time of writing, on this process's clock
         self.sequence = sequence  # its offset in this process's log
-        self.source = source  # the process that it was pulled from; "" for an own record
+        self.source = source  # the process it was pulled from; empty for this process's own records
 
     def age_ms(self, now: float) -> float:
-        """An upper bound on the record's age."""
+        """Return an upper bound on the record's age."""
         return (now - self.written_ms) * (1.0 + MAX_CLOCK_DRIFT)
 
 
@@ -65,7 +65,7 @@
 
 
 class Store:
-    """All records that one process holds, its own among them.
+    """All records that one process holds, including its own.
 
     `sequence` is the end of its log of changes, from which `anti_entropy` serves other processes.
     """
@@ -75,20 +75,20 @@
         self.incarnation = incarnation
         self._max_writers = max_writers
         self._records: dict[Key, StoredRecord] = {}  # in order of their last change
-        self._incarnations: dict[str, int] = {}  # of the members that are alive
+        self._incarnations: dict[str, int] = {}  # of the live members
         self._version = 0
         self.sequence = 0
         self.counts: Counter[str] = Counter()  # broken, long, foreign, overflow, stale
 
     def set_incarnation(self, incarnation: int) -> None:
-        """This process has a new incarnation under its name: records of the former one are void."""
+        """Adopt this process's new incarnation; its records under the former one are removed."""
         if incarnation != self.incarnation:
             self.incarnation = incarnation
             for key in [key for key in self._records if key[1] == self.name]:
                 del self._records[key]
 
     def write(self, kind: int, data: bytes, content: Content, now: float) -> bool:
-        """Write a record of this process; False, and nothing written, if it exceeds its kind's limit."""
+        """Write a record of this process; return False without writing if it exceeds its kind's limit."""
         if len(data) > MAX_CONTENT_BYTES[kind]:
             self.counts["long"] += 1
             return False
@@ -104,7 +104,7 @@
         self._records[key] = StoredRecord(entry, content, written_ms, self.sequence, source)
 
     def merge(self, entry: Entry, transit_ms: float, source: str, now: float) -> bool:
-        """Merge a record that was in transit for at most `transit_ms`; whether it was new."""
+        """Merge a record that was in transit for at most `transit_ms`; return whether it was new."""
         if entry.writer == self.name or entry.kind not in RECORD_KIND_NAMES:
             return False
         incarnation = self._incarnations.get(entry.writer)
@@ -131,7 +131,7 @@
         return True
 
     def _evict(self, kind: int) -> None:
-        """Remove a record if there are too many of a kind: of unknown writers the oldest, or else of all."""
+        """Remove a record if a kind has too many: the oldest of an unknown writer, or else the oldest."""
         if len(self._records) <= self._max_writers:
             return
         keys = [key for key in self._records if key[0] == kind and key[1] != self.name]
@@ -141,10 +141,10 @@
             self.counts["overflow"] += 1
 
     def set_members(self, alive: dict[str, int]) -> None:
-        """These members are alive, with these incarnations.
+        """Replace the live members and their incarnations.
 
-        Records of members that were alive before, and of earlier incarnations, are removed. Records of
-        writers that were never alive here stay: they may be ahead of membership's updates.
+        Records of members that are no longer alive, and of earlier incarnations, are removed. Records of
+        writers that have not been alive here yet are kept, as they may arrive before the membership update.
         """
         removed = self._incarnations.keys() - alive.keys()
         self._incarnations = dict(alive)
@@ -155,14 +155,14 @@
                 del self._records[key]
 
     def read(self, kind: int, max_age_ms: float, now: float) -> Iterator[tuple[str, StoredRecord]]:
-        """Records of a kind that living members wrote, surely no older than `max_age_ms`."""
+        """Yield the records of a kind by live members that are no older than `max_age_ms` for certain."""
         for writer, record in self.others(kind):
             alive = self._incarnations.get(writer) == record.incarnation
             if alive and record.age_ms(now) <= max_age_ms:
                 yield writer, record
 
     def get(self, kind: int, writer: str) -> StoredRecord | None:
-        """A record of any age; None if its writer is not alive, or has written none of this kind."""
+        """Return a record of any age; None if its writer is not alive or has written none of this kind."""
         record = self._records.get((kind, writer))
         if record is None:
             return None
@@ -171,23 +171,23 @@
         return record
 
     def changed_after(self, cursor: int, reader: str) -> list[StoreItem]:
-        """Records changed after an offset of the log, oldest first, without those that the reader has."""
+        """Return records changed after an offset of the log, oldest first, except those the reader has."""
         found = []
         for (kind, writer), record in reversed(self._records.items()):
             if record.sequence <= cursor:
                 break
-            # A reader that starts without records may have sent us what it has lost since.
+            # A reader at cursor 0 may have restarted and lost the records that were pulled from it.
             if reader != writer and (reader != record.source or not cursor):
                 found.append(StoreItem(kind, writer, record))
         return found[::-1]
 
     def others(self, kind: int) -> Iterator[tuple[str, StoredRecord]]:
-        """All records of a kind by other writers, of any age, also of unknown writers."""
+        """Yield all records of a kind by other writers, known or not, of any age."""
         for (record_kind, writer), record in self._records.items():
             if record_kind == kind and writer != self.name:
                 yield writer, record
 
     def all(self) -> Iterator[StoreItem]:
-        """All records, for the admin endpoint and checks."""
+        """Yield all records, for the admin endpoint and checks."""
         for (kind, writer), record in self._records.items():
             yield StoreItem(kind, writer, record)
--- a/dunlinloft/fleet/shared_state/verdicts.py
+++ b/dunlinloft/fleet/shared_state/verdicts.py
@@ -1,9 +1,9 @@
 """Pooled outlier verdicts: the statistics of many processes, weighted by how independent they are.
 
-Errors that a server responds with are its own, so each process's count adds up. Time-outs and failed connects
-may be a link's: of each zone the strongest row counts, once. What a zone's own processes observe of a server
-outweighs what other zones do. The report of a process that sees most servers fail is ignored: the fault is
-its own.
+Error responses are caused by the server itself, so the evidence of all processes is added up. Time-outs and
+failed connects may be caused by a link, so only the strongest row of each zone counts. Observations from a
+member's own zone outweigh those from other zones. The report of a process that sees most servers fail is
+ignored, as the fault is its own.
 """
 
 from __future__ import annotations
@@ -25,26 +25,27 @@
 
 MAX_REPORT_AGE_MS = 2_500.0  # reports that may be older are ignored
 AVOID_ODDS = 7.0  # pooled log odds from which a server is avoided
-KEEP_ODDS = 2.0  # and below which it no longer is
-SLOW_ODDS = 4.0  # from which a server is taken for slow: it gets less, but is not avoided
-SUSPECT_ODDS = 5.0  # from which all processes report on a server
-# A failure older than this counts half for each response that others had since.
+KEEP_ODDS = 2.0  # log odds below which an avoided or slow server no longer counts as such
+SLOW_ODDS = 4.0  # log odds from which a server counts as slow: its load is reduced, but it is not avoided
+SUSPECT_ODDS = 5.0  # log odds from which all processes report on a server
+# The weight of a failure older than this is halved for each response that other members have had.
 STALE_FAILURE_MS = 1_500.0
-STALE_HALVINGS = 1.0  # for each of these responses
-# Members of the own zone that have to agree where no other zone does.
+STALE_HALVINGS = 1.0  # per such response
+# Members of the own zone that have to lose attempts before `OWN_ZONE_WEIGHT` applies, with which their losses
+# suffice without another zone's.
 MIN_ZONE_MEMBERS = 2
 OWN_ZONE_WEIGHT = 1.5  # of the own zone's losses, as its links are the ones in use
-MIN_LOSER_ODDS = 1.0  # by losses, from which a member counts among those
+MIN_LOSER_ODDS = 1.0  # loss odds from which a member counts among these
 MAX_AVOIDED_SHARE = 0.5  # of the servers
-# An avoided server is tried by some member at intervals of this share of the time since it is avoided, within
-# the bounds: by all members together, and ever more rarely.
+# The members together try an avoided server at intervals of this share of the time since it was first
+# avoided, within the bounds, so trials become less frequent.
 TRIAL_INTERVAL_SHARE = 0.5
 MIN_TRIAL_INTERVAL_MS = 1_000.0
 MAX_TRIAL_INTERVAL_MS = 10_000.0
-# Without any report on the server a verdict expires.
+# A verdict expires after so long without a report on the server.
 VERDICT_EXPIRY_MS = 20_000.0
 SLOW_EXPIRY_MS = 10_000.0
-USER_EXPIRY_MS = 30_000.0  # a member that reported on a server within this time uses it
+USER_EXPIRY_MS = 30_000.0  # a member that reported on a server within this time counts as its user
 SUCCESS_EVIDENCE = math.log((1.0 - MIN_FAILURE_SHARE) / (1.0 - FAULTY_FAILURE_SHARE))
 
 
@@ -57,7 +58,7 @@
 
 
 class _Row(NamedTuple):
-    """A row of a report, and the age of its failure with the report's."""
+    """A row of a report; the age of its failure includes the age of the report."""
 
     writer: str
     report: ObservationReport
@@ -66,7 +67,7 @@
 
 
 class _Contribution(NamedTuple):
-    """What one member's report says of a server, weighted, over all classes."""
+    """The weighted evidence of one member's report on a server."""
 
     zone: str
     errors: float
@@ -75,7 +76,7 @@
 
 
 class _Slow(NamedTuple):
-    """A slow server: its delay over its peers', and when that was last reported."""
+    """A slow server: its delay divided by its peers', and when that was last reported."""
 
     slowdown: float
     reported_ms: float
@@ -87,14 +88,14 @@
 
     errors: float = 0.0
     own_zone_errors: float = 0.0
-    losses: dict[str, float] = field(default_factory=dict)  # by zone: the strongest
+    losses: dict[str, float] = field(default_factory=dict)  # the greatest, by zone
     own_zone_losers: int = 0  # members of the own zone that lost attempts there
-    weighted_slowdown: float = 0.0  # the delay over the peers', times `errors`
+    weighted_slowdown: float = 0.0  # sum of slowdowns weighted by error odds
     successes: float = 0.0
     own_zone_successes: float = 0.0
 
     def add(self, contribution: _Contribution, own_zone: str) -> None:
-        """Add what one member says; it counts for no more than `MAX_ODDS`, so that none suffices alone."""
+        """Add one member's evidence, limited to `MAX_ODDS` so that no member suffices alone."""
         errors = min(contribution.errors, MAX_ODDS)
         losses = min(contribution.losses, MAX_ODDS - errors)
         self.errors += errors
@@ -107,13 +108,13 @@
             self.losses[contribution.zone] = max(self.losses.get(contribution.zone, 0.0), losses)
 
     def odds(self, zone: str) -> float:
-        """Log odds, for members of this zone, that it fails half of its attempts, not as its peers do."""
+        """Return the log odds, for this zone's members, that the server fails half of its attempts."""
         overall = self.errors + sum(self.losses.values()) - SUCCESS_EVIDENCE * self.successes
         losses = self.losses.get(zone, 0.0)
         own_zone = self.own_zone_errors
         own_zone += losses * (OWN_ZONE_WEIGHT if self.own_zone_losers >= MIN_ZONE_MEMBERS else 1.0)
         own_zone -= SUCCESS_EVIDENCE * self.own_zone_successes
-        # Where the own zone has observed anything it decides: links differ from zone to zone.
+        # The own zone's observations take precedence, as links differ between zones.
         if self.own_zone_successes > 1.0 and own_zone < 0.0:
             return own_zone
         if not (self.own_zone_successes or self.own_zone_errors or losses):
@@ -122,7 +123,7 @@
 
 
 class _Pooled(NamedTuple):
-    """All members' statistics, by server and class, and by server over all its classes."""
+    """All members' statistics, by server and class, and by server over all classes."""
 
     by_class: dict[tuple[int, int], _PooledOdds]
     by_server: dict[int, _PooledOdds]
@@ -135,26 +136,26 @@
         self._zone = zone
         self._tier = tier
         self._rng = rng
-        self._avoided: dict[tuple[int, int], float] = {}  # server and class (0: all), and since when
+        self._avoided: dict[tuple[int, int], float] = {}  # since when, by server and class (0: all)
         self._slow: dict[int, _Slow] = {}
-        self._last_evidence_ms: dict[int, float] = {}  # by avoided server: the last report against it
-        self._users: dict[int, dict[str, float]] = {}  # by server: who reported on it, and when last
-        self.suspected_servers: set[int] = set()  # servers that all should report on
-        self.capped = 0  # verdicts beyond `MAX_AVOIDED_SHARE`
+        self._last_evidence_ms: dict[int, float] = {}  # latest evidence against an avoided server
+        self._users: dict[int, dict[str, float]] = {}  # members that reported, and when last, by server
+        self.suspected_servers: set[int] = set()  # servers that all members should report on
+        self.capped = 0  # verdicts dropped because of `MAX_AVOIDED_SHARE`
 
     def update(
         self, received: Iterable[ReceivedReport], start_ids: dict[int, int], elapsed_ms: float, now: float
     ) -> list[Verdict]:
-        """The verdicts on listed servers.
+        """Return the verdicts on listed servers.
 
         Parameters
         ----------
         received
-            The members' reports, this process's own included.
+            The members' reports, including this process's own.
         start_ids
-            By listed server, of its process.
+            Of the server's process, by listed server.
         elapsed_ms
-            Since the last update, for the rate of trials.
+            Time since the last update, for the rate of trials.
         """
         reports = [r for r in received if r.report.tier == self._tier and _is_healthy(r.report)]
         pooled = self._pool(reports, start_ids, now)
@@ -174,12 +175,12 @@
             for row in report.statistics
             if start_ids.get(row.server, -1) == row.start_id
         ]
-        successes: dict[tuple[int, int], float] = {}  # recent ones, of all members
+        successes: dict[tuple[int, int], float] = {}  # recent responses of all members
         for _, _, row, _ in rows:
             key = row.server, row.class_hash
             successes[key] = successes.get(key, 0.0) + row.successes / 10.0
         pooled = _Pooled({}, {})
-        by_member: dict[tuple[int, str], _Contribution] = {}  # by server and member, over all classes
+        by_member: dict[tuple[int, str], _Contribution] = {}  # over all classes, by server and member
         for writer, report, row, failure_age_ms in rows:
             self._users.setdefault(row.server, {})[writer] = now
             weight = 1.0 / (1.0 + 0.5 * report.health)
@@ -198,8 +199,8 @@
         return pooled
 
     def _judge(self, pooled: _Pooled, start_ids: dict[int, int], now: float) -> None:
-        """Update which servers are avoided, for which classes; the worst first, within the share allowed."""
-        candidates: dict[tuple[int, int], float] = {}  # with the odds
+        """Update the avoided servers and classes: the worst first, up to `MAX_AVOIDED_SHARE`."""
+        candidates: dict[tuple[int, int], float] = {}  # odds, by server and class
         self._judge_delays(pooled.by_class, start_ids, now)
         for server, by_class in self._odds_by_server(pooled.by_class).items():
             total = pooled.by_server[server].odds(self._zone)
@@ -207,7 +208,7 @@
             if any(odds > 0.0 for odds in by_class.values()):
                 self._last_evidence_ms[server] = now
         for server, class_hash in self._avoided:
-            # Without a report nobody has tried the server, which is evidence of nothing.
+            # No report means that no member tried the server, which is no evidence either way.
             unreported = server not in pooled.by_server
             recent = now - self._last_evidence_ms.get(server, -math.inf) < VERDICT_EXPIRY_MS
             if unreported and server in start_ids and recent:
@@ -247,12 +248,12 @@
     def _judge_server(
         self, server: int, total: float, by_class: dict[int, float]
     ) -> dict[tuple[int, int], float]:
-        """What is avoided of one server: all classes (0), some, or none.
+        """Return what to avoid of one server: all classes (0), some or none, with the odds.
 
         Parameters
         ----------
         total, by_class
-            The pooled odds over all classes, and of each.
+            The pooled odds over all classes, and of each class.
         """
         responding = any(odds < -SUCCESS_EVIDENCE for odds in by_class.values())
         avoided = (server, 0) in self._avoided
@@ -294,7 +295,7 @@
 
 
 def _contribution(zone: str, row: ServerStatistics, weight: float) -> _Contribution:
-    """What a row says; none counts for more than one process may observe, whatever it claims."""
+    """Return the evidence of a row, limited to what one process can observe, whatever the row claims."""
     max_tenths = round(10.0 * MAX_ODDS)
     errors = weight * min(row.error_odds, max_tenths)
     losses = weight * min(row.loss_odds, max_tenths)
@@ -302,7 +303,7 @@
 
 
 def _sum(known: _Contribution | None, added: _Contribution) -> _Contribution:
-    """Add up what one member says of a server's classes."""
+    """Add up one member's evidence over a server's classes."""
     if known is None:
         return added
     return _Contribution(
@@ -314,12 +315,12 @@
 
 
 def _is_healthy(report: ObservationReport) -> bool:
-    """Whether the reporting member is not faulty itself: one that sees most of its servers fail."""
+    """Whether the reporting member is sound: one that sees most of its servers fail is faulty itself."""
     return 2 * report.failing <= report.used
 
 
 def _freshness(row: ServerStatistics, failure_age_ms: float, successes_since: float) -> float:
-    """The weight of a failure by its age, and by the responses that others have had."""
+    """Return the weight of a failure by its age and the responses that other members have had since."""
     weight = math.exp(-max(0.0, failure_age_ms - row.failure_age_ms) / ODDS_TIME_CONSTANT_MS)
     if failure_age_ms > STALE_FAILURE_MS:
         weight *= 0.5 ** (STALE_HALVINGS * successes_since)
