--- a/dunlinloft/fleet/releases/__init__.py
+++ b/dunlinloft/fleet/releases/__init__.py
@@ -1,5 +1,6 @@
-"""Staged releases of servers: a new build that harms calls is found by a sequential test, and rolled back.
+"""Staged releases of servers: a sequential test detects a new build that harms calls, which is rolled back.
 
-Pure state machines; `docs/releases.md` has the design. `controller` runs where the state table's leader is,
-`follower` at every member; `dunlinloft.fleet.shared_state` carries orders and tallies between them.
+The modules are pure state machines; `docs/releases.md` describes the design. `controller` runs at the state
+table's leader, `follower` at every member; `dunlinloft.fleet.shared_state` transports orders and tallies
+between them.
 """
--- a/dunlinloft/fleet/releases/follower.py
+++ b/dunlinloft/fleet/releases/follower.py
@@ -1,6 +1,6 @@
-"""A member's part in a release: applies the controller's orders, and counts calls of new and old servers.
+"""A member's part in a release: applies the controller's orders, and counts calls to new and old servers.
 
-`shared_state.core` owns the follower of a process, and carries orders to it and tallies from it.
+`shared_state.core` owns the follower of a process, passes orders to it and takes tallies from it.
 """
 
 from __future__ import annotations
@@ -10,22 +10,22 @@
 from dunlinloft.fleet.releases.latency_quantiles import LatencyQuantiles
 from dunlinloft.fleet.releases.messages import NO_ORDER, CallCounts, Order, Tally, empty_counts
 
-MAX_COUNTS = 20  # classes times zones of a tally, so that it fits a datagram
-# An order older than this is stale: its controller is out of reach. It stays in force all the same.
+MAX_COUNTS = 20  # entries (by class and zone) of a tally, so that it fits a datagram
+# An order that was not repeated for so long is stale: its controller is unreachable. It stays in force.
 MAX_ORDER_AGE_MS = 5_000.0
 
 
 class AttemptOutcome(StrEnum):
-    """How an attempt at a server was completed."""
+    """The outcome of an attempt at a server."""
 
     GOOD = "good"
     ERROR = "error"
-    LOST = "lost"  # the connection
-    FULL = "full"  # the server refused it
+    LOST = "lost"  # the connection failed
+    FULL = "full"  # the server refused the request for lack of capacity
 
 
 class ObservedServer:
-    """What a member knows of a server: its zone's id, start (Unix ms), and present weight and warmth."""
+    """A server as a member knows it: zone id, start (Unix ms), current weight, and whether it warms up."""
 
     __slots__ = ("started_ms", "warming_up", "weight", "zone_id")
 
@@ -37,21 +37,21 @@
 
 
 class ReleaseFollower:
-    """One member's part; `tier` is the one that its servers belong to. Ids are short hashes of names."""
+    """One member's part in a release; `tier` is that of its servers. Ids are short hashes of names."""
 
     def __init__(self, tier: int) -> None:
         self._tier = tier
         self.order = NO_ORDER
-        self._last_order_ms = -1e18  # when the controller of this order was last known to repeat it
+        self._last_order_ms = -1e18  # when the controller last repeated this order, as far as is known
         self.servers: dict[int, ObservedServer] = {}
         self._last_start_ms: dict[int, float] = {}  # of each new server
         self._counts: dict[tuple[int, int], CallCounts] = {}  # by class and zone
         self._quantiles: dict[int, LatencyQuantiles] = {}  # by class
         self.restarts = 0
-        self.new_servers_changed = False  # since the owner last took `new_servers`
+        self.new_servers_changed = False  # since the owner last read `new_servers`
 
     def apply_order(self, order: Order, age_ms: float, now: float) -> None:
-        """Apply an order, from its controller or passed on by another member; an outdated one is ignored."""
+        """Apply an order from its controller or from another member; outdated orders are ignored."""
         if order.version() < self.order.version():
             return
         self._last_order_ms = max(self._last_order_ms, now - age_ms)
@@ -74,7 +74,7 @@
         self._count_restarts()
 
     def _count_restarts(self) -> None:
-        """Count new servers that start once more: a build that crashes is never warm enough to be judged."""
+        """Count restarts of new servers: a build that crashes never becomes warm enough to be judged."""
         if not self.order.active:
             return
         for server_id, server in self.servers.items():
@@ -84,7 +84,7 @@
                 self._last_start_ms[server_id] = server.started_ms
 
     def is_new(self, server_id: int) -> bool:
-        """Whether a server is of the new build."""
+        """Whether a server runs the new build."""
         order = self.order
         server = self.servers.get(server_id)
         if not order.release_id or server is None:
@@ -93,14 +93,14 @@
         return server_id in order.server_ids or started_since
 
     def new_servers(self) -> frozenset[int]:
-        """The ids of the listed servers that are of the new build."""
+        """Return the ids of the listed servers that run the new build."""
         return frozenset(server_id for server_id in self.servers if self.is_new(server_id))
 
     def attempt_completed(self, server_id: int, class_id: int, outcome: str, latency_ms: float) -> None:
         """Count an attempt; `outcome` is an `AttemptOutcome`.
 
-        A server that is warming up is slow, and loses or refuses calls, for that reason: of it only other
-        outcomes count.
+        A server that is warming up may be slow, or lose or refuse calls, for that reason alone, so its
+        latencies and these outcomes are not counted.
         """
         server = self.servers.get(server_id)
         if server is None:
@@ -127,24 +127,24 @@
     def _bucket(
         self, server: ObservedServer, class_id: int, latency_ms: float, learn: bool
     ) -> int | None:  # fmt: skip
-        """The latency's bucket by what was observed before, if that is enough; then it is observed too."""
+        """Return the latency's bucket if enough latencies were observed before; `learn`: then observe it."""
         quantiles = self._quantiles.get(class_id)
         bucket = quantiles.bucket_of(latency_ms) if quantiles is not None and quantiles.is_ready() else None
         if learn and not server.warming_up:
             if quantiles is None:
-                # The first one is both the start of the boundaries and an observation.
+                # The first latency initialises the boundaries and counts as an observation as well.
                 quantiles = LatencyQuantiles(latency_ms)
                 self._quantiles[class_id] = quantiles
             quantiles.observe(latency_ms)
         return bucket
 
     def tally(self) -> Tally:
-        """The report to the controller."""
+        """Return the report to the controller."""
         new = sum(s.weight for server_id, s in self.servers.items() if self.is_new(server_id))
         old = sum(s.weight for server_id, s in self.servers.items() if not self.is_new(server_id))
         counts = [self._counts[key] for key in sorted(self._counts)]
         return Tally(self.order, self._tier, counts, round(new, 2), round(old, 2), self.restarts)
 
     def is_stale(self, now: float) -> bool:
-        """Whether the controller has been out of reach for long; its last order stays in force."""
+        """Whether the controller has been unreachable for long; its last order stays in force."""
         return self.order.active and now - self._last_order_ms > MAX_ORDER_AGE_MS
--- a/dunlinloft/fleet/releases/judge.py
+++ b/dunlinloft/fleet/releases/judge.py
@@ -1,12 +1,13 @@
-"""Is the new build worse? A sequential test that stays valid however often one looks.
+"""Sequential test of whether the new build is worse; it stays valid under continuous monitoring.
 
-New and old are compared within the same class, zone of servers and moment, never before with after. For each
-size of harm, the likelihood ratio of that harm over what is tolerated (`likelihood`) is a test martingale
-under every truth up to the latter. Ville's inequality bounds the chance that it ever exceeds 1/alpha (Wald
-1945; Johari et al. 2017, "Peeking at A/B tests": always-valid p-values).
+Calls to new and old servers are compared within the same class, zone of servers and time interval, never
+before with after. For each effect size, the likelihood ratio of that effect over the tolerated one
+(`likelihood`) is a test martingale under every true effect up to the tolerated one. Ville's inequality bounds
+the probability that it ever exceeds 1/alpha (Wald 1945; Johari et al. 2017, "Peeking at A/B tests":
+always-valid p-values).
 
-Harm may begin late, so each look begins a test of its own, with weights that add up to one: a mean of
-martingales is one. Metrics, classes and sizes of harm share alpha the same way.
+Harm may begin late, so each look starts a test of its own, weighted so that all weights add up to one: a
+weighted mean of martingales is a martingale. Metrics, classes and effect sizes share alpha in the same way.
 """
 
 from __future__ import annotations
@@ -25,36 +26,36 @@
 
 
 class Metric(StrEnum):
-    """What is compared; operators see the value."""
+    """What is compared; the values are shown to operators."""
 
     FAILURES = "failed"
     LATENCY = "slow"
 
 
-FALSE_HALT_PROBABILITY = 0.01  # alpha: of a release that is no worse, over all looks, metrics and classes
-# What is not worth a halt, and what is looked for. Failures as odds ratios; latencies as shifts of their
-# logarithms in standard deviations of the old servers' ones: machines of one kind differ by some hundredths
-# to tenths of that.
+FALSE_HALT_PROBABILITY = 0.01  # alpha, for a release that is no worse, over all looks, metrics and classes
+# Effects that do not justify a halt, and effects that are tested for: odds ratios of failure, and shifts of
+# the logarithm of latency in standard deviations of the old servers' log latency. Machines of one kind differ
+# by some hundredths to tenths of a standard deviation.
 TOLERATED_EFFECTS = {Metric.FAILURES: 1.25, Metric.LATENCY: 0.05}
 TESTED_EFFECTS = {Metric.FAILURES: (2.0, 5.0, 30.0, 1000.0), Metric.LATENCY: (0.25, 0.5, 1.0)}
-FIRST_SLOW_OCTILE = 6  # answers in the last two octiles are shown to operators as slow
+FIRST_SLOW_OCTILE = 6  # responses from this octile on are shown to operators as slow
 ALL_CLASSES = 0  # the class id under which all classes are tested together
-MAX_CLASSES = 6  # that are tested by themselves too
-ALL_CLASSES_SHARE = 0.25  # of alpha, for each of the two metrics; the same again for single classes
-MAX_E_VALUE = 1e300  # so that products stay finite
-MAX_LOG_STEP = 600.0  # exp of which is finite
+MAX_CLASSES = 6  # classes that are also tested separately
+ALL_CLASSES_SHARE = 0.25  # of alpha, per metric; the single classes together get the same
+MAX_E_VALUE = 1e300  # keeps products finite
+MAX_LOG_STEP = 600.0  # keeps exp finite
 
 
 @dataclass(slots=True, frozen=True)
 class Strata:
-    """One class and zone between two looks."""
+    """The calls of one class to one zone between two looks."""
 
     calls: CallStratum
     latencies: LatencyStratum
 
 
 class MetricTest:
-    """One metric of one class: a test for each size of harm, begun anew at each look."""
+    """The tests of one metric for one class: one per effect size, started anew at each look."""
 
     def __init__(self, metric: Metric) -> None:
         self.metric = metric
@@ -95,17 +96,17 @@
         self.old_bad += calls.old_bad
 
     def e_value(self) -> float:
-        """The mean of its martingales; 1 at first."""
-        unused = 1.0 / (self._looks + 1.0)  # the weights of the tests that have not begun
+        """Return the mean of the martingales; 1 initially."""
+        unused = 1.0 / (self._looks + 1.0)  # the weight of all tests that have not started
         return sum(value + unused for value in self._martingales.values()) / len(self._martingales)
 
 
 @dataclass(slots=True, frozen=True)
 class Evidence:
-    """What was compared in one metric and class, for operators, and how much it says."""
+    """The evidence on one metric and class, for operators."""
 
     metric: Metric
-    class_id: int  # `ALL_CLASSES`: all together
+    class_id: int  # or `ALL_CLASSES`
     new: int
     new_bad: int
     old: int
@@ -115,20 +116,20 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassCalls:
-    """Calls of one class that were compared."""
+    """Numbers of calls of one class that were compared."""
 
     new: int
     total: int
 
 
 class ReleaseJudge:
-    """All tests of one release; `controller.ReleaseController` makes one for each."""
+    """All tests of one release; `controller.ReleaseController` creates a judge for each release."""
 
     def __init__(self) -> None:
         self._tests = {(metric, ALL_CLASSES): MetricTest(metric) for metric in Metric}
 
     def update(self, strata: dict[int, list[Strata]]) -> None:
-        """Add what members have counted since the last look, by class, zone by zone."""
+        """Add the calls that members have counted since the last look, by class, one stratum per zone."""
         for class_id in strata:
             known = len(self._tests) // len(Metric) - 1
             if (Metric.FAILURES, class_id) not in self._tests and known < MAX_CLASSES:
@@ -143,18 +144,19 @@
         return ALL_CLASSES_SHARE if class_id == ALL_CLASSES else ALL_CLASSES_SHARE / MAX_CLASSES
 
     def e_value(self) -> float:
-        """The weighted mean of all tests: by chance it is ever as great with a probability of 1 over it.
+        """Return the weighted mean of all tests.
 
-        Classes without calls would have stayed at 1; they are left out, which is conservative.
+        Without harm, the probability that it ever reaches a value v is at most 1/v. Classes without calls
+        would stay at 1; they are left out, which is conservative.
         """
         return sum(self._share(class_id) * test.e_value() for (_, class_id), test in self._tests.items())
 
     def is_worse(self) -> bool:
-        """Whether the new build is worse beyond chance."""
+        """Whether the new build is significantly worse."""
         return self.e_value() >= 1.0 / FALSE_HALT_PROBABILITY
 
     def evidence(self) -> list[Evidence]:
-        """What speaks for harm, the strongest first."""
+        """Return the evidence of harm, the strongest first."""
         found = [
             Evidence(
                 metric, class_id, test.new, test.new_bad, test.old, test.old_bad,
@@ -165,7 +167,7 @@
         return sorted(found, key=lambda evidence: -evidence.e_value)
 
     def calls_by_class(self) -> dict[int, ClassCalls]:
-        """Calls that were compared, by class."""
+        """Return the numbers of calls that were compared, by class."""
         return {
             class_id: ClassCalls(test.new, test.new + test.old)
             for (metric, class_id), test in self._tests.items()
--- a/dunlinloft/fleet/releases/latency_quantiles.py
+++ b/dunlinloft/fleet/releases/latency_quantiles.py
@@ -1,4 +1,4 @@
-"""Octiles of a class's latencies, followed online by stochastic approximation (Robbins and Monro 1951)."""
+"""Octiles of a class's latencies, estimated online by stochastic approximation (Robbins and Monro 1951)."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from dunlinloft.fleet.releases.messages import LATENCY_BUCKETS
 
-MIN_STEP = 0.03  # a fraction of an octile, by which one latency moves it at most once many were observed
-MIN_SAMPLES = 30  # latencies from which the octiles are used
+MIN_STEP = 0.03  # relative step by which one latency moves an octile at most, once many were observed
+MIN_SAMPLES = 30  # latencies before the octiles are used
 
 
 class LatencyQuantiles:
-    """The seven boundaries between eight buckets of equal probability, of old servers that are warm."""
+    """The seven boundaries between eight buckets of equal probability, for warm old servers."""
 
     __slots__ = ("_count", "boundaries_ms")
 
@@ -30,7 +30,7 @@
         self.boundaries_ms.sort()
 
     def bucket_of(self, latency_ms: float) -> int:
-        """The index of the bucket in which a latency is, 0 to 7."""
+        """Return the index (0 to 7) of the bucket that contains a latency."""
         return bisect.bisect_left(self.boundaries_ms, latency_ms)
 
     def is_ready(self) -> bool:
--- a/dunlinloft/fleet/releases/likelihood.py
+++ b/dunlinloft/fleet/releases/likelihood.py
@@ -1,13 +1,14 @@
-"""Likelihood ratios that compare calls of new and of old servers within a stratum.
+"""Likelihood ratios that compare calls to new and to old servers within a stratum.
 
-A stratum is the calls of one class to one zone between two looks. Given all of them, which were to new
-servers is random where both builds are alike:
+A stratum is the calls of one class to one zone between two looks. Given all of them, it is random which calls
+went to new servers if both builds are alike:
 
-- failures: how many of the new ones failed is hypergeometric (Fisher's exact test), and noncentral
-  hypergeometric where the odds of failure differ;
-- latencies: each answer has a score by the octile of the old servers' latencies in which it came (van der
-  Waerden's normal scores), and the sum over the new ones is tilted exponentially. The tilt's normalisation is
-  bounded by drawing with replacement (Hoeffding 1963, theorem 4), and from below by Jensen's inequality.
+- failures: the number of failed calls to new servers is hypergeometric (Fisher's exact test), and noncentral
+  hypergeometric if the odds of failure differ;
+- latencies: each response is scored by the octile of the old servers' latencies that it falls in (van der
+  Waerden's normal scores), and the sum over the new servers' responses is tilted exponentially. The tilt's
+  normalisation is bounded from above by that for drawing with replacement (Hoeffding 1963, theorem 4), and
+  from below by Jensen's inequality.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 import math
 from dataclasses import dataclass
 
-# Normal quantiles at the midpoints of eight equal classes (van der Waerden), the fastest first.
+# Normal quantiles at the midpoints of eight equally probable buckets (van der Waerden), the fastest first.
 OCTILE_SCORES = (-1.534, -0.887, -0.489, -0.157, 0.157, 0.489, 0.887, 1.534)
 
 
 @dataclass(slots=True, frozen=True)
 class CallStratum:
-    """Numbers of calls to new and to old servers, and of those that were bad: failed, or slow."""
+    """Numbers of calls to new and to old servers, and of those that were bad (failed or slow)."""
 
     new: int
     new_bad: int
@@ -31,16 +32,16 @@
 
 @dataclass(slots=True, frozen=True)
 class LatencyStratum:
-    """Successful answers of new and of old servers, by octile of the old servers' latencies."""
+    """Numbers of successful responses of new and of old servers, by octile of the old servers' latencies."""
 
     new: tuple[int, ...]
     old: tuple[int, ...]
 
 
 def latency_log_ratio(stratum: LatencyStratum, effect: float, tolerated: float) -> float:
-    """An upper bound of the log likelihood ratio of a tilt by `effect` over one by `tolerated`.
+    """Return a lower bound of the log likelihood ratio of a tilt by `effect` over one by `tolerated`.
 
-    Both are shifts of the logarithm of latency, in standard deviations of the old servers' ones.
+    Both are shifts of the logarithm of latency, in standard deviations of the old servers' log latency.
     """
     new_count = sum(stratum.new)
     count = new_count + sum(stratum.old)
@@ -54,13 +55,13 @@
 
 
 def failure_log_ratio(stratum: CallStratum, effect: float, tolerated: float) -> float:
-    """The log likelihood ratio of an odds ratio of failure `effect` over one of `tolerated`."""
+    """Return the log likelihood ratio of a failure odds ratio of `effect` over one of `tolerated`."""
     bad = stratum.new_bad + stratum.old_bad
     if not bad or not stratum.new or not stratum.old or bad == stratum.new + stratum.old:
         return 0.0
     least = max(0, bad - stratum.old)
     most = min(stratum.new, bad)
-    # Logarithms of C(new, j) C(old, bad - j), each from the one before, up to a factor that all share.
+    # Logarithms of C(new, j) C(old, bad - j), each from the previous one, up to a common factor.
     logs = [0.0]
     for j in range(least, most):
         logs.append(
@@ -72,7 +73,7 @@
 
 
 def _log_sum_exp(logs: list[float], slope: float) -> float:
-    """The logarithm of the sum of exp(logs[n] + n * slope), without overflow."""
+    """Return the logarithm of the sum of exp(logs[n] + n * slope), without overflow."""
     terms = [value + n * slope for n, value in enumerate(logs)]
     greatest = max(terms)
     return greatest + math.log(sum(math.exp(value - greatest) for value in terms))
--- a/dunlinloft/fleet/releases/request.py
+++ b/dunlinloft/fleet/releases/request.py
@@ -26,31 +26,31 @@
 
 
 class InvalidReleaseRequest(ValueError):
-    """A request that can't be understood; says the parameter and the reason in one line."""
+    """A malformed request; the text names the parameter and the reason in one line."""
 
 
 def parse_release_request(parameters: dict[str, str]) -> ReleaseRequest:
-    """Parse the parameters of a call: `since`, `names`, `stages` in percent, `bake` in seconds.
+    """Parse the parameters of a request: `since`, `names`, `stages` in percent, `bake` in seconds.
 
     Raises `InvalidReleaseRequest`.
     """
     unknown = sorted(parameters.keys() - PARAMETERS)
     if unknown:
-        raise InvalidReleaseRequest(f"{unknown[0]}: not known; since, names, stages, bake, by and why are")
+        raise InvalidReleaseRequest(f"{unknown[0]}: unknown; expected since, names, stages, bake, by or why")
     names = tuple(filter(None, (name.strip() for name in parameters.get("names", "").split(","))))
     since = parameters.get("since", "")
     if bool(names) == bool(since):
-        raise InvalidReleaseRequest("names or since: one of them says which servers are new")
+        raise InvalidReleaseRequest("names or since: exactly one is required to tell which servers are new")
     if len(names) > MAX_SERVER_NAMES:
         raise InvalidReleaseRequest(
-            f"names: {len(names)} of them, and {MAX_SERVER_NAMES} at most; say since when instead"
+            f"names: {len(names)} given, at most {MAX_SERVER_NAMES} allowed; use since instead"
         )
     since_ms = _parse_number("since", since, "a Unix time in seconds") * 1000.0 if since else 0.0
     stages = _parse_stages(parameters["stages"]) if parameters.get("stages") else DEFAULT_STAGES
     bake = parameters.get("bake", "").removesuffix("s")
-    bake_s = _parse_number("bake", bake, "seconds, as 30 or 30s") if bake else DEFAULT_BAKE_S
+    bake_s = _parse_number("bake", bake, "seconds, such as 30 or 30s") if bake else DEFAULT_BAKE_S
     if not MIN_BAKE_S <= bake_s <= MAX_BAKE_S:
-        raise InvalidReleaseRequest(f"bake: {bake_s:g} s, and 1 s to a day are possible")
+        raise InvalidReleaseRequest(f"bake: {bake_s:g} s is out of range (1 s to a day)")
     return ReleaseRequest(since_ms, names, stages, bake_s)
 
 
@@ -62,10 +62,10 @@
 
 def _parse_stages(text: str) -> tuple[float, ...]:
     stages = tuple(
-        _parse_number("stages", stage.strip(), "percent, as in 1,5,25,50,100") for stage in text.split(",")
+        _parse_number("stages", stage.strip(), "percent, such as 1,5,25,50,100") for stage in text.split(",")
     )
     if len(stages) > MAX_STAGES:
-        raise InvalidReleaseRequest(f"stages: {len(stages)} of them, and {MAX_STAGES} at most")
+        raise InvalidReleaseRequest(f"stages: {len(stages)} given, at most {MAX_STAGES} allowed")
     if stages[-1] != 100.0 or any(a >= b for a, b in pairwise(stages)) or not stages[0]:
-        raise InvalidReleaseRequest(f"stages: {text!r:.40} must rise, from above 0 to 100")
+        raise InvalidReleaseRequest(f"stages: {text!r:.40} must increase, from above 0 to 100")
     return tuple(stage / 100.0 for stage in stages)
--- a/dunlinloft/fleet/releases/traffic.py
+++ b/dunlinloft/fleet/releases/traffic.py
@@ -1,4 +1,4 @@
-"""What all members' tallies say together: calls to be judged, rates, and what the old servers have borne."""
+"""Aggregates all members' tallies: calls to be judged, call rates, and the old servers' peak rate."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from dunlinloft.fleet.releases.likelihood import CallStratum, LatencyStratum
 from dunlinloft.fleet.releases.messages import CallCounts, Tally, empty_counts
 
-JUDGED_WINDOW_MS = 2_000.0  # calls within it are judged together
-RATE_SMOOTHING = 0.3  # weight of one look's rate in the moving average
-FAILURE_DECAY = 0.9  # of the recent calls of the new build, from look to look
-FAILING_BUILD_SHARE = 0.5  # a build that fails so often bears no load, however short the old servers are
+JUDGED_WINDOW_MS = 2_000.0  # calls within a window are judged together
+RATE_SMOOTHING = 0.3  # weight of the latest rate in the moving average
+FAILURE_DECAY = 0.9  # of the recent calls to the new build, per evaluation
+FAILING_BUILD_SHARE = 0.5  # failure share from which a build gets no load, even if old servers are overloaded
 
 
 @dataclass(slots=True)
 class MemberTally:
-    """A member's tally as the controller has it."""
+    """A member's tally as received by the controller."""
 
     member: str
     incarnation: int
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class _Baseline:
-    """What a member had counted at the last look."""
+    """A member's counts at the last evaluation."""
 
     incarnation: int
     counts: dict[tuple[int, int], CallCounts]  # by class and zone
@@ -34,28 +34,28 @@
 
 @dataclass(slots=True, frozen=True)
 class _NewAndOld:
-    """A figure of new and of old servers."""
+    """A value for new and one for old servers."""
 
     new: float
     old: float
 
 
 class ReleaseTraffic:
-    """The traffic of one release, as its controller sees it."""
+    """The traffic of one release as seen by its controller."""
 
     def __init__(self) -> None:
         self._baselines: dict[str, _Baseline] = {}  # by member
         self._window: dict[tuple[int, int], CallCounts] = {}  # by class and zone, of all members
         self._window_ms = 0.0
-        self._peak_rate_per_weight = 0.0  # calls/s that a unit of the old servers' weight has borne at most
+        self._peak_rate_per_weight = 0.0  # greatest calls/s per unit of the old servers' weight
         self.rates = _NewAndOld(0.0, 0.0)  # calls/s
         self._weights = _NewAndOld(0.0, 0.0)
         self._recent_new_calls = 0.0
         self._recent_new_failures = 0.0
-        self.restarts = 0  # of new servers, by the member that has seen most
+        self.restarts = 0  # of new servers, as seen by the member that counted most
 
     def add(self, tallies: list[MemberTally], release_id: int, elapsed_ms: float) -> None:
-        """Add what members have counted since the last look, `elapsed_ms` ago."""
+        """Add what members have counted since the last evaluation, `elapsed_ms` ago."""
         new = 0
         old = 0
         failed = 0
@@ -86,9 +86,9 @@
         self.restarts = max(self.restarts, *(report.tally.restarts for report in tallies), 0)
 
     def _counted_since(self, report: MemberTally) -> list[CallCounts]:
-        """A member's new counts.
+        """Return a member's counts since the last evaluation.
 
-        What it had counted before this controller's first look, or in another incarnation, is left out.
+        Counts from before this controller's first evaluation, or from another incarnation, are left out.
         """
         counts = {(c.class_id, c.zone_id): c for c in report.tally.counts}
         baseline = self._baselines.get(report.member)
@@ -101,7 +101,7 @@
         return [increment for increment in increments if increment is not None]
 
     def take_window(self) -> dict[int, list[Strata]] | None:
-        """The calls to be judged, by class, once the window is over; None before."""
+        """Return the calls to be judged, by class, at the end of the window; None before."""
         if self._window_ms < JUDGED_WINDOW_MS:
             return None
         strata: dict[int, list[Strata]] = {}
@@ -114,11 +114,11 @@
         return strata
 
     def total_rate(self) -> float:
-        """Calls/s to all servers."""
+        """Return the calls/s to all servers."""
         return self.rates.new + self.rates.old
 
     def old_server_capacity(self) -> float:
-        """Calls/s that the old servers can bear, by the most that they have borne in this release."""
+        """Return the calls/s that the old servers can serve, from their peak rate in this release."""
         return self._peak_rate_per_weight * self._weights.old
 
     def new_build_is_failing(self) -> bool:
@@ -130,7 +130,7 @@
 
 
 def _increment(counts: CallCounts, before: CallCounts) -> CallCounts | None:
-    """What was counted since; None where nothing was, or where the member has begun anew."""
+    """Return the difference of two counts; None if it is empty, or if the member has restarted its counts."""
     new = counts.new - before.new
     old = counts.old - before.old
     if new + old <= 0 or min(new, old) < 0:
--- a/dunlinloft/fleet/shared_state/core.py
+++ b/dunlinloft/fleet/shared_state/core.py
@@ -224,7 +224,10 @@
     # Releases
 
     def _handle_release_order(self, order: Order, now: float) -> list[Action]:
-        """Apply this process's own order, and rewrite it periodically as a sign of life."""
+        """Apply this process's own order.
+
+        It is rewritten periodically, as its age shows the members whether the controller is alive.
+        """
         if order != self.follower.order or now - self._order_written_ms >= HEARTBEAT_INTERVAL_MS:
             self._order_written_ms = now
             self.store.write(RELEASE, encode(order), order, now)
--- a/tests/test_release_controller.py
+++ b/tests/test_release_controller.py
@@ -137,7 +137,7 @@
     world = ReleaseWorld(4, members=2, rate=2.0)
     world.begin()
     world.run(60.0)
-    assert world.rows[-1].stage == 0 and "20 are wanted" in world.controller.waiting_for
+    assert world.rows[-1].stage == 0 and "20 are required" in world.controller.waiting_for
 
 
 def test_a_successor_continues_a_rollback_that_its_row_does_not_say() -> None:
@@ -207,7 +207,7 @@
     world.run(5.0)
     assert (
         world.rows[-1].state in (ReleaseState.ROLLING_BACK, ReleaseState.ROLLED_BACK)
-        and "started once more" in world.rows[-1].reason
+        and "new servers restarted" in world.rows[-1].reason
     )
 
 
@@ -232,12 +232,12 @@
 
 def test_operators_commands_are_checked_and_stored_with_operator_and_reason() -> None:
     world = ReleaseWorld(9)
-    with pytest.raises(ReleaseRejected, match=r"^there is no release here$"):
+    with pytest.raises(ReleaseRejected, match=r"^there is no release$"):
         world.controller.command("pause", "", "")
     world.begin()
     with pytest.raises(ReleaseRejected, match="one at a time"):
         world.controller.start_release(ReleaseRequest(server_names=("a1",)), "", "")
-    with pytest.raises(InvalidReleaseRequest, match="one of pause, resume"):
+    with pytest.raises(InvalidReleaseRequest, match="expected one of pause, resume"):
         world.controller.command("stop", "", "")
     for what, state in (
         ("pause", "paused"),
@@ -252,5 +252,5 @@
             "otto",
             "because",
         )
-    with pytest.raises(ReleaseRejected, match="goes back"):
+    with pytest.raises(ReleaseRejected, match="is being rolled back"):
         world.controller.command("resume", "otto", "")
--- a/tests/test_release_requests.py
+++ b/tests/test_release_requests.py
@@ -22,12 +22,12 @@
         ({}, "names or since"),
         ({"names": "a", "since": "5"}, "names or since"),
         ({"since": "soon"}, "since: 'soon' is not a Unix time"),
-        ({"names": ",".join(map(str, range(99)))}, "99 of them, and 12 at most"),
-        ({"names": "a", "stages": "5,1,100"}, "must rise"),
-        ({"names": "a", "stages": "1,5"}, "must rise, from above 0 to 100"),
+        ({"names": ",".join(map(str, range(99)))}, "99 given, at most 12 allowed"),
+        ({"names": "a", "stages": "5,1,100"}, "must increase"),
+        ({"names": "a", "stages": "1,5"}, "must increase, from above 0 to 100"),
         ({"names": "a", "stages": "1,x,100"}, "stages: 'x'"),
         ({"names": "a", "bake": "0.1"}, "1 s to a day"),
-        ({"names": "a", "backe": "3"}, "backe: not known"),
+        ({"names": "a", "backe": "3"}, "backe: unknown"),
     ],
 )
 def test_an_invalid_request_is_rejected_with_its_parameter_and_reason(
