--- a/dunlinloft/fleet/cells/__init__.py
+++ b/dunlinloft/fleet/cells/__init__.py
@@ -1,5 +1,5 @@
-"""Cells: membership of a bounded size, and a directory that knows cells by their summaries.
+"""Cells: membership groups of bounded size, and a directory that stores summaries of them.
 
-Pure state machines, without sockets or clocks. `dunlinloft.node.fleet.cells` hosts a member,
-`dunlinloft.node.fleet.directory` a process of the directory; `docs/cells.md` gives the design and why.
+The modules are pure state machines without sockets or clocks. `dunlinloft.node.fleet.cells` hosts a member,
+`dunlinloft.node.fleet.directory` a directory process; `docs/cells.md` describes the design and its reasons.
 """
--- a/dunlinloft/fleet/cells/core.py
+++ b/dunlinloft/fleet/cells/core.py
@@ -1,10 +1,10 @@
-"""A member of a cell: membership inside it, and its relation to the rest of its service.
+"""A member of a cell: membership within the cell, and its relation to the rest of the service.
 
-Inside a cell nothing differs from a flat fleet. This module bounds it: whose records are merged, when a cell
-is split or merged and how all follow, how a newcomer or a member of another cell finds its own, and what is
-requested from and reported to the directory. Each member looks up the directory itself, so each bounds the
-age of what it knows by its own clock; without the directory cells go on, are split, and take in newcomers by
-their seeds.
+Within a cell, membership works as in a flat fleet. This module limits it to the cell: whose records are
+merged, when a cell is split or merged and how members follow, how a new member or one in a wrong cell finds
+its own cell, and what is requested from and reported to the directory. Each member queries the directory
+itself, so each bounds the age of the response by its own clock. Without the directory, cells continue to
+work, are split, and admit new members through their seeds.
 """
 
 from __future__ import annotations
@@ -44,34 +44,34 @@
 from dunlinloft.fleet.membership.timers import TimerKind
 from dunlinloft.fleet.messages import ALIVE, Gossip, Header, Message, MetadataValue, Record, State
 
-DEFAULT_MAX_MEMBERS = 100  # of a cell, where the host gives no settings
+DEFAULT_MAX_MEMBERS = 100  # of a cell, if the host passes no settings
 CHECK_INTERVAL_MS = 1_000.0  # between checks for a split, a merge and a lookup, with jitter
-SPLIT_DELAY_MS = 3_000.0  # how long a cell is above its bound before it is split
-IMMEDIATE_SPLIT_FACTOR = 2.0  # of the bound; beyond it the split is not delayed: a service starts all at once
-MERGE_DELAY_MS = 20_000.0  # how long two halves are small enough before they merge
-MERGE_SIZE_RATIO = 0.5  # of the bound, that two halves may have together to merge
-# A member that is alone in its cell reports only after it has looked for others so long.
+SPLIT_DELAY_MS = 3_000.0  # how long a cell exceeds its bound before it is split
+IMMEDIATE_SPLIT_FACTOR = 2.0  # of the bound; beyond it the cell is split at once, as when a service starts
+MERGE_DELAY_MS = 20_000.0  # how long two halves are small enough before they are merged
+MERGE_SIZE_RATIO = 0.5  # of the bound: the greatest total size of two halves that are merged
+# A member that is alone in its cell reports only after it has searched for others for so long.
 ISOLATED_REPORTER_DELAY_MS = 5_000.0
-FOREIGN_SEED_RETRY_MS = 120_000.0  # a seed that belongs to another cell is not contacted again for so long
+FOREIGN_SEED_RETRY_MS = 120_000.0  # before a seed of another cell is contacted again
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedCell:
-    """What the last report was about; a new one is due at once when it changes."""
+    """The subject of the last report; a new report is due at once when it changes."""
 
     members: int
     cell: CellId
 
 
 class CellMembership(Membership):
-    """One process among the members of its cell.
+    """The membership state machine of one process in a cell.
 
-    Hosted as `Membership` is, by `node.fleet.cells`, which overrides `counted_members` by its member count.
+    Hosted like `Membership`, by `node.fleet.cells`, which overrides `counted_members` with its member count.
 
     Attributes
     ----------
     partition: the cell that this process belongs to.
-    service_totals: the totals of the service, as of the last response of the directory or a member's claim.
+    service_totals: the totals of the service, from the directory's last response or a member's claim.
     partition_changes, foreign_messages: counters for operators.
     """
 
@@ -86,20 +86,20 @@
         self.partition_changes = 0
         self.foreign_messages = 0
         self._path = name_path(name)
-        self._sender_partition: CellPartition | None = None  # of the message that is being handled
+        self._sender_partition: CellPartition | None = None  # of the message being handled
         self._bootstrap_addresses = BootstrapAddresses(self._path)
-        self._foreign_seeds_ms: dict[str, float] = {}  # seeds of other cells, and when that was seen
+        self._foreign_seeds_ms: dict[str, float] = {}  # seeds of other cells, and when they were found to be
         self.lookup = DirectoryLookup(self.settings.directory, rng)
         self._started_ms = 0.0
         self._report_version = 0
-        # Members of the service, as our metadata claim while the directory is unavailable.
+        # Members of the service, as claimed in our metadata while the directory is unavailable.
         self._claimed_members = 0.0
         self._last_report: ReportedCell | None = None
-        self._oversized_since_ms = -1.0  # negative: it is not
+        self._oversized_since_ms = -1.0  # negative: the cell is not oversized
         self._mergeable_since_ms = -1.0
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """Handle one event at `now` (ms, monotonic); the actions that follow, in their order."""
+        """Handle one event at `now` (ms, monotonic); return the resulting actions in order."""
         self._sender_partition = (
             event.sender_cell if isinstance(event, (api.MessageReceived, api.PushPullReceived)) else None
         )
@@ -108,7 +108,7 @@
     # Queries
 
     def is_reporter(self) -> bool:
-        """Whether this member reports for its cell: first in an order that all with one view share."""
+        """Whether this member reports for its cell: the first in an order shared by members with one view."""
         own_rank = self._digest_bits, self.name
         is_alone = not len(self.view.alive)
         return (not is_alone or self._now - self._started_ms >= ISOLATED_REPORTER_DELAY_MS) and all(
@@ -116,7 +116,7 @@
         )
 
     def summary(self) -> CellSummary:
-        """The cell as it is reported to the directory."""
+        """Return the summary of the cell for the directory."""
         members = list(self._listed_members())
         addresses = [m.address for m in members if m.status == ALIVE and len(m.address) <= MAX_TEXT_LENGTH]
         sample = self.rng.sample(addresses, min(MAX_SUMMARY_ADDRESSES - 1, len(addresses)))
@@ -128,11 +128,11 @@
         )  # fmt: skip
 
     def counted_members(self) -> int:
-        """How many of the cell count where budgets are shared; a host with a member count overrides it."""
+        """Return how many members of the cell share budgets; a host with a member count overrides it."""
         return self.alive_count()
 
     def _listed_members(self) -> Iterator[Member]:
-        """The other members that are alive or suspected."""
+        """Return the other members that are alive or suspected."""
         return (self.view.members[name] for name in self.view.alive.names())
 
     def _is_in_cell(self, name: str) -> bool:
@@ -164,14 +164,14 @@
             self._send_lookup()
 
     def _claim_service_members(self, now: float) -> None:
-        """While the directory is unavailable, claim how many members the service has, for newcomers."""
+        """While the directory is unavailable, claim the service's size in metadata, for new members."""
         largest = largest_claim(member.metadata for member in self._listed_members())
         totals = self.service_totals
         claim = 0.0
         if totals is not None and self.lookup.is_unavailable():
             known = totals.members(self.counted_members(), self.partition)
             claim = self._claimed_members
-            # The reporter may be a newcomer; of the others one claims it, and not all at once.
+            # The reporter may be new, so one of the others claims it as well, at random to avoid a burst.
             if self.is_reporter() or (known > largest and self.rng.random() * self.alive_count() < 1.0):
                 claim = float(known)
         if claim != self._claimed_members:
@@ -220,13 +220,13 @@
             self.send_datagram(source, LookupResponse(0, 0, 0, 0, 0, 0, addresses))
 
     def state_for(self, requester: State) -> State:
-        """Our state; for a member of another cell our own record alone: it is sent addresses besides."""
+        """Return our state, or only our own record for a member of another cell, which is sent addresses."""
         if self._is_in_cell(requester.header.name):
             return self.state()
         return State(self.header(), [self.own_record()])
 
     def _leave(self) -> None:
-        """Leave; the last member of a cell reports its end to the directory first."""
+        """Leave; the last member of a cell reports the cell's end to the directory first."""
         is_last = not len(self.view.alive) and self.is_reporter()
         if self.status == ALIVE and is_last and self.lookup.directory_clock.incarnation:
             summary = self.summary()
@@ -238,7 +238,7 @@
     # Splits and merges
 
     def _follow_sender(self, source: str, now: float) -> None:
-        """Adopt the partition of the sender if it is newer."""
+        """Adopt the sender's partition if it is newer."""
         other = self._sender_partition
         partition = partition_to_follow(self.partition, other, self._path) if other is not None else None
         if partition is None:
@@ -249,7 +249,7 @@
             self._push_pull(source, now)
 
     def _adopt_partition(self, partition: CellPartition, now: float) -> None:
-        """Belong to this cell from now on, and notify some of the former one at once."""
+        """Switch to this cell, and notify some members of the former one at once."""
         if partition.cell() == self.partition.cell():
             self.partition = partition  # only the epoch differs
             return
@@ -317,7 +317,7 @@
         if not len(self.view.alive):
             return seeds
         if self.service_totals is not None and self.service_totals.age_ms(self._now) < FOREIGN_SEED_RETRY_MS:
-            return []  # the directory knows of any member of this cell that we don't see
+            return []  # the directory knows any member of this cell that is missing in our view
         since = self._now - FOREIGN_SEED_RETRY_MS
         return [seed for seed in seeds if self._foreign_seeds_ms.get(seed, since) <= since]
 
@@ -336,8 +336,8 @@
 
     def _handle_lookup_response(self, response: LookupResponse, now: float) -> None:
         if response.request_number == 0:
-            # From a member of another cell. Even one that is not alone follows it: it may be one of a few
-            # that found only each other.
+            # From a member of another cell. It is used even if other members are known, as these may be a
+            # few new ones that found only each other.
             return self._push_pull_unlisted(response.addresses, now)
         lookup = self.lookup.complete(response)
         if lookup is None:
@@ -355,7 +355,7 @@
             self._send_report(self.summary())
 
     def _push_pull_unlisted(self, addresses: list[str], now: float) -> None:
-        """Push-pull with one of these that is not in our view: so a newcomer joins, and islands heal."""
+        """Push-pull with an address that is not in our view, so new members join and partitions heal."""
         listed = {member.address for member in self._listed_members()} | {self.address}
         unlisted = [address for address in addresses if address not in listed]
         if unlisted:
--- a/dunlinloft/fleet/cells/directory.py
+++ b/dunlinloft/fleet/cells/directory.py
@@ -1,8 +1,9 @@
-"""One process of the directory: takes reports of cells, replicates them, and answers lookups.
+"""One process of the directory: receives reports of cells, replicates them, and answers lookups.
 
-Any process answers for all cells. Reports travel among the processes as records of a store, each with a bound
-on its age (`fleet.shared_state.store`); a report's own age is bounded by this process's clock, whose reading
-goes out with a response and comes back with the report. Nothing outlives the process.
+Every process answers for all cells. Reports are replicated among the processes as records of a store, each
+with a bound on its age (`fleet.shared_state.store`). The age of a report at its arrival is bounded by this
+process's clock, whose reading is sent with a lookup response and returned with the report. All state is in
+memory and is lost with the process.
 """
 
 from __future__ import annotations
@@ -24,15 +25,15 @@
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.shared_state.messages import SUMMARY, Entry
 
-WARM_UP_MS = MAX_REPORT_AGE_MS + 5_000.0  # a new process may not know of all cells for so long
+WARM_UP_MS = MAX_REPORT_AGE_MS + 5_000.0  # how long a new process may not know all cells
 PRUNE_INTERVAL_MS = 1_000.0
-MAX_FIRST_PULL_DELAY_MS = 100.0  # random below it, so that processes that start together don't pull together
+MAX_FIRST_PULL_DELAY_MS = 100.0  # random, so processes that start together don't pull together
 MAX_NAME_LENGTH = 64  # characters of a service's, region's or member's name
 
 
 @dataclass(slots=True)
 class MemberMessageReceived:
-    """A member has sent a lookup or a report from the address `source`."""
+    """A member sent a lookup or a report from the address `source`."""
 
     message: LookupRequest | SummaryReport
     source: str
@@ -40,7 +41,7 @@
 
 @dataclass(slots=True)
 class PeersObserved:
-    """The directory's other processes that are alive, with their incarnations, and this one's own."""
+    """The directory's other live processes with their incarnations, and this process's own incarnation."""
 
     incarnation: int
     alive_peers: dict[str, int]
@@ -51,17 +52,17 @@
 
 
 class TimerKind(Enum):
-    """What a timer is for. Never encoded."""
+    """The purpose of a timer; never encoded."""
 
     PULL = auto()
     PRUNE = auto()
 
 
 class Directory:
-    """What one process knows of all cells.
+    """The state machine of one directory process.
 
-    A pure state machine: a host (`node.fleet.directory`) calls `start` once, then `handle` with each event,
-    and carries out the actions in their order.
+    A host (`node.fleet.directory`) calls `start` once, then `handle` with each event, and executes the
+    actions in order.
 
     Parameters
     ----------
@@ -77,12 +78,12 @@
         self.index = CellIndex()
         self.reports = ReportStore(name, incarnation, self.index)
         self.replication = ReportReplication(self.reports, rng)
-        self.counts: Counter[str] = Counter()  # finds, reports, late, foreign: as operators see them
+        self.counts: Counter[str] = Counter()  # finds, reports, late, foreign; shown to operators
         self._timers: dict[int, TimerKind] = {}
         self._token = 0
 
     def start(self) -> list[Action]:
-        """Set the first timers."""
+        """Return the actions that set the first timers."""
         return [
             self._set_timer(TimerKind.PULL, MAX_FIRST_PULL_DELAY_MS * self._rng.random()),
             self._set_timer(TimerKind.PRUNE, PRUNE_INTERVAL_MS),
@@ -93,7 +94,7 @@
         return now - self._started_ms >= WARM_UP_MS
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Handle one event at `now` (ms, monotonic); the actions that follow, in their order."""
+        """Handle one event at `now` (ms, monotonic); return the resulting actions in order."""
         match event:
             case MemberMessageReceived():
                 if isinstance(event.message, LookupRequest):
--- a/dunlinloft/fleet/cells/directory_lookup.py
+++ b/dunlinloft/fleet/cells/directory_lookup.py
@@ -1,4 +1,4 @@
-"""When a member looks up the directory, which of its processes it asks, and what it waits for."""
+"""Schedules a member's directory lookups: when to send one, to which process, and its time-out."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from dunlinloft.fleet.cells.partition import CellPartition
 
 LOOKUP_INTERVAL_MS = 10_000.0  # between lookups, with jitter
-LOOKUP_TIMEOUT_MS = 1_000.0  # then another process is asked, after a backoff that doubles
+LOOKUP_TIMEOUT_MS = 1_000.0  # before the next process is tried, after an exponential backoff
 MAX_BACKOFF_DOUBLINGS = 8
-UNAVAILABLE_AFTER_TIMEOUTS = 2  # consecutive ones, after which the directory counts as unavailable
+UNAVAILABLE_AFTER_TIMEOUTS = 2  # consecutive time-outs
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectoryClock:
-    """The directory's process that answered last, and its clock then; a report returns both."""
+    """The incarnation and clock of the process that answered last; a report returns both."""
 
-    incarnation: int  # 0: none has answered yet
+    incarnation: int  # 0: no response yet
     clock_ms: int
 
 
@@ -36,7 +36,7 @@
 
     Parameters
     ----------
-    addresses: of the directory's processes; without any nothing is looked up.
+    addresses: of the directory's processes; if empty, there are no lookups.
     rng: the member's own.
     """
 
@@ -55,7 +55,7 @@
         return self.consecutive_timeouts >= UNAVAILABLE_AFTER_TIMEOUTS
 
     def address(self) -> str:
-        """The process that is asked, and reported to, at present."""
+        """Return the address of the process that lookups and reports currently go to."""
         return self._addresses[self._address_index % len(self._addresses)]
 
     def expedite(self, now: float) -> None:
@@ -63,7 +63,7 @@
         self._next_ms = min(self._next_ms, now)
 
     def is_due(self, now: float) -> bool:
-        """Whether to send the next lookup now; times out a pending one first."""
+        """Whether to send the next lookup now; checks the pending lookup for a time-out first."""
         if self.pending is not None and now - self.pending.sent_ms >= LOOKUP_TIMEOUT_MS:
             self.pending = None
             self.consecutive_timeouts += 1
@@ -74,7 +74,7 @@
         return self.pending is None and now >= self._next_ms
 
     def begin(self, partition: CellPartition, now: float) -> PendingLookup | None:
-        """Begin a lookup and schedule the next; None where there is no directory."""
+        """Begin a lookup and schedule the next one; return None without a directory."""
         self._next_ms = now + LOOKUP_INTERVAL_MS * (0.9 + 0.2 * self._rng.random())
         if not self._addresses:
             return None
@@ -83,7 +83,7 @@
         return self.pending
 
     def complete(self, response: LookupResponse) -> PendingLookup | None:
-        """The lookup that a response answers; None for one that is late or was not requested."""
+        """Return the lookup that a response answers; None if it is late or was not requested."""
         lookup = self.pending
         if lookup is None or response.request_number != lookup.request_number:
             return None
--- a/dunlinloft/fleet/cells/index.py
+++ b/dunlinloft/fleet/cells/index.py
@@ -1,9 +1,9 @@
-"""What a process of the directory makes of the reports that it holds: cells by service, and sums of them.
+"""The index of a directory process: the reported cells by service, and sums over them.
 
-Reports overlap while a cell is split or merged, and two members may report for one cell for a while. A sum
-may be too great then and never too small, as shares of budgets follow it: of several reports for one cell the
-greatest counts, of a cell and its subsets whichever is more, and what was replaced goes only once what
-replaces it has been known for a while.
+Reports overlap while a cell is split or merged, and two members may temporarily report for one cell. A sum
+may then be too great but never too small, as shares of budgets depend on it. So the greatest of several
+reports for one cell counts, the greater of a cell and its subsets counts, and a replaced cell is dropped only
+after its replacement has been known for some time.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from dunlinloft.fleet.cells.partition import PATH_BITS, CellPartition, name_path
 from dunlinloft.fleet.cells.service_totals import MAX_REPORT_AGE_MS
 
-STABILIZATION_MS = 15_000.0  # since cells last changed, before a service's sum counts as complete
-# A cell without reports for so long has ended; regions that are cut off return sooner.
+STABILIZATION_MS = 15_000.0  # after a change of its cells, before a service's sum counts as complete
+# A cell without reports for so long has ended; partitioned regions are expected to return sooner.
 CELL_RETENTION_MS = 2 * 3_600_000.0
 NEVER_CHANGED_MS = -1e18  # long before any reading of the clock
 
-MAX_CELLS = 200_000  # that are known; beyond that no other is added, and no sum is reliable
-MAX_REPORTERS = 16  # of one cell; beyond that the oldest report is dropped
-MAX_COUNTED_MEMBERS = 100_000  # of a cell: a greater number is invalid
+MAX_CELLS = 200_000  # in the index; when it is full no cell is added, and no sum is reliable
+MAX_REPORTERS = 16  # per cell; beyond that the oldest report is dropped
+MAX_COUNTED_MEMBERS = 100_000  # per cell; a greater number is invalid
 MAX_ADDRESS_LENGTH = 64  # characters
 MAX_SIBLING_ADDRESSES = 3  # in one response
 
@@ -29,7 +29,7 @@
 
 
 def is_valid_summary(summary: CellSummary) -> bool:
-    """Whether all fields are in range; others would spoil sums, or the responses that carry them on."""
+    """Whether all fields are in range; others would corrupt sums, or the responses that contain them."""
     return (
         CellPartition(summary.epoch, summary.depth, summary.bits).is_valid()
         and 0 <= summary.members <= summary.counted_members <= MAX_COUNTED_MEMBERS
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class ReceivedSummary:
-    """A reporter's latest summary of its cell, and when it was made, by this process's clock."""
+    """A reporter's latest summary of its cell, and its creation time on this process's clock."""
 
     summary: CellSummary
     created_ms: float
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class CellRecord:
-    """One cell, by the latest summary of each of its reporters."""
+    """One cell, with the latest summary of each of its reporters."""
 
     region: str
     partition: CellPartition
@@ -56,23 +56,23 @@
     summaries: dict[str, ReceivedSummary] = field(default_factory=dict)  # by the reporter's name
 
     def latest(self) -> ReceivedSummary:
-        """The youngest summary."""
+        """Return the newest summary."""
         return max(self.summaries.values(), key=lambda received: received.created_ms)
 
     def age_ms(self, now: float) -> float:
-        """Age of the youngest summary."""
+        """Return the age of the newest summary."""
         return now - self.latest().created_ms
 
     def is_fresh(self, now: float) -> bool:
-        """Whether the youngest summary is within the bound on ages."""
+        """Whether the newest summary is within the age bound."""
         return self.age_ms(now) <= MAX_REPORT_AGE_MS
 
     def counted_members(self, now: float) -> int:
-        """Members that count: the greatest number of all fresh summaries, else the youngest's."""
+        """Return the members that count: the greatest number in fresh summaries, else the newest one's."""
         return max(summary.counted_members for summary in self._current_summaries(now))
 
     def members(self, now: float) -> int:
-        """Members alive, in the same way: a reporter that is partitioned off reports itself alone."""
+        """Return the live members, likewise the greatest, as an isolated reporter reports only itself."""
         return max(summary.members for summary in self._current_summaries(now))
 
     def _current_summaries(self, now: float) -> list[CellSummary]:
@@ -80,13 +80,13 @@
         return fresh or [self.latest().summary]
 
     def addresses(self) -> list[str]:
-        """Addresses of some members, those of the youngest summary first."""
+        """Return addresses of some members, those of the newest summary first."""
         by_age = sorted(self.summaries.values(), key=lambda received: -received.created_ms)
         unique = dict.fromkeys(address for received in by_age for address in received.summary.addresses)
         return list(unique)[:MAX_SUMMARY_ADDRESSES]
 
     def discard_stale_summaries(self, now: float) -> None:
-        """Drop the summaries beyond the bound on ages."""
+        """Drop the summaries beyond the age bound."""
         stale = [name for name, s in self.summaries.items() if now - s.created_ms > MAX_REPORT_AGE_MS]
         for name in stale:
             del self.summaries[name]
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class ServiceSums:
-    """What a member of one cell is told of its service; the fields are those of `LookupResponse`."""
+    """The sums of a service for a member of one cell; the fields are those of `LookupResponse`."""
 
     partition: CellPartition = field(default_factory=CellPartition)
     addresses: list[str] = field(default_factory=list)
@@ -118,9 +118,9 @@
 
 
 def count_members(cells: list[CellRecord], depth: int, bits: int, now: float) -> int:
-    """How many members count under the prefix `bits` of length `depth`, never too few.
+    """Return how many members count under the prefix `bits` of length `depth`; never too few.
 
-    `cells` are those under the prefix. Where a cell and subsets of it are known, whichever is more counts.
+    `cells` are those under the prefix. If a cell and subsets of it are known, the greater number counts.
     """
     own = max((cell.counted_members(now) for cell in cells if cell.partition.depth == depth), default=0)
     below = [cell for cell in cells if cell.partition.depth > depth]
@@ -151,9 +151,9 @@
 
 
 class CellIndex:
-    """The cells of all services that were reported to one process of the directory.
+    """The cells of all services that one directory process knows.
 
-    Owned by `Directory`; `ReportStore` adds reports as they come.
+    Owned by `Directory`; `ReportStore` adds reports as they arrive.
     """
 
     def __init__(self) -> None:
@@ -163,7 +163,7 @@
     def add_report(
         self, service: str, region: str, name: str, summary: CellSummary, created_ms: float, now: float
     ) -> None:
-        """Add the summary that the member `name` has reported; one that is invalid is ignored."""
+        """Add the summary that the member `name` reported; an invalid one is ignored."""
         if not is_valid_summary(summary):
             return
         partition = CellPartition(summary.epoch, summary.depth, summary.bits)
@@ -179,7 +179,7 @@
     def _get_or_add_cell(
         self, service: str, region: str, partition: CellPartition, now: float
     ) -> CellRecord | None:
-        """The record of a cell; None where the index is full."""
+        """Return the record of a cell; None if it is new and the index is full."""
         key = region, partition.depth, partition.bits
         known = self.services.get(service)
         if known is not None and key in known.cells:
@@ -194,7 +194,7 @@
         return cell
 
     def prune(self, now: float) -> None:
-        """Drop cells that have ended, were replaced, or have not been reported for too long."""
+        """Drop cells that have ended, were replaced, or have not been reported for `CELL_RETENTION_MS`."""
         for name, service in list(self.services.items()):
             for key, cell in list(service.cells.items()):
                 if cell.is_fresh(now):
@@ -220,7 +220,7 @@
         return is_covered(subsets, cell.partition)
 
     def sums_for(self, request: LookupRequest, now: float) -> ServiceSums:
-        """The sums of a service as seen from the requester's cell."""
+        """Return the sums of a service relative to the requester's cell."""
         service = self.services.get(request.service)
         own = CellPartition(request.epoch, request.depth, request.bits)
         sums = ServiceSums(own)
@@ -249,7 +249,7 @@
         in_region: list[CellRecord],
         now: float,
     ) -> None:
-        """Add the counts of the service, and of the cells before the requester's: by region, then path."""
+        """Add the counts of the service, and of the cells that precede the requester's by region and path."""
         own = sums.partition
         by_region = {
             region: count_members([c for c in service.cells.values() if c.region == region], 0, 0, now)
@@ -266,7 +266,7 @@
         )
 
     def _is_replaced(self, service: ServiceRecord, cell: CellRecord, now: float) -> bool:
-        """Whether the cell is stale and a newer one, which is fresh, overlaps it."""
+        """Whether the cell is stale and a fresh, newer one overlaps it."""
         return not cell.is_fresh(now) and any(
             other.region == cell.region and other.partition.key() > cell.partition.key()
             and other.is_fresh(now) and _overlap(other.partition, cell.partition)
@@ -276,7 +276,7 @@
     def _add_cell_of_requester(
         self, sums: ServiceSums, in_region: list[CellRecord], own: CellPartition, path: int
     ) -> None:
-        """Add the cell that the requester belongs to, or one that shows that its own was split."""
+        """Add the cell that the requester belongs to, or one that shows that its cell was split."""
         holding = [cell for cell in in_region if cell.partition.includes_path(path)]
         best = max(holding, key=lambda cell: cell.partition.key(), default=None)
         if best is not None:
@@ -289,7 +289,7 @@
     def _add_sibling(
         self, sums: ServiceSums, in_region: list[CellRecord], own: CellPartition, now: float
     ) -> None:
-        """Add the cell that the requester's could merge with, where it is one cell and fresh."""
+        """Add the cell that the requester's could merge with, if it is a single fresh cell."""
         if not own.depth:
             return
         sibling = CellPartition(0, own.depth, own.bits ^ 1)
--- a/dunlinloft/fleet/cells/member_count.py
+++ b/dunlinloft/fleet/cells/member_count.py
@@ -1,10 +1,10 @@
-"""Among how many processes of a service in cells a budget is shared.
+"""Counts the processes of a service in cells that share a budget.
 
-A share may shrink at once and grows late, as in `fleet.member_count`: a greater total counts at once; a
-smaller one counts only once the directory has reported it, complete and within the bound on ages, for the
-whole grace time, and then only where it is more than half of what counted before. So of two sides of a
-network partition one at most takes more. While the directory does not answer, or what it reports is too old,
-no share grows, and the configured number is the floor: that is the fallback.
+A share may shrink at once and grows with a delay, as in `fleet.member_count`. A greater total counts at once.
+A smaller total counts only after the directory has reported it, completely and within the age bound, for the
+whole grace period, and only if it is more than half of the previous total, so at most one side of a network
+partition increases its share. The fallback, while the directory is unavailable or its reports are too old, is
+that no share grows and the configured number is the lower bound.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingDecrease:
-    """The total has been smaller since `since_ms`; `max_members` is the greatest reported since then."""
+    """A smaller total, reported since `since_ms`; `max_members` is the greatest one reported since then."""
 
     since_ms: float
     max_members: int
 
 
 class CellMemberCount:
-    """Counts the processes of a service, of which it sees those of its own cell and the directory's totals.
+    """Counts the processes of a service from the members of its own cell and the directory's totals.
 
-    Owned by the host (`node.fleet.cells`), which reports who is alive (`observe`) and reads `position`.
+    Owned by the host (`node.fleet.cells`), which passes the live members to `observe` and reads `position`.
 
     Parameters
     ----------
     own: name of this process.
-    number, nodes: its position by its configuration.
-    grace_ms: how long a missing process counts on, and a smaller total has to last.
+    number, nodes: its configured position.
+    grace_ms: how long a missing process still counts, and a smaller total has to last.
     """
 
     def __init__(self, own: str, number: int, nodes: int, grace_ms: float = MISSING_MEMBER_GRACE_MS) -> None:
@@ -47,25 +47,25 @@
         self.uses_fallback = True
 
     def reconfigure(self, number: int, nodes: int) -> None:
-        """Take a changed configuration."""
+        """Apply a changed configuration."""
         self._configured = Position(number, nodes)
         self._pending_decrease = None
         self._total = max(self._total, nodes)
 
     def total(self) -> int:
-        """How many processes count, in all cells."""
+        """Return how many processes of all cells count."""
         return self._total
 
     def cell(self) -> int:
-        """How many processes count in this cell."""
+        """Return how many processes of this cell count."""
         return self._own_cell.total()
 
     def counted_names(self) -> frozenset[str]:
-        """The names of those of this cell that count."""
+        """Return the names of the processes of this cell that count."""
         return self._own_cell.counted_names()
 
     def retain(self, is_ours: Callable[[str], bool]) -> None:
-        """Drop all that are not of this cell after a split or a merge: their own cell counts them."""
+        """Drop processes that left this cell by a split or a merge; their own cell counts them."""
         self._own_cell.retain(is_ours)
         self._pending_decrease = None
 
@@ -73,7 +73,7 @@
         self, alive: set[str], now: float, totals: ServiceTotals | None = None,
         partition: CellPartition = UNDIVIDED,
     ) -> None:  # fmt: skip
-        """Take in who is alive in this cell, and the totals of the service where there are any."""
+        """Update from the live members of this cell and the totals of the service, if there are any."""
         self._own_cell.observe(alive, now)
         own = self._own_cell.total()
         members = totals.members(own, partition) if totals is not None else own
@@ -93,7 +93,7 @@
             self._pending_decrease = pending
 
     def position(self) -> Position:
-        """This process's position among all that count; the configured one where it names as many."""
+        """Return this process's position among all that count; the configured one if the totals agree."""
         if self._total == self._configured.nodes:
             return self._configured
         return Position(
--- a/dunlinloft/fleet/cells/partition.py
+++ b/dunlinloft/fleet/cells/partition.py
@@ -1,10 +1,10 @@
 """Partitioning of a service in a region into cells, by a rule that all processes compute alike.
 
-Each name has a path, 32 bits of its hash. A cell is all names whose paths begin with the same bits. A cell
-that has grown beyond its bound is split by one bit more, two halves that have shrunk merge by one bit less.
-Every change has a greater epoch than what it replaces, so whoever missed some changes follows the newest
-that it receives, in whatever order. Cells form a binary tree of prefixes, as in extendible hashing (Fagin and
-others 1979).
+Each name has a path, 32 bits of its hash. A cell consists of all names whose paths have a common prefix. A
+cell that exceeds its bound is split, which lengthens the prefix by one bit; two halves that have shrunk are
+merged again. Every change has a greater epoch than what it replaces, so a process that missed changes can
+follow the newest one it receives, in any order. Cells form a binary tree of prefixes, as in extendible
+hashing (Fagin et al. 1979).
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from typing import NamedTuple
 
 PATH_BITS = 32
-MAX_DEPTH_BITS = 20  # length of a cell's prefix: a million cells of one service in one region
+MAX_DEPTH_BITS = 20  # of a cell's prefix; allows a million cells of one service in one region
 MAX_EPOCH = 1 << 31  # greater epochs are rejected, so that the next one still fits its four bytes
 
 
 def name_path(name: str) -> int:
-    """The bits that assign a name to cells (`PATH_BITS` of them), the same at every process."""
+    """Return the `PATH_BITS` bits that assign a name to cells, the same at every process."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=4, person=b"cell").digest(), "big")
 
 
 class CellId(NamedTuple):
-    """A cell whatever its epoch: the length of its prefix, and the prefix."""
+    """A cell regardless of its epoch: the length of its prefix, and the prefix."""
 
     depth: int
     bits: int
@@ -36,8 +36,8 @@
 
     Parameters
     ----------
-    epoch: rises with each split and merge.
-    depth: length of the prefix in bits; 0 for a service that is not divided.
+    epoch: increases with each split and merge.
+    depth: length of the prefix in bits; 0 for an undivided service.
     bits: the prefix, as a number of `depth` bits.
     """
 
@@ -46,11 +46,11 @@
     bits: int = 0
 
     def key(self) -> tuple[int, int]:
-        """Precedence: of two partitions that overlap the one with the greater key holds."""
+        """Return the precedence: of two overlapping partitions the one with the greater key is valid."""
         return self.epoch, self.depth
 
     def cell(self) -> CellId:
-        """The cell, whatever its epoch."""
+        """Return the cell regardless of its epoch."""
         return CellId(self.depth, self.bits)
 
     def includes_path(self, path: int) -> bool:
@@ -62,16 +62,16 @@
         return other.depth >= self.depth and other.bits >> (other.depth - self.depth) == self.bits
 
     def split_half(self, path: int) -> CellPartition:
-        """The half that a name with this path belongs to after a split."""
+        """Return the half that a name with this path belongs to after a split."""
         depth = self.depth + 1
         return CellPartition(self.epoch + 1, depth, path >> (PATH_BITS - depth))
 
     def merged(self, epoch: int) -> CellPartition:
-        """The cell that this one and its sibling merge into."""
+        """Return the cell that this one and its sibling are merged into."""
         return CellPartition(epoch, self.depth - 1, self.bits >> 1)
 
     def text(self) -> str:
-        """As operators see it: its bits, `*` for a service that is not divided."""
+        """Return the text for operators: the prefix bits, or `*` for an undivided service."""
         return f"{self.bits:0{self.depth}b}" if self.depth else "*"
 
     def is_valid(self) -> bool:
@@ -87,18 +87,18 @@
 
 
 def shared_bits(a: int, b: int) -> int:
-    """Length in bits of the longest common prefix of two paths."""
+    """Return the length in bits of the longest common prefix of two paths."""
     return PATH_BITS - (a ^ b).bit_length()
 
 
 def partition_to_follow(own: CellPartition, other: CellPartition, own_path: int) -> CellPartition | None:
-    """The partition that a member adopts when it receives another's; None where it keeps its own.
+    """Return the partition that a member adopts when it receives another's; None if it keeps its own.
 
-    If its own cell was split while the member was away, the partition of the other half says only that there
-    was a split. This member's half begins with the epoch after its own, as it did for those that were there.
+    If the member's cell was split while it was unreachable, the other half's partition shows only that there
+    was a split. The member's half then starts with the epoch after its own, as at the members that took part.
     """
     if not own.includes_path(own_path):
-        # In the wrong cell: a member of the right one knows better, however old its partition is.
+        # In the wrong cell: the partition of a member of the right cell takes precedence, however old it is.
         return other if other.includes_path(own_path) else None
     if other.key() <= own.key():
         return None
--- a/dunlinloft/fleet/cells/report_replication.py
+++ b/dunlinloft/fleet/cells/report_replication.py
@@ -1,4 +1,4 @@
-"""Replication of reports among the directory's processes."""
+"""Replication of reports among the directory processes."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from dunlinloft.fleet.shared_state.messages import PullResponse
 from dunlinloft.fleet.shared_state.store import Store
 
-MAX_RESPONSE_DATAGRAMS = 32  # to one pull of another process
+MAX_RESPONSE_DATAGRAMS = 32  # per pull request
 
 
 class ReportReplication(AntiEntropy):
-    """Pulls reports from the directory's other processes, whose responses take many datagrams.
+    """Pulls reports from the other directory processes, whose responses span many datagrams.
 
     Owned by `Directory`.
     """
@@ -21,10 +21,10 @@
         super().__init__(store, rng, MAX_RESPONSE_DATAGRAMS)
 
     def _advance(self, partner: Partner, response: PullResponse) -> None:
-        """Advance the cursor past datagrams that came out of order, once those before them have come.
+        """Advance the cursor past datagrams that were reordered, once the preceding ones have arrived.
 
-        Otherwise they would be requested again from the first gap, and replication would grow with the
-        square of the number of cells.
+        Otherwise they would be requested again from the first gap, and replication traffic would grow with
+        the square of the number of cells.
         """
         ahead = partner.out_of_order
         ahead[response.from_cursor] = max(response.cursor, ahead.get(response.from_cursor, 0))
--- a/dunlinloft/fleet/cells/report_store.py
+++ b/dunlinloft/fleet/cells/report_store.py
@@ -1,4 +1,4 @@
-"""The reports that a process of the directory holds, as records of the store that shared state uses."""
+"""The reports that a directory process holds, in a store as used by the shared state."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class ReportStore(Store):
-    """Reports by service, region and reporter; each that is stored is passed on to the index.
+    """Reports by service, region and reporter; each stored report is also added to the index.
 
-    Owned by `Directory`. A report that is stale is replaced by any younger one.
+    Owned by `Directory`. A stale report is replaced by any fresh one.
     """
 
     def __init__(self, name: str, incarnation: int, index: CellIndex) -> None:
@@ -21,10 +21,10 @@
         self._now = 0.0
 
     def merge(self, entry: Entry, transit_ms: float, source: str, now: float) -> bool:
-        """Merge a record that may be older or newer than what is stored; whether it was stored."""
+        """Merge a record that may be older or newer than the stored one; return whether it was stored."""
         self._now = now
         stored = self._records.get((entry.kind, entry.writer))
-        # A reporter that restarted with a clock that went back has a lesser incarnation than its former one.
+        # A reporter whose clock went backwards before a restart has a smaller incarnation than before.
         if stored is not None and stored.age_ms(now) > MAX_REPORT_AGE_MS > entry.age_ms + transit_ms:
             del self._records[entry.kind, entry.writer]
         return super().merge(entry, transit_ms, source, now)
--- a/dunlinloft/fleet/cells/service_totals.py
+++ b/dunlinloft/fleet/cells/service_totals.py
@@ -1,4 +1,4 @@
-"""What one member knows of its service beyond its own cell."""
+"""What a member knows of its service beyond its own cell."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from dunlinloft.fleet.cells.messages import LookupResponse
 from dunlinloft.fleet.cells.partition import CellId, CellPartition
 
-MAX_REPORT_AGE_MS = 30_000.0  # older reports count as stale, at the directory and at members
-CLOCK_DRIFT_RATIO = 0.02  # the greatest difference assumed between the rates of two clocks
+MAX_REPORT_AGE_MS = 30_000.0  # older reports are stale, at the directory and at members
+CLOCK_DRIFT_RATIO = 0.02  # greatest assumed difference between the rates of two clocks
 
 
 @dataclass(slots=True)
 class ServiceTotals:
-    """A response of the directory, as of when it was requested.
+    """A response of the directory, and when it was requested.
 
     Parameters
     ----------
-    cell: the requester's, at the time of the request.
+    cell: the requester's at the time of the request.
     requested_ms: by the requester's clock.
     response: as received.
     """
@@ -27,11 +27,11 @@
     response: LookupResponse
 
     def age_ms(self, now: float) -> float:
-        """Upper bound of the age of the oldest report that the response rests on."""
+        """Return an upper bound on the age of the oldest report that the response is based on."""
         return self.response.age_ms + (now - self.requested_ms) * (1.0 + CLOCK_DRIFT_RATIO)
 
     def is_usable(self, partition: CellPartition, now: float) -> bool:
-        """Whether decisions may rest on it: for this cell, complete, and within the bound on ages."""
+        """Whether decisions may be based on it: it is for this cell, complete, and within the age bound."""
         return (
             self.response.is_reliable
             and self.cell == partition.cell()
@@ -39,7 +39,7 @@
         )
 
     def members(self, own: int, partition: CellPartition) -> int:
-        """Members of the service, where `own` count in this process's cell, which is `partition` by now."""
+        """Return the service's members, given `own` in this process's cell, which is now `partition`."""
         response = self.response
         has_separate_count = response.own_cell_members >= 0 and self.cell == partition.cell()
         return max(
--- a/dunlinloft/fleet/cells/settings.py
+++ b/dunlinloft/fleet/cells/settings.py
@@ -1,4 +1,4 @@
-"""What a member's configuration says about its cell."""
+"""A member's configuration of its cell."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True)
 class CellSettings:
-    """The service and the region that a member belongs to, the bound of a cell, and the directory.
+    """A member's service and region, the bound on a cell's size, and the directory.
 
     Parameters
     ----------
-    service, region: cells are made of the members of one service in one region.
-    max_members: bound of a cell; beyond it the cell is split.
+    service, region: a cell's members belong to one service in one region.
+    max_members: bound on a cell's size; beyond it the cell is split.
     directory: addresses of the directory's processes, any of which can answer.
     """
 
--- a/dunlinloft/fleet/cells/wire.py
+++ b/dunlinloft/fleet/cells/wire.py
@@ -1,8 +1,9 @@
-"""Encoding of the messages of a fleet with cells.
+"""Wire format of the messages of a fleet with cells.
 
-Between members: a version byte that differs from a flat fleet's, so each rejects the other's messages, then
-checksums of the fleet and of the service with its region, the sender's partition, and the same message as in
-a flat fleet. With the directory: a version byte of its own, the checksum of the fleet, and the message.
+Messages between members consist of a version byte that differs from a flat fleet's, so each kind of fleet
+rejects the other's messages, checksums of the fleet and of the service with its region, the sender's
+partition, and the same message as in a flat fleet. Messages to and from the directory consist of another
+version byte, the checksum of the fleet, and the message.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
     encode_state,
 )
 
-# Version bytes; a flat fleet's is `dunlinloft.fleet.messages.VERSION`.
+# Version bytes; that of a flat fleet is `dunlinloft.fleet.messages.VERSION`.
 CELL_VERSION = 2
 DIRECTORY_VERSION = 3
 _PARTITION_FORMAT = struct.Struct(">IBI")  # epoch, depth, bits
@@ -43,12 +44,12 @@
 
 
 class CellWire:
-    """Encodes and decodes for the members of one service in one region.
+    """Encodes and decodes messages for the members of one service in one region.
 
     Parameters
     ----------
-    fleet, service, region: messages of others are rejected.
-    partition: the sender's cell, read for each message that is encoded.
+    fleet, service, region: messages from other ones are rejected.
+    partition: returns the sender's cell; called for each message that is encoded.
     """
 
     def __init__(self, fleet: str, service: str, region: str, partition: Callable[[], CellPartition]) -> None:
@@ -61,15 +62,15 @@
         return self._members + _PARTITION_FORMAT.pack(partition.epoch, partition.depth, partition.bits)
 
     def write(self, message: AnyMessage) -> bytes:
-        """A datagram; records that would make it too long are left out, the last first."""
+        """Encode a datagram; if it would be too long, records are left out from the end."""
         if isinstance(message, CellMessage):
             return self._directory + _encode(message)
         return encode_datagram(self._prefix(), message)
 
     def read(self, data: bytes) -> tuple[AnyMessage, CellPartition | None]:
-        """The message of a datagram, and its sender's cell (None for the directory's).
+        """Decode a datagram; return its message and the sender's cell (None for the directory's messages).
 
-        Raises `MessageRejected` for one that is broken, or not for this service and region.
+        Raises `MessageRejected` for a datagram that is malformed, or not for this service and region.
         """
         if data[:1] == self._directory[:1]:
             return read_directory(self._directory, data), None
@@ -77,11 +78,11 @@
         return decode(_message_decoder, body), partition
 
     def write_state(self, state: State) -> bytes:
-        """A complete view; records that would make it longer than the limit are left out."""
+        """Encode a complete view; records beyond the size limit are left out."""
         return encode_state(self._prefix(), state)
 
     def read_state(self, data: bytes) -> tuple[State, CellPartition | None]:
-        """The view that was encoded, and its sender's cell; raises `MessageRejected` as `read` does."""
+        """Decode a view; return it and the sender's cell. Raises `MessageRejected` like `read`."""
         body, partition = self._body(data, MAX_STATE_BYTES)
         return decode(_state_decoder, body), partition
 
@@ -102,15 +103,15 @@
         self._prefix = bytes([DIRECTORY_VERSION]) + _crc(fleet)
 
     def accepts(self, data: bytes) -> bool:
-        """Whether a datagram is of this kind, and not one between the directory's own processes."""
+        """Whether a datagram is of this kind, rather than between the directory's own processes."""
         return data[:1] == self._prefix[:1]
 
     def write(self, message: CellMessage) -> bytes:
-        """A datagram."""
+        """Encode a datagram."""
         return self._prefix + _encode(message)
 
     def read(self, data: bytes) -> CellMessage:
-        """The message of a datagram; raises `MessageRejected` for one that is broken or of another fleet."""
+        """Decode a datagram; raises `MessageRejected` if it is malformed or of another fleet."""
         return read_directory(self._prefix, data)
 
 
@@ -120,7 +121,7 @@
 
 
 def strip_prefix(prefix: bytes, data: bytes, max_bytes: int) -> memoryview:
-    """The body after a prefix; raises `MessageRejected` where length, version or checksums don't fit."""
+    """Return the body after a prefix; raises `MessageRejected` if length, version or checksums are wrong."""
     if len(data) <= len(prefix):
         raise MessageRejected(RejectReason.SHORT)
     if len(data) > max_bytes:
