--- a/tests/shared_days.py
+++ b/tests/shared_days.py
@@ -1,4 +1,4 @@
-"""A day on which four members share their verdicts: one server errs, and one node is killed."""
+"""A scenario in which four members share verdicts while one server fails and one node is killed."""
 
 SHARED_DAY = """
 name = "shared"
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -1,4 +1,7 @@
-"""Shared state: merging and ages, quota shares, affinity, verdicts; planted faults are detected."""
+"""Tests of the shared state: merging and record ages, quota shares, affinity and verdicts.
+
+Some tests inject faults into the implementation and require that the checks detect them.
+"""
 
 from __future__ import annotations
 
@@ -55,8 +58,8 @@
     assert {writer: key[:2] for writer, key in merged(reported).items()} == latest
 
 
-def faults(world: World, steps: int, every: Callable[[World], None]) -> None:
-    """Kills, restarts, pauses, partitions (also one-way), groups unavailable to some or all processes."""
+def inject_random_faults(world: World, steps: int, after_step: Callable[[World], None]) -> None:
+    """Inject kills, restarts, pauses, (one-way) partitions and groups unavailable to some or all."""
     rng = world.rng
     for _ in range(steps):
         name, zone = rng.choice(world.names), rng.choice(ZONES)
@@ -71,8 +74,8 @@
             case 3:
                 world.cont(name)
             case 4:
-                some = rng.sample(world.names, rng.randint(1, len(world.names) - 1))
-                world.sever(some, [n for n in world.names if n not in some], both=rng.random() < 0.6)
+                group = rng.sample(world.names, rng.randint(1, len(world.names) - 1))
+                world.sever(group, [n for n in world.names if n not in group], both=rng.random() < 0.6)
             case 5 | 6:
                 world.heal()
             case 7:
@@ -83,11 +86,11 @@
         world.hold_ms = rng.choice((0.0, 0.0, 2_000.0))
         for _ in range(rng.randint(1, 40)):
             world.run(100.0)
-            every(world)
+            after_step(world)
 
 
-def callers(world: World) -> None:
-    """New keys, and retries of keys by way of any process."""
+def send_random_requests(world: World) -> None:
+    """Send requests with new keys, and retries of known keys, through random processes."""
     rng = world.rng
     for _ in range(2):
         key = rng.getrandbits(64)
@@ -96,30 +99,31 @@
         world.ask(key, rng.choice(world.names), again=True)
 
 
-def play(seed: int, core: type[SharedState] = SharedState, steps: int = 14) -> World:
+def run_random_faults(seed: int, core: type[SharedState] = SharedState, steps: int = 14) -> World:
+    """Run a world with random faults and requests; it raises `Broken` if a check fails."""
     rng = random.Random(seed)
     world = World(seed, members=rng.choice((3, 5, 6, 9)), core=core, loss=rng.choice((0.0, 0.05, 0.2)))
     world.run(6_000.0)
-    faults(world, steps, callers)
+    inject_random_faults(world, steps, send_random_requests)
     return world
 
 
 def test_no_age_is_underestimated_and_no_key_goes_to_two_groups() -> None:
-    # 1309: a delayed response was taken for one to a later request of the same id.
-    # 3710: a restarted process did not know the bindings of its own former incarnation.
-    worlds = [play(seed) for seed in (*range(20), 1309, 3710)]
+    # Seed 1309: a delayed response was matched to a later request with the same id.
+    # Seed 3710: a restarted process did not know the bindings of its own former incarnation.
+    worlds = [run_random_faults(seed) for seed in (*range(20), 1309, 3710)]
     done = sum((world.counts for world in worlds), start=worlds[0].counts.__class__())
-    assert done["again"] > 1_000, done  # retries are served,
-    assert done["cut off"] and done["not told"], done  # and refused where that is not known
+    assert done["again"] > 1_000, done  # retries are served
+    assert done["cut off"] and done["not told"], done  # and refused if their group is unknown
 
 
-def plant_ignored_transit_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def inject_ignored_transit_time(monkeypatch: pytest.MonkeyPatch) -> None:
     merge = store.Store.merge
     monkeypatch.setattr(store.Store, "merge", lambda s, e, transit, src, now: merge(s, e, 0.0, src, now))
 
 
-def plant_bindings_without_acknowledgement(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process that finds a group unavailable binds its keys elsewhere at once."""
+def inject_bindings_without_acknowledgement(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A process binds the keys of an unavailable group elsewhere without a majority's acknowledgement."""
 
     def counted(self: affinity.Affinity, quorum: affinity.Quorum, same: bool, now: float) -> None:
         self.fresh_until_ms = affinity._majority_until(quorum.fresh_until, quorum.member_count)
@@ -129,8 +133,8 @@
     monkeypatch.setattr(affinity.Affinity, "_update_quorum", counted)
 
 
-def plant_never_isolated(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process without fresh heartbeats goes on as if it had a majority's."""
+def inject_never_isolated(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A process without fresh heartbeats behaves as if it had those of a majority."""
     count = affinity.Affinity._update_quorum
 
     def counted(self: affinity.Affinity, quorum: affinity.Quorum, same: bool, now: float) -> None:
@@ -140,16 +144,16 @@
     monkeypatch.setattr(affinity.Affinity, "_update_quorum", counted)
 
 
-@pytest.mark.parametrize("plant", [plant_ignored_transit_time, plant_bindings_without_acknowledgement])
-def test_planted_faults_are_caught(plant: Callable[[pytest.MonkeyPatch], None]) -> None:
+@pytest.mark.parametrize("inject", [inject_ignored_transit_time, inject_bindings_without_acknowledgement])
+def test_injected_faults_are_detected(inject: Callable[[pytest.MonkeyPatch], None]) -> None:
     with pytest.MonkeyPatch.context() as patch, pytest.raises(Broken):
-        plant(patch)
+        inject(patch)
         for seed in range(60):
-            play(seed)
+            run_random_faults(seed)
 
 
-def isolate(world: World) -> None:
-    """A process is isolated while the others find a zone unavailable; retries come to that process."""
+def retry_at_isolated_process(world: World) -> None:
+    """Isolate a process, make a zone unavailable to the others, and send retries to the isolated process."""
     world.run(6_000.0)
     world.sever(["m0"], world.names[1:])
     world.run(2_000.0)
@@ -163,14 +167,14 @@
         world.ask(key, "m0", again=True)
 
 
-def test_an_isolated_process_refuses_retries_which_would_go_astray() -> None:
+def test_an_isolated_process_refuses_retries_of_keys_that_may_be_bound_elsewhere() -> None:
     world = World(1, members=5)
-    isolate(world)
+    retry_at_isolated_process(world)
     assert world.counts["cut off"] == 30
     assert any(p.core.affinity.counts["elsewhere"] for p in world.processes.values())
     with pytest.MonkeyPatch.context() as patch, pytest.raises(Broken, match="went to"):
-        plant_never_isolated(patch)
-        isolate(World(1, members=5))
+        inject_never_isolated(patch)
+        retry_at_isolated_process(World(1, members=5))
 
 
 @given(
@@ -178,7 +182,7 @@
     st.lists(st.tuples(st.floats(0.0, 300.0), st.floats(0.0, 50.0)), min_size=1, max_size=8),
     st.integers(0, 7),
 )
-@example(1.5, [(5e-324, 0.0)], 0)  # found by chance: the share was 2.0
+@example(1.5, [(5e-324, 0.0)], 0)  # found by a random search: the share was 2.0, more than the quota
 @example(2.0, [(5e-324, 0.0), (2.0, 0.0)], 0)
 @settings(derandomize=True, database=None, max_examples=300, deadline=None)
 def test_quota_shares_add_up_and_fall_with_the_demand_of_others(
@@ -191,14 +195,14 @@
 
     whole = sum(of(n, demands) for n in range(len(demands)))
     assert whole <= quota * (1.0 + 1e-9)
-    assert whole >= min(quota, sum(demands)) * (1.0 - 1e-9)  # what is wanted and there is not kept back
+    assert whole >= min(quota, sum(demands)) * (1.0 - 1e-9)  # no demanded capacity is withheld
     assert of(n, demands) >= min(demands[n], quota / len(demands)) * (1.0 - 1e-9)
     more = [d if m == n else d + extra for m, (d, extra) in enumerate(reported)]
     assert of(n, more) <= of(n, demands) * (1.0 + 1e-9)
 
 
-def demand(world: World, rates: dict[str, float], for_ms: float) -> list[float]:
-    """Requests for the tenant come at these rates; the shares in force added up, ten times a second."""
+def run_demand(world: World, rates: dict[str, float], for_ms: float) -> list[float]:
+    """Send a tenant's requests at these rates; return the sums of the applied shares, every 100 ms."""
     sums = []
     for _ in range(int(for_ms / 100.0)):
         for name, rate in rates.items():
@@ -213,15 +217,15 @@
 def test_quota_shares_follow_demand_and_a_partition_does_not_double_them(seed: int) -> None:
     world = World(seed, members=6)
     rates = dict.fromkeys(world.names, 5.0) | {"m0": 60.0}
-    sums = demand(world, rates, 15_000.0)
+    sums = run_demand(world, rates, 15_000.0)
     assert max(sums) <= 1.05
-    assert world.processes["m0"].part.quotas["t"] > 55.0  # of 100: its demand, where an even share is 17
+    assert world.processes["m0"].part.quotas["t"] > 55.0  # of 100: its demand; an even share is 17
     world.sever(world.names[:3], world.names[3:])
     world.run(quota_shares.MAX_DEMAND_AGE_MS + 500.0)
     rates = dict.fromkeys(world.names, 40.0)  # both sides are busy
-    assert max(demand(world, rates, 8_000.0)) <= 1.05
+    assert max(run_demand(world, rates, 8_000.0)) <= 1.05
     world.heal()
-    assert max(demand(world, rates, 12_000.0)) <= 1.05
+    assert max(run_demand(world, rates, 12_000.0)) <= 1.05
 
 
 def test_without_the_age_bound_a_partition_doubles_the_quota() -> None:
@@ -234,10 +238,10 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(QuotaAllocator, "shares", shares)
         world = World(1, members=6)
-        demand(world, dict.fromkeys(world.names, 40.0), 8_000.0)
+        run_demand(world, dict.fromkeys(world.names, 40.0), 8_000.0)
         world.sever(world.names[:3], world.names[3:])
         world.run(quota_shares.MAX_DEMAND_AGE_MS + 500.0)
-        assert max(demand(world, dict.fromkeys(world.names, 40.0), 8_000.0)) > 1.5
+        assert max(run_demand(world, dict.fromkeys(world.names, 40.0), 8_000.0)) > 1.5
 
 
 # Verdicts
@@ -259,7 +263,7 @@
     )
 
 
-def judged(
+def avoided(
     pool: VerdictPool, reports: list[ObservationReport], now: float = 0.0
 ) -> dict[int, frozenset[int]]:
     found = pool.update(
@@ -273,18 +277,20 @@
 
 
 def test_one_process_does_not_suffice_and_the_losses_of_a_zone_count_once() -> None:
-    assert judged(pool(), [report("wien", statistics(1, losses=900))]) == {}
-    assert judged(pool(), [report("wien", statistics(1, errors=900))]) == {}
+    assert avoided(pool(), [report("wien", statistics(1, losses=900))]) == {}
+    assert avoided(pool(), [report("wien", statistics(1, errors=900))]) == {}
     one_zone = [report("wien", statistics(1, losses=60)) for _ in range(9)]
-    assert judged(pool("linz"), one_zone) == {}
-    assert judged(pool("wien"), one_zone) == {1: frozenset()}  # whose links those are
-    assert judged(pool("linz"), [*one_zone, report("krems", statistics(1, losses=39))]) == {1: frozenset()}
+    assert avoided(pool("linz"), one_zone) == {}
+    assert avoided(pool("wien"), one_zone) == {1: frozenset()}  # the zone whose links lose attempts
+    assert avoided(pool("linz"), [*one_zone, report("krems", statistics(1, losses=39))]) == {1: frozenset()}
 
 
 def test_errors_add_up_and_responses_outweigh_them() -> None:
     reported = [report(zone, statistics(1, errors=39)) for zone in ZONES]
-    assert judged(pool(), reported) == {1: frozenset()}
-    assert judged(pool(), [*reported, *(report("wien", statistics(1, successes=40)) for _ in range(4))]) == {}
+    assert avoided(pool(), reported) == {1: frozenset()}
+    assert (
+        avoided(pool(), [*reported, *(report("wien", statistics(1, successes=40)) for _ in range(4))]) == {}
+    )
 
 
 def test_a_verdict_names_the_failing_class() -> None:
@@ -292,32 +298,34 @@
         report(zone, statistics(1, errors=60, class_hash=9), statistics(1, successes=60, class_hash=8))
         for zone in ZONES
     ]
-    assert judged(pool(), reported) == {1: frozenset({9})}
+    assert avoided(pool(), reported) == {1: frozenset({9})}
 
 
 def test_a_process_that_sees_most_servers_fail_is_ignored_and_half_the_servers_may_be_avoided() -> None:
-    everything = [statistics(server, errors=80) for server in START_IDS]
-    assert judged(pool(), [report(zone, *everything, failing=6) for zone in ZONES]) == {}
-    spread_out = [
-        report(zone, *everything[n : n + 3], failing=3) for n, zone in enumerate(ZONES) for _ in "abc"
+    all_servers_failing = [statistics(server, errors=80) for server in START_IDS]
+    assert avoided(pool(), [report(zone, *all_servers_failing, failing=6) for zone in ZONES]) == {}
+    partial_reports = [
+        report(zone, *all_servers_failing[n : n + 3], failing=3)
+        for n, zone in enumerate(ZONES)
+        for _ in "abc"
     ]
-    found = judged(pool(), spread_out)
+    found = avoided(pool(), partial_reports)
     assert len(found) == 3
 
 
 def test_reports_on_former_starts_and_on_unlisted_servers_are_ignored() -> None:
-    assert judged(pool(), [report(zone, statistics(1, errors=80, start_id=6)) for zone in ZONES]) == {}
-    assert judged(pool(), [report(zone, statistics(99, errors=80)) for zone in ZONES]) == {}
+    assert avoided(pool(), [report(zone, statistics(1, errors=80, start_id=6)) for zone in ZONES]) == {}
+    assert avoided(pool(), [report(zone, statistics(99, errors=80)) for zone in ZONES]) == {}
 
 
 def test_a_verdict_stays_without_reports_until_it_expires_and_ends_with_responses() -> None:
-    kept = pool()
+    pool_with_verdict = pool()
     reported = [report(zone, statistics(1, errors=60)) for zone in ZONES]
-    assert judged(kept, reported) == {1: frozenset()}
-    assert judged(kept, [], 5_000.0) == {1: frozenset()}
-    assert judged(kept, [report("wien", statistics(1, successes=60))], 6_000.0) == {}
-    assert judged(kept, reported, 7_000.0) == {1: frozenset()}
-    assert judged(kept, [], 7_000.0 + verdicts.VERDICT_EXPIRY_MS + 1.0) == {}
+    assert avoided(pool_with_verdict, reported) == {1: frozenset()}
+    assert avoided(pool_with_verdict, [], 5_000.0) == {1: frozenset()}
+    assert avoided(pool_with_verdict, [report("wien", statistics(1, successes=60))], 6_000.0) == {}
+    assert avoided(pool_with_verdict, reported, 7_000.0) == {1: frozenset()}
+    assert avoided(pool_with_verdict, [], 7_000.0 + verdicts.VERDICT_EXPIRY_MS + 1.0) == {}
 
 
 def test_a_process_reports_servers_that_stand_out_and_nothing_of_a_former_start() -> None:
@@ -362,7 +370,7 @@
     assert {p.core.quota_allocator.quotas["t"] for p in world.processes.values()} == {40.0}
     world.give(
         world.processes["m2"], OperatorLimitsRead(6, {"t": 90.0})
-    )  # it does not know that another leads now
+    )  # m2 does not know yet that another leader was elected
     world.run(2_000.0)
     assert {p.core.quota_allocator.quotas["t"] for p in world.processes.values()} == {40.0}
     world.kill("m1")
--- a/tests/test_shared_verdict_days.py
+++ b/tests/test_shared_verdict_days.py
@@ -1,4 +1,4 @@
-"""Days in virtual time: members agree on the server that errs, and on no other."""
+"""Scenarios in virtual time: members agree on the faulty server, and avoid no other."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class _AvoidedServers(VirtualHost):
-    """Notes with each look at the nodes how many servers each avoids."""
+    """Records how many servers each node avoids, whenever the nodes are sampled."""
 
     counts: ClassVar[list[int]] = []
 
@@ -27,9 +27,9 @@
                 self.counts.append(sum(verdict.avoid for verdict in node.member.shared.verdicts))
 
 
-# In seeds 27, 86, 135 and 241 one member had lost attempts of two classes at one server, within a second.
+# With seeds 27, 86, 135 and 241 one member lost attempts of two classes at one server within a second.
 @pytest.mark.parametrize("seed", [3, 27, 86, 135, 241, *range(40, 50)])
-def test_only_the_server_that_errs_is_avoided(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_only_the_faulty_server_is_avoided(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     counts: list[int] = []
     monkeypatch.setattr(_AvoidedServers, "counts", counts)
     result = play_virtual(parse(SHARED_DAY), seed, host=_AvoidedServers)
@@ -42,7 +42,7 @@
 
 
 def _row(class_hash: int, errors: int, losses: int) -> ServerStatistics:
-    """What a member says of server 1; odds in tenths."""
+    """A member's row on server 1; odds are in tenths."""
     return ServerStatistics(1, 0, class_hash, errors, losses, 0, 100, 0)
 
 
