--- a/tests/test_release_controller.py
+++ b/tests/test_release_controller.py
@@ -1,4 +1,4 @@
-"""The release controller among members that fail to report or to apply orders, and its successors."""
+"""Tests of the release controller with members that fail to report or to apply orders, and of take-overs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ReleaseWorld:
-    """Members that apply orders and count, a state table that commits a little later, and faulty servers."""
+    """Simulates members that apply orders and count, a state table that commits late, and faulty servers."""
 
     def __init__(
         self, seed: int = 1, members: int = 6, servers: int = 12, new: int = 4, rate: float = 15.0
@@ -28,7 +28,7 @@
         self.rows: list[Plan] = []
         self.writing: list[Plan] = []
         self.token = 5
-        self.commits = True  # else rows are lost with their primary
+        self.commits = True  # if False, rows are lost with their primary
         self.controller = self.new_controller()
         self.controller.start(self.token, None, 0.0)
         self.servers = {
@@ -39,7 +39,7 @@
             member.set_servers(dict(self.servers))
         self.not_reporting: set[str] = set()
         self.not_applying: set[str] = set()
-        self.failure_share = 0.0  # of the new servers, beside what all have
+        self.failure_share = 0.0  # of the new servers, in addition to that of all servers
         self.slowness = 1.0  # factor of the new servers' latency
         self.shares: list[float] = []
 
@@ -96,7 +96,7 @@
 
 
 def as_received(tally: Tally) -> Tally:
-    """What comes over the wire is a copy."""
+    """Return a copy, as received over the network."""
     return decode(encode(tally), type=Tally)
 
 
@@ -117,43 +117,43 @@
         assert world.shares[-1] == 0.0 and max(world.shares[1:]) < 1.0
 
 
-def test_members_that_do_not_report_or_apply_the_order_make_it_wait_with_a_reason() -> None:
-    for what in ("not_reporting", "not_applying"):
+def test_the_controller_waits_with_a_reason_for_members_that_do_not_report_or_apply_the_order() -> None:
+    for fault in ("not_reporting", "not_applying"):
         world = ReleaseWorld(3)
         world.begin()
         world.run(2.0)
-        getattr(world, what).add("m2")
+        getattr(world, fault).add("m2")
         world.controller.command("skip", "anna", "")
         world.complete_writes()
         world.run(60.0)
         assert world.rows[-1].stage == 1 and world.controller.waiting_for
-        assert ("5 of 6 members" in world.controller.waiting_for) == (what == "not_reporting")
-        getattr(world, what).clear()
+        assert ("5 of 6 members" in world.controller.waiting_for) == (fault == "not_reporting")
+        getattr(world, fault).clear()
         world.run(200.0, lambda w=world: w.state() == ReleaseState.DONE)  # type: ignore[misc]
         assert world.state() == ReleaseState.DONE
 
 
-def test_too_little_traffic_makes_it_wait_and_say_how_much_was_seen() -> None:
+def test_the_controller_waits_and_reports_the_number_of_calls_if_there_is_too_little_traffic() -> None:
     world = ReleaseWorld(4, members=2, rate=2.0)
     world.begin()
     world.run(60.0)
     assert world.rows[-1].stage == 0 and "20 are required" in world.controller.waiting_for
 
 
-def test_a_successor_continues_a_rollback_that_its_row_does_not_say() -> None:
+def test_a_successor_continues_a_rollback_that_is_not_stored_in_the_plan() -> None:
     world = ReleaseWorld(5)
     world.begin()
     world.run(2.0)
     world.failure_share = 1.0
-    world.commits = False  # from now on no row is committed: the primary is about to be replaced
+    world.commits = False  # no row is committed from now on: the primary is about to be replaced
     world.run(60.0, lambda: world.controller.order.share == 0.0)
     world.run(1.0)
     assert world.state() == ReleaseState.BAKING and world.controller.order.share == 0.0
-    old = world.controller
+    former = world.controller
     world.controller = world.new_controller()
     world.commits = True
     world.controller.start(world.token + 1, world.rows[-1], world.now)
-    world.failure_share = 0.0  # nothing would be found any more
+    world.failure_share = 0.0  # the successor would detect no harm
     since = len(world.shares)
     world.run(30.0, lambda: world.state() == ReleaseState.ROLLED_BACK)
     assert world.state() == ReleaseState.ROLLED_BACK
@@ -164,10 +164,10 @@
     delayed = Order(5, 99, 1, 0.5, 1000.0, (), True)  # of the former controller
     member.apply_order(delayed, 0.0, world.now)
     assert member.order.token == world.token + 1 and member.order.share == 0.0
-    assert old.order.token == 5
+    assert former.order.token == 5
 
 
-def test_a_successor_takes_no_suspended_members_order_for_a_rollback() -> None:
+def test_a_successor_does_not_take_the_outdated_order_of_a_suspended_member_for_a_rollback() -> None:
     world = ReleaseWorld(10)
     world.begin(3.0)
     world.run(60.0, lambda: world.rows[-1].stage == 1)
@@ -211,12 +211,12 @@
     )
 
 
-def test_a_rollback_gives_old_servers_no_more_than_they_have_borne() -> None:
+def test_a_rollback_gives_old_servers_no_more_than_their_peak_rate() -> None:
     world = ReleaseWorld(8)
     world.begin(2.0)
     world.run(200.0, lambda: world.rows[-1].stage == 3)
     world.slowness = 5.0
-    for member in world.members.values():  # the platform has drained half of the old ones meanwhile
+    for member in world.members.values():  # the platform has drained half of the old servers
         member.set_servers({n: s for n, s in world.servers.items() if n < 8})
     world.servers = {n: s for n, s in world.servers.items() if n < 8}
     world.run(60.0, lambda: world.rows[-1].state == ReleaseState.ROLLING_BACK)
@@ -224,7 +224,7 @@
     assert world.rows[-1].state == ReleaseState.ROLLING_BACK and world.controller.capacity_short
     assert 0.1 < world.controller.order.share < 0.6
     world.failure_share = (
-        1.0  # then it bears nothing, and the module refuses by worth what the old ones can't take
+        1.0  # now the new build takes no load; requests beyond the old servers' capacity are refused by worth
     )
     world.run(30.0, lambda: world.state() == ReleaseState.ROLLED_BACK)
     assert world.state() == ReleaseState.ROLLED_BACK
@@ -239,13 +239,13 @@
         world.controller.start_release(ReleaseRequest(server_names=("a1",)), "", "")
     with pytest.raises(InvalidReleaseRequest, match="expected one of pause, resume"):
         world.controller.command("stop", "", "")
-    for what, state in (
+    for command, state in (
         ("pause", "paused"),
         ("resume", ReleaseState.BAKING),
         ("halt", "halted"),
         ("abort", ReleaseState.ROLLING_BACK),
     ):
-        world.controller.command(what, "otto", "because")
+        world.controller.command(command, "otto", "because")
         world.complete_writes()
         assert (world.rows[-1].state, world.rows[-1].changed_by, world.rows[-1].reason) == (
             state,
--- a/tests/test_release_judge.py
+++ b/tests/test_release_judge.py
@@ -1,4 +1,4 @@
-"""The release judge: no evidence on average where builds are alike, and harm is found whenever it begins."""
+"""Tests of the release judge: no evidence on average for equal builds, and detection of harm at any time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def noncentral(s: CallStratum, odds: float) -> dict[int, float]:
-    """How likely each number of bad calls among the new ones is, at these odds."""
+    """Return the probability of each number of bad calls among the new ones at this odds ratio."""
     bad = s.new_bad + s.old_bad
     weights = {
         x: math.comb(s.new, x) * math.comb(s.old, bad - x) * odds**x
@@ -68,39 +68,42 @@
         assert mean <= 1.0 + 1e-9
 
 
-def drawn(rng: random.Random, looks: int, zones: dict[int, tuple[int, int, float]]) -> ReleaseJudge:
-    """A judge after so many looks: by zone new and old calls a look, and the share of both that fails."""
-    found = ReleaseJudge()
+def judge_after(rng: random.Random, looks: int, zones: dict[int, tuple[int, int, float]]) -> ReleaseJudge:
+    """Return a judge after random looks.
+
+    `zones` gives the new and old calls per look, and the failure share of both, by zone.
+    """
+    judge = ReleaseJudge()
     none = LatencyStratum((0,) * 8, (0,) * 8)
     for _ in range(looks):
         strata = []
         for new, old, share in zones.values():
             bad = [sum(rng.random() < share for _ in range(n)) for n in (new, old)]
             strata.append(Strata(CallStratum(new, bad[0], old, bad[1]), none))
-        found.update({7: strata})
-        if found.is_worse():
+        judge.update({7: strata})
+        if judge.is_worse():
             break
-    return found
+    return judge
 
 
 def test_a_failing_zone_with_most_of_the_new_servers_is_no_evidence_against_them() -> None:
     zones = {1: (20, 5, 0.4), 2: (2, 30, 0.002)}
-    assert not any(drawn(random.Random(seed), 100, zones).is_worse() for seed in range(40))
-    # The same calls without their zones would be evidence at once.
+    assert not any(judge_after(random.Random(seed), 100, zones).is_worse() for seed in range(40))
+    # The same calls without the zones would be evidence.
     pooled = ReleaseJudge()
     for _ in range(20):
         pooled.update({7: [Strata(CallStratum(22, 8, 35, 2), LatencyStratum((0,) * 8, (0,) * 8))]})
     assert pooled.is_worse()
 
 
-def test_harm_that_begins_late_is_found_despite_all_good_calls_before() -> None:
-    found = ReleaseJudge()
+def test_harm_that_begins_late_is_detected_despite_all_good_calls_before() -> None:
+    judge = ReleaseJudge()
     none = LatencyStratum((0,) * 8, (0,) * 8)
     for _ in range(2_000):
-        found.update({7: [Strata(CallStratum(10, 0, 50, 1), none)]})
-    assert not found.is_worse()
+        judge.update({7: [Strata(CallStratum(10, 0, 50, 1), none)]})
+    assert not judge.is_worse()
     looks = 0
-    while not found.is_worse() and looks < 12:
-        found.update({7: [Strata(CallStratum(10, 3, 50, 1), none)]})
+    while not judge.is_worse() and looks < 12:
+        judge.update({7: [Strata(CallStratum(10, 3, 50, 1), none)]})
         looks += 1
-    assert found.is_worse() and found.evidence()[0].metric == Metric.FAILURES
+    assert judge.is_worse() and judge.evidence()[0].metric == Metric.FAILURES
--- a/tests/test_release_processes.py
+++ b/tests/test_release_processes.py
@@ -1,4 +1,4 @@
-"""A release among processes of nodes and servers."""
+"""Tests of a release with real node and server processes."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 def test_a_bad_build_is_rolled_back_among_processes(tmp_path: Path) -> None:
-    """Rules always; and in the end no process sends first calls to the new servers."""
-    day = """
+    """All rules hold throughout, and in the end no node sends first attempts to the new servers."""
+    scenario = """
 name = "bad build"
 [day]
 length_s = 24
@@ -30,9 +30,9 @@
 bake_s = 30
 errors = 1.0
 """
-    result = play_processes(parse(day), 3, lambda share: None, None, tmp_path)
+    result = play_processes(parse(scenario), 3, lambda share: None, None, tmp_path)
     assert result.broken == {}
     assert result.figures["release.end_share"] <= 0.2
-    told = [figures["release_share"] for figures in result.series.beliefs.values()]
-    assert all(0.2 in shares for shares in told)
+    release_shares = [figures["release_share"] for figures in result.series.beliefs.values()]
+    assert all(0.2 in shares for shares in release_shares)
     assert all(figures["fleet_errors"][-1] == 0.0 for figures in result.series.beliefs.values())
--- a/tests/test_release_requests.py
+++ b/tests/test_release_requests.py
@@ -1,4 +1,4 @@
-"""Requests to start a release, and the plan that the state table stores."""
+"""Tests of requests to start a release, and of the plan that the state table stores."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "why"),
+    ("parameters", "message"),
     [
         ({}, "names or since"),
         ({"names": "a", "since": "5"}, "names or since"),
@@ -31,10 +31,10 @@
     ],
 )
 def test_an_invalid_request_is_rejected_with_its_parameter_and_reason(
-    asked: dict[str, str], why: str
+    parameters: dict[str, str], message: str
 ) -> None:
-    with pytest.raises(InvalidReleaseRequest, match=why.replace("(", r"\(")):
-        parse_release_request(asked)
+    with pytest.raises(InvalidReleaseRequest, match=message.replace("(", r"\(")):
+        parse_release_request(parameters)
 
 
 def test_the_longest_plan_fits_a_row_of_the_state_table_and_is_decoded() -> None:
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -100,7 +100,7 @@
 
 
 def run_random_faults(seed: int, core: type[SharedState] = SharedState, steps: int = 14) -> World:
-    """Run a world with random faults and requests; it raises `Broken` if a check fails."""
+    """Run a world with random faults and requests; a failed check raises an error."""
     rng = random.Random(seed)
     world = World(seed, members=rng.choice((3, 5, 6, 9)), core=core, loss=rng.choice((0.0, 0.05, 0.2)))
     world.run(6_000.0)
