--- a/tests/test_cell_laws.py
+++ b/tests/test_cell_laws.py
@@ -1,4 +1,4 @@
-"""Laws of cuts, sums and parts, whatever the order in which things are heard."""
+"""Properties of partitions, sums and shares that hold for any order of messages."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 from dunlinloft.fleet.membership.view import View
 from dunlinloft.fleet.messages import Record
 
-LEAVES = 6  # bits that these tests look at
+LEAVES = 6  # leading path bits that these tests vary
 PATHS = st.integers(0, (1 << LEAVES) - 1).map(lambda leaf: leaf << (PATH_BITS - LEAVES))
 RANDOMS = st.randoms(use_true_random=False)
 
@@ -49,42 +49,42 @@
     return CellPartition(epoch, depth, path >> (PATH_BITS - depth))
 
 
-def holds(cut: CellPartition) -> Callable[[str], bool]:
-    return lambda name: cut.includes_path(name_path(name))
+def holds(partition: CellPartition) -> Callable[[str], bool]:
+    return lambda name: partition.includes_path(name_path(name))
 
 
 CELLS = st.builds(cell, PATHS, st.integers(0, LEAVES - 1), st.integers(0, 5))
 
 
 def history(rng: random.Random, steps: int) -> tuple[list[CellPartition], list[CellPartition]]:
-    """All cuts that ever were of a service, and those that are."""
-    now, ever = [CellPartition()], [CellPartition()]
+    """Return all partitions in a random history of a service, and those at its end."""
+    current, all_partitions = [CellPartition()], [CellPartition()]
     for _ in range(steps):
-        old = rng.choice(now)
-        sibling = next((c for c in now if old.depth and c.cell() == (old.depth, old.bits ^ 1)), None)
+        old = rng.choice(current)
+        sibling = next((c for c in current if old.depth and c.cell() == (old.depth, old.bits ^ 1)), None)
         if sibling is not None and rng.random() < 0.5:
             new = [old.merged(max(old.epoch, sibling.epoch) + 1)]
-            now.remove(sibling)
+            current.remove(sibling)
         elif old.depth < LEAVES - 1:
             new = [CellPartition(old.epoch + 1, old.depth + 1, 2 * old.bits + n) for n in (0, 1)]
         else:
             continue
-        now.remove(old)
-        now += new
-        ever += new
-    return ever, now
+        current.remove(old)
+        current += new
+        all_partitions += new
+    return all_partitions, current
 
 
-def hear(own: CellPartition, told: list[CellPartition], own_path: int) -> CellPartition:
-    """Hear these again and again until nothing is new."""
+def hear(own: CellPartition, received: list[CellPartition], own_path: int) -> CellPartition:
+    """Receive these partitions repeatedly until nothing changes."""
     for _ in range(200):
         before = own
-        for other in told:
+        for other in received:
             own = partition_to_follow(own, other, own_path) or own
             assert own.is_valid()
         if own == before:
             return own
-    raise AssertionError(f"no end: {own}, {told}")
+    raise AssertionError(f"no end: {own}, {received}")
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
@@ -138,9 +138,9 @@
         assert cut.key() > own.key() or not own.includes_path(own_path)
 
 
-def leaves(cut: CellPartition) -> set[int]:
-    start = cut.bits << (LEAVES - cut.depth)
-    return set(range(start, start + (1 << (LEAVES - cut.depth))))
+def leaves(partition: CellPartition) -> set[int]:
+    start = partition.bits << (LEAVES - partition.depth)
+    return set(range(start, start + (1 << (LEAVES - partition.depth))))
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
@@ -160,7 +160,7 @@
 def test_a_sum_is_never_less_than_the_members_of_the_cells(
     more: dict[CellPartition, int], members: list[int]
 ) -> None:
-    """Each cell tells of all that are in it, or of more: those that it misses."""
+    """Each cell reports all of its members, or more, as missing members still count."""
     cells = []
     for cut, spare in more.items():
         counted = sum(member in leaves(cut) for member in members) + spare
@@ -170,16 +170,22 @@
     assert count_members(cells, 0, 0, 0.0) >= sum(member in held for member in members)
 
 
-# The directory's answers
+# The directory's responses
 
 
-def summary(cut: CellPartition, members: int, counted: int | None = None) -> CellSummary:
+def summary(partition: CellPartition, members: int, counted: int | None = None) -> CellSummary:
     known = members if counted is None else counted
-    return CellSummary(cut.epoch, cut.depth, cut.bits, members, known, 0, 0.0, "1", ["addr:x"])
+    return CellSummary(
+        partition.epoch, partition.depth, partition.bits, members, known, 0, 0.0, "1", ["addr:x"]
+    )
 
 
-def asked(index: CellIndex, cut: CellPartition, now: float, region: str = "east") -> tuple[int, int, bool]:
-    sums = index.sums_for(LookupRequest(1, "n1", "web", region, cut.epoch, cut.depth, cut.bits), now)
+def lookup_sums(
+    index: CellIndex, partition: CellPartition, now: float, region: str = "east"
+) -> tuple[int, int, bool]:
+    sums = index.sums_for(
+        LookupRequest(1, "n1", "web", region, partition.epoch, partition.depth, partition.bits), now
+    )
     return sums.service_members, sums.own_cell_members, sums.is_reliable
 
 
@@ -189,24 +195,24 @@
 def test_during_a_split_the_sum_is_never_less_than_before_nor_reliable_too_early() -> None:
     index = CellIndex()
     index.add_report("web", "east", "a", summary(CellPartition(), 9), 0.0, 0.0)
-    assert asked(index, CellPartition(), 1_000.0) == (9, 9, False)
-    assert asked(index, CellPartition(), STABILIZATION_MS) == (9, 9, True)
+    assert lookup_sums(index, CellPartition(), 1_000.0) == (9, 9, False)
+    assert lookup_sums(index, CellPartition(), STABILIZATION_MS) == (9, 9, True)
     index.add_report("web", "east", "a", summary(HALVES[0], 5), 20_000.0, 20_000.0)
-    assert asked(index, HALVES[0], 20_000.0) == (9, -1, False)
+    assert lookup_sums(index, HALVES[0], 20_000.0) == (9, -1, False)
     index.add_report("web", "east", "b", summary(HALVES[1], 4), 25_000.0, 25_000.0)
     index.prune(25_000.0)
-    assert asked(index, HALVES[1], 25_000.0) == (9, -1, False)
+    assert lookup_sums(index, HALVES[1], 25_000.0) == (9, -1, False)
     index.prune(25_000.0 + STABILIZATION_MS)
-    assert asked(index, HALVES[1], 25_000.0 + STABILIZATION_MS) == (9, 4, False)
+    assert lookup_sums(index, HALVES[1], 25_000.0 + STABILIZATION_MS) == (9, 4, False)
     index.add_report("web", "east", "a", summary(HALVES[0], 5), 50_000.0, 50_000.0)
-    assert asked(index, HALVES[1], 25_000.0 + 2 * STABILIZATION_MS) == (9, 4, True)
+    assert lookup_sums(index, HALVES[1], 25_000.0 + 2 * STABILIZATION_MS) == (9, 4, True)
     whole = CellPartition(2, 0, 0)
     index.add_report("web", "east", "a", summary(whole, 3), 60_000.0, 60_000.0)
     index.add_report("web", "east", "b", summary(HALVES[1], 2), 60_000.0, 60_000.0)
-    assert asked(index, whole, 60_000.0)[0] >= 5
+    assert lookup_sums(index, whole, 60_000.0)[0] >= 5
     index.add_report("web", "east", "a", summary(whole, 5), 70_000.0, 70_000.0)
     index.prune(60_000.0 + STABILIZATION_MS)
-    assert asked(index, whole, 60_000.0 + STABILIZATION_MS) == (5, 5, False)
+    assert lookup_sums(index, whole, 60_000.0 + STABILIZATION_MS) == (5, 5, False)
 
 
 def test_the_greater_of_two_reports_counts_and_the_last_members_leave_ends_the_cell() -> None:
@@ -230,14 +236,14 @@
         index.add_report("web", "east", "b", summary(CellPartition(), 3), now, now)
         index.prune(now)
     now = CELL_RETENTION_MS + 60_000.0 + STABILIZATION_MS
-    assert asked(index, CellPartition(), now) == (3, 3, True)
+    assert lookup_sums(index, CellPartition(), now) == (3, 3, True)
     index = CellIndex()
     index.add_report("web", "west", "a", summary(CellPartition(), 4), 0.0, 0.0)
     for now in (0.0, MAX_REPORT_AGE_MS):
         index.add_report("web", "east", "b", summary(CellPartition(), 3), now, now)
-    assert asked(index, CellPartition(), MAX_REPORT_AGE_MS) == (7, 3, True)
-    assert asked(index, CellPartition(), MAX_REPORT_AGE_MS + 1.0) == (7, 3, False)
-    assert asked(index, CellPartition(), CELL_RETENTION_MS) == (7, 3, False)
+    assert lookup_sums(index, CellPartition(), MAX_REPORT_AGE_MS) == (7, 3, True)
+    assert lookup_sums(index, CellPartition(), MAX_REPORT_AGE_MS + 1.0) == (7, 3, False)
+    assert lookup_sums(index, CellPartition(), CELL_RETENTION_MS) == (7, 3, False)
 
 
 def test_cells_and_reporters_are_bounded_and_no_sum_beyond_is_reliable(
@@ -248,8 +254,8 @@
     for n in range(5):
         index.add_report(f"web{n}", "east", "a", summary(CellPartition(), 4), 0.0, 0.0)
     assert len(index.services) == index.cell_count == 4
-    told = index.sums_for(LookupRequest(1, "n1", "web1", "east", 0, 0, 0), STABILIZATION_MS)
-    assert (told.service_members, told.is_reliable) == (4, False)
+    sums = index.sums_for(LookupRequest(1, "n1", "web1", "east", 0, 0, 0), STABILIZATION_MS)
+    assert (sums.service_members, sums.is_reliable) == (4, False)
     for n in range(40):
         index.add_report("web0", "east", f"n{n}", summary(CellPartition(), 4), float(n), 40.0)
     index.add_report("web3", "east", "a", summary(CellPartition(), 0), 50.0, 50.0)
@@ -262,28 +268,31 @@
 
 def test_a_reports_age_counts_from_the_response_it_answers_and_a_late_one_is_rejected() -> None:
     directory = Directory("d1", 3, random.Random(1), 0.0)
-    find = LookupRequest(1, "n1", "web", "east", 0, 0, 0)
+    request = LookupRequest(1, "n1", "web", "east", 0, 0, 0)
 
-    def told(stamp: int, now: float, life: int = 3) -> tuple[int, float]:
-        report = SummaryReport(life, stamp, "n1", 17, int(now), "web", "east", summary(CellPartition(), 4))
+    def report_and_lookup(clock_ms: int, now: float, incarnation: int = 3) -> tuple[int, float]:
+        report = SummaryReport(
+            incarnation, clock_ms, "n1", 17, int(now), "web", "east", summary(CellPartition(), 4)
+        )
         directory.handle(MemberMessageReceived(report, "addr:n1"), now)
-        [post] = directory.handle(MemberMessageReceived(find, "addr:n1"), now)
-        assert isinstance(post, SendDatagram) and isinstance(post.message, LookupResponse)
-        return post.message.service_members, post.message.age_ms
+        [action] = directory.handle(MemberMessageReceived(request, "addr:n1"), now)
+        assert isinstance(action, SendDatagram) and isinstance(action.message, LookupResponse)
+        return action.message.service_members, action.message.age_ms
 
-    assert told(0, MAX_REPORT_AGE_MS + 1.0) == (0, 1)
-    assert told(5_000, 20_000.0, life=2) == (0, 1)
-    total, age = told(5_000, 20_000.0)
+    assert report_and_lookup(0, MAX_REPORT_AGE_MS + 1.0) == (0, 1)
+    assert report_and_lookup(5_000, 20_000.0, incarnation=2) == (0, 1)
+    total, age = report_and_lookup(5_000, 20_000.0)
     assert total == 4 and age >= 15_000.0
-    assert told(21_000, 20_000.0)[1] >= 15_000.0  # a clock can't be ahead of itself
+    # A report with a clock reading from the future is rejected.
+    assert report_and_lookup(21_000, 20_000.0)[1] >= 15_000.0
     assert directory.counts["late"] == 3
 
 
-# Parts
+# Shares
 
 
-def found(total: int, own: int, sure: bool = True, age_ms: int = 0) -> LookupResponse:
-    return LookupResponse(1, 3, 0, 0, 0, 0, [], total, own, 0, 2, sure, age_ms)
+def found(total: int, own: int, reliable: bool = True, age_ms: int = 0) -> LookupResponse:
+    return LookupResponse(1, 3, 0, 0, 0, 0, [], total, own, 0, 2, reliable, age_ms)
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
@@ -317,69 +326,73 @@
 
 
 def test_a_smaller_total_counts_only_once_it_is_reliable_lasting_and_a_majority() -> None:
-    census, cut = CellMemberCount("a", 0, 10), CellPartition(1, 1, 0)
+    member_count, partition = CellMemberCount("a", 0, 10), CellPartition(1, 1, 0)
     own = {"a", "b", "c"}
-    for now, total, base in (
+    for now, total, counted in (
         (0.0, 10, 10), (5_000.0, 8, 10), (10_000.0, 9, 10), (14_999.0, 8, 10), (15_000.0, 8, 9),
         (16_000.0, 12, 12), (17_000.0, 6, 12), (40_000.0, 6, 12), (41_000.0, 7, 7), (60_000.0, 7, 7),
     ):  # fmt: skip
-        census.observe(own, now, ServiceTotals(cut.cell(), now, found(total, 3)), cut)
-        assert (census.total(), census.uses_fallback) == (base, False), now
+        member_count.observe(own, now, ServiceTotals(partition.cell(), now, found(total, 3)), partition)
+        assert (member_count.total(), member_count.uses_fallback) == (counted, False), now
 
 
 def test_members_of_the_own_cell_are_counted_as_seen_and_not_as_reported() -> None:
-    cut = CellPartition(1, 1, 0)
-    told = ServiceTotals(cut.cell(), 0.0, found(10, 3))
-    assert told.members(5, cut) == 12
-    assert told.members(1, cut) == 8
-    assert told.members(5, CellPartition(2, 0, 0)) == 10  # by then it was cut
-    assert told.members(11, CellPartition(2, 0, 0)) == 11
-    assert told.is_usable(cut, 29_000.0) and not told.is_usable(cut, MAX_REPORT_AGE_MS)  # clocks may drift
-    assert not told.is_usable(CellPartition(2, 2, 0), 0.0)
+    partition = CellPartition(1, 1, 0)
+    totals = ServiceTotals(partition.cell(), 0.0, found(10, 3))
+    assert totals.members(5, partition) == 12
+    assert totals.members(1, partition) == 8
+    assert totals.members(5, CellPartition(2, 0, 0)) == 10  # the cell has been merged since
+    assert totals.members(11, CellPartition(2, 0, 0)) == 11
+    # Clocks may drift, so a response expires before its nominal age bound.
+    assert totals.is_usable(partition, 29_000.0) and not totals.is_usable(partition, MAX_REPORT_AGE_MS)
+    assert not totals.is_usable(CellPartition(2, 2, 0), 0.0)
 
 
 def test_a_view_frees_the_memory_of_released_members() -> None:
-    view, few = View(random.Random(1)), View(random.Random(1))
+    view, small_view = View(random.Random(1)), View(random.Random(1))
     for n in range(1000):
         view.merge(Record(f"n{n}", 1, 0, n % 2, 1), 0.0)
     for n in range(990):
         view.discard(f"n{n}")
     view.compact()
     for n in range(990, 1000):
-        few.merge(Record(f"n{n}", 1, 0, n % 2, 1), 0.0)
-    assert sys.getsizeof(view.members) <= 2 * sys.getsizeof(few.members)
-    assert view.digest == few.digest
-    assert sorted(view.alive.names()) == sorted(few.alive.names())
+        small_view.merge(Record(f"n{n}", 1, 0, n % 2, 1), 0.0)
+    assert sys.getsizeof(view.members) <= 2 * sys.getsizeof(small_view.members)
+    assert view.digest == small_view.digest
+    assert sorted(view.alive.names()) == sorted(small_view.alive.names())
 
 
 def test_bootstrap_addresses_lead_closer_and_are_few() -> None:
     own = name_path("n0")
-    pointers, others = BootstrapAddresses(own), [f"n{n}" for n in range(1, 60)]
+    bootstrap, others = BootstrapAddresses(own), [f"n{n}" for n in range(1, 60)]
     for name in others:
-        pointers.add_member(name_path(name), f"addr:{name}")
+        bootstrap.add_member(name_path(name), f"addr:{name}")
     for name in others:
-        told = pointers.addresses_toward(name_path(name))
-        assert 0 < len(told) <= MAX_ADDRESSES
-        for address in told:
+        returned = bootstrap.addresses_toward(name_path(name))
+        assert 0 < len(returned) <= MAX_ADDRESSES
+        for address in returned:
             assert shared_bits(name_path(address[5:]), name_path(name)) > shared_bits(own, name_path(name))
-    far = next(name for name in others if shared_bits(own, name_path(name)) == 0)
-    told = pointers.addresses_toward(name_path(far))
+    distant = next(name for name in others if shared_bits(own, name_path(name)) == 0)
+    returned = bootstrap.addresses_toward(name_path(distant))
     for n in range(5):
-        pointers.add_member(name_path(far), f"addr:new{n}", is_isolated=True)
-    assert pointers.addresses_toward(name_path(far)) == [*told, "addr:new3", "addr:new4"]
-    pointers.discard_from_depth(1)
+        bootstrap.add_member(name_path(distant), f"addr:new{n}", is_isolated=True)
+    assert bootstrap.addresses_toward(name_path(distant)) == [*returned, "addr:new3", "addr:new4"]
+    bootstrap.discard_from_depth(1)
     assert not any(
-        pointers.addresses_toward(name_path(name))
+        bootstrap.addresses_toward(name_path(name))
         for name in others
         if shared_bits(own, name_path(name)) >= 1
     )
 
 
 def test_a_partition_stays_valid_down_to_the_last_bit() -> None:
-    cut = CellPartition()
-    while cut.depth < MAX_DEPTH_BITS:
-        cut = cut.split_half(name_path("n0"))
-        assert cut.is_valid() and cut.includes_path(name_path("n0"))
-    assert partition_to_follow(cut, CellPartition(99, MAX_DEPTH_BITS, cut.bits ^ 1), name_path("n0")) is None
-    assert cut.text() == f"{name_path('n0') >> 12:020b}" and CellPartition().text() == "*"
+    partition = CellPartition()
+    while partition.depth < MAX_DEPTH_BITS:
+        partition = partition.split_half(name_path("n0"))
+        assert partition.is_valid() and partition.includes_path(name_path("n0"))
+    assert (
+        partition_to_follow(partition, CellPartition(99, MAX_DEPTH_BITS, partition.bits ^ 1), name_path("n0"))
+        is None
+    )
+    assert partition.text() == f"{name_path('n0') >> 12:020b}" and CellPartition().text() == "*"
     assert MISSING_MEMBER_GRACE_MS < STABILIZATION_MS < MAX_REPORT_AGE_MS
--- a/tests/test_cell_wire.py
+++ b/tests/test_cell_wire.py
@@ -1,4 +1,4 @@
-"""What members of cells and the directory say, as bytes; a flat fleet's bytes are as they were."""
+"""Tests of the wire format of cells and of the directory; a flat fleet's format stays byte for byte."""
 
 from __future__ import annotations
 
@@ -24,22 +24,24 @@
 from dunlinloft.fleet.wire import MAX_DATAGRAM_BYTES, MessageRejected, Wire
 
 LONG = "x" * 64
-CUT = CellPartition(3, 2, 1)
+PARTITION = CellPartition(3, 2, 1)
 SUMMARY = CellSummary(3, 2, 1, 9, 10, 2**63, 4.5, "1", ["127.0.2.1:7400"])
-FIND = LookupRequest(7, "n1", "web", "east", 3, 2, 1)
-FOUND = LookupResponse(
+LOOKUP = LookupRequest(7, "n1", "web", "east", 3, 2, 1)
+RESPONSE = LookupResponse(
     7, 1_700_000_000_000, 5000, 3, 2, 1, ["127.0.2.1:7400"], 40, 9, 10, 4, True, 900, 8, 3, ["a"]
 )
 REPORT = SummaryReport(1_700_000_000_000, 5000, "n1", 17, 4, "web", "east", SUMMARY)
 
 
-def members(cut: CellPartition = CUT, fleet: str = "loft", service: str = "web") -> CellWire:
-    return CellWire(fleet, service, "east", lambda: cut)
+def members(partition: CellPartition = PARTITION, fleet: str = "loft", service: str = "web") -> CellWire:
+    return CellWire(fleet, service, "east", lambda: partition)
 
 
 def ping(records: int = 1) -> Ping:
-    told = [Record(f"n{n}", 17, 0, ALIVE, 5, "127.0.2.1:7400", 0, {"zone": "a"}) for n in range(records)]
-    return Ping(Header("n1", 17, 0, 2**63, 3), 4, "n2", told)
+    sent_records = [
+        Record(f"n{n}", 17, 0, ALIVE, 5, "127.0.2.1:7400", 0, {"zone": "a"}) for n in range(records)
+    ]
+    return Ping(Header("n1", 17, 0, 2**63, 3), 4, "n2", sent_records)
 
 
 def test_members_messages_are_decoded_as_encoded_with_their_senders_partition() -> None:
@@ -53,7 +55,7 @@
     assert len(members().write(ping(200))) <= MAX_DATAGRAM_BYTES
 
 
-@pytest.mark.parametrize("message", [FIND, FOUND, REPORT])
+@pytest.mark.parametrize("message", [LOOKUP, RESPONSE, REPORT])
 def test_messages_with_the_directory_are_decoded_as_encoded_by_both_sides(message: Any) -> None:
     directory = DirectoryWire("loft")
     assert directory.read(members().write(message)) == message
@@ -63,29 +65,29 @@
 
 
 def test_the_longest_response_and_report_fit_a_datagram() -> None:
-    cut = MAX_EPOCH - 1, MAX_DEPTH_BITS, (1 << MAX_DEPTH_BITS) - 1
-    summary = CellSummary(*cut, 100_000, 100_000, 2**64 - 1, 1e300, LONG, [LONG] * 4)
+    partition = MAX_EPOCH - 1, MAX_DEPTH_BITS, (1 << MAX_DEPTH_BITS) - 1
+    summary = CellSummary(*partition, 100_000, 100_000, 2**64 - 1, 1e300, LONG, [LONG] * 4)
     report = SummaryReport(2**63, 2**63, LONG, 2**63, 2**63, LONG, LONG, summary)
     big = 2**32
-    found = LookupResponse(
-        2**63, 2**63, 2**63, *cut, [LONG] * 4, big, big, big, big, True, big, big, big, [LONG] * 3
+    response = LookupResponse(
+        2**63, 2**63, 2**63, *partition, [LONG] * 4, big, big, big, big, True, big, big, big, [LONG] * 3
     )  # fmt: skip
-    for message in (report, found, LookupRequest(2**63, LONG, LONG, LONG, *cut)):
+    for message in (report, response, LookupRequest(2**63, LONG, LONG, LONG, *partition)):
         assert len(DirectoryWire("loft").write(message)) <= MAX_DATAGRAM_BYTES
 
 
 def test_messages_of_another_cell_or_service_are_rejected_with_their_reason() -> None:
     data = members().write(ping())
-    bad = {
+    rejected = {
         b"": "short", data[:5]: "short", data[:18]: "short", data + bytes(2000): "long",
         bytes([9]) + data[1:]: "version", Wire("loft").write(ping()): "version",
         members(fleet="graz").write(ping()): "foreign", members(service="db").write(ping()): "foreign",
-        DirectoryWire("graz").write(FIND): "foreign", DirectoryWire("loft").write(FIND)[:-2]: "broken",
+        DirectoryWire("graz").write(LOOKUP): "foreign", DirectoryWire("loft").write(LOOKUP)[:-2]: "broken",
         data[:-2]: "broken", members(CellPartition(0, 21, 0)).write(ping()): "broken",
         members(CellPartition(0, 2, 4)).write(ping()): "broken",
         members(CellPartition(MAX_EPOCH, 2, 1)).write(ping()): "broken",
     }  # fmt: skip
-    for received, reason in bad.items():
+    for received, reason in rejected.items():
         with pytest.raises(MessageRejected, match=reason):
             members().read(received)
     with pytest.raises(MessageRejected, match="version"):
@@ -97,49 +99,50 @@
 
 
 def test_a_later_versions_fields_are_skipped() -> None:
-    for message in (FIND, FOUND, REPORT):
+    for message in (LOOKUP, RESPONSE, REPORT):
         data = DirectoryWire("loft").write(message)
         plain = msgspec.msgpack.decode(data[5:])
         assert DirectoryWire("loft").read(data[:5] + msgspec.msgpack.encode([*plain, "later"])) == message
 
 
-# A flat fleet's bytes, layout by layout: version, CRC of the fleet's name, then MessagePack arrays.
+# A flat fleet's messages: version, CRC of the fleet's name, then MessagePack arrays.
 
-HEAD = "95a26e3111" + "00" + "cf8000000000000000" + "03"  # n1, life 17, revision 0, digest 2**63, 3 members
-FACTS = "81" + "a47a6f6e65" + "a161"  # {"zone": "a"}
-RECORD = "99a26e30" + "11000005" + "ae" + b"127.0.2.1:7400".hex() + "00" + FACTS + "90"
-PING = "01" + "9501" + HEAD + "04" + "a26e32" + "91" + RECORD
-ACK = "01" + "9602" + HEAD + "04" + "a26e32" + "12" + "90"
-STATE = "01" + "92" + HEAD + "91" + RECORD
+# Member n1, incarnation 17, revision 0, digest 2**63, 3 members.
+HEADER = "95a26e3111" + "00" + "cf8000000000000000" + "03"
+METADATA = "81" + "a47a6f6e65" + "a161"  # {"zone": "a"}
+RECORD = "99a26e30" + "11000005" + "ae" + b"127.0.2.1:7400".hex() + "00" + METADATA + "90"
+PING = "01" + "9501" + HEADER + "04" + "a26e32" + "91" + RECORD
+ACK = "01" + "9602" + HEADER + "04" + "a26e32" + "12" + "90"
+STATE = "01" + "92" + HEADER + "91" + RECORD
 
 
-def golden(text: str) -> bytes:
+def expected_bytes(text: str) -> bytes:
     data = bytes.fromhex(text)
     return data[:1] + zlib.crc32(b"loft").to_bytes(4, "big") + data[1:]
 
 
-def test_without_cells_everything_is_byte_for_byte_as_it_was() -> None:
+def test_the_flat_fleets_format_is_unchanged_byte_for_byte() -> None:
     flat = Wire("loft")
     assert wire.MAX_DATAGRAM_BYTES == 1400 and wire.MAX_STATE_BYTES == 512 * 1024
     for message, text in ((ping(), PING), (Ack(ping().header, 4, "n2", 18, []), ACK)):
-        assert flat.write(message) == golden(text)
-        assert flat.read(golden(text)) == message
+        assert flat.write(message) == expected_bytes(text)
+        assert flat.read(expected_bytes(text)) == message
     state = State(ping().header, ping().records)
-    assert flat.write_state(state) == golden(STATE)
-    assert flat.read_state(golden(STATE)) == state
+    assert flat.write_state(state) == expected_bytes(STATE)
+    assert flat.read_state(expected_bytes(STATE)) == state
 
 
-# Broken peers
+# Faulty peers
 
 
 def member() -> CellMembership:
-    place = CellSettings("web", "east", 8, ["addr:dir"])
-    made = CellMembership("n2", "addr:n2", [], 5, 5, random.Random(1), {"load": 1.0}, place)
-    made.handle(api.Started(), 0.0)
-    return made
+    settings = CellSettings("web", "east", 8, ["addr:dir"])
+    core = CellMembership("n2", "addr:n2", [], 5, 5, random.Random(1), {"load": 1.0}, settings)
+    core.handle(api.Started(), 0.0)
+    return core
 
 
-def bent(data: bytes, rng: random.Random, start: int) -> bytes:
+def corrupted(data: bytes, rng: random.Random, start: int) -> bytes:
     received = bytearray(data)
     for _ in range(rng.randrange(1, 4)):
         received[rng.randrange(start, len(data))] = rng.randrange(256)
@@ -147,54 +150,54 @@
 
 
 def test_corrupt_bytes_at_a_member_are_at_most_rejected() -> None:
-    rng, core, read = random.Random(4), member(), 0
-    link = CellWire("loft", "web", "east", lambda: core.partition)
-    good = [members().write(ping()), members().write(FOUND)]
+    rng, core, decoded = random.Random(4), member(), 0
+    cell_wire = CellWire("loft", "web", "east", lambda: core.partition)
+    messages = [members().write(ping()), members().write(RESPONSE)]
     for n in range(4000):
         now = 40.0 * n
         for action in core.handle(api.TimerFired(rng.randrange(n + 1)), now):
             if isinstance(action, api.SendDatagram):
-                link.write(action.message)
+                cell_wire.write(action.message)
         try:
-            message, cut = link.read(bent(rng.choice(good), rng, 5))
+            message, partition = cell_wire.read(corrupted(rng.choice(messages), rng, 5))
         except MessageRejected:
             continue
         if isinstance(message, LookupResponse) and core.lookup.pending is not None:
             message.request_number = core.lookup.pending.request_number
-        read += 1
-        for action in core.handle(api.MessageReceived(message, "addr:x", cut), now):
+        decoded += 1
+        for action in core.handle(api.MessageReceived(message, "addr:x", partition), now):
             if isinstance(action, api.SendDatagram):
-                assert len(link.write(action.message)) <= MAX_DATAGRAM_BYTES
+                assert len(cell_wire.write(action.message)) <= MAX_DATAGRAM_BYTES
             if isinstance(action, api.PushPull):
-                link.write_state(action.state)
-    assert read > 300
+                cell_wire.write_state(action.state)
+    assert decoded > 300
 
 
 def test_corrupt_bytes_at_the_directory_are_at_most_rejected() -> None:
-    rng, link = random.Random(5), DirectoryWire("loft")
+    rng, directory_wire = random.Random(5), DirectoryWire("loft")
     directory = Directory("d1", 1_700_000_000_000, random.Random(1), 0.0)
-    good, read = [link.write(FIND), link.write(REPORT)], 0
+    messages, decoded = [directory_wire.write(LOOKUP), directory_wire.write(REPORT)], 0
     for _ in range(4000):
         try:
-            message = link.read(bent(rng.choice(good), rng, 5))
+            message = directory_wire.read(corrupted(rng.choice(messages), rng, 5))
         except MessageRejected:
             continue
         if isinstance(message, LookupRequest | SummaryReport):
-            read += 1
+            decoded += 1
             for action in directory.handle(MemberMessageReceived(message, "addr:x"), 5_500.0):
                 assert isinstance(action, api.SendDatagram) and isinstance(action.message, LookupResponse)
-                assert len(link.write(action.message)) <= MAX_DATAGRAM_BYTES
-    assert read > 300
+                assert len(directory_wire.write(action.message)) <= MAX_DATAGRAM_BYTES
+    assert decoded > 300
     assert directory.counts["foreign"]
 
 
-def test_a_faulty_members_metadata_spoil_neither_its_cells_summary_nor_its_shares() -> None:
-    core, wrong = member(), ["y" * 900, "z" * 900]
-    for n, word in enumerate((math.inf, math.nan, -5.0, 1e18, "9", True)):
-        facts: dict[str, Any] = {"program": wrong[0], "load": math.nan, SERVICE_MEMBERS_KEY: word}
-        told = Record(f"n{n + 5}", 17, 0, ALIVE, n + 1, wrong[1], 1, facts)
-        core.handle(api.MessageReceived(Gossip(ping().header, [told]), "addr:n1", CellPartition()), 10.0)
-    core._metadata["program"] = wrong[0]
+def test_a_faulty_members_metadata_corrupt_neither_its_cells_summary_nor_its_shares() -> None:
+    core, oversized = member(), ["y" * 900, "z" * 900]
+    for n, claim in enumerate((math.inf, math.nan, -5.0, 1e18, "9", True)):
+        metadata: dict[str, Any] = {"program": oversized[0], "load": math.nan, SERVICE_MEMBERS_KEY: claim}
+        record = Record(f"n{n + 5}", 17, 0, ALIVE, n + 1, oversized[1], 1, metadata)
+        core.handle(api.MessageReceived(Gossip(ping().header, [record]), "addr:n1", CellPartition()), 10.0)
+    core._metadata["program"] = oversized[0]
     core._claim_service_members(20.0)
     assert core.service_totals is None
     assert is_valid_summary(core.summary())
@@ -215,7 +218,7 @@
         CellSummary(1, 1, 1, 5, 5, 0, 0.0, "1", ["a" * 65]),
     ],
 )
-def test_an_invalid_summary_spoils_no_sums(summary: CellSummary) -> None:
+def test_an_invalid_summary_corrupts_no_sums(summary: CellSummary) -> None:
     directory = Directory("d1", 3, random.Random(1), 0.0)
     directory.handle(
         MemberMessageReceived(SummaryReport(3, 5000, "n1", 17, 4, "web", "east", summary), "addr:n1"), 5_500.0
