--- a/dunlinloft/fleet/releases/judge.py
+++ b/dunlinloft/fleet/releases/judge.py
@@ -157,14 +157,14 @@
 
     def evidence(self) -> list[Evidence]:
         """Return the evidence of harm, the strongest first."""
-        found = [
+        all_evidence = [
             Evidence(
                 metric, class_id, test.new, test.new_bad, test.old, test.old_bad,
                 self._share(class_id) * test.e_value(),
             )
             for (metric, class_id), test in self._tests.items()
         ]  # fmt: skip
-        return sorted(found, key=lambda evidence: -evidence.e_value)
+        return sorted(all_evidence, key=lambda evidence: -evidence.e_value)
 
     def calls_by_class(self) -> dict[int, ClassCalls]:
         """Return the numbers of calls that were compared, by class."""
--- a/dunlinloft/fleet/shared_state/quota_shares.py
+++ b/dunlinloft/fleet/shared_state/quota_shares.py
@@ -113,7 +113,7 @@
 
     def report_demand(self, now: float) -> dict[str, float]:
         """Return the demand to report, in requests/s by tenant; it counts as reported from now on."""
-        found: dict[str, float] = {}
+        rates: dict[str, float] = {}
         for tenant, demand in self._own.items():
             value = round(demand.per_s(now), 1)
             before = demand.reported[-1].per_s if demand.reported else 0.0
@@ -122,8 +122,8 @@
                 value = before
             _append(demand.reported, value, now)
             if value:
-                found[tenant] = value
-        return found
+                rates[tenant] = value
+        return rates
 
     def update_demand(self, heartbeats: Iterable[tuple[str, Heartbeat]], now: float) -> set[str]:
         """Take the others' demand from heartbeats within the age bound; return who wrote them."""
@@ -158,7 +158,7 @@
         starting = now - self._started_ms < DISSEMINATION_MS  # others may not know of this process yet
         self.fallback = unknown_count > 0 or starting
         self.known_count = len(known) + 1
-        found = {}
+        shares_by_tenant = {}
         for tenant, quota in self.quotas.items():
             even = quota / max(1, member_count)
             least = MIN_DEMAND_SHARE * even
@@ -169,8 +169,8 @@
             demand = self._own.get(tenant)
             own = min((d.per_s for d in demand.reported), default=0.0) if demand is not None else 0.0
             share = quota_share(quota, least + own, others)
-            found[tenant] = min(even, share) if starting else share
-        return found
+            shares_by_tenant[tenant] = min(even, share) if starting else share
+        return shares_by_tenant
 
 
 def retry_share(heartbeats: Iterable[Heartbeat]) -> float:
--- a/dunlinloft/fleet/shared_state/store.py
+++ b/dunlinloft/fleet/shared_state/store.py
@@ -172,14 +172,14 @@
 
     def changed_after(self, cursor: int, reader: str) -> list[StoreItem]:
         """Return records changed after an offset of the log, oldest first, except those the reader has."""
-        found = []
+        changed = []
         for (kind, writer), record in reversed(self._records.items()):
             if record.sequence <= cursor:
                 break
             # A reader at cursor 0 may have restarted and lost the records that were pulled from it.
             if reader != writer and (reader != record.source or not cursor):
-                found.append(StoreItem(kind, writer, record))
-        return found[::-1]
+                changed.append(StoreItem(kind, writer, record))
+        return changed[::-1]
 
     def others(self, kind: int) -> Iterator[tuple[str, StoredRecord]]:
         """Yield all records of a kind by other writers, known or not, of any age."""
--- a/dunlinloft/fleet/shared_state/verdicts.py
+++ b/dunlinloft/fleet/shared_state/verdicts.py
@@ -239,11 +239,11 @@
                 self._slow[server] = _Slow(max(1.0, odds.weighted_slowdown / odds.errors), now)
 
     def _odds_by_server(self, pooled: dict[tuple[int, int], _PooledOdds]) -> dict[int, dict[int, float]]:
-        found: dict[int, dict[int, float]] = {}
+        by_server: dict[int, dict[int, float]] = {}
         for (server, class_hash), odds in pooled.items():
             if class_hash != ALL_CLASSES:
-                found.setdefault(server, {})[class_hash] = odds.odds(self._zone)
-        return found
+                by_server.setdefault(server, {})[class_hash] = odds.odds(self._zone)
+        return by_server
 
     def _judge_server(
         self, server: int, total: float, by_class: dict[int, float]
@@ -271,7 +271,7 @@
         classes: dict[int, set[int]] = {}
         for server, class_hash in self._avoided:
             classes.setdefault(server, set()).add(class_hash)
-        found = []
+        verdicts = []
         for server in sorted(classes.keys() | self._slow.keys()):
             hashes = classes.get(server, set())
             user_count = max(1, len(self._users.get(server, ())))
@@ -280,10 +280,10 @@
                 MAX_TRIAL_INTERVAL_MS, max(MIN_TRIAL_INTERVAL_MS, TRIAL_INTERVAL_SHARE * (now - since))
             )
             trial = bool(hashes) and self._rng.random() < elapsed_ms / (interval_ms * user_count)
-            named = frozenset(hashes - {0}) if 0 not in hashes else frozenset[int]()
+            class_hashes = frozenset(hashes - {0}) if 0 not in hashes else frozenset[int]()
             slowdown = self._slow.get(server, _Slow(1.0, now)).slowdown
-            found.append(Verdict(server, bool(hashes), named, slowdown, trial))
-        return found
+            verdicts.append(Verdict(server, bool(hashes), class_hashes, slowdown, trial))
+        return verdicts
 
     def expire_users(self, now: float) -> None:
         """Forget members that have not reported on a server for `USER_EXPIRY_MS`."""
