--- a/dunlinloft/node/fleet/peers.py
+++ b/dunlinloft/node/fleet/peers.py
@@ -31,7 +31,7 @@
     Ping,
     State,
 )
-from dunlinloft.fleet.releases.controller import LOOK_INTERVAL_MS
+from dunlinloft.fleet.releases.controller import EVALUATION_INTERVAL_MS
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.shared_state.core import RELEASES
 from dunlinloft.fleet.wire import MAX_STATE_BYTES, MessageRejected, RejectReason, Wire
@@ -220,7 +220,7 @@
         self._loop.call_later(COUNT_INTERVAL_S, self._update_counts)
         self._loop.call_later(LOAD_INTERVAL_S, self._publish_load)
         if self.releases is not None:
-            self._loop.call_later(LOOK_INTERVAL_MS / 1000.0, self._tick_releases)
+            self._loop.call_later(EVALUATION_INTERVAL_MS / 1000.0, self._tick_releases)
 
     def _tick_releases(self) -> None:
         """Run the release controller, if this process holds the state table."""
@@ -231,7 +231,7 @@
         except Exception:
             self.counts["errors"] += 1
             logs.exception("fleet error", "running the release controller")
-        self._loop.call_later(LOOK_INTERVAL_MS / 1000.0, self._tick_releases)
+        self._loop.call_later(EVALUATION_INTERVAL_MS / 1000.0, self._tick_releases)
 
     def releases_status(self) -> AdminReply:
         """Return the status of releases for the admin endpoint."""
