--- a/dunlinloft/cli/handlers/router_fleet.py
+++ b/dunlinloft/cli/handlers/router_fleet.py
@@ -13,7 +13,7 @@
 from dunlinloft.cli.consoles import plain_stdout
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.coordination.state import Document
-from lab.router.fleet import FRONT, RouterFleet
+from lab.router.fleet import FRONTEND_PORT, RouterFleet
 from lab.router.model_server import ModelServer
 
 HOSTNAME = "assistant.example"
@@ -67,7 +67,7 @@
     plain_stdout.print("\nsend a request (to any node):")
     plain_stdout.print(
         f"  curl -N -H 'Host: {HOSTNAME}' -H 'Api-Key: {API_KEY}' -H 'X-Attempt-Id: 1' -d hello "
-        f"http://{front}:{FRONT}/stream/chat/1"
+        f"http://{front}:{FRONTEND_PORT}/stream/chat/1"
     )
     plain_stdout.print("read the configuration:")
     plain_stdout.print(f"  curl http://{control}/configuration/describe")
--- a/dunlinloft/cli/handlers/simulated_world.py
+++ b/dunlinloft/cli/handlers/simulated_world.py
@@ -19,7 +19,7 @@
 def play_replicas(seeds: Sequence[int], jobs: int) -> ExitCode:
     """Simulate only the replicas' state machines; fails if a seed violates a rule."""
     started_s = time.monotonic()
-    results = replicas.play_all(seeds, jobs)
+    results = replicas.simulate_all(seeds, jobs)
     violations = [result for result in results if result.violation]
     for result in violations:
         _print_violation(result.seed, replicas.deployment_of(result.seed), result.violation, result.schedule)
@@ -39,7 +39,7 @@
     acknowledged = 0
     served = 0
     slowest_recovery_ms = 0.0
-    for result in processes.play_all(seeds, jobs):
+    for result in processes.simulate_all(seeds, jobs):
         if result.summary is None:
             failed_count += 1
             _print_violation(result.seed, deployment_of(result.seed), result.violation, result.schedule)
--- a/lab/behaviour_runs.py
+++ b/lab/behaviour_runs.py
@@ -11,7 +11,7 @@
 from lab.balancer_driver import BalancerDriver
 from lab.control import world as control_world
 from lab.control.invariants import InvariantViolation
-from lab.control.quota_cluster import QuotaCluster, traffic
+from lab.control.quota_cluster import QuotaCluster, generate_traffic
 from lab.day import play_virtual
 from lab.explore.duties import Duties as DutiesSystem
 from lab.explore.ledger import LedgerSystem
@@ -43,7 +43,7 @@
 def play_control(seed: str, recorder: Recorder) -> None:
     """A seed of `dunlinloft world`, to its end; a broken rule is part of what happens."""
     try:
-        recorder.add(control_world.play(int(seed)))
+        recorder.add(control_world.simulate(int(seed)))
     except InvariantViolation:
         recorder.add("broken")
 
@@ -52,7 +52,7 @@
     """Twenty-odd seconds of one tenant's requests, with troubles one after the other."""
     rng = random.Random(f"quotas {seed}")
     cluster = QuotaCluster(int(seed), QUOTA_BOUNDS, QUOTA_LIMITS[int(seed) % len(QUOTA_LIMITS)])
-    traffic(cluster, QUOTA_AMOUNTS)
+    generate_traffic(cluster, QUOTA_AMOUNTS)
     cluster.run(5_000.0)
     for _ in range(5):
         cluster.demand = rng.choice((0.2, 0.75, 3.0))
@@ -60,7 +60,7 @@
         cluster.run(rng.uniform(100.0, 3_000.0))
         end()
         cluster.run(rng.uniform(50.0, 2_000.0))
-    recorder.add(cluster.window.total, cluster.window.worst)
+    recorder.add(cluster.window.total, cluster.window.peak)
 
 
 def _quota_trouble(cluster: QuotaCluster, rng: random.Random) -> Callable[[], object]:
--- a/lab/control/faults.py
+++ b/lab/control/faults.py
@@ -201,9 +201,9 @@
         self._healthy_since_ms = 0.0  # all up and connected; infinite while they aren't
         self._added = 0
         self._pending_replacements = 0  # removed machines whose replacements have not been added yet
-        cluster.after(100.0, self._watch)
+        cluster.after(100.0, self._track_health)
 
-    def _watch(self) -> None:
+    def _track_health(self) -> None:
         """Track since when everything works, and forget lost disks that have been resynced."""
         cluster = self._cluster
         healthy = (
@@ -221,7 +221,7 @@
             self._healthy_since_ms = cluster.now
         if cluster.now - self._healthy_since_ms >= RESYNC_MS:
             self._lost_disks.clear()
-        cluster.after(100.0, self._watch)
+        cluster.after(100.0, self._track_health)
 
     def _stateful_addresses(self) -> list[str]:
         return [m.address for m in self._cluster.machines.values() if m.stateful and not m.removed]
@@ -276,9 +276,9 @@
             case FaultKind.KILL_ALL | FaultKind.POWER_ALL | FaultKind.POWER_ALL_WIPE:
                 return self._fail_all(fault, address, stateful)
             case FaultKind.BEHIND:
-                return self._behind(address, others, fault)
+                return self._lose_disk_after_partition(address, others, fault)
             case FaultKind.RELIEVE:
-                return self._relieve(address, others)
+                return self._kill_others_after_partition(address, others)
             case FaultKind.SEEDS:
                 cluster.configured_seeds = (address, *all_others[:1], "10.9.9.9:7000")
         return None
@@ -362,11 +362,11 @@
                 cluster.power_off(each)
         return lambda: self._start_all(machines)
 
-    def _behind(self, address: str, others: list[str], fault: Fault) -> Callable[[], None]:
+    def _lose_disk_after_partition(self, address: str, others: list[str], fault: Fault) -> Callable[[], None]:
         """One misses changes; then another loses its disk, the rest lose power, and the partition heals."""
         heal = self._partition([address], others)
 
-        def strike() -> None:
+        def fail_others() -> None:
             """Fail the others and heal the partition."""
             wiped = others[fault.pick % len(others)]
             lost = self._may_lose_disk()
@@ -375,19 +375,19 @@
             heal()
             self._cluster.after(fault.for_ms, lambda: self._start_all(others))
 
-        return strike
+        return fail_others
 
-    def _relieve(self, address: str, others: list[str]) -> Callable[[], None]:
+    def _kill_others_after_partition(self, address: str, others: list[str]) -> Callable[[], None]:
         """One misses changes; just after it is back, the others are killed."""
         heal = self._partition([address], others)
 
-        def strike() -> None:
+        def fail_others() -> None:
             """Heal the partition, then kill the others."""
             heal()
             self._cluster.after(20.0, lambda: self._kill_all(others))
             self._cluster.after(900.0, lambda: self._start_all(others))
 
-        return strike
+        return fail_others
 
     def end_all(self) -> None:
         """End all faults: everything is up and connected."""
--- a/lab/control/operators.py
+++ b/lab/control/operators.py
@@ -26,7 +26,7 @@
         self.acked = 0
         self.refused = 0
         self.indefinite = 0
-        self.worst_ms = 0.0
+        self.max_latency_ms = 0.0
 
     def change(self) -> None:
         """Submit a change; schedules the next step some time after its result."""
@@ -53,7 +53,7 @@
         self.acked += 1
         self.version = change.body["version"]
         cluster.checker.check_acknowledged(cluster.machines, change)
-        self.worst_ms = max(self.worst_ms, latency_ms)
+        self.max_latency_ms = max(self.max_latency_ms, latency_ms)
         if cluster.rng.random() < DUPLICATE_PROBABILITY:  # as if the reply had been lost
             cluster.submit(change, lambda _: None)
 
--- a/lab/control/quota_cluster.py
+++ b/lab/control/quota_cluster.py
@@ -41,25 +41,25 @@
         capacity = limit.rate_per_s * bounds.window_s + limit.burst
         self.allowed = capacity * (1.0 + bounds.overshoot) + bounds.tolerance
         self._window_ms = 1_000.0 * bounds.window_s
-        self._spent: deque[Spent] = deque()
+        self._expenses: deque[Spent] = deque()
         self._sum = 0.0
-        self.worst = 0.0
+        self.peak = 0.0
         self.total = 0.0
 
     def spend(self, amount: float, now_ms: float) -> None:
         """Record an amount spent. Raises `InvariantViolation` over the limit."""
-        self._spent.append(Spent(now_ms, amount))
+        self._expenses.append(Spent(now_ms, amount))
         self._sum += amount
         self.total += amount
-        while self._spent[0].at_ms <= now_ms - self._window_ms:
-            self._sum -= self._spent.popleft().amount
-        self.worst = max(self.worst, self._sum)
+        while self._expenses[0].at_ms <= now_ms - self._window_ms:
+            self._sum -= self._expenses.popleft().amount
+        self.peak = max(self.peak, self._sum)
         if self._sum > self.allowed:
             raise InvariantViolation(f"{self._sum:.0f} were spent in a window that allows {self.allowed:.0f}")
 
 
 @dataclass(slots=True)
-class OwnerSide:
+class QuotaOwnerState:
     """The quota state of one generation of a replica's process."""
 
     generation: int
@@ -79,7 +79,7 @@
     subscribed: dict[str, int] = field(default_factory=dict)  # by replica: its process's generation
     backoff_until_ms: dict[str, float] = field(default_factory=dict)
     refused: int = 0
-    paid: int = 0
+    accepted: int = 0
 
 
 class QuotaCluster(Cluster):
@@ -92,11 +92,11 @@
         self.limit = limit
         self.demand = 0.75  # times the tenant's rate
         self.window = QuotaWindow(bounds, limit)
-        self.sides: dict[str, OwnerSide] = {}
+        self.owner_states: dict[str, QuotaOwnerState] = {}
         self._owners: dict[int, str] = {}  # by epoch: who decided
         self._owning_epoch = 0  # the latest whose owner has decided
         self.nodes: dict[str, QuotaNode] = {}
-        self._remembered: dict[str, tuple[NodeLiveness, ...]] = {}  # on each machine's disk
+        self._stored_nodes: dict[str, tuple[NodeLiveness, ...]] = {}  # on each machine's disk
         super().__init__(seed, size)
         for number in range(nodes):
             self.start_node(f"node-{number}")
@@ -105,11 +105,11 @@
     def start(self, address: str, bootstrap: bool = False) -> None:
         """Start a replica's process, and its side of quotas."""
         nodes = NodeRegistry()
-        nodes.merge(self._remembered.get(address, ()), self.now)
+        nodes.merge(self._stored_nodes.get(address, ()), self.now)
         owner = QuotaOwner(address, self.now, self.bounds, nodes, self._lease_over(address))
         owner.set_limits({TENANT: self.limit})
         super().start(address, bootstrap)
-        self.sides[address] = OwnerSide(self.machines[address].generation, owner, nodes)
+        self.owner_states[address] = QuotaOwnerState(self.machines[address].generation, owner, nodes)
 
     def _lease_over(self, address: str) -> Callable[[str, float], bool]:
         def over(owner: str, now_ms: float) -> bool:
@@ -133,13 +133,13 @@
         replica = machine.replica
         if replica is None or machine.generation != generation or machine.frozen or replica.view is None:
             return
-        side = self.sides[machine.address]
+        owner_state = self.owner_states[machine.address]
         chain = tuple(member.address for member in replica.view.chain)
         self._follow_chain(machine.address)
-        side.owner.refill(replica.has_lease(self.now), self.now)
-        side.nodes.expire(self.now)
-        side.owner.expire(self.now)
-        view = ControlPlaneView(replica.view.epoch, chain, chain, side.nodes.active_count())
+        owner_state.owner.refill(replica.has_lease(self.now), self.now)
+        owner_state.nodes.expire(self.now)
+        owner_state.owner.expire(self.now)
+        view = ControlPlaneView(replica.view.epoch, chain, chain, owner_state.nodes.active_count())
         for node in list(self.nodes.values()):
             if node.subscribed.get(machine.address) == generation:
                 self._to_node(machine.address, node, lambda node=node: self._on_view(machine, node, view))  # type: ignore[misc]
@@ -150,11 +150,11 @@
         if replica.view is None:
             return
         epoch, chain = replica.view.epoch, tuple(member.address for member in replica.view.chain)
-        for given_up in self.sides[address].owner.set_chain(epoch, chain, self.now):
+        for given_up in self.owner_states[address].owner.set_chain(epoch, chain, self.now):
             self._to_replica(
                 address,
                 given_up.new_owner,
-                lambda side, levels=given_up.levels: side.owner.on_handover(epoch, levels),  # type: ignore[misc]
+                lambda owner_state, levels=given_up.levels: owner_state.owner.on_handover(epoch, levels),  # type: ignore[misc]
             )
 
     def _on_view(self, machine: Machine, node: QuotaNode, view: ControlPlaneView) -> None:
@@ -168,7 +168,9 @@
             holdings = self._holdings(node)
             for address in self.machines:
                 self._to_replica(
-                    node.name, address, lambda side: side.owner.on_holdings(node.name, holdings, self.now)
+                    node.name,
+                    address,
+                    lambda owner_state: owner_state.owner.on_holdings(node.name, holdings, self.now),
                 )
 
     def _holdings(self, node: QuotaNode) -> QuotaHoldings:
@@ -180,11 +182,13 @@
         for source, machine in self.machines.items():
             if machine.replica is None or machine.frozen:
                 continue
-            nodes = self.sides[source].nodes
+            nodes = self.owner_states[source].nodes
             known = nodes.liveness(self.now)
-            self._remembered[source] = known
+            self._stored_nodes[source] = known
             for target in self.machines:
-                self._to_replica(source, target, lambda side, known=known: side.nodes.merge(known, self.now))  # type: ignore[misc]
+                self._to_replica(
+                    source, target, lambda owner_state, known=known: owner_state.nodes.merge(known, self.now)
+                )  # type: ignore[misc]
         self.after(GOSSIP_INTERVAL_MS, self._gossip)
 
     # Messages.
@@ -197,13 +201,13 @@
 
         self.after(self.rng.uniform(*NETWORK_DELAY_MS), arrive)
 
-    def _to_replica(self, source: str, target: str, handle: Callable[[OwnerSide], None]) -> None:
+    def _to_replica(self, source: str, target: str, handle: Callable[[QuotaOwnerState], None]) -> None:
         def arrive() -> None:
             """Deliver to the replica, unless it is disconnected."""
             machine = self.machines[target]
             if (source, target) in self.disconnected:
                 return
-            self._guarded(machine, machine.generation, lambda: handle(self.sides[target]))
+            self._guarded(machine, machine.generation, lambda: handle(self.owner_states[target]))
 
         if (source, target) not in self.disconnected:
             self.after(self.rng.uniform(*NETWORK_DELAY_MS), arrive)
@@ -216,19 +220,21 @@
             self._to_replica(
                 node.name,
                 address,
-                lambda side, address=address, fresh=receives_replies: self._on_heartbeat(  # type: ignore[misc]
-                    side, node, address, fresh
+                lambda owner_state, address=address, fresh=receives_replies: self._on_heartbeat(  # type: ignore[misc]
+                    owner_state, node, address, fresh
                 ),
             )
         self.after(HEARTBEAT_INTERVAL_MS, lambda: self._send_heartbeat(node))
 
-    def _on_heartbeat(self, side: OwnerSide, node: QuotaNode, address: str, receives_replies: bool) -> None:
-        if node.subscribed.get(address) != side.generation:
-            node.subscribed[address] = side.generation
-            side.owner.on_holdings(node.name, self._holdings(node), self.now)
-            side.owner.on_node_subscribed(self.now - node.started_ms, self.now)
+    def _on_heartbeat(
+        self, owner_state: QuotaOwnerState, node: QuotaNode, address: str, receives_replies: bool
+    ) -> None:
+        if node.subscribed.get(address) != owner_state.generation:
+            node.subscribed[address] = owner_state.generation
+            owner_state.owner.on_holdings(node.name, self._holdings(node), self.now)
+            owner_state.owner.on_node_subscribed(self.now - node.started_ms, self.now)
             receives_replies = False
-        side.nodes.on_message(node.name, receives_replies, self.now)
+        owner_state.nodes.on_message(node.name, receives_replies, self.now)
 
     # Spending.
 
@@ -262,7 +268,7 @@
             if decision.wait_ms:
                 node.refused += 1
                 return
-            self._spent(node, amount)
+            self._record_spent(node, amount)
 
         def on_timeout() -> None:
             """Back off from the owner and spend without it."""
@@ -276,12 +282,12 @@
         autonomous = node.reserves.autonomous(TENANT, self.now)
         demand = QuotaDemand(name, TENANT, amount, wanted, share, autonomous)
 
-        def take(side: OwnerSide) -> None:
+        def take(owner_state: QuotaOwnerState) -> None:
             """Decide at the owner, and reply to the node."""
             machine = self.machines[owner]
             assert machine.replica is not None
             self._follow_chain(owner)
-            decision = side.owner.handle_request(demand, machine.replica.has_lease(self.now), self.now)
+            decision = owner_state.owner.handle_request(demand, machine.replica.has_lease(self.now), self.now)
             if not isinstance(decision, NotQuotaOwner):
                 self._granted(machine.replica)
             self._to_node(owner, node, lambda: answered(decision))
@@ -306,14 +312,14 @@
         if wait_ms:
             node.refused += 1
         else:
-            self._spent(node, amount)
+            self._record_spent(node, amount)
 
-    def _spent(self, node: QuotaNode, amount: float) -> None:
-        node.paid += 1
+    def _record_spent(self, node: QuotaNode, amount: float) -> None:
+        node.accepted += 1
         self.window.spend(amount, self.now)
 
 
-def traffic(cluster: QuotaCluster, amounts: tuple[float, float]) -> None:
+def generate_traffic(cluster: QuotaCluster, amounts: tuple[float, float]) -> None:
     """Generate requests at all nodes, without end, at `cluster.demand` times the tenant's rate.
 
     `amounts` are the smallest and the largest request.
--- a/lab/control/world.py
+++ b/lab/control/world.py
@@ -67,7 +67,7 @@
     return DEPLOYMENTS[seed % len(DEPLOYMENTS)]
 
 
-def play(seed: int, schedule: Sequence[Fault] | None = None) -> int:
+def simulate(seed: int, schedule: Sequence[Fault] | None = None) -> int:
     """Run a seed with its own or a given schedule; return the number of acknowledged changes.
 
     Raises `InvariantViolation`.
@@ -121,26 +121,26 @@
 
 
 def run_seed(seed: int) -> SeedResult:
-    """Run a seed and shorten the schedule of a violation; called in the processes of `play_all`."""
+    """Run a seed and shorten the schedule of a violation; called in the processes of `simulate_all`."""
     schedule = draw_schedule(seed, SCHEDULE_BOUNDS)
     try:
-        return SeedResult(seed, "", schedule, play(seed, schedule))
+        return SeedResult(seed, "", schedule, simulate(seed, schedule))
     except InvariantViolation as violation:
-        return SeedResult(seed, str(violation), _shortened(seed, schedule), 0)
+        return SeedResult(seed, str(violation), _shrink_schedule(seed, schedule), 0)
 
 
-def _shortened(seed: int, schedule: tuple[Fault, ...]) -> tuple[Fault, ...]:
+def _shrink_schedule(seed: int, schedule: tuple[Fault, ...]) -> tuple[Fault, ...]:
     """Return the schedule without the faults that the violation does not need."""
     for index in range(len(schedule) - 1, -1, -1):
         shorter = schedule[:index] + schedule[index + 1 :]
         try:
-            play(seed, shorter)
+            simulate(seed, shorter)
         except InvariantViolation:
             schedule = shorter
     return schedule
 
 
-def play_all(seeds: Sequence[int], jobs: int) -> list[SeedResult]:
+def simulate_all(seeds: Sequence[int], jobs: int) -> list[SeedResult]:
     """Run many seeds over several processes; violations come first."""
     with ProcessPoolExecutor(jobs) as pool:
         results = list(pool.map(run_seed, seeds, chunksize=4))
--- a/lab/router/fleet.py
+++ b/lab/router/fleet.py
@@ -16,8 +16,8 @@
 import aiohttp
 
 ROOT = Path(__file__).parent.parent.parent
-FRONT, READY, CONTROL, INTERNAL = 8_662, 8_663, 8_665, 7_680
-START_S = 15.0
+FRONTEND_PORT, READINESS_PORT, CONTROL_PORT, INTERNAL_PORT = 8_662, 8_663, 8_665, 7_680
+START_TIMEOUT_S = 15.0
 
 
 @dataclass
@@ -91,21 +91,21 @@
         """Write a process's settings file."""
         data = self.folder / process.name / "data"
         data.parent.mkdir(exist_ok=True)
-        names = ", ".join(f'"{seed}:{CONTROL}"' for seed in seeds)
+        names = ", ".join(f'"{seed}:{CONTROL_PORT}"' for seed in seeds)
         process.settings.write_text(
             f'''node_name = "{process.name}"
 ip_address = "{process.host}"
 zone = "a"
-internal_port_range = [{INTERNAL}, {INTERNAL + 15}]
+internal_port_range = [{INTERNAL_PORT}, {INTERNAL_PORT + 15}]
 seed_nodes = [{names}]
 bootstrap = {str(bootstrap).lower()}
 counts_for_quorum = {str(counts).lower()}
 data_directory = "{data if counts else ""}"
 heartbeat_interval_ms = 300
 [listeners_config]
-frontend = "{process.host}:{FRONT}"
-readiness = "{process.host}:{READY}"
-control_plane = "{process.host}:{CONTROL}"
+frontend = "{process.host}:{FRONTEND_PORT}"
+readiness = "{process.host}:{READINESS_PORT}"
+control_plane = "{process.host}:{CONTROL_PORT}"
 [fault_tolerance]
 hosts_lost = {(self.controls - 1) // 2}
 [timing_bounds]
@@ -121,11 +121,11 @@
 
     def control_addresses(self) -> list[str]:
         """Where servers and the operator call."""
-        return [f"{process.host}:{CONTROL}" for process in self.control]
+        return [f"{process.host}:{CONTROL_PORT}" for process in self.control]
 
-    def front(self, node: int = 0) -> str:
+    def frontend_url(self, node: int = 0) -> str:
         """Where clients call a node."""
-        return f"http://{self.data[node].host}:{FRONT}"
+        return f"http://{self.data[node].host}:{FRONTEND_PORT}"
 
     def stop(self) -> None:
         """End all processes."""
@@ -136,13 +136,13 @@
     async def ready(self, session: aiohttp.ClientSession, node: int) -> bool:
         """Whether a node calls itself ready."""
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
-            async with session.get(f"http://{self.data[node].host}:{READY}/readyz") as answer:
+            async with session.get(f"http://{self.data[node].host}:{READINESS_PORT}/readyz") as answer:
                 return answer.status == 200
         return False
 
     async def wait_ready(self, session: aiohttp.ClientSession) -> None:
         """Wait until all nodes are ready. Raises `TimeoutError`."""
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             for node in range(self.nodes):
                 while not await self.ready(session, node):
                     await asyncio.sleep(0.05)
@@ -151,7 +151,7 @@
         self, session: aiohttp.ClientSession, body: dict[str, Any], base: int, kind: str = "replace"
     ) -> int:
         """Send a configuration as an operator does, until the answer is clear; its status."""
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 for address in self.control_addresses():
                     status = await self._put_once(session, address, body, base, kind)
@@ -171,9 +171,9 @@
         except (aiohttp.ClientError, OSError, TimeoutError):
             return None
 
-    async def described(self, session: aiohttp.ClientSession) -> dict[str, Any]:
+    async def read_configuration(self, session: aiohttp.ClientSession) -> dict[str, Any]:
         """The configuration as it is read back. Raises `TimeoutError`."""
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 for address in self.control_addresses():
                     with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
--- a/lab/router/model_server.py
+++ b/lab/router/model_server.py
@@ -11,8 +11,8 @@
 import aiohttp
 from aiohttp import web
 
-BEAT_S = 0.3
-EVENT_S = 0.01
+HEARTBEAT_INTERVAL_S = 0.3
+EVENT_INTERVAL_S = 0.01
 
 
 @dataclass
@@ -21,27 +21,27 @@
 
     status: int = 200
     refuse: int = 0  # so many requests are turned away as if it were full
-    cut_after: int | None = None  # events of a stream, after which the connection is reset
-    cut_times: int = 1_000_000  # so many streams are cut
+    reset_after: int | None = None  # events of a stream, after which the connection is reset
+    reset_limit: int = 1_000_000  # so many streams are cut
     silent: bool = False  # requests are taken and never answered
     wrong_id: bool = False  # answers name another request
     unsigned: bool = False
     slow_s: float = 0.0  # before the answer begins
     events: int = 5
-    event_s: float = EVENT_S  # between events
+    event_s: float = EVENT_INTERVAL_S  # between events
     draining: bool = False
 
 
 @dataclass
-class Seen:
+class ReceivedRequests:
     """What reached it."""
 
-    ran: Counter[str] = field(default_factory=Counter)  # by attempt id
+    executed: Counter[str] = field(default_factory=Counter)  # by attempt id
     refused: int = 0
     headers: list[dict[str, str]] = field(default_factory=list)
     bodies: list[bytes] = field(default_factory=list)
     paths: list[str] = field(default_factory=list)
-    more: asyncio.Event = field(default_factory=asyncio.Event)  # set with each request
+    arrived: asyncio.Event = field(default_factory=asyncio.Event)  # set with each request
 
 
 class ModelServer:
@@ -55,11 +55,11 @@
         self.capacity = capacity
         self.id = f"i-{next(self._numbers)}"
         self.behaviour = Behaviour()
-        self.seen = Seen()
+        self.received = ReceivedRequests()
         self.address = ""
         self._sequence = 0
         self._runner: web.ServerRunner | None = None
-        self._beats: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
 
     async def start(self, control: list[str]) -> None:
         """Listen, and tell the control plane."""
@@ -69,9 +69,9 @@
         await site.start()
         port = self._runner.addresses[0][1]
         self.address = f"{self.host}:{port}"
-        self._beats = asyncio.create_task(self._beat(control))
+        self._heartbeat_task = asyncio.create_task(self._send_heartbeats(control))
 
-    async def _beat(self, control: list[str]) -> None:
+    async def _send_heartbeats(self, control: list[str]) -> None:
         async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1.0)) as session:
             for address in itertools.cycle(control):
                 self._sequence += 1
@@ -87,18 +87,18 @@
                 }
                 with contextlib.suppress(aiohttp.ClientError, TimeoutError, OSError):
                     async with session.post(f"http://{address}/instances/{self.id}/heartbeat", json=body):
-                        await asyncio.sleep(BEAT_S)
+                        await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def wait_ran(self, requests: int) -> None:
+    async def wait_executed(self, requests: int) -> None:
         """Wait until so many requests have run here."""
-        while sum(self.seen.ran.values()) < requests:
-            self.seen.more.clear()
-            await self.seen.more.wait()
+        while sum(self.received.executed.values()) < requests:
+            self.received.arrived.clear()
+            await self.received.arrived.wait()
 
     async def stop(self) -> None:
         """End without a word."""
-        if self._beats is not None:
-            self._beats.cancel()
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -110,13 +110,13 @@
         echo = {"X-Attempt-Id": "another" if self.behaviour.wrong_id else attempt}
         if self.behaviour.refuse > 0:
             self.behaviour.refuse -= 1
-            self.seen.refused += 1
+            self.received.refused += 1
             return web.Response(status=503, headers={**echo, "X-Not-Executed": "1"})
-        self.seen.ran[attempt] += 1
-        self.seen.headers.append(dict(request.headers))
-        self.seen.bodies.append(body)
-        self.seen.paths.append(request.raw_path)
-        self.seen.more.set()
+        self.received.executed[attempt] += 1
+        self.received.headers.append(dict(request.headers))
+        self.received.bodies.append(body)
+        self.received.paths.append(request.raw_path)
+        self.received.arrived.set()
         if self.behaviour.silent:
             await asyncio.sleep(3_600.0)
         await asyncio.sleep(self.behaviour.slow_s)
@@ -132,10 +132,10 @@
     async def _stream(self, request: web.BaseRequest, answer: web.StreamResponse) -> None:
         await answer.prepare(request)
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
-        cut_after = self.behaviour.cut_after if self.behaviour.cut_times > 0 else None
+        reset_after = self.behaviour.reset_after if self.behaviour.reset_limit > 0 else None
         for number in range(first, self.behaviour.events + 1):
-            if cut_after is not None and number - first >= cut_after:
-                self.behaviour.cut_times -= 1
+            if reset_after is not None and number - first >= reset_after:
+                self.behaviour.reset_limit -= 1
                 await answer.write(b"id: 99\ndata: half an ev")
                 assert request.transport is not None
                 request.transport.abort()
--- a/lab/router/raw_server.py
+++ b/lab/router/raw_server.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 HEAD_END = b"\r\n\r\n"
-READ = 65_536
+READ_SIZE = 65_536
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
     attempt: str
     head: bytes
     body: bytes
-    place: int  # on its connection, from 0
+    position: int  # on its connection, from 0
 
 
 @dataclass
@@ -45,7 +45,7 @@
     async def closed(self) -> None:
         """Wait until the node has closed it."""
         with contextlib.suppress(ConnectionError):
-            while await self.reader.read(READ):
+            while await self.reader.read(READ_SIZE):
                 pass
 
 
@@ -75,10 +75,10 @@
 
 @dataclass
 class RawServer:
-    """Runs `script` for each request that arrives; `early` for its head, before the body is read."""
+    """Runs `script` for each request that arrives; `on_head` for its head, before the body is read."""
 
     script: Script
-    early: Callable[[Connection, bytes], Awaitable[None]] | None = None
+    on_head: Callable[[Connection, bytes], Awaitable[None]] | None = None
     runs: Counter[str] = field(default_factory=Counter)  # by attempt
     arrivals: list[Arrival] = field(default_factory=list)
     connections: list[Connection] = field(default_factory=list)
@@ -111,10 +111,10 @@
 
     async def _read(self, connection: Connection) -> Arrival:
         head = await connection.reader.readuntil(HEAD_END)
-        if self.early is not None:
-            await self.early(connection, head)
+        if self.on_head is not None:
+            await self.on_head(connection, head)
         fields = dict(line.split(b": ", 1) for line in head.split(b"\r\n")[1:] if b": " in line)
         names = {name.lower(): value for name, value in fields.items()}
         body = await connection.reader.readexactly(int(names.get(b"content-length", b"0")))
-        place, connection.requests = connection.requests, connection.requests + 1
-        return Arrival(names.get(b"x-attempt-id", b"").decode(), head, body, place)
+        position, connection.requests = connection.requests, connection.requests + 1
+        return Arrival(names.get(b"x-attempt-id", b"").decode(), head, body, position)
--- a/lab/simulation/calm.py
+++ b/lab/simulation/calm.py
@@ -10,7 +10,7 @@
 CONTACT_WINDOW_S = 3.0  # `contact_window_ms`
 
 
-class CalmTracker:
+class DisturbanceTracker:
     """Remembers when each host was last disturbed.
 
     Parameters
@@ -35,10 +35,10 @@
         for host in hosts:
             self.disturb(host, in_core=True)
 
-    def since_s(self, host: str) -> float:
+    def last_disturbed_s(self, host: str) -> float:
         """Return when something last befell a host or the core."""
         return max(self._disturbed_s.get(host, 0.0), self._core_disturbed_s)
 
-    def calm(self, host: str) -> bool:
+    def undisturbed(self, host: str) -> bool:
         """Return whether nothing befell a host or the core within the contact window."""
-        return self._now_s() - self.since_s(host) >= CONTACT_WINDOW_S
+        return self._now_s() - self.last_disturbed_s(host) >= CONTACT_WINDOW_S
--- a/lab/simulation/checkers.py
+++ b/lab/simulation/checkers.py
@@ -8,11 +8,11 @@
 
 from dunlinloft.coordination.stream import ConfigurationId
 from lab.control.invariants import InvariantChecker, InvariantViolation
-from lab.simulation.calm import CalmTracker
+from lab.simulation.calm import DisturbanceTracker
 from lab.simulation.control_machine import ControlMachine
 from lab.simulation.data_node import DataNode
 from lab.simulation.event_loop import SimulatedEventLoop
-from lab.simulation.model_server import DRAIN_S, HEARTBEAT_S, ModelServer, ServerLife
+from lab.simulation.model_server import DRAIN_S, HEARTBEAT_S, ModelServer, ServerInstance
 
 CONFIG_PROPAGATION_S = 2.0  # `config_propagation_ms`
 CHECK_INTERVAL_S = 0.2
@@ -39,7 +39,7 @@
         """Tells the time."""
 
     @property
-    def calm(self) -> CalmTracker:
+    def disturbances(self) -> DisturbanceTracker:
         """When machines were disturbed."""
 
     @property
@@ -58,7 +58,7 @@
     def servers(self) -> Sequence[ModelServer]:
         """All servers."""
 
-    def in_touch(self, host: str) -> bool:
+    def in_contact(self, host: str) -> bool:
         """Return whether rules that are bounded in time hold for a machine now."""
 
 
@@ -89,22 +89,22 @@
         if sequence is not None and committed.get(after.history_digest, 0) <= sequence:
             raise InvariantViolation(f"{node.name} gave up the committed {before} for {after}")
 
-    def on_arrival(self, node: DataNode, life: ServerLife) -> None:
+    def on_arrival(self, node: DataNode, instance: ServerInstance) -> None:
         """A request of a node reached a server."""
         self.arrivals += 1
-        draining = life.draining
-        if draining is None or not draining.in_touch or not self._cluster.in_touch(node.host):
+        draining = instance.draining
+        if draining is None or not draining.in_contact or not self._cluster.in_contact(node.host):
             return
         late_s = self._cluster.loop.now_s - draining.at_s
         if late_s > DRAIN_S:
             raise InvariantViolation(
-                f"{node.name} sent to {life.id} {late_s:.2f} s after its drain was acknowledged"
+                f"{node.name} sent to {instance.id} {late_s:.2f} s after its drain was acknowledged"
             )
 
     def _check_all(self) -> None:
         self._cluster.checker.check_views(self._cluster.machines)
         for node in self._cluster.nodes.values():
-            if self._cluster.in_touch(node.host) and node.clients is not None:
+            if self._cluster.in_contact(node.host) and node.clients is not None:
                 self.checked += 1
                 self._check_configuration(node)
                 self._check_servers(node)
@@ -122,20 +122,20 @@
         assert node.clients is not None
         known = {server_id for pool in node.clients.servers.pools.values() for server_id in pool.servers}
         for server in self._cluster.servers:
-            for life in server.lives[-3:]:
-                self._check_server(node, life, life.id in known)
+            for instance in server.instances[-3:]:
+                self._check_server(node, instance, instance.id in known)
 
-    def _check_server(self, node: DataNode, life: ServerLife, known: bool) -> None:
+    def _check_server(self, node: DataNode, instance: ServerInstance, known: bool) -> None:
         now_s = self._cluster.loop.now_s
-        steady_since_s = life.steady_since_s
+        steady_since_s = instance.steady_since_s
         if steady_since_s is not None and now_s - steady_since_s > KNOWN_AFTER_S and not known:
-            raise InvariantViolation(f"{node.name} does not know {life.id}, which beats")
-        gone = life.deregistered
-        if gone is not None and gone.in_touch and now_s - gone.at_s > GONE_AFTER_S and known:
-            raise InvariantViolation(f"{node.name} still knows {life.id}, which deregistered")
-        if life.ended_s is None or life.last_sent_s is None:
+            raise InvariantViolation(f"{node.name} does not know {instance.id}, which beats")
+        gone = instance.deregistered
+        if gone is not None and gone.in_contact and now_s - gone.at_s > GONE_AFTER_S and known:
+            raise InvariantViolation(f"{node.name} still knows {instance.id}, which deregistered")
+        if instance.ended_s is None or instance.last_sent_s is None:
             return
         # A control plane that was restarted gives servers that it had on disk the time to beat once more.
-        silent_s = now_s - max(life.last_sent_s, self._cluster.calm.since_s(node.host))
+        silent_s = now_s - max(instance.last_sent_s, self._cluster.disturbances.last_disturbed_s(node.host))
         if silent_s > EXPIRED_AFTER_S and known:
-            raise InvariantViolation(f"{node.name} still knows {life.id}, which stopped beating")
+            raise InvariantViolation(f"{node.name} still knows {instance.id}, which stopped beating")
--- a/lab/simulation/cluster.py
+++ b/lab/simulation/cluster.py
@@ -20,7 +20,7 @@
 from dunlinloft.settings import TimingBounds
 from lab.control.invariants import InvariantChecker
 from lab.control.quota_cluster import QuotaWindow
-from lab.simulation.calm import CalmTracker
+from lab.simulation.calm import DisturbanceTracker
 from lab.simulation.checkers import NodeChecker
 from lab.simulation.control_machine import (
     CONTROL_PORT,
@@ -60,7 +60,7 @@
         self.rng = random.Random(seed)
         self.loop = loop
         self.network = Network(self.loop, random.Random(self.rng.getrandbits(64)))
-        self.calm = CalmTracker(lambda: self.loop.now_s)
+        self.disturbances = DisturbanceTracker(lambda: self.loop.now_s)
         self.tolerance = deployment.tolerance
         self.checker = InvariantChecker(deployment.tolerance)
         self.node_checker = NodeChecker(self)
@@ -149,7 +149,7 @@
 
     def _on_change(self, changed: ControlMachine | DataNode) -> None:
         in_core = isinstance(changed, ControlMachine) and changed.stateful
-        self.calm.disturb(changed.host, in_core)
+        self.disturbances.disturb(changed.host, in_core)
 
     def _on_exit(self, machine: ControlMachine) -> None:
         """Start a process again that has ended after SIGTERM, as the platform does."""
@@ -163,15 +163,15 @@
         """Whether more than half of the core runs, connected, with disks that work."""
         core = [machine for machine in self.machines.values() if machine.stateful and not machine.removed]
         blocked = self.network.blocked_hosts()
-        sound = [each for each in core if each.running and each.disk_works and each.host not in blocked]
-        return 2 * len(sound) > len(core) and all(each.disk_works for each in core)
+        healthy = [each for each in core if each.running and each.disk_works and each.host not in blocked]
+        return 2 * len(healthy) > len(core) and all(each.disk_works for each in core)
 
-    def in_touch(self, host: str) -> bool:
+    def in_contact(self, host: str) -> bool:
         """Whether rules that are bounded in time hold for a machine now."""
-        there = self._hosts[host]
-        undisturbed = there.running and host not in self.network.blocked_hosts()
-        disk_works = there.disk_works if isinstance(there, ControlMachine) else True
-        return undisturbed and disk_works and self.calm.calm(host) and self.core_is_stable()
+        host_machine = self._hosts[host]
+        undisturbed = host_machine.running and host not in self.network.blocked_hosts()
+        disk_works = host_machine.disk_works if isinstance(host_machine, ControlMachine) else True
+        return undisturbed and disk_works and self.disturbances.undisturbed(host) and self.core_is_stable()
 
     # Time.
 
@@ -256,8 +256,8 @@
         hosts = self.control_hosts()[:3]
         self.configured_seeds = tuple(f"{host}:{INTERNAL_PORT}" for host in hosts)
         seed_nodes = tuple(f"{host}:{CONTROL_PORT}" for host in hosts)
-        for there in self._hosts.values():
-            there.settings = msgspec.structs.replace(there.settings, seed_nodes=seed_nodes)
+        for host_machine in self._hosts.values():
+            host_machine.settings = msgspec.structs.replace(host_machine.settings, seed_nodes=seed_nodes)
 
     # Faults of links. Control planes are named by address, nodes by name.
 
@@ -303,9 +303,9 @@
 
     def _disturb(self, hosts: tuple[str, ...]) -> None:
         for host in hosts:
-            there = self._hosts.get(host)
-            if there is not None:
-                self._on_change(there)
+            host_machine = self._hosts.get(host)
+            if host_machine is not None:
+                self._on_change(host_machine)
 
     # Faults of nodes, by name.
 
@@ -363,19 +363,19 @@
             return registrar.deregister(server_id) if record is None else registrar.heartbeat(record)
 
         acknowledged = await self.call_control(host, call)
-        return CallOutcome(bool(acknowledged), self.in_touch(host))
+        return CallOutcome(bool(acknowledged), self.in_contact(host))
 
     async def _deliver(self, node: DataNode, server_id: str, address: str) -> bool:
         """Send a request to the server at an address; one of another id there declines it."""
         await asyncio.sleep(self.network.delay_s(node.host, OUTSIDE))
-        server = next(each for each in self.servers if each.life.address == address)
-        life = server.life
-        if life.id != server_id or life.ended_s is not None:
+        server = next(each for each in self.servers if each.instance.address == address)
+        instance = server.instance
+        if instance.id != server_id or instance.ended_s is not None:
             return False
         with self.loop.reporting():
-            self.node_checker.on_arrival(node, life)
+            self.node_checker.on_arrival(node, instance)
         await asyncio.sleep(self.rng.uniform(*SERVICE_S))
-        return life.ended_s is None
+        return instance.ended_s is None
 
 
 def _components(machine: ControlMachine) -> Components:
--- a/lab/simulation/data_node.py
+++ b/lab/simulation/data_node.py
@@ -29,7 +29,7 @@
 LATENCY_TARGET_MS = 200.0
 REMAINING_MS = 2_000.0
 MAX_IN_FLIGHT = 16  # requests of one node at one server
-FAREWELL_S = 0.05
+SHUTDOWN_DELAY_S = 0.05
 
 
 class Deliver(Protocol):
@@ -120,7 +120,7 @@
             tasks.start(run_essential(self._send_requests(clients, serving, tasks), self.name))
             await stop.wait()
             clients.subscriptions.stop()
-            await asyncio.sleep(FAREWELL_S)
+            await asyncio.sleep(SHUTDOWN_DELAY_S)
         await clients.subscriptions.close()
         self.kill()
 
--- a/lab/simulation/files.py
+++ b/lab/simulation/files.py
@@ -53,7 +53,7 @@
 Operation = WriteBytes | Truncate | Create | SyncFile | SyncFolder
 
 
-class _Fate(Enum):
+class _WriteOutcome(Enum):
     """What becomes of one write that was not synced."""
 
     KEPT = auto()
@@ -183,14 +183,14 @@
     def _after_power_loss(self, file: _File) -> _File:
         content = file.synced
         for operation in file.unsynced:
-            fate = self._rng.choice(tuple(_Fate))
-            if fate is _Fate.LOST:
+            outcome = self._rng.choice(tuple(_WriteOutcome))
+            if outcome is _WriteOutcome.LOST:
                 continue
             if isinstance(operation, Truncate):
                 content = b""
                 continue
             data = operation.data
-            if fate is _Fate.TORN:
+            if outcome is _WriteOutcome.TORN:
                 data = data[: self._rng.randint(0, len(data))]
             content = _written(content, operation.offset, data)
         return _File(content, content)
--- a/lab/simulation/model_server.py
+++ b/lab/simulation/model_server.py
@@ -13,19 +13,19 @@
 HEARTBEAT_S = 1.2
 CALL_TIMEOUT_S = 1.0
 MAX_CALLS = 4  # of one heartbeat, each to another control plane
-LIFE_S = (2.5, 9.0)  # until a server that doesn't stay ends
+INSTANCE_LIFETIME_S = (2.5, 9.0)  # until a server that doesn't stay ends
 PLANNED_PROBABILITY = 0.6  # that it drains first, rather than crash
 DRAIN_S = 2.0  # `drain_timeout_ms`
-LINGER_S = (0.1, 1.0)  # that it goes on serving beyond that
-REUSE_S = (2.0, 3.5)  # until another server starts at the address; `address_reuse_s` at least
+DRAIN_OVERRUN_S = (0.1, 1.0)  # that it goes on serving beyond that
+ADDRESS_REUSE_S = (2.0, 3.5)  # until another server starts at the address; `address_reuse_s` at least
 CAPACITY = 8
 SERVICE_S = (0.01, 0.08)  # of one request
 
 
-class End(Enum):
+class InstanceEnd(Enum):
     """How a server's life ends."""
 
-    STAYS = auto()
+    NEVER = auto()
     PLANNED = auto()
     CRASH = auto()
 
@@ -35,11 +35,11 @@
     """That a control plane acknowledged what a server said."""
 
     at_s: float
-    in_touch: bool  # whether the control plane was
+    in_contact: bool  # whether the control plane was
 
 
 @dataclass(slots=True)
-class ServerLife:
+class ServerInstance:
     """One server id, and what is known of it outside."""
 
     id: str
@@ -57,7 +57,7 @@
     """What became of a call to a control plane."""
 
     acknowledged: bool
-    in_touch: bool  # whether the control plane that was called is in touch
+    in_contact: bool  # whether the control plane that was called is in touch
 
 
 CallControl = Callable[[str, ServerRecord | None, str], Awaitable[CallOutcome]]
@@ -84,7 +84,7 @@
         control_hosts: Callable[[], list[str]],
         call: CallControl,
     ) -> None:
-        self.lives: list[ServerLife] = []
+        self.instances: list[ServerInstance] = []
         self.may_end = True
         self._name = name
         self._service = service
@@ -96,60 +96,60 @@
         self._sequence = 0
 
     @property
-    def life(self) -> ServerLife:
+    def instance(self) -> ServerInstance:
         """The present server, or the last one while none runs."""
-        return self.lives[-1]
+        return self.instances[-1]
 
     async def run(self) -> None:
         """Run servers one after the other, without end."""
         while True:
-            life = ServerLife(f"{self._name}.{len(self.lives) + 1}", f"{self._name}:80")
-            self.lives.append(life)
+            instance = ServerInstance(f"{self._name}.{len(self.instances) + 1}", f"{self._name}:80")
+            self.instances.append(instance)
             self._sequence = 0
-            await self._live(life, self._draw_end())
-            life.ended_s = self._now_s()
-            life.steady_since_s = None
-            await asyncio.sleep(self._rng.uniform(*REUSE_S))
+            await self._run_instance(instance, self._draw_end())
+            instance.ended_s = self._now_s()
+            instance.steady_since_s = None
+            await asyncio.sleep(self._rng.uniform(*ADDRESS_REUSE_S))
 
-    def _draw_end(self) -> End:
+    def _draw_end(self) -> InstanceEnd:
         draw = self._rng.random()
         if draw < 0.4:
-            return End.STAYS
-        return End.PLANNED if self._rng.random() < PLANNED_PROBABILITY else End.CRASH
+            return InstanceEnd.NEVER
+        return InstanceEnd.PLANNED if self._rng.random() < PLANNED_PROBABILITY else InstanceEnd.CRASH
 
-    async def _live(self, life: ServerLife, end: End) -> None:
-        ends_s = self._now_s() + self._rng.uniform(*LIFE_S)
-        while end is End.STAYS or self._now_s() < ends_s or not self.may_end:
-            await self._beat(life, "ready")
+    async def _run_instance(self, instance: ServerInstance, end: InstanceEnd) -> None:
+        ends_s = self._now_s() + self._rng.uniform(*INSTANCE_LIFETIME_S)
+        while end is InstanceEnd.NEVER or self._now_s() < ends_s or not self.may_end:
+            await self._send_heartbeat(instance, "ready")
             await asyncio.sleep(HEARTBEAT_S)
-        if end is End.CRASH:
+        if end is InstanceEnd.CRASH:
             return
-        while life.draining is None:
-            await self._beat(life, "draining")
-            if life.draining is None:
+        while instance.draining is None:
+            await self._send_heartbeat(instance, "draining")
+            if instance.draining is None:
                 await asyncio.sleep(HEARTBEAT_S)
-        ends_s = self._now_s() + DRAIN_S + self._rng.uniform(*LINGER_S)
+        ends_s = self._now_s() + DRAIN_S + self._rng.uniform(*DRAIN_OVERRUN_S)
         while self._now_s() < ends_s:
             await asyncio.sleep(min(HEARTBEAT_S, ends_s - self._now_s()))
-            await self._beat(life, "draining")
-        life.steady_since_s = None
-        outcome = await self._call_any(life, None)
+            await self._send_heartbeat(instance, "draining")
+        instance.steady_since_s = None
+        outcome = await self._call_any(instance, None)
         if outcome is not None:
-            life.deregistered = Acknowledgement(self._now_s(), outcome.in_touch)
+            instance.deregistered = Acknowledgement(self._now_s(), outcome.in_contact)
 
-    async def _beat(self, life: ServerLife, state: str) -> None:
-        life.last_sent_s = self._now_s()
-        outcome = await self._call_any(life, state)
+    async def _send_heartbeat(self, instance: ServerInstance, state: str) -> None:
+        instance.last_sent_s = self._now_s()
+        outcome = await self._call_any(instance, state)
         if outcome is None:
-            life.steady_since_s = None
+            instance.steady_since_s = None
             return
-        life.acknowledged += 1
-        if life.steady_since_s is None:
-            life.steady_since_s = self._now_s()
-        if state == "draining" and life.draining is None:
-            life.draining = Acknowledgement(self._now_s(), outcome.in_touch)
+        instance.acknowledged += 1
+        if instance.steady_since_s is None:
+            instance.steady_since_s = self._now_s()
+        if state == "draining" and instance.draining is None:
+            instance.draining = Acknowledgement(self._now_s(), outcome.in_contact)
 
-    async def _call_any(self, life: ServerLife, state: str | None) -> CallOutcome | None:
+    async def _call_any(self, instance: ServerInstance, state: str | None) -> CallOutcome | None:
         """Call control planes one after the other until one acknowledges; None where none does.
 
         A heartbeat with this state, or a deregistration where `state` is None.
@@ -160,16 +160,18 @@
             hosts.remove(self._endpoint)
             hosts.insert(0, self._endpoint)
         for host in hosts[:MAX_CALLS]:
-            outcome = await self._call(host, self._record(life, state), life.id)
+            outcome = await self._call(host, self._record(instance, state), instance.id)
             if outcome.acknowledged:
                 self._endpoint = host
                 return outcome
         self._endpoint = None
         return None
 
-    def _record(self, life: ServerLife, state: str | None) -> ServerRecord | None:
+    def _record(self, instance: ServerInstance, state: str | None) -> ServerRecord | None:
         """Return the next heartbeat: its sequence number rises with each call."""
         if state is None:
             return None
         self._sequence += 1
-        return ServerRecord(life.id, self._service, life.address, "zone", CAPACITY, state, self._sequence)
+        return ServerRecord(
+            instance.id, self._service, instance.address, "zone", CAPACITY, state, self._sequence
+        )
--- a/lab/simulation/progress.py
+++ b/lab/simulation/progress.py
@@ -20,8 +20,8 @@
         self._operators = operators
         self._began_ms = cluster.now
         self._acknowledged = sum(operator.acknowledged for operator in operators)
-        self._heartbeats = {server: server.life.acknowledged for server in cluster.servers}
-        self._lives = {server: server.life for server in cluster.servers}
+        self._heartbeats = {server: server.instance.acknowledged for server in cluster.servers}
+        self._instances = {server: server.instance for server in cluster.servers}
         self._granted = {name: node.progress.granted for name, node in cluster.nodes.items()}
         self._placed = {name: node.progress.placed for name, node in cluster.nodes.items()}
         self._served = {name: node.progress.served for name, node in cluster.nodes.items()}
@@ -52,9 +52,12 @@
         if unread:
             return f"{sorted(unread)} answer no read"
         for server in cluster.servers:
-            same = server.life is self._lives[server]
-            if server.life.ended_s is None and server.life.acknowledged <= same * self._heartbeats[server]:
-                return f"no heartbeat of {server.life.id} is acknowledged"
+            same = server.instance is self._instances[server]
+            if (
+                server.instance.ended_s is None
+                and server.instance.acknowledged <= same * self._heartbeats[server]
+            ):
+                return f"no heartbeat of {server.instance.id} is acknowledged"
         for name, node in cluster.nodes.items():
             if node.progress.granted == self._granted[name]:
                 return f"{name} is granted no quota by an owner"
--- a/lab/simulation/transport.py
+++ b/lab/simulation/transport.py
@@ -88,7 +88,7 @@
         self._unacknowledged_since_s: float | None = None
         self._timeout_armed = False
         self._closing = False
-        self._lost = False  # this end's kernel knows the connection no more
+        self._detached = False  # this end's kernel knows the connection no more
 
     # What asyncio's streams call, in the process's context.
 
@@ -100,7 +100,7 @@
         early = self._early
         self._early = []
         for content in early:
-            self._take(content)
+            self._receive(content)
 
     def write(self, data: Any) -> None:
         """Send bytes."""
@@ -154,7 +154,7 @@
         if rng.random() < 0.5:
             self._enqueue(_Data(content[: rng.randrange(len(content))]))
             self._enqueue(_Closed(reset=True))
-            self._lose(ConnectionResetError(104, "connection reset"))
+            self._detach(ConnectionResetError(104, "connection reset"))
             return
         start = rng.randrange(len(content))
         noise = rng.randbytes(rng.randint(1, 8)).replace(b"\n", b"\xff")
@@ -198,11 +198,11 @@
 
     def _check_timeout(self) -> None:
         self._timeout_armed = False
-        if self._lost or self._unacknowledged_since_s is None:
+        if self._detached or self._unacknowledged_since_s is None:
             return
         age_s = self._loop.now_s - self._unacknowledged_since_s
         if age_s >= USER_TIMEOUT_S - TIMEOUT_TOLERANCE_S:
-            self._lose(TimeoutError(110, "connection timed out"))
+            self._detach(TimeoutError(110, "connection timed out"))
         else:
             self._arm_timeout(USER_TIMEOUT_S - age_s)
 
@@ -213,7 +213,7 @@
         assert peer is not None
         if isinstance(content, _Established):
             if content.future.done() or not peer.process.alive:
-                peer._lost = True
+                peer._detached = True
                 self._on_reset()
             else:
                 content.future.set_result(peer)
@@ -222,29 +222,29 @@
             self._queue.clear()
             self._unacknowledged_since_s = self._loop.now_s
             self._arm_timeout(USER_TIMEOUT_S)
-        elif peer._lost or not peer.process.alive:
+        elif peer._detached or not peer.process.alive:
             if isinstance(content, _Data):
                 self._loop.after(self._network.delay_s(self._peer_host, self._host), self._on_reset)
         else:
-            self._loop.call_in(peer.process, peer._take, content)
+            self._loop.call_in(peer.process, peer._receive, content)
 
     def _on_reset(self) -> None:
-        if not self._lost:
-            self._lose(ConnectionResetError(104, "connection reset"))
+        if not self._detached:
+            self._detach(ConnectionResetError(104, "connection reset"))
 
-    def _take(self, content: _Data | _Closed) -> None:
+    def _receive(self, content: _Data | _Closed) -> None:
         """Hand the process what arrived, in its context."""
-        if self._lost:
+        if self._detached:
             return
         if self._protocol is None:
             self._early.append(content)
         elif isinstance(content, _Data):
             self._protocol.data_received(content.content)
         elif content.reset:
-            self._lose(ConnectionResetError(104, "connection reset"))
+            self._detach(ConnectionResetError(104, "connection reset"))
         else:
             self._protocol.eof_received()
-            self._lose(None)
+            self._detach(None)
 
     # Ends.
 
@@ -252,24 +252,24 @@
         if self._closing or not self.process.alive:
             return
         self._enqueue(closed)
-        self._lose(None)
+        self._detach(None)
 
-    def _lose(self, error: Exception | None) -> None:
+    def _detach(self, error: Exception | None) -> None:
         """This end is gone for its process; what is queued still goes out."""
         if isinstance(error, TimeoutError):
             self._queue.clear()
         self._closing = True
-        if self._lost:
+        if self._detached:
             return
-        self._lost = True
+        self._detached = True
         if self._protocol is not None:
             self._loop.call_in(self.process, self._protocol.connection_lost, error)
         self._forget_when_over()
 
     def on_process_ended(self, power_lost: bool) -> None:
         """The process has ended, and with it this end."""
-        already_lost = self._lost
-        self._lost = True
+        already_lost = self._detached
+        self._detached = True
         self._closing = True
         if power_lost:
             self._queue.clear()
@@ -278,6 +278,6 @@
         self._forget_when_over()
 
     def _forget_when_over(self) -> None:
-        if self._lost and self.peer is not None and self.peer._lost:
+        if self._detached and self.peer is not None and self.peer._detached:
             self._network.forget(self)
             self._network.forget(self.peer)
--- a/lab/simulation/world.py
+++ b/lab/simulation/world.py
@@ -38,7 +38,7 @@
 FAULTS_END_MS = 6_500.0  # by when all faults have ended
 RECOVERY_MS = 12_000.0  # `recovery_timeout_s`
 STEP_MS = 250.0  # between two looks whether everything works again
-CALM_MS = 1_000.0 * CONTACT_WINDOW_S + 800.0  # checked in the end, while nothing fails
+FAULT_FREE_MS = 1_000.0 * CONTACT_WINDOW_S + 800.0  # checked in the end, while nothing fails
 IDLE_MS = 400.0  # without requests, until owners count none in flight
 
 
@@ -70,7 +70,7 @@
 
 
 @contextmanager
-def _simulated(seed: int, loop: SimulatedEventLoop) -> Iterator[None]:
+def _simulated_environment(seed: int, loop: SimulatedEventLoop) -> Iterator[None]:
     """Take clocks and random bits from the simulation, and collect no garbage before its end."""
     rng = random.Random(seed)
     state = random.getstate()
@@ -100,7 +100,7 @@
             random.setstate(state)
 
 
-def play(seed: int, schedule: Sequence[Fault] | None = None) -> Summary:
+def simulate(seed: int, schedule: Sequence[Fault] | None = None) -> Summary:
     """Run a seed with its own or a given schedule.
 
     Raises
@@ -113,11 +113,11 @@
     if schedule is None:
         schedule = draw_schedule(seed, SCHEDULE_BOUNDS, ALL_FAULTS)
     loop = SimulatedEventLoop()  # type: ignore[abstract]
-    with _simulated(seed, loop):
-        return _play(seed, schedule, loop)
+    with _simulated_environment(seed, loop):
+        return _simulate(seed, schedule, loop)
 
 
-def _play(seed: int, schedule: Sequence[Fault], loop: SimulatedEventLoop) -> Summary:
+def _simulate(seed: int, schedule: Sequence[Fault], loop: SimulatedEventLoop) -> Summary:
     deployment = deployment_of(seed)
     cluster = SimulatedCluster(seed, deployment, loop)
     rng = random.Random(seed)
@@ -137,7 +137,7 @@
             raise InvariantViolation(f"{progress.missing()} although nothing fails any more")
         cluster.run(STEP_MS)
     recovery_ms = progress.elapsed_ms
-    cluster.run(max(0.0, CALM_MS - recovery_ms))
+    cluster.run(max(0.0, FAULT_FREE_MS - recovery_ms))
     for node in cluster.nodes.values():
         node.sends_requests = False
     cluster.run(IDLE_MS)
@@ -151,26 +151,26 @@
 
 
 def run_seed(seed: int) -> SeedResult:
-    """Run a seed and shorten the schedule of a violation; called in the processes of `play_all`."""
+    """Run a seed and shorten the schedule of a violation; called in the processes of `simulate_all`."""
     schedule = draw_schedule(seed, SCHEDULE_BOUNDS, ALL_FAULTS)
     try:
-        return SeedResult(seed, "", schedule, play(seed, schedule))
+        return SeedResult(seed, "", schedule, simulate(seed, schedule))
     except (InvariantViolation, ProcessFailure) as violation:
-        return SeedResult(seed, str(violation), _shortened(seed, schedule), None)
+        return SeedResult(seed, str(violation), _shrink_schedule(seed, schedule), None)
 
 
-def _shortened(seed: int, schedule: tuple[Fault, ...]) -> tuple[Fault, ...]:
+def _shrink_schedule(seed: int, schedule: tuple[Fault, ...]) -> tuple[Fault, ...]:
     """Return the schedule without the faults that the violation does not need."""
     for index in range(len(schedule) - 1, -1, -1):
         shorter = schedule[:index] + schedule[index + 1 :]
         try:
-            play(seed, shorter)
+            simulate(seed, shorter)
         except (InvariantViolation, ProcessFailure):
             schedule = shorter
     return schedule
 
 
-def play_all(seeds: Sequence[int], jobs: int) -> Iterator[SeedResult]:
+def simulate_all(seeds: Sequence[int], jobs: int) -> Iterator[SeedResult]:
     """Run many seeds over several processes; yields results in the order of the seeds.
 
     The processes hash strings alike, so that a seed is the same run wherever it is played.
--- a/tests/test_control_replicas.py
+++ b/tests/test_control_replicas.py
@@ -40,7 +40,7 @@
     cluster.run(10_000.0)
     assert operator.acked > 20
     assert operator.refused == 0
-    assert operator.worst_ms < 50.0
+    assert operator.max_latency_ms < 50.0
     _assert_recovered(cluster, operator)
 
 
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -59,7 +59,7 @@
     before = acknowledged_count(operators)
     cluster.run(20_000.0)
     assert acknowledged_count(operators) - before > 20
-    assert operators[0].worst_ms < ACK_TIMEOUT_MS
+    assert operators[0].max_latency_ms < ACK_TIMEOUT_MS
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/test_control_world.py
+++ b/tests/test_control_world.py
@@ -12,7 +12,7 @@
 from lab.control.faults import Fault, FaultInjector, FaultKind
 from lab.control.invariants import InvariantViolation
 from lab.control.operators import empty_change
-from lab.control.world import deployment_of, play, run_seed
+from lab.control.world import deployment_of, run_seed, simulate
 from tests.replicas import SYNC_TIMEOUT_MS, cluster_with_member_down
 
 SEEDS = int(os.environ.get("WORLD_SEEDS", "28"))  # `dunlinloft explore control` runs thousands
@@ -20,13 +20,13 @@
 
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_random_fault_schedules_violate_no_invariant(seed: int) -> None:
-    assert play(seed) > 0
+    assert simulate(seed) > 0
 
 
 def _assert_detected(message: str, seeds: range) -> None:
     for seed in seeds:
         try:
-            play(seed)
+            simulate(seed)
         except InvariantViolation as broken:
             if message in str(broken):
                 return
@@ -50,7 +50,7 @@
 
 def test_a_schedule_is_reproducible() -> None:
     schedule = (Fault(3_000.0, FaultKind.WIPE, 700.0, 1), Fault(3_300.0, FaultKind.SPLIT, 9_000.0, 0))
-    assert play(8, schedule) == play(8, schedule)
+    assert simulate(8, schedule) == simulate(8, schedule)
     assert deployment_of(8) == deployment_of(1)
 
 
@@ -73,13 +73,15 @@
     """
     split = Fault(12_503.55136678152, FaultKind.SPLIT, 2_506.0209163933077, 58_310)
     partition = Fault(13_454.102252139757, FaultKind.PARTITION_FROM_ALL, 1_263.5152376472624, 15_814)
-    assert play(4_424, (split, partition)) > 0
+    assert simulate(4_424, (split, partition)) > 0
 
 
 def test_a_disk_lost_between_commit_and_answer_counts_as_a_replica() -> None:
     """Seed 4789: a change was committed on two disks, and one was lost before the operator got the reply."""
     partition = Fault(5_194.2843714117225, FaultKind.PARTITION, 4_557.240223571141, 57_656)
-    assert play(4_789, (partition, Fault(6_012.034361357097, FaultKind.WIPE, 513.8083944110192, 56_137))) > 0
+    assert (
+        simulate(4_789, (partition, Fault(6_012.034361357097, FaultKind.WIPE, 513.8083944110192, 56_137))) > 0
+    )
 
 
 def test_a_detached_synced_member_leads_when_the_chains_only_synced_member_is_lost() -> None:
@@ -87,7 +89,7 @@
     restart = Fault(4_699.538375753763, FaultKind.RESTART, 2_324.9745928472457, 55_389)
     stall = Fault(5_660.325437332149, FaultKind.STALL, 4_560.514303204171, 8_537)
     wipe = Fault(7_506.711202275268, FaultKind.WIPE, 4_071.822066263923, 51_142)
-    assert play(4_508, (restart, stall, wipe)) > 0
+    assert simulate(4_508, (restart, stall, wipe)) > 0
 
 
 def test_a_disk_lost_before_the_commit_counts_as_a_replica() -> None:
@@ -113,7 +115,7 @@
 
 def test_a_chain_too_short_to_commit_is_not_proposed() -> None:
     """Seed 3549: a chain of one excluded two members that held everything; then its member lost its disk."""
-    assert play(3_549) > 0
+    assert simulate(3_549) > 0
 
 
 def test_a_replaced_machine_counts_as_lost_until_its_replacement_is_synced() -> None:
@@ -128,7 +130,7 @@
     cluster.run(2.0 * SYNC_TIMEOUT_MS)
     faults.begin(Fault(0.0, FaultKind.WIPE, 100.0, 1))
     assert all(cluster.machines[address].durable is not None for address in cluster.seeds[1:])
-    assert play(2_905) > 0
+    assert simulate(2_905) > 0
 
 
 def test_schedules_and_deployments_keep_their_printed_form() -> None:
--- a/tests/test_quota_windows.py
+++ b/tests/test_quota_windows.py
@@ -16,7 +16,7 @@
 from dunlinloft.coordination.quota.shares import TenantShares
 from dunlinloft.coordination.views import Member, View
 from lab.control.invariants import InvariantViolation
-from lab.control.quota_cluster import QuotaCluster, traffic
+from lab.control.quota_cluster import QuotaCluster, generate_traffic
 from tests.quotas import BOUNDS, CHAIN, LARGE_LIMIT, LIMIT, SMALL_LIMIT, owner_address
 
 
@@ -75,7 +75,7 @@
     """Run for about half a minute with one fault after the other."""
     cluster = QuotaCluster(seed, BOUNDS, limit)
     rng = random.Random(seed)
-    traffic(cluster, (300.0, 9_190.0))
+    generate_traffic(cluster, (300.0, 9_190.0))
     cluster.run(8_000.0)
     for _ in range(8):
         cluster.demand = demand if rng.random() < 0.7 else 0.2  # low demand lets buckets and reserves fill up
@@ -95,20 +95,20 @@
 
 def test_few_requests_are_rejected_after_the_owner_crashes() -> None:
     cluster = QuotaCluster(5, BOUNDS, LARGE_LIMIT)
-    traffic(cluster, (300.0, 9_190.0))
+    generate_traffic(cluster, (300.0, 9_190.0))
     cluster.run(6_000.0)
     refused = sum(node.refused for node in cluster.nodes.values())
-    paid = sum(node.paid for node in cluster.nodes.values())
+    accepted = sum(node.accepted for node in cluster.nodes.values())
     cluster.kill(owner_address(cluster.seeds))
     cluster.run(4_000.0)
     lost = sum(node.refused for node in cluster.nodes.values()) - refused
-    served = sum(node.paid for node in cluster.nodes.values()) - paid
+    served = sum(node.accepted for node in cluster.nodes.values()) - accepted
     assert lost <= 0.08 * (lost + served), f"{lost} refused, {served} served"
 
 
 def test_restarted_owner_takes_over_without_interruption() -> None:
     cluster = QuotaCluster(9, BOUNDS, LARGE_LIMIT)
-    traffic(cluster, (300.0, 9_190.0))
+    generate_traffic(cluster, (300.0, 9_190.0))
     cluster.run(6_000.0)
     owner = owner_address(cluster.seeds)
     cluster.kill(owner)
@@ -125,7 +125,7 @@
 
 def _partition_half_of_nodes() -> None:
     cluster = QuotaCluster(7, BOUNDS, LARGE_LIMIT)
-    traffic(cluster, (300.0, 9_190.0))
+    generate_traffic(cluster, (300.0, 9_190.0))
     cluster.run(8_000.0)
     cluster.demand = 8.0
     for node in sorted(cluster.nodes)[:4]:
@@ -150,7 +150,7 @@
 
 def _crash_successive_owners() -> None:
     cluster = QuotaCluster(3, BOUNDS, LARGE_LIMIT)
-    traffic(cluster, (300.0, 9_190.0))
+    generate_traffic(cluster, (300.0, 9_190.0))
     cluster.run(6_000.0)
     cluster.demand = 8.0
     for _ in range(6):
@@ -187,7 +187,7 @@
 def _partition_owner_removed_from_chain() -> None:
     """Partition the owner and remove it from the chain immediately, while it still holds its lease."""
     cluster = QuotaCluster(12, BOUNDS, LARGE_LIMIT)
-    traffic(cluster, (300.0, 9_190.0))
+    generate_traffic(cluster, (300.0, 9_190.0))
     cluster.run(3_000.0)
     owner = owner_address(cluster.seeds)
     others = [address for address in cluster.seeds if address != owner]
--- a/tests/test_raw_server_responses.py
+++ b/tests/test_raw_server_responses.py
@@ -138,4 +138,4 @@
             for arrival in server.arrivals:
                 assert arrival.body == LONG_BODY
 
-    run_scenario(do_nothing, scenario, early=respond_early)
+    run_scenario(do_nothing, scenario, on_head=respond_early)
--- a/tests/test_raw_server_retries.py
+++ b/tests/test_raw_server_retries.py
@@ -76,7 +76,7 @@
     """Guards against aiohttp's own retry of GET, PUT and similar methods after a connection loss."""
 
     async def respond_once(connection: Connection, arrival: Arrival) -> None:
-        if arrival.place:
+        if arrival.position:
             connection.reset()
             return
         connection.send(valid_response(arrival))
--- a/tests/test_router_processes.py
+++ b/tests/test_router_processes.py
@@ -76,7 +76,7 @@
             "X-Deadline-Ms": "2000",
             **API_KEY_HEADERS,
         }
-        url = URL(self.fleet.front(node) + path, encoded=True)
+        url = URL(self.fleet.frontend_url(node) + path, encoded=True)
         async with self.session.post(
             url, data=b"question", headers={**defaults, **(headers or {})}
         ) as response:
@@ -91,7 +91,7 @@
         """How often each request was executed, summed over all servers."""
         counts: dict[str, int] = {}
         for server in self.servers:
-            for attempt, count in server.seen.ran.items():
+            for attempt, count in server.received.executed.items():
                 counts[attempt] = counts.get(attempt, 0) + count
         return list(counts.values())
 
@@ -135,11 +135,11 @@
         )
         assert (status, body) == (200, b"answer to question")
         assert headers["X-Server-Signature"].startswith("signed by")
-        seen = next(server.seen for server in running.servers if server.seen.ran)
-        assert seen.paths == ["/plain/a?b=%2Fc"]
-        assert seen.headers[0]["X-Tenant-Id"] == "tenant"
-        assert "Api-Key" not in seen.headers[0]
-        assert 0 < int(seen.headers[0]["X-Deadline-Ms"]) <= 2_000
+        received = next(server.received for server in running.servers if server.received.executed)
+        assert received.paths == ["/plain/a?b=%2Fc"]
+        assert received.headers[0]["X-Tenant-Id"] == "tenant"
+        assert "Api-Key" not in received.headers[0]
+        assert 0 < int(received.headers[0]["X-Deadline-Ms"]) <= 2_000
         assert (await running.send("/nowhere/"))[0] == 404
         assert (await running.send("/plain/", headers={"Api-Key": "unknown"}))[0] == 401
         assert (await running.send("/open/x", headers={"Api-Key": "unknown"}))[0] == 200
@@ -184,13 +184,13 @@
     run_scenario: Callable[..., None],
 ) -> None:
     async def scenario(running: RunningFleet) -> None:
-        running.set_behaviour(lambda: Behaviour(cut_after=2, cut_times=1, events=6))
-        running.servers[1].behaviour.cut_after = None
+        running.set_behaviour(lambda: Behaviour(reset_after=2, reset_limit=1, events=6))
+        running.servers[1].behaviour.reset_after = None
         complete = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, 7))
         for _ in range(4):
             status, body, _ = await running.send("/stream/resumable/a")
             assert (status, body) == (200, complete)
-        running.set_behaviour(lambda: Behaviour(cut_after=2, events=6))
+        running.set_behaviour(lambda: Behaviour(reset_after=2, events=6))
         with pytest.raises(aiohttp.ClientPayloadError):
             await running.send("/stream/once/a")
         assert max(running.execution_counts()) <= 2
@@ -228,7 +228,7 @@
             for node in range(fleet.nodes):
                 while (await running.send("/plain/a", node))[0] != 404:
                     pass
-        current = await fleet.described(session)
+        current = await fleet.read_configuration(session)
         assert current["version"] == 4
         assert {route["name"] for route in current["routes"]} == {"safe", "resumable", "once", "open", "new"}
 
@@ -249,12 +249,12 @@
         assert (await running.send("/safe/a"))[0] == 200
         for process in fleet.control[1:]:
             process.start()
-        assert (await fleet.described(session))["version"] == 2
+        assert (await fleet.read_configuration(session))["version"] == 2
         fleet.control[1].end()
         fleet.wipe(fleet.control[1])
         fleet.control[1].start()
         assert await fleet.put(session, _configuration(3), 2) == 200
-        assert (await fleet.described(session))["version"] == 3
+        assert (await fleet.read_configuration(session))["version"] == 3
 
     run_scenario(scenario)
 
@@ -264,7 +264,7 @@
         running.set_behaviour(lambda: Behaviour(slow_s=0.5))
         pending = [asyncio.create_task(running.send("/plain/a", 1)) for _ in range(4)]
         async with asyncio.timeout(2.0):
-            await asyncio.gather(*(server.wait_ran(1) for server in running.servers))
+            await asyncio.gather(*(server.wait_executed(1) for server in running.servers))
         running.fleet.data[1].send(signal.SIGTERM)
         responses = await asyncio.gather(*pending)
         assert [status for status, _, _ in responses] == [200] * 4
@@ -283,8 +283,8 @@
         consecutive = 0  # requests in a row that went to the other server
         async with asyncio.timeout(5.0):
             while consecutive < 20:
-                before = sum(draining.seen.ran.values())
+                before = sum(draining.received.executed.values())
                 assert (await running.send("/safe/a"))[0] == 200
-                consecutive = consecutive + 1 if sum(draining.seen.ran.values()) == before else 0
+                consecutive = consecutive + 1 if sum(draining.received.executed.values()) == before else 0
 
     run_scenario(scenario)
--- a/tests/test_simulated_machines.py
+++ b/tests/test_simulated_machines.py
@@ -21,7 +21,7 @@
 OTHER = Path("/data/other")
 
 
-class _Scene:
+class _TwoHosts:
     """Two hosts with a process each."""
 
     def __init__(self, seed: int = 1, rate: float = 1.0) -> None:
@@ -67,150 +67,150 @@
 
 
 def test_a_killed_process_does_nothing_more() -> None:
-    scene = _Scene()
+    hosts = _TwoHosts()
 
     async def work() -> None:
         try:
             while True:
                 await asyncio.sleep(0.1)
-                scene.log.append(scene.loop.now_s)
+                hosts.log.append(hosts.loop.now_s)
         finally:
-            scene.log.append("cleaned up")
+            hosts.log.append("cleaned up")
 
-    scene.start(scene.client, work())
-    scene.loop.run_until(0.35)
-    scene.client.alive = False
-    scene.loop.run_until(2.0)
-    assert len(scene.log) == 3
+    hosts.start(hosts.client, work())
+    hosts.loop.run_until(0.35)
+    hosts.client.alive = False
+    hosts.loop.run_until(2.0)
+    assert len(hosts.log) == 3
 
 
 def test_a_frozen_process_goes_on_where_it_was() -> None:
-    scene = _Scene()
+    hosts = _TwoHosts()
 
     async def work() -> None:
         for number in range(3):
             await asyncio.sleep(0.1)
-            scene.log.append((number, round(scene.loop.now_s, 2)))
+            hosts.log.append((number, round(hosts.loop.now_s, 2)))
 
-    scene.start(scene.client, work())
-    scene.loop.run_until(0.15)
-    scene.client.frozen = True
-    scene.loop.run_until(1.0)
-    assert scene.log == [(0, 0.1)]
-    scene.loop.thaw(scene.client)
-    scene.loop.run_until(2.0)
-    assert scene.log == [(0, 0.1), (1, 1.0), (2, 1.1)]
+    hosts.start(hosts.client, work())
+    hosts.loop.run_until(0.15)
+    hosts.client.frozen = True
+    hosts.loop.run_until(1.0)
+    assert hosts.log == [(0, 0.1)]
+    hosts.loop.thaw(hosts.client)
+    hosts.loop.run_until(2.0)
+    assert hosts.log == [(0, 0.1), (1, 1.0), (2, 1.1)]
 
 
 @pytest.mark.parametrize("rate", [0.96, 1.0, 1.04])
 def test_timers_run_by_the_process_clock(rate: float) -> None:
-    scene = _Scene(rate=rate)
+    hosts = _TwoHosts(rate=rate)
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         await asyncio.sleep(1.0)
-        scene.log.append((loop.time() - started_s, scene.loop.now_s))
+        hosts.log.append((loop.time() - started_s, hosts.loop.now_s))
 
-    scene.start(scene.client, work())
-    scene.loop.run_until(3.0)
-    ((local_s, simulated_s),) = scene.log
+    hosts.start(hosts.client, work())
+    hosts.loop.run_until(3.0)
+    ((local_s, simulated_s),) = hosts.log
     assert local_s == pytest.approx(1.0)
     assert simulated_s == pytest.approx(1.0 / rate)
 
 
 def test_a_loop_without_an_end_is_reported() -> None:
-    scene = _Scene()
+    hosts = _TwoHosts()
 
     async def spin() -> None:
         while True:
             await asyncio.sleep(0)
 
-    scene.start(scene.client, spin())
+    hosts.start(hosts.client, spin())
     with pytest.raises(ProcessFailure, match="no time passes"):
-        scene.loop.run_until(1.0)
+        hosts.loop.run_until(1.0)
 
 
 def test_an_error_that_nobody_handles_ends_the_simulation() -> None:
-    scene = _Scene()
-    scene.loop.after(0.5, lambda: 1 // 0)
+    hosts = _TwoHosts()
+    hosts.loop.after(0.5, lambda: 1 // 0)
     with pytest.raises(ProcessFailure, match="ZeroDivisionError"):
-        scene.loop.run_until(1.0)
+        hosts.loop.run_until(1.0)
 
 
 # The network.
 
 
 def test_data_arrives_in_order() -> None:
-    scene = _Scene()
-    scene.start(scene.server, scene.serve())
-    scene.start(scene.client, scene.send(50, 0.000_1))
-    scene.loop.run_until(1.0)
-    assert [line for line in scene.log if isinstance(line, bytes)] == [b"%d\n" % n for n in range(50)]
-    assert len(scene.log) == 100
+    hosts = _TwoHosts()
+    hosts.start(hosts.server, hosts.serve())
+    hosts.start(hosts.client, hosts.send(50, 0.000_1))
+    hosts.loop.run_until(1.0)
+    assert [line for line in hosts.log if isinstance(line, bytes)] == [b"%d\n" % n for n in range(50)]
+    assert len(hosts.log) == 100
 
 
 def test_a_blocked_link_holds_data_up_until_the_sender_gives_up() -> None:
     for blocked_s, arrives in ((0.5, True), (3.0, False)):
-        scene = _Scene()
-        scene.start(scene.server, scene.serve())
-        scene.start(scene.client, scene.send(3, 0.2))
-        scene.loop.run_until(0.1)
-        scene.network.block("c", "s")
-        scene.loop.run_until(0.1 + blocked_s)
-        assert scene.log.count(b"0\n") == 1
-        assert b"1\n" not in scene.log
-        scene.network.unblock("c", "s")
-        scene.loop.run_until(5.0)
-        assert (b"1\n" in scene.log) == arrives
-        assert (TimeoutError in scene.log) != arrives
+        hosts = _TwoHosts()
+        hosts.start(hosts.server, hosts.serve())
+        hosts.start(hosts.client, hosts.send(3, 0.2))
+        hosts.loop.run_until(0.1)
+        hosts.network.block("c", "s")
+        hosts.loop.run_until(0.1 + blocked_s)
+        assert hosts.log.count(b"0\n") == 1
+        assert b"1\n" not in hosts.log
+        hosts.network.unblock("c", "s")
+        hosts.loop.run_until(5.0)
+        assert (b"1\n" in hosts.log) == arrives
+        assert (TimeoutError in hosts.log) != arrives
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_killed_process_closes_its_connections_and_a_dark_host_says_nothing(seed: int) -> None:
-    scene = _Scene(seed)
-    scene.start(scene.server, scene.serve())
-    scene.start(scene.client, scene.send(1))
-    scene.loop.run_until(0.5)
-    scene.end(scene.server, power_lost=False)
-    scene.loop.run_until(1.0)
-    assert scene.log[-1] in ("closed", ConnectionResetError)
-    dark = _Scene(seed)
-    dark.start(dark.server, dark.serve())
-    dark.start(dark.client, dark.send(1))
-    dark.loop.run_until(0.5)
-    dark.end(dark.server, power_lost=True)
-    dark.loop.run_until(5.0)
-    assert dark.log[-1] == ("back", b"0\n")
+    hosts = _TwoHosts(seed)
+    hosts.start(hosts.server, hosts.serve())
+    hosts.start(hosts.client, hosts.send(1))
+    hosts.loop.run_until(0.5)
+    hosts.end(hosts.server, power_lost=False)
+    hosts.loop.run_until(1.0)
+    assert hosts.log[-1] in ("closed", ConnectionResetError)
+    unpowered = _TwoHosts(seed)
+    unpowered.start(unpowered.server, unpowered.serve())
+    unpowered.start(unpowered.client, unpowered.send(1))
+    unpowered.loop.run_until(0.5)
+    unpowered.end(unpowered.server, power_lost=True)
+    unpowered.loop.run_until(5.0)
+    assert unpowered.log[-1] == ("back", b"0\n")
 
 
 @pytest.mark.parametrize(("powered", "error"), [(True, ConnectionRefusedError), (False, TimeoutError)])
 def test_nobody_listens(powered: bool, error: type[Exception]) -> None:
-    scene = _Scene()
+    hosts = _TwoHosts()
     if not powered:
-        scene.end(scene.server, power_lost=True)
+        hosts.end(hosts.server, power_lost=True)
 
     async def connect() -> None:
         try:
             async with asyncio.timeout(0.4):
                 await asyncio.open_connection("s", 7)
         except OSError as failure:
-            scene.log.append(type(failure))
+            hosts.log.append(type(failure))
 
-    scene.start(scene.client, connect())
-    scene.loop.run_until(1.0)
-    assert scene.log == [error]
+    hosts.start(hosts.client, connect())
+    hosts.loop.run_until(1.0)
+    assert hosts.log == [error]
 
 
 def test_damaged_writes_arrive_halved_or_changed_and_never_as_they_were() -> None:
     halved = changed = 0
     for seed in range(40):
-        scene = _Scene(seed)
-        scene.start(scene.server, scene.serve())
-        scene.network.damage("c", 1.0)
-        scene.start(scene.client, scene.send(1))
-        scene.loop.run_until(1.0)
-        lines = [line for line in scene.log if isinstance(line, bytes)]
+        hosts = _TwoHosts(seed)
+        hosts.start(hosts.server, hosts.serve())
+        hosts.network.damage("c", 1.0)
+        hosts.start(hosts.client, hosts.send(1))
+        hosts.loop.run_until(1.0)
+        lines = [line for line in hosts.log if isinstance(line, bytes)]
         assert b"0\n" not in lines
         changed += bool(lines)
         halved += not lines
--- a/tests/test_simulated_processes.py
+++ b/tests/test_simulated_processes.py
@@ -26,23 +26,23 @@
 from lab.simulation.deployment import deployment_of
 from lab.simulation.event_loop import ProcessFailure
 from lab.simulation.files import SimulatedFiles
-from lab.simulation.world import play, run_seed
+from lab.simulation.world import run_seed, simulate
 
 SEEDS = int(os.environ.get("SIMULATION_SEEDS", "25"))  # `dunlinloft world` plays thousands
 
-Plant = Callable[[pytest.MonkeyPatch], None]
+BugInjection = Callable[[pytest.MonkeyPatch], None]
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_no_random_schedule_of_faults_breaks_a_rule(seed: int) -> None:
-    summary = play(seed)
+    summary = simulate(seed)
     assert summary.acknowledged > 0
     assert summary.served > 0
     assert summary.checked > 0
 
 
 def test_a_seed_is_reproducible() -> None:
-    assert play(7) == play(7)
+    assert simulate(7) == simulate(7)
 
 
 # One seed each that broke a rule once.
@@ -51,13 +51,13 @@
 def test_a_change_that_was_rejected_too_early_is_not_taken_by_the_next_head() -> None:
     """The head's process alone remembered it; seeds 19 and 51 of the first schedules."""
     behind = Fault(5_817.012458479109, FaultKind.BEHIND, 526.719346794428, 13_074)
-    assert play(19, (behind,)).acknowledged > 0
+    assert simulate(19, (behind,)).acknowledged > 0
 
 
 # Planted bugs, without and with faults.
 
 
-def _planted(owner: Any, name: str, value: Any) -> Plant:
+def _replace_attribute(owner: Any, name: str, value: Any) -> BugInjection:
     return lambda monkeypatch: monkeypatch.setattr(owner, name, value)
 
 
@@ -102,33 +102,39 @@
     chain._commit(chain.state.sequence)
 
 
-PLANTED: dict[str, tuple[Plant, str]] = {
+INJECTED_BUGS: dict[str, tuple[BugInjection, str]] = {
     "no node is sent changes": (_no_node_is_sent_changes, "serves by version"),
     "draining is not passed on": (_draining_is_not_passed_on, "after its drain was acknowledged"),
     "a server expires between two heartbeats": (
-        _planted(server_registry, "EXPIRY_INTERVALS", 0.5),
+        _replace_attribute(server_registry, "EXPIRY_INTERVALS", 0.5),
         "which beats",
     ),
     "a deregistration is ignored": (
-        _planted(ServerRegistry, "on_deregistration", lambda *_, **__: None),
+        _replace_attribute(ServerRegistry, "on_deregistration", lambda *_, **__: None),
         "which deregistered",
     ),
-    "a server never expires": (_planted(ServerRegistry, "expire", lambda *_: None), "stopped beating"),
+    "a server never expires": (
+        _replace_attribute(ServerRegistry, "expire", lambda *_: None),
+        "stopped beating",
+    ),
     "heartbeats are not acknowledged": (
-        _planted(ServerRegistrar, "heartbeat", _refuse),
+        _replace_attribute(ServerRegistrar, "heartbeat", _refuse),
         "no heartbeat of",
     ),
     "nobody owns a quota": (_nobody_owns_a_quota, "is granted no quota by an owner"),
     "no placement is given": (_no_placement_is_given, "gets no placement from an owner"),
     "completed requests stay in flight": (
-        _planted(PlacementService, "on_completed", lambda *_: None),
+        _replace_attribute(PlacementService, "on_completed", lambda *_: None),
         "requests that are not in flight",
     ),
     "an owner grants what it does not have": (
-        _planted(QuotaBucket, "try_consume", lambda *_: 0.0),
+        _replace_attribute(QuotaBucket, "try_consume", lambda *_: 0.0),
         "were spent in a window",
     ),
-    "a lone replica commits": (_planted(ChainReplica, "_on_progress", _commit_at_once), "with 1 copies"),
+    "a lone replica commits": (
+        _replace_attribute(ChainReplica, "_on_progress", _commit_at_once),
+        "with 1 copies",
+    ),
 }
 
 
@@ -136,16 +142,16 @@
     """The first violation that one of these seeds shows."""
     for seed in seeds:
         try:
-            play(seed, schedule)
+            simulate(seed, schedule)
         except InvariantViolation as violation:
             return str(violation)
     return ""
 
 
-@pytest.mark.parametrize("name", PLANTED)
+@pytest.mark.parametrize("name", INJECTED_BUGS)
 def test_a_planted_bug_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    plant, message = PLANTED[name]
-    plant(monkeypatch)
+    inject_bug, message = INJECTED_BUGS[name]
+    inject_bug(monkeypatch)
     assert message in _violation(range(12))
 
 
@@ -171,7 +177,7 @@
 def test_a_loop_that_fails_ends_its_process_and_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(PeriodicLoops, "_keep_alive", _fail)
     with pytest.raises(ProcessFailure, match="ended by itself"):
-        play(0, ())
+        simulate(0, ())
 
 
 def test_a_violation_is_reported_with_the_shortest_schedule(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -214,9 +220,9 @@
 
     monkeypatch.setattr(SimulatedCluster, "run", run)
     if reads_again:
-        play(0, ())
+        simulate(0, ())
     else:
         with pytest.raises(InvariantViolation, match="answer no read"):
-            play(0, ())
+            simulate(0, ())
     assert joined == [reads_again]
     assert deployment_of(0).control_machines == 3
--- a/tests/test_versions_side_by_side.py
+++ b/tests/test_versions_side_by_side.py
@@ -82,7 +82,7 @@
             "Host": HOST, "X-Attempt-Id": f"try-{next(self._ids)}", "X-Deadline-Ms": "2000", "Api-Key": KEY,
             "X-Prompt-Prefix": PROMPT_PARTS, "X-Token-Usage": TOKEN_USAGE,
         }  # fmt: skip
-        url = URL(self.fleet.front(node) + path, encoded=True)
+        url = URL(self.fleet.frontend_url(node) + path, encoded=True)
         async with self.session.post(url, data=b"question", headers=headers) as answer:
             await answer.read()
             return answer.status
@@ -120,22 +120,28 @@
             unused = 0
             async with asyncio.timeout(WAIT_S):
                 while unused < REQUESTS:
-                    before = sum(server.seen.ran.values())
+                    before = sum(server.received.executed.values())
                     status = await self.status_of("/safe/a", node)
                     assert status in (200, *REFUSED)
                     if status != 200:
                         continue
-                    unused = unused + 1 if sum(server.seen.ran.values()) == before else 0
+                    unused = unused + 1 if sum(server.received.executed.values()) == before else 0
 
 
-def _unread(fleet: RouterFleet) -> list[str]:
+def _unreadable_messages(fleet: RouterFleet) -> list[str]:
     """The log lines of messages that one version could not read, and of faults."""
-    signs = ("event=refused_line", "event=loop_failed", "event=stream_failed", "not understood", "Traceback")
+    markers = (
+        "event=refused_line",
+        "event=loop_failed",
+        "event=stream_failed",
+        "not understood",
+        "Traceback",
+    )
     return [
         f"{process.name}: {line}"
         for process in (*fleet.control, *fleet.data)
         for line in process.log.read_text(errors="replace").splitlines()
-        if any(sign in line for sign in signs)
+        if any(marker in line for marker in markers)
     ]
 
 
@@ -154,26 +160,26 @@
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(fleet.stop)
             session = await stack.enter_async_context(aiohttp.ClientSession())
-            scene = Upgrade(fleet, session)
+            upgrade = Upgrade(fleet, session)
             fleet.start()
-            for server in scene.servers:
+            for server in upgrade.servers:
                 stack.push_async_callback(server.stop)
                 await server.start(fleet.control_addresses())
             assert await fleet.put(session, _configuration(1), 0) == 200
             await fleet.wait_ready(session)
-            await scene.all_nodes_serve()
-            await scene.add_route(2, "/second/")
-            await scene.all_nodes_route("/second/")
+            await upgrade.all_nodes_serve()
+            await upgrade.add_route(2, "/second/")
+            await upgrade.all_nodes_route("/second/")
             # Each replica in turn goes on with the other version's disk: an upgrade, or a rollback.
             for version, process in enumerate(fleet.control, 3):
                 process.end()
                 process.source = earlier if process.source != earlier else Path(__file__).parent.parent
                 process.start()
-                await scene.add_route(version, f"/version-{version}/")
-                await scene.all_nodes_route(f"/version-{version}/")
-            await scene.all_nodes_serve()
-            await scene.drains(scene.servers[0])
-            assert (await fleet.described(session))["version"] == 5
+                await upgrade.add_route(version, f"/version-{version}/")
+                await upgrade.all_nodes_route(f"/version-{version}/")
+            await upgrade.all_nodes_serve()
+            await upgrade.drains(upgrade.servers[0])
+            assert (await fleet.read_configuration(session))["version"] == 5
 
     session_loop.run(play())
-    assert _unread(fleet) == []
+    assert _unreadable_messages(fleet) == []
