--- a/lab/control/quota_cluster.py
+++ b/lab/control/quota_cluster.py
@@ -187,8 +187,10 @@
             self._stored_nodes[source] = known
             for target in self.machines:
                 self._to_replica(
-                    source, target, lambda owner_state, known=known: owner_state.nodes.merge(known, self.now)
-                )  # type: ignore[misc]
+                    source,
+                    target,
+                    lambda owner_state, known=known: owner_state.nodes.merge(known, self.now),  # type: ignore[misc]
+                )
         self.after(GOSSIP_INTERVAL_MS, self._gossip)
 
     # Messages.
--- a/lab/observation.py
+++ b/lab/observation.py
@@ -95,7 +95,11 @@
         Tap(Cluster, Cluster.after, lambda cluster, args, _: (cluster.now, args[0])),
         Tap(Cluster, Cluster._perform, lambda cluster, args, _: (cluster.now, args[0].address, args[1])),
         Tap(Cluster, Cluster._arrive, lambda cluster, args, _: (cluster.now, *args)),
-        Tap(QuotaCluster, QuotaCluster._spent, lambda world, args, _: (world.now, args[0].name, args[1])),
+        Tap(
+            QuotaCluster,
+            QuotaCluster._record_spent,
+            lambda world, args, _: (world.now, args[0].name, args[1]),
+        ),
         Tap(
             QuotaOwner,
             QuotaOwner.handle_request,
--- a/lab/simulation/cluster.py
+++ b/lab/simulation/cluster.py
@@ -169,9 +169,9 @@
     def in_contact(self, host: str) -> bool:
         """Whether rules that are bounded in time hold for a machine now."""
         host_machine = self._hosts[host]
-        undisturbed = host_machine.running and host not in self.network.blocked_hosts()
+        reachable = host_machine.running and host not in self.network.blocked_hosts()
         disk_works = host_machine.disk_works if isinstance(host_machine, ControlMachine) else True
-        return undisturbed and disk_works and self.disturbances.undisturbed(host) and self.core_is_stable()
+        return reachable and disk_works and self.disturbances.undisturbed(host) and self.core_is_stable()
 
     # Time.
 
