--- a/lab/control/__init__.py
+++ b/lab/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane's replicas on a simulated network and disks; invariants are checked after each event."""
+"""Simulation of the control plane's replicas on a network and disks, with invariant checks on each event."""
--- a/lab/control/cluster.py
+++ b/lab/control/cluster.py
@@ -1,6 +1,7 @@
-"""Replicas in virtual time: links that delay, drop and partition, disks that are slow, stall or are lost.
+"""A cluster of replicas in virtual time, on a network and disks that can fail.
 
-All randomness comes from one seed, so a run is reproducible. Times are in milliseconds.
+The network delays, drops and partitions; disks are slow, stall or are lost. All randomness comes from one
+seed, so a run is reproducible. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -24,16 +25,16 @@
 from lab.control.invariants import InvariantChecker
 from lab.control.machine import Machine
 
-TICK_INTERVAL_MS = 50.0  # between two ticks of a replica
-NETWORK_DELAY_MS = (0.5, 3.0)  # of a message: shortest, longest
-SYNC_DURATION_MS = (0.8, 1.5)  # of a disk's write and sync: shortest, longest
-CALL_TIMEOUT_MS = 1_000.0  # after which an operator's call counts as unanswered
+TICK_INTERVAL_MS = 50.0  # of a replica
+NETWORK_DELAY_MS = (0.5, 3.0)  # range of the delay of a message
+SYNC_DURATION_MS = (0.8, 1.5)  # range of the duration of a write and sync
+CALL_TIMEOUT_MS = 1_000.0  # after which an operator's call is unanswered
 
 
 class Cluster:
-    """The event loop of the simulation: machines, the network between them, disks and operators' calls.
+    """The event loop of the simulation, with machines, their network and disks, and operators' calls.
 
-    Hosts the product's `Replica` unchanged; the invariants are checked after each event.
+    Runs the product's `Replica` unchanged; invariants are checked after each event.
     """
 
     def __init__(
@@ -50,17 +51,17 @@
         Parameters
         ----------
         seed:
-            Of all random decisions.
+            Seed of all random decisions.
         size:
-            Seed machines, which form the first view.
+            Number of seed machines, which form the first view.
         tolerance:
-            Disks that may be lost at once without losing acknowledged changes.
+            Number of disks that may be lost at once without losing acknowledged changes.
         loss:
             Probability that the network drops a message.
         additional:
-            Stateful machines beside the seeds.
+            Number of stateful machines besides the seeds.
         diskless:
-            Machines that only forward calls.
+            Number of machines that only forward calls.
         """
         self.rng = random.Random(seed)
         self.now = 0.0
@@ -72,7 +73,7 @@
         self.machines: dict[str, Machine] = {}
         self.seeds = tuple(f"10.0.0.{n}:7000" for n in range(1, size + 1))
         self.configured_seeds = self.seeds  # the seeds in the settings of processes that start
-        self.disconnected: Counter[tuple[str, str]] = Counter()  # (source, target): how many faults block it
+        self.disconnected: Counter[tuple[str, str]] = Counter()  # blocks by (source, target)
         self._replies: dict[str, Callable[[Reply], None]] = {}
         self._tokens = itertools.count(1)
         for address in self.seeds:
@@ -101,9 +102,9 @@
     # Machines.
 
     def start(self, address: str, bootstrap: bool = False) -> None:
-        """Start a machine's process from its disk's contents.
+        """Start a machine's process from the state on its disk.
 
-        With `bootstrap` a seed starts with the initial view.
+        With `bootstrap`, a seed starts with the initial view.
         """
         machine = self.machines[address]
         machine.generation += 1
@@ -179,7 +180,7 @@
             self.disconnected[other, one] += 1
 
     def reconnect(self, one: str, other: str, both: bool = True) -> None:
-        """Withdraw one `disconnect`; the link works once no fault blocks it."""
+        """Undo one `disconnect`; the link works once no fault blocks it."""
         for pair in ((one, other), (other, one))[: 1 + both]:
             self.disconnected[pair] -= 1
             if self.disconnected[pair] <= 0:
@@ -224,7 +225,7 @@
         self._write(machine)
 
     def _guarded(self, machine: Machine, generation: int, action: Callable[[], None]) -> None:
-        """Run an action at a process unless it has ended; if frozen, once it is thawed."""
+        """Run an action at a process unless it has ended; while it is frozen, defer the action."""
         if machine.replica is None or machine.generation != generation:
             return
         if machine.frozen:
@@ -317,7 +318,7 @@
         answered = False
 
         def answer(reply: Reply | None) -> None:
-            """Pass on the first of reply and time-out."""
+            """Report the reply or the time-out, whichever is first."""
             nonlocal answered
             if not answered:
                 answered = True
@@ -364,5 +365,5 @@
 
 
 def _copied(durable: DurableState) -> DurableState:
-    """Return a deep copy: a process reads the disk's contents, it does not share objects with it."""
+    """Return a deep copy: a process shares no objects with its disk."""
     return msgspec.convert(msgspec.to_builtins(copy.copy(durable)), DurableState)
--- a/lab/control/faults.py
+++ b/lab/control/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the control plane, as a schedule that is drawn from a seed and can be shortened.
+"""Faults of the control plane, in schedules that are drawn from a seed and can be shrunk.
 
 Faults may overlap. The number of lost disks never exceeds the tolerance: a disk counts as lost until
 everything has been up and connected for `RESYNC_MS`. Times are in milliseconds.
@@ -14,14 +14,14 @@
 
 from dunlinloft.coordination.replica import Replica
 
-RESYNC_MS = 4_000.0  # everything up and connected for so long: lost disks have been replaced
+RESYNC_MS = 4_000.0  # time without faults after which lost disks are replaced
 GRACE_MS = 8_000.0  # from SIGTERM to the end of the process
 MIN_DURATION_MS = 50.0  # of a fault
 SYNC_SLOWDOWN = 60.0  # factor on the syncs of a slow disk
 
 
 class FaultKind(StrEnum):
-    """What fails. The order of `REPLICA_FAULTS` is part of a seed's schedule."""
+    """Kinds of faults. Their order determines the schedule of a seed."""
 
     KILL = "kill"
     POWER = "power"
@@ -42,7 +42,7 @@
     BEHIND = "behind"
     RELIEVE = "relieve"
     SEEDS = "seeds"
-    # Of whole processes alone (`lab.simulation`).
+    # For whole processes only (`lab.simulation`).
     FULL_DISK = "full_disk"
     NODE_KILL = "node_kill"
     NODE_FREEZE = "node_freeze"
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: `pick` chooses among the machines that exist when it begins."""
+    """One fault; `pick` selects among the machines that exist when it begins."""
 
     at_ms: float
     kind: FaultKind
@@ -68,7 +68,7 @@
     pick: int
 
     def __str__(self) -> str:
-        """Return the text that `dunlinloft world` prints; it still has the class's former name."""
+        """Return the text that `dunlinloft world` prints, with the class's former name."""
         return (
             f"Trouble(at_ms={self.at_ms}, kind={self.kind.value!r}, for_ms={self.for_ms}, pick={self.pick})"
         )
@@ -76,10 +76,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduleBounds:
-    """From which faults a schedule is drawn. Times in milliseconds."""
+    """The bounds on a random schedule. Times in milliseconds."""
 
     first_ms: float  # no fault begins earlier
-    last_ms: float  # nor later
+    last_ms: float  # no fault begins later
     max_duration_ms: float  # of one fault
     max_faults: int
 
@@ -102,13 +102,13 @@
 
 
 class FaultyMachine(Protocol):
-    """What a fault looks at and sets of a machine."""
+    """The part of a machine that faults read and set."""
 
     sync_slowdown: float
 
     @property
     def address(self) -> str:
-        """Of the replica's internal listener."""
+        """Address of the replica's internal listener."""
 
     @property
     def stateful(self) -> bool:
@@ -116,7 +116,7 @@
 
     @property
     def removed(self) -> bool:
-        """Whether it was removed for good."""
+        """Whether it was removed permanently."""
 
     @property
     def frozen(self) -> bool:
@@ -124,15 +124,15 @@
 
     @property
     def stalled(self) -> bool:
-        """Whether its disk hangs."""
+        """Whether its disk is stalled."""
 
     @property
     def replica(self) -> Replica | None:
-        """The running replica; None: its process is down."""
+        """The running replica; None while its process is down."""
 
 
 class FaultyCluster(Protocol):
-    """The machines that faults befall; see `lab.control.cluster.Cluster` for its methods."""
+    """The cluster interface that faults use; implemented by `lab.control.cluster.Cluster`."""
 
     configured_seeds: tuple[str, ...]
 
@@ -142,11 +142,11 @@
 
     @property
     def machines(self) -> Mapping[str, FaultyMachine]:
-        """By address."""
+        """Machines by address."""
 
     @property
     def disconnected(self) -> object:
-        """True where any link is blocked."""
+        """True if any link is blocked."""
 
     def after(self, delay_ms: float, action: Callable[[], None]) -> None:
         """Schedule an action."""
@@ -167,7 +167,7 @@
         """End a process and lose its disk."""
 
     def remove(self, address: str) -> None:
-        """Remove a machine for good."""
+        """Remove a machine permanently."""
 
     def freeze(self, address: str) -> None:
         """Suspend a process."""
@@ -176,7 +176,7 @@
         """Resume a process."""
 
     def stall(self, address: str, stalled: bool) -> None:
-        """Have a disk hang, or go on."""
+        """Stall a disk, or let it continue."""
 
     def leave(self, address: str, grace_ms: float) -> None:
         """Send SIGTERM."""
@@ -185,7 +185,7 @@
         """Block a link."""
 
     def reconnect(self, one: str, other: str, both: bool = True) -> None:
-        """Withdraw one `disconnect`."""
+        """Undo one `disconnect`."""
 
     def heal(self) -> None:
         """Restore all links."""
@@ -197,14 +197,14 @@
     def __init__(self, cluster: FaultyCluster, tolerance: int) -> None:
         self._cluster = cluster
         self._tolerance = tolerance
-        self._lost_disks: list[float] = []  # when each was lost
-        self._healthy_since_ms = 0.0  # all up and connected; infinite while they aren't
+        self._lost_disks: list[float] = []  # time of each loss
+        self._healthy_since_ms = 0.0  # start of the time without faults; infinite during faults
         self._added = 0
         self._pending_replacements = 0  # removed machines whose replacements have not been added yet
         cluster.after(100.0, self._track_health)
 
     def _track_health(self) -> None:
-        """Track since when everything works, and forget lost disks that have been resynced."""
+        """Update the start of the time without faults; clear lost disks after `RESYNC_MS`."""
         cluster = self._cluster
         healthy = (
             not cluster.disconnected
@@ -234,7 +234,7 @@
         return True
 
     def begin(self, fault: Fault) -> None:
-        """Inject a fault now; it ends by itself."""
+        """Inject a fault now, and schedule its end."""
         stateful = self._stateful_addresses()
         address = stateful[fault.pick % len(stateful)]
         end = self._inject(fault, address, stateful)
@@ -308,7 +308,7 @@
             self._cluster.disconnect(one, other, both)
 
         def end() -> None:
-            """Reconnect the pairs."""
+            """Remove the partition."""
             for one, other in pairs:
                 self._cluster.reconnect(one, other, both)
 
@@ -325,7 +325,7 @@
         return end
 
     def _replace(self, address: str, fault: Fault) -> Callable[[], None] | None:
-        """Remove one machine permanently; an empty one is added at another address."""
+        """Replace a machine permanently by one with an empty disk at another address."""
         if not self._may_lose_disk():
             return None
         cluster = self._cluster
@@ -363,11 +363,14 @@
         return lambda: self._start_all(machines)
 
     def _lose_disk_after_partition(self, address: str, others: list[str], fault: Fault) -> Callable[[], None]:
-        """One misses changes; then another loses its disk, the rest lose power, and the partition heals."""
+        """Partition one machine; then wipe another, power off the rest and heal the partition.
+
+        Only the partitioned machine, which missed changes, keeps running.
+        """
         heal = self._partition([address], others)
 
         def fail_others() -> None:
-            """Fail the others and heal the partition."""
+            """Wipe one of the others, power off the rest, and heal the partition."""
             wiped = others[fault.pick % len(others)]
             lost = self._may_lose_disk()
             for other in others:
@@ -378,11 +381,11 @@
         return fail_others
 
     def _kill_others_after_partition(self, address: str, others: list[str]) -> Callable[[], None]:
-        """One misses changes; just after it is back, the others are killed."""
+        """Partition one machine; just after it is reconnected, kill the others."""
         heal = self._partition([address], others)
 
         def fail_others() -> None:
-            """Heal the partition, then kill the others."""
+            """Heal the partition, kill the others and restart them later."""
             heal()
             self._cluster.after(20.0, lambda: self._kill_all(others))
             self._cluster.after(900.0, lambda: self._start_all(others))
@@ -390,7 +393,7 @@
         return fail_others
 
     def end_all(self) -> None:
-        """End all faults: everything is up and connected."""
+        """End all faults: all machines run and all links work."""
         cluster = self._cluster
         cluster.heal()
         for machine in list(cluster.machines.values()):
--- a/lab/control/invariants.py
+++ b/lab/control/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of the control plane's replicas, which hold under every fault schedule."""
+"""The invariants of the control plane's replicas, which must hold under every fault schedule."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class InvariantChecker:
-    """Checks each view, commit, reply and read against everything observed so far.
+    """Checks each view, commit, result and read against everything observed before.
 
     `Cluster` reports commits and results and checks views after each event; operators report their reads.
     All checks raise `InvariantViolation`.
@@ -24,18 +24,18 @@
     def __init__(self, tolerance: int) -> None:
         self._tolerance = tolerance
         self._views: dict[int, View] = {}
-        self._history: dict[int, str] = {}  # the digest of each committed sequence
-        self.committed_sequences: dict[str, int] = {}  # by digest of the history up to there
+        self._history: dict[int, str] = {}  # chain digest of each committed sequence
+        self.committed_sequences: dict[str, int] = {}  # by chain digest
         self._committed_versions: dict[str, int] = {}  # by digest of a committed change
         self._refused: set[str] = set()
         self._acked: dict[str, ConfigurationChange] = {}
         self._acked_bases: dict[int, str] = {}
         self.newest_acked = 0
-        # By (address, process generation): the latest sequence committed; never decreases.
+        # The latest sequence committed, by (address, process generation); must never decrease.
         self._committed_at: dict[tuple[str, int], int] = {}
         self._lost_disks = 0
-        self._changes_on_lost_disks: list[frozenset[str]] = []  # the digests of changes on each lost disk
-        self._lost_before: dict[str, int] = {}  # by digest: disks lost before its commit
+        self._changes_on_lost_disks: list[frozenset[str]] = []  # digests of the changes on each lost disk
+        self._lost_before: dict[str, int] = {}  # disks lost before the commit, by digest
 
     def on_disk_lost(self, durable: DurableState) -> None:
         """Record the loss of a disk and the changes that were on it."""
@@ -57,8 +57,8 @@
     ) -> None:
         """Check a state that a replica considers committed.
 
-        One history, no regression in a process, no refused change applied; the first commit of a sequence
-        also has to be on enough disks.
+        There is one history, a process never goes back, and no refused change is applied; the first commit
+        of a sequence must also be on enough disks.
         """
         if state.sequence and state.sequence not in self._history:
             self._lost_before[state.applied[-1].digest] = self._lost_disks
@@ -75,7 +75,7 @@
         for applied in state.applied:
             self._committed_versions[applied.digest] = applied.version
             if applied.digest in self._refused:
-                raise InvariantViolation(f"the refused order {applied.digest} is in force")
+                raise InvariantViolation(f"the refused change {applied.digest} is committed")
 
     def _check_epoch_sealed(self, machine: ObservedMachine, machines: Mapping[str, ObservedMachine]) -> None:
         """Check that no process commits in an epoch whose sealer has accepted the next view."""
@@ -91,9 +91,9 @@
                 raise InvariantViolation(f"epoch {epoch} committed after its witness had accepted the next")
 
     def check_first_commit(self, state: ChainState, machines: Mapping[str, ObservedMachine]) -> None:
-        """Check that a newly committed change is on more disks than may be lost; disks lost since count.
+        """Check that a newly committed change is on more disks than may be lost; lost disks count.
 
-        Seed 21547: its second replica was in flight to a frozen member as the disk with the first was lost.
+        Seed 21547: the second copy was in flight to a frozen member when the disk with the first was lost.
         """
         digest = state.applied[-1].digest
         replica_count = self._disks_holding(machines, digest) + sum(
@@ -109,9 +109,9 @@
             return
         self._refused.add(change.digest)
         if change.digest in self._acked:
-            raise InvariantViolation(f"the acknowledged order {change.digest} was refused with {status}")
+            raise InvariantViolation(f"the acknowledged change {change.digest} was refused with {status}")
         if change.digest in self._committed_versions:
-            raise InvariantViolation(f"the order {change.digest} was refused with {status} and is in force")
+            raise InvariantViolation(f"the change {change.digest} was refused with {status} and is committed")
 
     def _on_acked(self, change: ConfigurationChange) -> None:
         version: int = change.body["version"]
@@ -140,7 +140,7 @@
         lost = self._lost_disks - self._lost_before.get(change.digest, self._lost_disks)
         replica_count = self.replicas_holding(machines, change) + lost
         if replica_count <= self._tolerance:
-            raise InvariantViolation(f"order {change.digest} was acknowledged with {replica_count} copies")
+            raise InvariantViolation(f"change {change.digest} was acknowledged with {replica_count} copies")
 
     def check_read(self, version: int, acked_before: int) -> None:
         """Check that a read is no older than the newest version acknowledged before it began."""
--- a/lab/control/machine.py
+++ b/lab/control/machine.py
@@ -1,4 +1,4 @@
-"""A simulated machine: a disk, and the process of a replica that may run on it."""
+"""A simulated machine: a disk, and a replica's process."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 
 
 class ObservedMachine(Protocol):
-    """What `InvariantChecker` looks at, whatever simulates the machine."""
+    """The part of a simulated machine that `InvariantChecker` inspects."""
 
     @property
     def address(self) -> str:
-        """Of the replica's internal listener."""
+        """Address of the replica's internal listener."""
 
     @property
     def durable(self) -> DurableState | None:
-        """The disk's contents; None: empty."""
+        """The state on the disk; None while the disk is empty."""
 
     @property
     def replica(self) -> Replica | None:
-        """The running replica; None: its process is down."""
+        """The running replica; None while its process is down."""
 
     @property
     def generation(self) -> int:
-        """Of the process."""
+        """Identifies the run of the process."""
 
 
 @dataclass(slots=True)
 class Machine:
-    """One machine: its disk outlives its process. Changed by `Cluster`, inspected by `InvariantChecker`."""
+    """One machine; its disk survives its process. Changed by `Cluster`, inspected by `InvariantChecker`."""
 
     address: str
-    stateful: bool = True  # it has a disk, votes and holds state; its loss counts against the tolerance
-    durable: DurableState | None = None  # the disk's contents; None: empty
-    replica: Replica | None = None  # None: the process is down
-    generation: int = 0  # of its process: events scheduled for an earlier one are dropped
+    stateful: bool = True  # has a disk and votes; its loss counts against the tolerance
+    durable: DurableState | None = None  # the state on the disk; None while it is empty
+    replica: Replica | None = None  # None while the process is down
+    generation: int = 0  # changes at start and kill; events of earlier generations are dropped
     frozen: bool = False
     removed: bool = False  # permanently
     sync_slowdown: float = 1.0  # factor on the duration of its disk's syncs
     stalled: bool = False
-    unsynced: list[tuple[int, Record]] = field(default_factory=list)  # (token, record) not on disk yet
+    unsynced: list[tuple[int, Record]] = field(default_factory=list)  # (token, record) pairs not on disk yet
     writing: bool = False
-    pending: list[Callable[[], None]] = field(default_factory=list)  # events received while frozen
+    pending: list[Callable[[], None]] = field(default_factory=list)  # events deferred while frozen
--- a/lab/control/operators.py
+++ b/lab/control/operators.py
@@ -1,4 +1,4 @@
-"""Simulated operators: each changes the newest version that it knows, and its reads are checked."""
+"""Simulated operators, which change the newest version that they know and check reads."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from lab.control.cluster import Cluster
 
 READ_INTERVAL_MS = 200.0
-RETRY_DELAY_MS = 100.0  # after an unsuccessful read of the version
-DUPLICATE_PROBABILITY = 0.2  # that an acknowledged change is submitted once more
+RETRY_DELAY_MS = 100.0  # after a failed read of the version
+DUPLICATE_PROBABILITY = 0.2  # that an acknowledged change is submitted again
 
 
 def empty_change(version: int, base: int, text: str = "", kind: str = "replace") -> ConfigurationChange:
@@ -18,7 +18,7 @@
 
 
 class Operator:
-    """Submits changes one at a time, each based on the newest version that it knows."""
+    """Submits changes one at a time, each based on the newest known version."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -29,14 +29,14 @@
         self.max_latency_ms = 0.0
 
     def change(self) -> None:
-        """Submit a change; schedules the next step some time after its result."""
+        """Submit a change, and schedule the next step after its result."""
         cluster = self.cluster
         step = cluster.rng.randint(1, 3)
         change = empty_change(self.version + step, self.version, f"{cluster.rng.random()}")
         submitted_ms = cluster.now
 
         def on_result(status: int) -> None:
-            """Count the result, and schedule the next step."""
+            """Count the result and schedule the next step."""
             if status == 200:
                 self._on_acked(change, cluster.now - submitted_ms)
             elif status:
@@ -58,11 +58,11 @@
             cluster.submit(change, lambda _: None)
 
     def refresh_version(self) -> None:
-        """Read the current version, after a conflict or an indefinite result; then change it."""
+        """Read the current version after a rejection or an indefinite result, then change it."""
         cluster = self.cluster
 
         def on_reply(reply: Reply | None) -> None:
-            """Change the version read, or read again."""
+            """Submit a change based on the version read, or retry the read."""
             if reply is not None and reply.status == 200:
                 self.version = reply.version
                 self.change()
@@ -73,7 +73,7 @@
         cluster.call(up[cluster.rng.randrange(len(up))], None, on_reply)
 
     def read(self) -> None:
-        """Read periodically; no read may be older than what was acknowledged before it began."""
+        """Read periodically; no read may be older than the newest change acknowledged before it began."""
         cluster = self.cluster
         up = [m.address for m in cluster.machines.values() if m.replica is not None]
         acked = cluster.checker.newest_acked
--- a/lab/control/quota_cluster.py
+++ b/lab/control/quota_cluster.py
@@ -1,4 +1,4 @@
-"""Tenants' quotas over replicas and nodes in virtual time, checked against an independent sliding window."""
+"""Tenant quotas across replicas and nodes in virtual time, checked with an independent sliding window."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 TENANT = "tenant"
 HEARTBEAT_INTERVAL_MS = 300.0  # of a node, to each replica
-REQUEST_TIMEOUT_MS = 30.0  # of a node at a quota owner
-OWNER_BACKOFF_MS = 250.0  # without requests to an owner that timed out
+REQUEST_TIMEOUT_MS = 30.0  # for a reply of a quota owner
+OWNER_BACKOFF_MS = 250.0  # without requests to an owner after a timeout
 GOSSIP_INTERVAL_MS = 1_000.0  # of node sightings between replicas
 
 
 @dataclass(frozen=True, slots=True)
 class Spent:
-    """Part of a quota that a node spent."""
+    """An amount of a quota that a node spent."""
 
     at_ms: float
     amount: float
@@ -69,41 +69,41 @@
 
 @dataclass(slots=True)
 class QuotaNode:
-    """One data-plane node, and what it knows of the control plane."""
+    """One data-plane node, and its knowledge of the control plane."""
 
     name: str
     reserves: NodeReserves
     started_ms: float
     replicas: ControlPlaneView | None = None
     counts: dict[str, int] = field(default_factory=dict)
-    subscribed: dict[str, int] = field(default_factory=dict)  # by replica: its process's generation
+    subscribed: dict[str, int] = field(default_factory=dict)  # generation of the process, by replica
     backoff_until_ms: dict[str, float] = field(default_factory=dict)
     refused: int = 0
     accepted: int = 0
 
 
 class QuotaCluster(Cluster):
-    """Replicas with quota owners, and nodes that spend one tenant's quota as fast as they may."""
+    """Replicas with quota owners, and nodes that spend one tenant's quota."""
 
     def __init__(
         self, seed: int, bounds: QuotaBounds, limit: QuotaLimit, nodes: int = 8, size: int = 3
     ) -> None:
         self.bounds = bounds
         self.limit = limit
-        self.demand = 0.75  # times the tenant's rate
+        self.demand = 0.75  # as a multiple of the tenant's rate
         self.window = QuotaWindow(bounds, limit)
         self.owner_states: dict[str, QuotaOwnerState] = {}
-        self._owners: dict[int, str] = {}  # by epoch: who decided
-        self._owning_epoch = 0  # the latest whose owner has decided
+        self._owners: dict[int, str] = {}  # the deciding owner by epoch
+        self._owning_epoch = 0  # the latest epoch in which an owner decided
         self.nodes: dict[str, QuotaNode] = {}
-        self._stored_nodes: dict[str, tuple[NodeLiveness, ...]] = {}  # on each machine's disk
+        self._stored_nodes: dict[str, tuple[NodeLiveness, ...]] = {}  # node sightings on each machine's disk
         super().__init__(seed, size)
         for number in range(nodes):
             self.start_node(f"node-{number}")
         self.after(GOSSIP_INTERVAL_MS, self._gossip)
 
     def start(self, address: str, bootstrap: bool = False) -> None:
-        """Start a replica's process, and its side of quotas."""
+        """Start a replica's process with its quota owner."""
         nodes = NodeRegistry()
         nodes.merge(self._stored_nodes.get(address, ()), self.now)
         owner = QuotaOwner(address, self.now, self.bounds, nodes, self._lease_over(address))
@@ -120,7 +120,7 @@
         return over
 
     def start_node(self, name: str) -> None:
-        """Start or restart a node; it has no reserves or shares then."""
+        """Start or restart a node, with no reserves and shares."""
         node = QuotaNode(name, NodeReserves(self.bounds), self.now)
         self.nodes[name] = node
         self.after(self.rng.uniform(0.0, HEARTBEAT_INTERVAL_MS), lambda: self._send_heartbeat(node))
@@ -145,7 +145,7 @@
                 self._to_node(machine.address, node, lambda node=node: self._on_view(machine, node, view))  # type: ignore[misc]
 
     def _follow_chain(self, address: str) -> None:
-        """Pass a replica's view to its quota owner, and hand over the tenants that it gives up."""
+        """Pass a replica's view to its quota owner, and hand over tenants that it no longer owns."""
         replica = self._replica(self.machines[address])
         if replica.view is None:
             return
@@ -241,7 +241,7 @@
     # Spending.
 
     def spend(self, name: str, amount: float) -> None:
-        """Spend an amount for a request of the tenant at a node, granted by its owner or from reserves."""
+        """Spend an amount for a request at a node, granted by the quota's owner or from reserves."""
         node = self.nodes[name]
         replicas = node.replicas
         owner = None if replicas is None else quota_owner_address(TENANT, replicas.chain)
@@ -252,7 +252,7 @@
         answers = itertools.count()
 
         def answered(decision: QuotaDecision | NotQuotaOwner) -> None:
-            """Spend as the owner decided; the first of reply and time-out counts."""
+            """Apply the owner's decision unless the request has timed out."""
             if not self._running(node) or next(answers):
                 return
             if (
@@ -285,7 +285,7 @@
         demand = QuotaDemand(name, TENANT, amount, wanted, share, autonomous)
 
         def take(owner_state: QuotaOwnerState) -> None:
-            """Decide at the owner, and reply to the node."""
+            """Handle the request at the owner, and reply to the node."""
             machine = self.machines[owner]
             assert machine.replica is not None
             self._follow_chain(owner)
@@ -298,7 +298,7 @@
         self.after(REQUEST_TIMEOUT_MS, on_timeout)
 
     def _granted(self, replica: Replica) -> None:
-        """An owner decided: none of an earlier epoch may, once one of a later epoch has."""
+        """Check that an epoch has one deciding owner, and that none decides after a later epoch's owner."""
         assert replica.view is not None
         if replica.view.epoch < self._owning_epoch:
             raise InvariantViolation(f"epoch {replica.view.epoch} granted after epoch {self._owning_epoch}")
@@ -322,9 +322,9 @@
 
 
 def generate_traffic(cluster: QuotaCluster, amounts: tuple[float, float]) -> None:
-    """Generate requests at all nodes, without end, at `cluster.demand` times the tenant's rate.
+    """Generate requests at all nodes, forever, at `cluster.demand` times the tenant's rate.
 
-    `amounts` are the smallest and the largest request.
+    `amounts` are the smallest and the largest amount of a request.
     """
     mean = (amounts[0] + amounts[1]) / 2.0
 
@@ -332,7 +332,7 @@
         """Send a request and schedule the next one."""
         gap_ms = 1_000.0 * mean / (cluster.limit.rate_per_s * cluster.demand)
         names = sorted(cluster.nodes)
-        # Clients fall on nodes by a hash: the busiest gets three times what the quietest does.
+        # Clients are hashed to nodes: the busiest node gets almost three times the load of the least busy.
         weights = [1.0 + 2.0 * position / len(names) for position in range(len(names))]
         name = cluster.rng.choices(names, weights)[0]
         cluster.spend(name, cluster.rng.uniform(*amounts))
--- a/lab/control/world.py
+++ b/lab/control/world.py
@@ -1,6 +1,6 @@
-"""The control plane under a schedule of overlapping faults, by seed; invariants are checked after each event.
+"""Simulates replicas under a schedule of overlapping faults, by seed; invariants are checked on each event.
 
-A violated invariant raises `InvariantViolation`, as does a lack of progress once all faults have ended.
+An invariant violation raises `InvariantViolation`, as does a lack of progress after all faults have ended.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 from lab.control.invariants import InvariantViolation
 from lab.control.operators import Operator
 
-LENGTH_MS = 14_000.0  # in which faults begin
+LENGTH_MS = 14_000.0  # the time in which faults begin
 SCHEDULE_BOUNDS = ScheduleBounds(2_500.0, LENGTH_MS, 6_000.0, 6)
-FAULT_END_MS = 7_000.0  # the last faults may last so long
+FAULT_END_MS = 7_000.0  # until the last faults have ended
 RECOVERY_MS = 12_000.0  # `recovery_timeout_s`
-PROGRESS_MS = 4_000.0  # in which changes are acknowledged, and every machine reads them
-CALL_MS = 1_500.0  # in which all reads are answered
+PROGRESS_MS = 4_000.0  # time limit for a change to be acknowledged
+CALL_MS = 1_500.0  # time limit for replies to all reads
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """How many machines there are of each kind, and how many disks may be lost."""
+    """Number of machines of each kind, and of disks that may be lost."""
 
     seeds: int
-    additional: int  # stateful, beside the seeds
+    additional: int  # stateful machines besides the seeds
     diskless: int
     tolerance: int
 
     def __str__(self) -> str:
-        """Return the text that `dunlinloft world` prints; it still has a field's former name."""
+        """Return the text that `dunlinloft world` prints, with the former name of a field."""
         return (
             f"Deployment(seeds={self.seeds}, further={self.additional}, diskless={self.diskless},"
             f" tolerance={self.tolerance})"
@@ -54,16 +54,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SeedResult:
-    """The outcome of one seed, with the shortest schedule found if it violates an invariant."""
+    """The result of one seed; on a violation with the shortest schedule found."""
 
     seed: int
-    violation: str  # empty if there was none
+    violation: str  # empty if there is none
     schedule: tuple[Fault, ...]
     acknowledged: int  # changes
 
 
 def deployment_of(seed: int) -> Deployment:
-    """Return the deployment of a seed."""
+    """Return the deployment that a random seed is simulated on."""
     return DEPLOYMENTS[seed % len(DEPLOYMENTS)]
 
 
@@ -100,12 +100,12 @@
     before = sum(operator.acked for operator in operators)
     cluster.run(PROGRESS_MS)
     if sum(operator.acked for operator in operators) == before:
-        raise InvariantViolation("no order is acknowledged although nothing fails any more")
+        raise InvariantViolation("no change is acknowledged although nothing fails any more")
     answers: dict[str, int] = {}
     newest = cluster.checker.newest_acked
 
     def on_reply(address: str, reply: Reply | None) -> None:
-        """Collect the version that a machine answered."""
+        """Record the version that a machine returned."""
         if reply is not None and reply.status == 200:
             answers[address] = reply.version
 
@@ -121,7 +121,7 @@
 
 
 def run_seed(seed: int) -> SeedResult:
-    """Run a seed and shorten the schedule of a violation; called in the processes of `simulate_all`."""
+    """Run a seed and shrink the schedule of a violation; called in the workers of `simulate_all`."""
     schedule = draw_schedule(seed, SCHEDULE_BOUNDS)
     try:
         return SeedResult(seed, "", schedule, simulate(seed, schedule))
@@ -130,7 +130,7 @@
 
 
 def _shrink_schedule(seed: int, schedule: tuple[Fault, ...]) -> tuple[Fault, ...]:
-    """Return the schedule without the faults that the violation does not need."""
+    """Return the schedule without the faults that are not needed for a violation."""
     for index in range(len(schedule) - 1, -1, -1):
         shorter = schedule[:index] + schedule[index + 1 :]
         try:
@@ -141,7 +141,7 @@
 
 
 def simulate_all(seeds: Sequence[int], jobs: int) -> list[SeedResult]:
-    """Run many seeds over several processes; violations come first."""
+    """Run many seeds in several processes; returns violations first."""
     with ProcessPoolExecutor(jobs) as pool:
         results = list(pool.map(run_seed, seeds, chunksize=4))
     return sorted(results, key=lambda result: (not result.violation, result.seed))
--- a/lab/router/__init__.py
+++ b/lab/router/__init__.py
@@ -1,1 +1,1 @@
-"""A router fleet of real processes on loopback addresses, with stand-ins for model servers."""
+"""Test harness that runs a router fleet as real processes on loopback addresses, with fake model servers."""
--- a/lab/router/bare_node.py
+++ b/lab/router/bare_node.py
@@ -1,4 +1,4 @@
-"""A data plane's request path alone, in this process: no control plane, servers as given."""
+"""A data plane's request path in this process, without a control plane and with a fixed set of servers."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from dunlinloft.dataplane.upstream import Upstream
 
 SERVICE = "pool"
-GRACE_MS = 8_000.0
+GRACE_MS = 8_000.0  # of the shutdown
 
 
 class BareNode:
-    """Takes clients' requests on loopback, and sends them to these servers."""
+    """Accepts requests on loopback, and forwards them to the given servers."""
 
     def __init__(self, routes: list[dict[str, Any]], addresses: list[str]) -> None:
         rng = random.Random(1)
@@ -58,14 +58,14 @@
         self._listening: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         loop = asyncio.get_running_loop()
         self._listening = await loop.create_server(self.server, "127.0.0.1", 0)
         host, port = self._listening.sockets[0].getsockname()
         self.url = f"http://{host}:{port}"
 
     async def stop(self) -> None:
-        """End all."""
+        """Stop listening and close all connections."""
         assert self._listening is not None
         self._listening.close()
         await self.server.shutdown(0.0)
--- a/lab/router/fleet.py
+++ b/lab/router/fleet.py
@@ -1,4 +1,4 @@
-"""Real processes of both programs, each on a loopback address of its own, as on machines of their own."""
+"""Processes of both programs, each on its own loopback address, as if on separate machines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 ROOT = Path(__file__).parent.parent.parent
 FRONTEND_PORT, READINESS_PORT, CONTROL_PORT, INTERNAL_PORT = 8_662, 8_663, 8_665, 7_680
-START_TIMEOUT_S = 15.0
+START_TIMEOUT_S = 15.0  # also of calls that are retried until they succeed
 
 
 @dataclass
@@ -30,10 +30,10 @@
     settings: Path
     log: Path
     process: subprocess.Popen[bytes] | None = None
-    source: Path = ROOT  # the tree whose programs it runs; another version's where two run side by side
+    source: Path = ROOT  # source tree of its program; differs where two versions run side by side
 
     def start(self) -> None:
-        """Start it, or start it again."""
+        """Start or restart the process."""
         environment = {**os.environ, "PYTHONPATH": str(self.source), "DUNLINLOFT_CONFIG": str(self.settings)}
         with self.log.open("ab") as log:
             command = [sys.executable, "-m", f"dunlinloft.{self.program}"]
@@ -45,14 +45,14 @@
         self.process.send_signal(number)
 
     def end(self) -> int:
-        """Kill it, and wait for its end."""
+        """Kill the process, wait for its exit and return the exit code."""
         assert self.process is not None
         self.process.kill()
         return self.process.wait(10.0)
 
     @property
     def alive(self) -> bool:
-        """Whether it runs."""
+        """Whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
 
@@ -65,12 +65,12 @@
     controls: int = 3
     nodes: int = 2
     grace_s: float = 4.0
-    sources: dict[str, Path] = field(default_factory=dict)  # by process name, where it isn't this tree
+    sources: dict[str, Path] = field(default_factory=dict)  # source tree by process name, if not this one
     control: list[Process] = field(default_factory=list)
     data: list[Process] = field(default_factory=list)
 
     def start(self) -> None:
-        """Start all."""
+        """Start all processes."""
         hosts = [f"127.{self.network}.0.{n}" for n in range(1, self.controls + 1)]
         for number, host in enumerate(hosts):
             self.control.append(self._process(f"control-{number}", "controlplane", host, hosts, True))
@@ -114,27 +114,27 @@
         )
 
     def wipe(self, process: Process) -> None:
-        """Lose a machine's disk; it will start as a new one."""
+        """Erase a machine's disk; its process starts without state, and not with the initial view."""
         shutil.rmtree(self.folder / process.name / "data", ignore_errors=True)
         seeds = [other.host for other in self.control]
         self.write_settings(process, seeds, True, bootstrap=False)
 
     def control_addresses(self) -> list[str]:
-        """Where servers and the operator call."""
+        """Return the addresses that servers and operators call."""
         return [f"{process.host}:{CONTROL_PORT}" for process in self.control]
 
     def frontend_url(self, node: int = 0) -> str:
-        """Where clients call a node."""
+        """Return the URL at which clients call a node."""
         return f"http://{self.data[node].host}:{FRONTEND_PORT}"
 
     def stop(self) -> None:
-        """End all processes."""
+        """Kill all processes."""
         for process in (*self.control, *self.data):
             if process.alive:
                 process.end()
 
     async def ready(self, session: aiohttp.ClientSession, node: int) -> bool:
-        """Whether a node calls itself ready."""
+        """Return whether a node reports that it is ready."""
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
             async with session.get(f"http://{self.data[node].host}:{READINESS_PORT}/readyz") as answer:
                 return answer.status == 200
@@ -150,7 +150,7 @@
     async def put(
         self, session: aiohttp.ClientSession, body: dict[str, Any], base: int, kind: str = "replace"
     ) -> int:
-        """Send a configuration as an operator does, until the answer is clear; its status."""
+        """Submit a configuration as an operator does until the result is definite; return the HTTP status."""
         async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 for address in self.control_addresses():
@@ -172,7 +172,7 @@
             return None
 
     async def read_configuration(self, session: aiohttp.ClientSession) -> dict[str, Any]:
-        """The configuration as it is read back. Raises `TimeoutError`."""
+        """Read the current configuration from a control plane. Raises `TimeoutError`."""
         async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 for address in self.control_addresses():
--- a/lab/router/model_server.py
+++ b/lab/router/model_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for a model server: it speaks what servers speak, and fails as it is told."""
+"""A fake model server with the protocol of real ones and configurable faults."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 @dataclass
 class Behaviour:
-    """What the next requests meet."""
+    """How the next requests are handled."""
 
     status: int = 200
-    refuse: int = 0  # so many requests are turned away as if it were full
-    reset_after: int | None = None  # events of a stream, after which the connection is reset
-    reset_limit: int = 1_000_000  # so many streams are cut
-    silent: bool = False  # requests are taken and never answered
-    wrong_id: bool = False  # answers name another request
+    refuse: int = 0  # number of requests to reject as not executed
+    reset_after: int | None = None  # number of events of a stream after which the connection is reset
+    reset_limit: int = 1_000_000  # number of streams to reset
+    silent: bool = False  # requests are accepted and never answered
+    wrong_id: bool = False  # responses have the attempt id of another request
     unsigned: bool = False
-    slow_s: float = 0.0  # before the answer begins
-    events: int = 5
+    slow_s: float = 0.0  # delay before the response begins
+    events: int = 5  # per stream
     event_s: float = EVENT_INTERVAL_S  # between events
     draining: bool = False
 
 
 @dataclass
 class ReceivedRequests:
-    """What reached it."""
+    """Requests that arrived at the server."""
 
-    executed: Counter[str] = field(default_factory=Counter)  # by attempt id
+    executed: Counter[str] = field(default_factory=Counter)  # executed requests by attempt id
     refused: int = 0
     headers: list[dict[str, str]] = field(default_factory=list)
     bodies: list[bytes] = field(default_factory=list)
@@ -45,7 +45,7 @@
 
 
 class ModelServer:
-    """One server of a service at one address."""
+    """One server of a service, at one address."""
 
     _numbers = itertools.count(1)
 
@@ -62,7 +62,7 @@
         self._heartbeat_task: asyncio.Task[None] | None = None
 
     async def start(self, control: list[str]) -> None:
-        """Listen, and tell the control plane."""
+        """Start listening and sending heartbeats to the control plane."""
         self._runner = web.ServerRunner(web.Server(self._handle, access_log=None))
         await self._runner.setup()
         site = web.TCPSite(self._runner, self.host, 0)
@@ -90,13 +90,13 @@
                         await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def wait_executed(self, requests: int) -> None:
-        """Wait until so many requests have run here."""
+        """Wait until the server has executed this number of requests."""
         while sum(self.received.executed.values()) < requests:
             self.received.arrived.clear()
             await self.received.arrived.wait()
 
     async def stop(self) -> None:
-        """End without a word."""
+        """Stop without deregistration."""
         if self._heartbeat_task is not None:
             self._heartbeat_task.cancel()
         if self._runner is not None:
@@ -124,7 +124,7 @@
             echo["X-Server-Signature"] = f"signed by {self.id}"
         if self.behaviour.status == 200 and request.path.startswith("/stream"):
             answer = web.StreamResponse(headers={**echo, "Content-Type": "text/event-stream"})
-            with contextlib.suppress(ConnectionError):  # who asked has gone
+            with contextlib.suppress(ConnectionError):  # the client disconnected
                 await self._stream(request, answer)
             return answer
         return web.Response(status=self.behaviour.status, headers=echo, body=b"answer to " + body)
--- a/lab/router/raw_server.py
+++ b/lab/router/raw_server.py
@@ -1,4 +1,4 @@
-"""A model server down to the socket: it counts what reaches it, and answers, cuts or stays mute as told."""
+"""A model server on raw sockets, which counts requests and answers, resets or ignores them as scripted."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request as it arrived."""
+    """One received request."""
 
     attempt: str
     head: bytes
     body: bytes
-    position: int  # on its connection, from 0
+    position: int  # index of the request on its connection
 
 
 @dataclass
 class Connection:
-    """One connection from a node."""
+    """A connection from a node."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     requests: int = 0
 
     def send(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send bytes unchanged."""
         self.writer.write(data)
 
     def reset(self) -> None:
-        """End with a reset, whatever was sent before."""
+        """Reset the connection; discards data not sent yet."""
         sock: socket.socket = self.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
     async def closed(self) -> None:
-        """Wait until the node has closed it."""
+        """Wait until the node has closed the connection."""
         with contextlib.suppress(ConnectionError):
             while await self.reader.read(READ_SIZE):
                 pass
@@ -55,7 +55,7 @@
 def answer(
     arrival: Arrival, body: bytes, *, length: bool = True, stream: bool = False, attempt: str | None = None
 ) -> bytes:
-    """A signed answer's bytes."""
+    """Return a signed HTTP response in bytes."""
     head = [
         b"HTTP/1.1 200 OK",
         b"X-Attempt-Id: " + (attempt or arrival.attempt).encode(),
@@ -69,17 +69,17 @@
 
 
 def events(first: int, last: int) -> bytes:
-    """Events of a stream, by number."""
+    """Return the events of a stream with numbers from `first` to `last`."""
     return b"".join(b"id: %d\ndata: piece %d\n\n" % (number, number) for number in range(first, last + 1))
 
 
 @dataclass
 class RawServer:
-    """Runs `script` for each request that arrives; `on_head` for its head, before the body is read."""
+    """Runs `script` on each request, and `on_head` on its head before the body is read."""
 
     script: Script
     on_head: Callable[[Connection, bytes], Awaitable[None]] | None = None
-    runs: Counter[str] = field(default_factory=Counter)  # by attempt
+    runs: Counter[str] = field(default_factory=Counter)  # received requests by attempt id
     arrivals: list[Arrival] = field(default_factory=list)
     connections: list[Connection] = field(default_factory=list)
     address: str = ""
@@ -87,13 +87,13 @@
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def start(self) -> None:
-        """Listen on loopback."""
+        """Start listening on loopback."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
     def stop(self) -> None:
-        """End all."""
+        """Stop listening and abort all connections."""
         assert self._server is not None
         self._server.close()
         for connection in self.connections:
--- a/lab/simulation/__init__.py
+++ b/lab/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Whole processes of the control side in virtual time: real programs on simulated machines and networks."""
+"""Simulation of control-plane and data-plane processes on simulated hosts, disks and networks."""
--- a/lab/simulation/calm.py
+++ b/lab/simulation/calm.py
@@ -1,6 +1,7 @@
-"""Which machines are in touch: undisturbed for the contact window, as is the core of the control plane.
+"""Tracks which hosts are in contact: neither they nor the core of the control plane were disturbed recently.
 
-Rules that are bounded in time hold only for machines in touch. Times are in seconds.
+The core consists of the control machines that hold state. Invariants with a time bound hold only for hosts
+that have been in contact for the contact window. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 
 
 class DisturbanceTracker:
-    """Remembers when each host was last disturbed.
+    """Records when each host was last disturbed by a fault.
 
     Parameters
     ----------
     now_s:
-        Returns the time.
+        Returns the current time.
     """
 
     def __init__(self, now_s: Callable[[], float]) -> None:
@@ -25,20 +26,20 @@
         self._core_disturbed_s = 0.0
 
     def disturb(self, host: str, in_core: bool) -> None:
-        """Note that something befell a host now, or ended there."""
+        """Record that a fault or a change of state begins or ends at a host now."""
         self._disturbed_s[host] = self._now_s()
         if in_core:
             self._core_disturbed_s = self._now_s()
 
     def disturb_all(self, hosts: Iterable[str]) -> None:
-        """Note that something befell these hosts and the core."""
+        """Record a disturbance of these hosts and of the core."""
         for host in hosts:
             self.disturb(host, in_core=True)
 
     def last_disturbed_s(self, host: str) -> float:
-        """Return when something last befell a host or the core."""
+        """Return when a host or the core was last disturbed."""
         return max(self._disturbed_s.get(host, 0.0), self._core_disturbed_s)
 
     def undisturbed(self, host: str) -> bool:
-        """Return whether nothing befell a host or the core within the contact window."""
+        """Return whether neither a host nor the core was disturbed within the contact window."""
         return self._now_s() - self.last_disturbed_s(host) >= CONTACT_WINDOW_S
--- a/lab/simulation/checkers.py
+++ b/lab/simulation/checkers.py
@@ -1,4 +1,4 @@
-"""What must hold at data-plane nodes: configurations, draining servers, and which servers are known."""
+"""Invariants of data-plane nodes: active configurations, draining servers, and the set of known servers."""
 
 from __future__ import annotations
 
@@ -16,81 +16,82 @@
 
 CONFIG_PROPAGATION_S = 2.0  # `config_propagation_ms`
 CHECK_INTERVAL_S = 0.2
-KNOWN_AFTER_S = 2.0  # from when a server is steadily acknowledged, until each node in touch knows it
-GONE_AFTER_S = 2.0  # from when its deregistration was acknowledged, until no node in touch knows it
-# From a crashed server's last heartbeat until no node knows it: 3.5 heartbeats at the registry, and what
-# clocks, relays and the node's own retention add.
+# From when a server's heartbeats are all acknowledged, until each node in contact knows it.
+KNOWN_AFTER_S = 2.0
+UNKNOWN_AFTER_S = 2.0  # from when its deregistration was acknowledged, until no node in contact knows it
+# From a crashed server's last heartbeat until no node knows it: 3.5 heartbeat intervals at the registry,
+# plus clock drift, relay delays and the node's own retention.
 EXPIRED_AFTER_S = 3.5 * HEARTBEAT_S + 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class _AcknowledgedVersion:
-    """A configuration that an operator was told is taken."""
+    """A configuration whose acceptance was acknowledged to an operator."""
 
     version: int
     at_s: float
 
 
 class CheckedCluster(Protocol):
-    """What is looked at of a `SimulatedCluster`."""
+    """The part of `SimulatedCluster` that `NodeChecker` inspects."""
 
     @property
     def loop(self) -> SimulatedEventLoop:
-        """Tells the time."""
+        """The loop, which has the simulated time."""
 
     @property
     def disturbances(self) -> DisturbanceTracker:
-        """When machines were disturbed."""
+        """When hosts were last disturbed."""
 
     @property
     def checker(self) -> InvariantChecker:
-        """What is known of commits."""
+        """The checker of replicas, which records commits."""
 
     @property
     def machines(self) -> Mapping[str, ControlMachine]:
-        """The control planes' machines, by address."""
+        """Control machines by address."""
 
     @property
     def nodes(self) -> Mapping[str, DataNode]:
-        """By name."""
+        """Data-plane nodes by name."""
 
     @property
     def servers(self) -> Sequence[ModelServer]:
-        """All servers."""
+        """All simulated model servers."""
 
     def in_contact(self, host: str) -> bool:
-        """Return whether rules that are bounded in time hold for a machine now."""
+        """Return whether invariants with a time bound apply to a host now."""
 
 
 class NodeChecker:
-    """Checks nodes in touch, at intervals and with each request. All checks raise `InvariantViolation`."""
+    """Checks nodes in contact, periodically and on each request. All checks raise `InvariantViolation`."""
 
     def __init__(self, cluster: CheckedCluster) -> None:
         self._cluster = cluster
         self._acknowledged: list[_AcknowledgedVersion] = []
-        self._committed: dict[int, str] = {}  # by version: the digest of the committed history
-        self.checked = 0  # nodes in touch that were looked at
+        self._committed: dict[int, str] = {}  # history digest of each committed version
+        self.checked = 0  # checks of a node in contact
         self.arrivals = 0
 
     def begin(self) -> None:
-        """Check at intervals from now on."""
+        """Start the periodic checks."""
         self._check_all()
 
     def on_acknowledged(self, version: int) -> None:
-        """An operator was told that a configuration is taken."""
+        """Record that a configuration was acknowledged to an operator."""
         self._acknowledged.append(_AcknowledgedVersion(version, self._cluster.loop.now_s))
 
     def on_activated(self, node: DataNode, before: ConfigurationId, after: ConfigurationId) -> None:
-        """A node's process put another configuration in force."""
+        """Check that a node never goes back, and replaces a committed state only by a later commit."""
         if after.version < before.version:
             raise InvariantViolation(f"{node.name} went back from {before} to {after}")
         committed = self._cluster.checker.committed_sequences
         sequence = committed.get(before.history_digest)
         if sequence is not None and committed.get(after.history_digest, 0) <= sequence:
-            raise InvariantViolation(f"{node.name} gave up the committed {before} for {after}")
+            raise InvariantViolation(f"{node.name} replaced the committed {before} by {after}")
 
     def on_arrival(self, node: DataNode, instance: ServerInstance) -> None:
-        """A request of a node reached a server."""
+        """Check that no request arrives at a server after its drain timeout."""
         self.arrivals += 1
         draining = instance.draining
         if draining is None or not draining.in_contact or not self._cluster.in_contact(node.host):
@@ -129,13 +130,19 @@
         now_s = self._cluster.loop.now_s
         steady_since_s = instance.steady_since_s
         if steady_since_s is not None and now_s - steady_since_s > KNOWN_AFTER_S and not known:
-            raise InvariantViolation(f"{node.name} does not know {instance.id}, which beats")
-        gone = instance.deregistered
-        if gone is not None and gone.in_contact and now_s - gone.at_s > GONE_AFTER_S and known:
+            raise InvariantViolation(f"{node.name} does not know {instance.id}, which sends heartbeats")
+        deregistration = instance.deregistered
+        if (
+            deregistration is not None
+            and deregistration.in_contact
+            and now_s - deregistration.at_s > UNKNOWN_AFTER_S
+            and known
+        ):
             raise InvariantViolation(f"{node.name} still knows {instance.id}, which deregistered")
         if instance.ended_s is None or instance.last_sent_s is None:
             return
-        # A control plane that was restarted gives servers that it had on disk the time to beat once more.
+        # A restarted control plane restarts the expiry of the servers on its disk, so that they can send
+        # another heartbeat.
         silent_s = now_s - max(instance.last_sent_s, self._cluster.disturbances.last_disturbed_s(node.host))
         if silent_s > EXPIRED_AFTER_S and known:
-            raise InvariantViolation(f"{node.name} still knows {instance.id}, which stopped beating")
+            raise InvariantViolation(f"{node.name} still knows {instance.id}, whose heartbeats stopped")
--- a/lab/simulation/cluster.py
+++ b/lab/simulation/cluster.py
@@ -35,9 +35,9 @@
 from lab.simulation.network import OUTSIDE, Network
 from lab.simulation.process import SteadyClock
 
-CALL_TIMEOUT_S = 1.0  # after which a call to a control plane counts as unanswered
-RESTART_DELAY_MS = 300.0  # from a process's end until the platform starts it again
-MAX_DRIFT = 0.04  # of a steady clock, either way
+CALL_TIMEOUT_S = 1.0  # after which a call to a control plane is unanswered
+RESTART_DELAY_MS = 300.0  # from a process's exit until the platform restarts it
+MAX_DRIFT = 0.04  # of a monotonic clock, as a fraction, in either direction
 MAX_BOOT_OFFSET_S = 100_000.0
 SERVICE = "pool"
 BOUNDS = TimingBounds(quota_tolerance=2_000.0)
@@ -46,14 +46,14 @@
 
 
 class SimulatedCluster:
-    """Machines, servers and the network between them.
+    """Simulated control machines, data-plane nodes, model servers and the network between them.
 
     Attributes
     ----------
     machines
-        Those that run control planes, by the address of their internal listener.
+        Control machines by the address of their internal listener.
     configured_seeds
-        Addresses that processes started from now on are given as seeds.
+        Seed addresses in the settings of processes that start from now on.
     """
 
     def __init__(self, seed: int, deployment: Deployment, loop: SimulatedEventLoop) -> None:
@@ -82,10 +82,10 @@
         for name in self.nodes:
             self.start_node(name)
 
-    # Building.
+    # Construction.
 
     def _clock(self) -> SteadyClock:
-        """Draw a machine's clock: it drifts, and began to count when the machine was booted."""
+        """Draw a machine's monotonic clock, with a random drift and boot time."""
         drift = self.rng.uniform(-MAX_DRIFT, MAX_DRIFT)
         return SteadyClock(self.rng.uniform(0.0, MAX_BOOT_OFFSET_S), 1.0 + drift)
 
@@ -133,7 +133,7 @@
         self.servers.append(server)
         self.loop.start_outside(server.run())
 
-    # Observing.
+    # Observers.
 
     def _on_commit(self, state: ChainState, machine: ControlMachine) -> None:
         with self.loop.reporting():
@@ -152,22 +152,22 @@
         self.disturbances.disturb(changed.host, in_core)
 
     def _on_exit(self, machine: ControlMachine) -> None:
-        """Start a process again that has ended after SIGTERM, as the platform does."""
+        """Restart a process that exited after SIGTERM, as the platform does."""
         self.after(RESTART_DELAY_MS, lambda: self.start(machine.address))
 
     def control_hosts(self) -> list[str]:
-        """Return the hosts of control planes as the operator's list has them."""
+        """Return the hosts of all control planes that were not removed."""
         return [machine.host for machine in self.machines.values() if not machine.removed]
 
     def core_is_stable(self) -> bool:
-        """Whether more than half of the core runs, connected, with disks that work."""
+        """Return whether a majority of the core runs with no blocked link, and all disks of the core work."""
         core = [machine for machine in self.machines.values() if machine.stateful and not machine.removed]
         blocked = self.network.blocked_hosts()
         healthy = [each for each in core if each.running and each.disk_works and each.host not in blocked]
         return 2 * len(healthy) > len(core) and all(each.disk_works for each in core)
 
     def in_contact(self, host: str) -> bool:
-        """Whether rules that are bounded in time hold for a machine now."""
+        """Return whether invariants with a time bound apply to a host now."""
         host_machine = self._hosts[host]
         reachable = host_machine.running and host not in self.network.blocked_hosts()
         disk_works = host_machine.disk_works if isinstance(host_machine, ControlMachine) else True
@@ -201,7 +201,7 @@
         machine.start(settings)
 
     def add(self, address: str) -> None:
-        """Add a machine with an empty disk, and start it."""
+        """Add and start a machine with an empty disk."""
         self._add_machine(address.rsplit(":", 1)[0], stateful=True)
         self.start(address)
 
@@ -222,7 +222,7 @@
         machine.lose_disk()
 
     def remove(self, address: str) -> None:
-        """Remove a machine for good."""
+        """Remove a machine permanently."""
         self.wipe(address)
         self.machines[address].removed = True
 
@@ -235,31 +235,31 @@
         self.machines[address].thaw()
 
     def stall(self, address: str, stalled: bool) -> None:
-        """Have a disk hang, or go on."""
+        """Stall a disk, or let it continue."""
         self.machines[address].stall(stalled)
 
     def leave(self, address: str, grace_ms: float) -> None:
-        """Send SIGTERM, and SIGKILL after the grace period."""
+        """Send SIGTERM, then SIGKILL after the grace period."""
         machine = self.machines[address]
         generation = machine.generation
         machine.terminate()
 
         def end() -> None:
-            """Kill the process if it is still that one."""
+            """Kill the process unless it was restarted."""
             if machine.generation == generation:
                 machine.kill()
 
         self.after(grace_ms, end)
 
     def update_seeds(self) -> None:
-        """Name machines that are there as seeds in all settings files; processes may read them again."""
+        """Set the seeds in all settings to present machines; processes may reload them."""
         hosts = self.control_hosts()[:3]
         self.configured_seeds = tuple(f"{host}:{INTERNAL_PORT}" for host in hosts)
         seed_nodes = tuple(f"{host}:{CONTROL_PORT}" for host in hosts)
         for host_machine in self._hosts.values():
             host_machine.settings = msgspec.structs.replace(host_machine.settings, seed_nodes=seed_nodes)
 
-    # Faults of links. Control planes are named by address, nodes by name.
+    # Link faults. Control planes are identified by address, nodes by name.
 
     def host_of(self, name: str) -> str:
         """Return the host of a control plane or node."""
@@ -271,7 +271,7 @@
         return self.network.any_blocked
 
     def disconnect(self, one: str, other: str, both: bool = True) -> None:
-        """Block a link, with `both` in both directions."""
+        """Block a link from `one` to `other`, with `both` in both directions."""
         hosts = self.host_of(one), self.host_of(other)
         self.network.block(*hosts)
         if both:
@@ -279,7 +279,7 @@
         self._disturb(hosts)
 
     def reconnect(self, one: str, other: str, both: bool = True) -> None:
-        """Withdraw one `disconnect`."""
+        """Undo one `disconnect`; the link works once no fault blocks it."""
         hosts = self.host_of(one), self.host_of(other)
         self.network.unblock(*hosts)
         if both:
@@ -287,17 +287,17 @@
         self._disturb(hosts)
 
     def heal(self) -> None:
-        """Open all links."""
+        """Restore all links."""
         self._disturb(tuple(self.network.blocked_hosts()))
         self.network.unblock_all()
 
     def delay_links(self, name: str, extra_s: float) -> None:
-        """Set by how much a host's traffic is delayed in either direction."""
+        """Set the extra delay of a host's traffic in each direction."""
         if self.network.delay(self.host_of(name), extra_s):
             self._disturb((self.host_of(name),))
 
     def damage_links(self, name: str, probability: float) -> None:
-        """Damage what a host's processes write, with this probability."""
+        """Set the probability with which a write of a host's processes is corrupted."""
         if self.network.damage(self.host_of(name), probability):
             self._disturb((self.host_of(name),))
 
@@ -307,7 +307,7 @@
             if host_machine is not None:
                 self._on_change(host_machine)
 
-    # Faults of nodes, by name.
+    # Nodes, by name.
 
     def start_node(self, name: str) -> None:
         """Start a node's process."""
@@ -315,10 +315,10 @@
         hosts = tuple(seed.rsplit(":", 1)[0] for seed in self.configured_seeds)
         node.start(settings_of(name, node.host, hosts, BOUNDS, self.tolerance, False))
 
-    # Calls from outside.
+    # Calls of servers and operators, which are outside of all simulated hosts.
 
     async def call_control(self, host: str, call: Call) -> Any:
-        """Call a control plane as servers and operators do; None where no answer comes in time."""
+        """Call a control plane as servers and operators do; return None if no reply arrives in time."""
         answer: asyncio.Future[Any] = self.loop.create_future()
         self.loop.after(self.network.delay_s(OUTSIDE, host), self._on_call, host, call, answer)
         self.loop.after(CALL_TIMEOUT_S, _give_up, answer)
@@ -335,7 +335,7 @@
         if self.network.blocked(OUTSIDE, host) or not self.network.powered(host):
             return
         if machine.components is None or machine.process is None:
-            self.loop.after(self.network.delay_s(host, OUTSIDE), _give_up, answer)  # refused
+            self.loop.after(self.network.delay_s(host, OUTSIDE), _give_up, answer)  # connection refused
             return
         task = self.loop.start_in(machine.process, call(machine))
         task.add_done_callback(
@@ -350,7 +350,7 @@
             answer.set_result(result)
 
     async def call_operator(self, host: str, change: ConfigurationChange | None) -> Reply | None:
-        """Make an operator's call, a read where `change` is None."""
+        """Make an operator's call: a change, or a read if `change` is None."""
         reply: Reply | None = await self.call_control(
             host, lambda machine: _components(machine).replica_host.call(change)
         )
@@ -358,7 +358,7 @@
 
     async def _call_for_server(self, host: str, record: ServerRecord | None, server_id: str) -> CallOutcome:
         def call(machine: ControlMachine) -> Coroutine[Any, Any, bool]:
-            """Hand a heartbeat or a deregistration to the control plane."""
+            """Pass a heartbeat or a deregistration to the control plane's registrar."""
             registrar = _components(machine).registrar
             return registrar.deregister(server_id) if record is None else registrar.heartbeat(record)
 
@@ -366,7 +366,7 @@
         return CallOutcome(bool(acknowledged), self.in_contact(host))
 
     async def _deliver(self, node: DataNode, server_id: str, address: str) -> bool:
-        """Send a request to the server at an address; one of another id there declines it."""
+        """Send a request to the server at an address; return False if a server with another id is there."""
         await asyncio.sleep(self.network.delay_s(node.host, OUTSIDE))
         server = next(each for each in self.servers if each.instance.address == address)
         instance = server.instance
--- a/lab/simulation/control_machine.py
+++ b/lab/simulation/control_machine.py
@@ -1,4 +1,4 @@
-"""A simulated machine that runs a control plane: its disk outlives its process."""
+"""A simulated machine that runs a control-plane process; its disk survives the process."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 from lab.simulation.process import SimulatedProcess, SteadyClock
 from lab.simulation.simulated_host import SimulatedHost
 
-INTERNAL_PORT = 7_000  # as `lab.control.faults` names replacements
+INTERNAL_PORT = 7_000  # the port that `lab.control.faults` uses for replacements
 CONTROL_PORT = 8_665
-MAX_LOG_BYTES = 6_000  # small, so that logs are compacted often
+MAX_LOG_BYTES = 6_000  # small, for frequent log compaction
 LEAVE_GRACE_FRACTION = 0.8
 SERVER_HEARTBEAT_MS = 1_200.0
 
@@ -38,7 +38,7 @@
 def settings_of(
     name: str, host: str, seeds: tuple[str, ...], bounds: TimingBounds, tolerance: int, holds_state: bool
 ) -> Settings:
-    """Return the settings of a process on a simulated machine; both programs take the same."""
+    """Return the settings of a process on a simulated machine, for either program."""
     return Settings(
         node_name=name,
         ip_address=host,
@@ -55,16 +55,16 @@
 
 
 class ControlMachine(SimulatedHost):
-    """One machine. Its attributes are those that `InvariantChecker` and `FaultInjector` look at.
+    """A control machine, with the attributes that `InvariantChecker` and `FaultInjector` need.
 
     Attributes
     ----------
     address
-        Of its internal listener; the host's is `host`.
+        Address of the internal listener; `host` is the machine's own.
     durable
-        What its disk is known to hold; None while it is empty.
+        State known to be on the disk; None while the disk is empty.
     generation
-        Of its process.
+        Number of times the process was started.
     """
 
     def __init__(
@@ -87,39 +87,39 @@
         self.generation = 0
         self.removed = False
         self.components: Components | None = None
-        self.settings = Settings("", host, (INTERNAL_PORT, INTERNAL_PORT))  # replaced before each start
+        self.settings = Settings("", host, (INTERNAL_PORT, INTERNAL_PORT))  # placeholder; set by `start`
         self._clock = clock
         self._network = network
         self._on_commit = on_commit
         self._on_change = on_change
-        self._on_exit = on_exit  # called once the process has ended after SIGTERM
-        self._in_flight: list[Record] = []  # being written
+        self._on_exit = on_exit  # called after the process exited on SIGTERM
+        self._in_flight: list[Record] = []  # records being written to disk
 
-    # What checkers and faults look at.
+    # State for checkers and fault injectors.
 
     @property
     def replica(self) -> Replica | None:
-        """The replica of the running process; None while there is none."""
+        """The replica of the running process; None while no process runs."""
         return None if self.components is None else self.components.replica
 
     @property
     def running(self) -> bool:
-        """Whether its process serves."""
+        """Whether the process has started and is not suspended."""
         return self.components is not None and self.process is not None and not self.process.frozen
 
     @property
     def frozen(self) -> bool:
-        """Whether its process is suspended."""
+        """Whether the process is suspended."""
         return self.process is not None and self.process.frozen
 
     @property
     def stalled(self) -> bool:
-        """Whether its disk hangs."""
+        """Whether the disk is stalled."""
         return self.disk.stalled
 
     @property
     def sync_slowdown(self) -> float:
-        """Factor on the duration of its disk's syncs."""
+        """Factor on the duration of the disk's syncs."""
         return self.disk.slowdown
 
     @sync_slowdown.setter
@@ -130,13 +130,13 @@
 
     @property
     def disk_works(self) -> bool:
-        """Whether its disk is neither slow nor stalled nor full."""
+        """Whether the disk is neither slow nor stalled nor full."""
         return not self.disk.stalled and not self.disk.files.full and self.disk.slowdown == 1.0
 
-    # Its process.
+    # Process.
 
     def start(self, settings: Settings) -> None:
-        """Start the process, where none runs."""
+        """Start the process unless it is running or the machine was removed."""
         if self.process is not None or self.removed:
             return
         self.generation += 1
@@ -172,7 +172,7 @@
         self._report_change()
 
     def _check_recovered(self, recovered: DurableState) -> None:
-        """Check that the disk gave back what was durable, and at most what was being written beside that."""
+        """Check that the recovered state is the durable state plus a prefix of the records being written."""
         if self.durable is None:
             return
         candidate = copy.copy(self.durable)
@@ -184,7 +184,7 @@
                 return
         raise InvariantViolation(
             f"{self.host} recovered sequence {recovered.state.sequence} where {self.durable.state.sequence}"
-            f" and {len(self._in_flight)} records under way were on its disk"
+            f" and {len(self._in_flight)} records being written were on its disk"
         )
 
     def _observe_writes(self, components: Components) -> None:
@@ -194,7 +194,7 @@
         self._in_flight = []
 
         def observed(records: list[Record]) -> None:
-            """Append, and remember what is under way."""
+            """Append records, and remember them as being written."""
             self._in_flight = list(records)
             append(records)
 
@@ -211,7 +211,7 @@
         on_commit = host._on_commit
 
         def observed(state: ChainState, entry: LogEntry | None) -> None:
-            """Check a committed state, then handle it."""
+            """Check a committed state, then pass it to the process."""
             self._on_commit(state, self)
             on_commit(state, entry)
 
@@ -223,7 +223,7 @@
     # Faults.
 
     def kill(self, power_lost: bool = False) -> None:
-        """End the process at once."""
+        """Kill the process."""
         process = self.process
         self.process = None
         self.components = None
@@ -234,7 +234,7 @@
             self._report_change()
 
     def lose_disk(self) -> None:
-        """Lose all that is on the disk; the process has ended."""
+        """Erase the disk; the process must have ended."""
         self.disk.wipe()
         self.durable = None
         self._in_flight = []
@@ -243,13 +243,13 @@
         self._on_change(self)
 
     def stall(self, stalled: bool) -> None:
-        """Have the disk hang, or go on."""
+        """Stall the disk, or let it continue."""
         if stalled != self.disk.stalled:
             self.disk.stalled = stalled
             self._report_change()
 
     def fill_disk(self, full: bool) -> None:
-        """Have the disk refuse writes, or take them again."""
+        """Make the disk refuse writes as full, or accept them again."""
         if full != self.disk.files.full:
             self.disk.files.full = full
             self._report_change()
--- a/lab/simulation/data_node.py
+++ b/lab/simulation/data_node.py
@@ -1,4 +1,4 @@
-"""A simulated data-plane node: the product's side towards the control plane, and requests that use it."""
+"""A simulated data-plane node: the real clients of the control plane, and requests that exercise them."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 
 REQUEST_INTERVAL_S = 0.1  # mean time between two requests at one node
 LATENCY_TARGET_MS = 200.0
-REMAINING_MS = 2_000.0
+REMAINING_MS = 2_000.0  # until a request's deadline
 MAX_IN_FLIGHT = 16  # requests of one node at one server
-SHUTDOWN_DELAY_S = 0.05
+SHUTDOWN_DELAY_S = 0.05  # for the last messages on the subscriptions
 
 
 class Deliver(Protocol):
-    """Sends a request to a server; returns whether that server served it."""
+    """Sends a request to a server; returns whether the server served it."""
 
     async def __call__(self, node: DataNode, server_id: str, address: str) -> bool:
-        """Send it."""
+        """Send a request to the server with this id and address."""
 
 
 @dataclass(slots=True)
 class Progress:
-    """What a node got from owners so far."""
+    """Counts of a node's successful requests."""
 
     granted: int = 0  # requests that a quota's owner granted
     placed: int = 0  # requests that a service's owner placed
@@ -49,16 +49,16 @@
 
 
 class DataNode(SimulatedHost):
-    """One node's machine, and the process that runs on it.
+    """The machine of a data-plane node, and its process.
 
     Parameters
     ----------
     deliver
         Sends a request to a server.
     on_spent
-        Takes what a request spent of its tenant's quota.
+        Called with the amount of the tenant's quota that a request spent.
     on_activated
-        Takes each change of the active configuration: the node, the one before, and the new one.
+        Called on each change of the active configuration with the node, the previous and the new id.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self.name = name
         self.clients: ControlClients | None = None
         self.progress = Progress()
-        self.settings = Settings(name, host, (0, 0))  # replaced before each start
+        self.settings = Settings(name, host, (0, 0))  # placeholder; set by `start`
         self.sends_requests = True
         self._clock = clock
         self._network = network
@@ -94,10 +94,10 @@
         """Whether its process runs and is not frozen."""
         return self.process is not None and not self.process.frozen
 
-    # The process.
+    # Process.
 
     def start(self, settings: Settings) -> None:
-        """Start the process, where none runs."""
+        """Start the process unless it is running."""
         if self.process is not None:
             return
         self.settings = settings
@@ -125,20 +125,20 @@
         self.kill()
 
     def _observe(self, clients: ControlClients) -> None:
-        """Report changes of the configuration, and count what owners grant."""
+        """Wrap the clients to report configuration changes and to count grants of owners."""
         configuration = clients.configuration
         activate = configuration._activate
         on_grant = clients.quotas.on_grant
 
         def observed_activate(*arguments: Any) -> None:
-            """Activate a configuration, and report the change."""
+            """Activate a configuration and report the change."""
             before = configuration.id
             activate(*arguments)
             if configuration.id != before:
                 self._on_activated(self, before, configuration.id)
 
         def observed_grant(message: QuotaGrant) -> None:
-            """Count and handle an owner's reply."""
+            """Count an owner's grant, then handle it."""
             self.progress.granted += message.is_owner and message.amount > 0.0
             on_grant(message)
 
@@ -157,7 +157,7 @@
                 tasks.start(self._send_request(clients))
 
     async def _send_request(self, clients: ControlClients) -> None:
-        """Charge a request to its tenant, have it placed, and send it, as the request path does."""
+        """Charge a request to its tenant, request a placement and send it, as the request path does."""
         table = clients.configuration.table
         assert table is not None
         configuration = table.configuration
@@ -214,7 +214,7 @@
     # Faults.
 
     def kill(self, power_lost: bool = False) -> None:
-        """End the process at once."""
+        """Kill the process."""
         process = self.process
         self.process = None
         self.clients = None
--- a/lab/simulation/deployment.py
+++ b/lab/simulation/deployment.py
@@ -1,4 +1,4 @@
-"""The deployments that seeds are played on."""
+"""The cluster sizes that are simulated."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 from dunlinloft.coordination.quota.bounds import QuotaLimit
 
-QUOTA_LIMIT = QuotaLimit(rate_per_s=4_500.0, burst=4_500.0)  # of the one tenant, in tokens
+QUOTA_LIMIT = QuotaLimit(rate_per_s=4_500.0, burst=4_500.0)  # of the only tenant, in tokens
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """How many machines there are of each kind, and how many disks may be lost."""
+    """Number of machines of each kind, and of disks that may be lost."""
 
     seeds: int
-    additional: int  # with a disk, beside the seeds
+    additional: int  # machines with a disk besides the seeds
     diskless: int
     tolerance: int
     nodes: int
@@ -22,7 +22,7 @@
 
     @property
     def control_machines(self) -> int:
-        """All that run a control plane."""
+        """Number of machines that run a control plane."""
         return self.seeds + self.additional + self.diskless
 
 
@@ -36,5 +36,5 @@
 
 
 def deployment_of(seed: int) -> Deployment:
-    """Return the deployment of a seed."""
+    """Return the deployment that a random seed is simulated on."""
     return DEPLOYMENTS[seed % len(DEPLOYMENTS)]
--- a/lab/simulation/disk.py
+++ b/lab/simulation/disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk: runs a process's blocking calls one after the other, each as long as its syncs take."""
+"""A simulated disk, which runs a process's blocking calls one by one, each for the duration of its syncs."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from lab.simulation.files import DiskImage, Operation, SimulatedFiles, SyncFile, SyncFolder
 from lab.simulation.process import SimulatedProcess
 
-SYNC_S = (0.000_8, 0.001_5)  # of one sync: shortest, longest
-CALL_S = 0.000_1  # of a call without a sync
+SYNC_S = (0.000_8, 0.001_5)  # range of the duration of one sync
+CALL_S = 0.000_1  # duration of a call without a sync
 
 
 @dataclass(slots=True, eq=False)
 class _Call:
-    """A blocking call, and its outcome once it has run."""
+    """A blocking call and its outcome."""
 
     process: SimulatedProcess
     call: Callable[[], Any]
@@ -33,15 +33,15 @@
 class SimulatedDisk:
     """One machine's disk; implements `BlockingCalls` for its process.
 
-    A call's effects are there at its end. A crash before that finds a part of them: the first operations of
-    the call, of which what was not synced may be lost as well.
+    A call takes effect when it finishes. A crash before that leaves a prefix of its operations; a power loss
+    may also drop those that were not synced.
 
     Attributes
     ----------
     slowdown
         Factor on the duration of syncs.
     on_finished
-        Called once a call's effects are there, before its process hears of it.
+        Called when a call has taken effect, before its process is notified.
     """
 
     def __init__(self, loop: SimulatedEventLoop, rng: random.Random) -> None:
@@ -53,11 +53,11 @@
         self._stalled = False
         self._queue: deque[_Call] = deque()
         self._active: _Call | None = None
-        self._finish_due = False  # the active call would be done, but for the stall
+        self._finish_due = False  # the active call finished during the stall
 
     @property
     def stalled(self) -> bool:
-        """Whether no call comes to an end."""
+        """Whether the disk is stalled: no call finishes."""
         return self._stalled
 
     @stalled.setter
@@ -69,7 +69,7 @@
             self._start_next()
 
     def submit(self, process: SimulatedProcess, call: Callable[[], Any]) -> asyncio.Future[Any]:
-        """Run a call after all earlier ones."""
+        """Queue a call; calls run in the order of submission."""
         queued = _Call(process, call, self._loop.create_future())
         self._queue.append(queued)
         self._loop.after(0.0, self._start_next)
@@ -106,7 +106,7 @@
         self._start_next()
 
     def crash(self, power_lost: bool) -> None:
-        """The process has ended, by itself or with its machine."""
+        """Drop all calls of a process that ended; the active one is done in part."""
         active = self._active
         self._active = None
         self._finish_due = False
@@ -119,14 +119,14 @@
             self.files.lose_power()
 
     def wipe(self) -> None:
-        """Lose everything."""
+        """Erase all files."""
         full = self.files.full
         self.files = SimulatedFiles(self._rng)
         self.files.full = full
 
 
 def _settle(call: _Call) -> None:
-    """Report the outcome, in the process's context."""
+    """Set the result of a call's future; runs in the context of its process."""
     if call.future.done():
         return
     if call.error is not None:
--- a/lab/simulation/event_loop.py
+++ b/lab/simulation/event_loop.py
@@ -1,8 +1,8 @@
 """An asyncio event loop in virtual time that runs the tasks of many simulated processes.
 
-A callback belongs to the process in whose context it was scheduled. Those of a killed process are dropped,
-those of a frozen one wait until it is thawed, and timers run by the process's own clock. Connections,
-listeners and blocking calls are simulated: nothing here touches a socket, a thread or the system's clock.
+A callback belongs to the process in whose context it was scheduled. Callbacks of a killed process are
+dropped, those of a frozen one are deferred until it is thawed, and timers follow the process's own clock.
+Connections, listeners and blocking calls are simulated: the loop uses no sockets, threads or system clock.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 from lab.control.invariants import InvariantViolation
 from lab.simulation.process import CURRENT_PROCESS, SimulatedProcess
 
-MAX_CALLBACKS_AT_ONCE = 100_000  # run without time passing; more are taken for a loop without an end
-MIN_TASKS_BEFORE_PURGE = 256  # tasks that are remembered before finished ones are looked for
+MAX_CALLBACKS_AT_ONCE = 100_000  # limit without an advance of time, to detect endless loops
+MIN_TASKS_BEFORE_PURGE = 256  # number of references to tasks before finished ones are purged
 
 Connect = Callable[[SimulatedProcess, Callable[[], asyncio.BaseProtocol], str, int], Coroutine[Any, Any, Any]]
 Listen = Callable[[SimulatedProcess, Callable[[], asyncio.BaseProtocol], str, int], Any]
 
 
 class ProcessFailure(Exception):
-    """A process ended by itself, or one of its tasks failed with an error that nobody handles."""
+    """A process exited unexpectedly, or one of its tasks failed with an unhandled error."""
 
 
 class SimulatedEventLoop(asyncio.AbstractEventLoop):
-    """The loop that all processes and the world around them share.
+    """The event loop that all simulated processes and their environment share.
 
     Attributes
     ----------
     now_s
-        The simulation's time in seconds.
+        The simulated time in seconds.
     connect, listen
-        Make connections and listeners; set by `Network`.
+        Create connections and listeners; set by `Network`.
     """
 
     def __init__(self) -> None:
@@ -54,12 +54,12 @@
         self._purge_at = MIN_TASKS_BEFORE_PURGE
         self._failure: Exception | None = None
         self._closed = False
-        self._callbacks_at_once = 0  # since time passed
+        self._callbacks_at_once = 0  # callbacks run since time last advanced
 
-    # Running.
+    # Execution.
 
     def run_until(self, until_s: float) -> None:
-        """Advance virtual time. Raises what a callback of the world raises, and `ProcessFailure`."""
+        """Advance virtual time. Raises `ProcessFailure`, and exceptions of callbacks outside of processes."""
         events._set_running_loop(self)
         try:
             while True:
@@ -105,14 +105,14 @@
             self.fail(ProcessFailure(f"{process.name} ended by itself"))
 
     def thaw(self, process: SimulatedProcess) -> None:
-        """Let a frozen process go on: what was due meanwhile comes in its order."""
+        """Resume a frozen process; deferred callbacks run in the order in which they were due."""
         process.frozen = False
         deferred = process.deferred
         process.deferred = []
         self._ready.extend(deferred)
 
     def close(self) -> None:
-        """Drop everything. Coroutines that still wait are closed; whatever they do then has no effect."""
+        """Drop all callbacks and close suspended coroutines; what their cleanup schedules has no effect."""
         self._closed = True
         self._ready.clear()
         self._timers.clear()
@@ -121,13 +121,13 @@
                 try:
                     task.get_coro().close()
                 except RuntimeError:
-                    continue  # it awaits something while it is closed
+                    continue  # the coroutine awaits during its cleanup
         self._tasks.clear()
 
     # Scheduling.
 
     def time(self) -> float:
-        """Return the clock of the process in whose context this is called, in seconds."""
+        """Return the current process's clock in seconds; outside of processes the simulated time."""
         process = CURRENT_PROCESS.get()
         return self.now_s if process is None else process.clock.local(self.now_s)
 
@@ -168,7 +168,7 @@
         return handle
 
     def after(self, delay_s: float, callback: Callable[..., Any], *args: Any) -> None:
-        """Schedule a callback of the world outside of all processes."""
+        """Schedule a callback outside of all processes."""
         handle = asyncio.Handle(callback, args, self, self._outside)
         if not self._closed:
             heapq.heappush(self._timers, (self.now_s + delay_s, next(self._sequence), handle))
@@ -186,10 +186,10 @@
         return self.create_task(coroutine, context=process.context.copy())
 
     def start_outside(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Start a task of the world outside of all processes."""
+        """Start a task outside of all processes."""
         return self.create_task(coroutine, context=self._outside.copy())
 
-    # What asyncio asks a loop for.
+    # The part of the event loop interface that asyncio uses.
 
     def create_future(self) -> asyncio.Future[Any]:
         """Return a future of this loop."""
@@ -198,7 +198,7 @@
     def create_task(
         self, coro: Any, *, name: str | None = None, context: contextvars.Context | None = None
     ) -> asyncio.Task[Any]:
-        """Start a task. It is remembered until it is done: no coroutine is closed before its time."""
+        """Start a task. It is referenced until it is done, so that it isn't garbage-collected before."""
         task: asyncio.Task[Any] = asyncio.Task(coro, loop=self, name=name, context=context)
         task._log_destroy_pending = False  # type: ignore[attr-defined]
         self._tasks.append(task)
@@ -219,7 +219,7 @@
     async def create_connection(  # type: ignore[override]
         self, protocol_factory: Callable[[], Any], host: str, port: int, **_: Any
     ) -> Any:
-        """Connect to a simulated listener. Raises `ConnectionRefusedError` where there is none."""
+        """Connect to a simulated listener. Raises `ConnectionRefusedError` if there is none."""
         process = CURRENT_PROCESS.get()
         assert self.connect is not None and process is not None
         return await self.connect(process, protocol_factory, host, port)
@@ -235,19 +235,19 @@
     def add_signal_handler(  # type: ignore[override]
         self, sig: int, callback: Callable[..., object], *args: Any
     ) -> None:
-        """Set what the current process does on a signal."""
+        """Set the current process's handler of a signal."""
         process = CURRENT_PROCESS.get()
         assert process is not None
         process.signal_handlers[sig] = lambda: callback(*args)
 
     def fail(self, error: Exception) -> None:
-        """End the simulation with an error; the first one counts."""
+        """End the simulation with an error; later errors are ignored."""
         if not self._closed and self._failure is None:
             self._failure = error
 
     @contextmanager
     def reporting(self) -> Iterator[None]:
-        """End the simulation where a rule is broken, whatever the process around does with the exception."""
+        """End the simulation on an invariant violation, even if the process suppresses the exception."""
         try:
             yield
         except InvariantViolation as violation:
@@ -255,7 +255,7 @@
             raise
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Take an error that nobody handles: the simulation ends with it."""
+        """End the simulation with an unhandled error."""
         error = context.get("exception")
         if isinstance(error, InvariantViolation):
             self.fail(error)
@@ -265,11 +265,11 @@
         self.fail(failure)
 
     def get_debug(self) -> bool:
-        """Return whether debug mode is on: never."""
+        """Return False: debug mode is not supported."""
         return False
 
     def is_running(self) -> bool:
-        """Return whether the loop runs."""
+        """Return whether the loop is open."""
         return not self._closed
 
     def is_closed(self) -> bool:
@@ -277,7 +277,7 @@
         return self._closed
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """Called by `TimerHandle.cancel`; cancelled handles are skipped when they are due."""
+        """Do nothing on `TimerHandle.cancel`: cancelled handles are skipped when they are due."""
 
 
 def _process_of(handle: asyncio.Handle) -> SimulatedProcess | None:
--- a/lab/simulation/faults.py
+++ b/lab/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults of whole processes: those of replicas, and of nodes, disks and streams beside them."""
+"""Fault injection for whole processes: the faults of replicas, and faults of nodes, disks and streams."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from lab.simulation.cluster import SimulatedCluster
 from lab.simulation.network import OUTSIDE
 
-DAMAGE_PROBABILITY = 0.05  # of one write on a damaged link
-DELAY_S = (0.05, 0.9)  # added on a delayed link: shortest, longest
-NODE_GRACE_MS = 8_000.0
-MASS_KILL_SHARE = 0.5  # of all processes
+DAMAGE_PROBABILITY = 0.05  # that a write on a damaged link is corrupted
+DELAY_S = (0.05, 0.9)  # range of the extra delay of a delayed link
+NODE_GRACE_MS = 8_000.0  # of a node after SIGTERM
+MASS_KILL_SHARE = 0.5  # fraction of all processes
 
 End = Callable[[], None]
 
@@ -59,7 +59,7 @@
         return lambda: machine.fill_disk(False)
 
     def _partition_node(self, name: str, fault: Fault) -> End:
-        """Cut a node off from some of the control plane or all of it, both ways or one."""
+        """Partition a node from some or all of the control plane, in one or both directions."""
         addresses = [m.address for m in self._simulation.machines.values() if not m.removed]
         count = 1 + (fault.pick >> 4) % len(addresses)
         return self._partition([name], addresses[:count], both=bool(fault.pick & 1))
@@ -71,7 +71,7 @@
         return lambda: self._simulation.start_node(name)
 
     def _kill_many(self, fault: Fault) -> End:
-        """Kill half of all processes at one moment."""
+        """Kill each process with probability `MASS_KILL_SHARE`, all at once."""
         rng = random.Random(fault.pick)
         for machine in self._simulation.machines.values():
             if rng.random() < MASS_KILL_SHARE:
@@ -107,7 +107,7 @@
         return lambda: self._simulation.delay_links(target, 0.0)
 
     def end_all(self) -> None:
-        """End all faults: everything is up and connected."""
+        """End all faults: all machines run and all links work."""
         simulation = self._simulation
         for machine in simulation.machines.values():
             machine.fill_disk(False)
--- a/lab/simulation/files.py
+++ b/lab/simulation/files.py
@@ -1,7 +1,7 @@
-"""A simulated file system that loses, at a loss of power, what was not synced.
+"""A simulated file system that loses data which was not synced when power is lost.
 
-Each write since a file's last sync is then kept, lost or torn by itself; names are lost or kept by
-themselves until their folder is synced. A process that is killed leaves everything as it was.
+A power loss keeps, drops or tears each write since a file's last sync independently, and keeps or drops each
+directory entry that was created since the directory's last sync. A process kill leaves the files unchanged.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteBytes:
-    """Bytes were written into a file."""
+    """Bytes were written to a file."""
 
     inode: int
     offset: int
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Truncate:
-    """A file's length was set to 0."""
+    """A file was truncated to length 0."""
 
     inode: int
 
 
 @dataclass(frozen=True, slots=True)
 class Create:
-    """A file was made under a name."""
+    """A file was created at a path."""
 
     inode: int
     path: Path
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncFolder:
-    """The folder was synced: all names in it last."""
+    """The directory was synced: all its entries survive a power loss."""
 
 
 Operation = WriteBytes | Truncate | Create | SyncFile | SyncFolder
 
 
 class _WriteOutcome(Enum):
-    """What becomes of one write that was not synced."""
+    """The effect of a power loss on a write that was not synced."""
 
     KEPT = auto()
     LOST = auto()
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _File:
-    """A file's content as processes see it, as it was synced last, and what was done since."""
+    """A file's current content, its last synced content, and the operations since the sync."""
 
     content: bytes = b""
     synced: bytes = b""
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskImage:
-    """All files at one moment."""
+    """A snapshot of all files and directory entries."""
 
     files: dict[int, _File]
     names: dict[Path, int]
@@ -85,9 +85,9 @@
     Attributes
     ----------
     full
-        Whether every write and every new file is refused.
+        Whether writes and new files are refused with `ENOSPC`.
     operations
-        What was done since `begin`, for a crash in the middle.
+        The operations since `begin`, to undo some of them on a crash.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -104,15 +104,15 @@
     # `FileSystem`.
 
     def make_directory(self, folder: Path) -> None:
-        """Do nothing: there is one folder."""
+        """Do nothing: the file system has one directory."""
 
     def read(self, path: Path) -> bytes | None:
-        """Return a file's content; None where there is no such file."""
+        """Return a file's content, or None if it does not exist."""
         inode = self._names.get(path)
         return None if inode is None else self._files[inode].content
 
     def open(self, path: Path) -> int:
-        """Open a file, created where it is missing; return its descriptor."""
+        """Open a file, creating it if it does not exist; return its descriptor."""
         if path not in self._names:
             self._refuse_if_full()
             self._do(Create(next(self._inodes), path))
@@ -121,11 +121,11 @@
         return descriptor
 
     def truncate(self, file: int) -> None:
-        """Set an open file's length to 0."""
+        """Truncate an open file to length 0."""
         self._do(Truncate(self._descriptors[file]))
 
     def write(self, file: int, data: memoryview, offset: int) -> int:
-        """Write some or all of the data."""
+        """Write the data or a prefix of it; return the number of bytes written."""
         self._refuse_if_full()
         length = len(data)
         if length > 1 and self._rng.random() < 0.1:
@@ -142,26 +142,26 @@
         self._do(SyncFile(self._descriptors[file]))
 
     def sync_directory(self, folder: Path) -> None:
-        """Sync the names."""
+        """Sync the directory entries."""
         self._do(SyncFolder())
 
     def close(self, file: int) -> None:
-        """Close a descriptor; one of a process that has ended is closed already."""
+        """Close a descriptor; has no effect if it was closed when its process ended."""
         self._descriptors.pop(file, None)
 
     def _refuse_if_full(self) -> None:
         if self.full:
             raise OSError(errno.ENOSPC, "no space left on device")
 
-    # The disk itself.
+    # Crashes.
 
     def begin(self) -> DiskImage:
-        """Begin a call of which only a part may be done before a crash; return what was there before."""
+        """Begin a call that a crash may interrupt; return a snapshot of the files before it."""
         self.operations = []
         return DiskImage(dict(self._files), dict(self._names), dict(self._synced_names))
 
     def rewind(self, image: DiskImage, operations: list[Operation], done: int) -> None:
-        """Go back to an image, and do the first of these operations again."""
+        """Restore an image, then repeat the first `done` of these operations."""
         self._files = dict(image.files)
         self._names = dict(image.names)
         self._synced_names = dict(image.synced_names)
@@ -169,11 +169,11 @@
             self._apply(operation)
 
     def close_all(self) -> None:
-        """Close all descriptors, as the process has ended."""
+        """Close all descriptors: the process ended."""
         self._descriptors.clear()
 
     def lose_power(self) -> None:
-        """Lose what was not synced, each write and each name by itself."""
+        """Keep, drop or tear each write, and keep or drop each entry, that was not synced."""
         for path, inode in list(self._names.items()):
             if self._synced_names.get(path) != inode and self._rng.random() < 0.5:
                 del self._names[path]
@@ -219,6 +219,6 @@
 
 
 def _written(content: bytes, offset: int, data: bytes) -> bytes:
-    """Return a file's content after a write; a gap before it is filled with zeros."""
+    """Return a file's content after a write; a gap before the offset is filled with zeros."""
     start = content[:offset].ljust(offset, b"\0")
     return start + data + content[offset + len(data) :]
--- a/lab/simulation/model_server.py
+++ b/lab/simulation/model_server.py
@@ -1,4 +1,4 @@
-"""Simulated model servers: they beat, drain, leave, crash, and others start at their addresses."""
+"""Simulated model servers, which send heartbeats, drain, deregister and crash; addresses are reused."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 HEARTBEAT_S = 1.2
 CALL_TIMEOUT_S = 1.0
-MAX_CALLS = 4  # of one heartbeat, each to another control plane
-INSTANCE_LIFETIME_S = (2.5, 9.0)  # until a server that doesn't stay ends
-PLANNED_PROBABILITY = 0.6  # that it drains first, rather than crash
+MAX_CALLS = 4  # per heartbeat, each to another control plane
+INSTANCE_LIFETIME_S = (2.5, 9.0)  # range of the lifetime of an instance that ends
+PLANNED_PROBABILITY = 0.6  # that an instance which ends drains first and does not crash
 DRAIN_S = 2.0  # `drain_timeout_ms`
-DRAIN_OVERRUN_S = (0.1, 1.0)  # that it goes on serving beyond that
-ADDRESS_REUSE_S = (2.0, 3.5)  # until another server starts at the address; `address_reuse_s` at least
-CAPACITY = 8
-SERVICE_S = (0.01, 0.08)  # of one request
+DRAIN_OVERRUN_S = (0.1, 1.0)  # range of the time that it serves after the drain timeout
+ADDRESS_REUSE_S = (2.0, 3.5)  # until another instance starts at the address; not below `address_reuse_s`
+CAPACITY = 8  # concurrent requests
+SERVICE_S = (0.01, 0.08)  # range of the duration of a request
 
 
 class InstanceEnd(Enum):
-    """How a server's life ends."""
+    """How an instance ends."""
 
     NEVER = auto()
     PLANNED = auto()
@@ -32,21 +32,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """That a control plane acknowledged what a server said."""
+    """The acknowledgement of a server's message by a control plane."""
 
     at_s: float
-    in_contact: bool  # whether the control plane was
+    in_contact: bool  # whether the control plane was in contact
 
 
 @dataclass(slots=True)
 class ServerInstance:
-    """One server id, and what is known of it outside."""
+    """One run of a model server under one server id, as observed from outside."""
 
     id: str
     address: str
-    steady_since_s: float | None = None  # each heartbeat was acknowledged since then
-    last_sent_s: float | None = None  # its last heartbeat, acknowledged or not
-    acknowledged: int = 0  # heartbeats
+    steady_since_s: float | None = None  # each heartbeat since then was acknowledged
+    last_sent_s: float | None = None  # time of the last heartbeat, acknowledged or not
+    acknowledged: int = 0  # number of heartbeats
     draining: Acknowledgement | None = None
     deregistered: Acknowledgement | None = None
     ended_s: float | None = None
@@ -54,23 +54,23 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOutcome:
-    """What became of a call to a control plane."""
+    """The outcome of a call to a control plane."""
 
     acknowledged: bool
-    in_contact: bool  # whether the control plane that was called is in touch
+    in_contact: bool  # whether the called control plane is in contact
 
 
 CallControl = Callable[[str, ServerRecord | None, str], Awaitable[CallOutcome]]
-"""Calls the control plane at a host: a heartbeat with a record, or a deregistration of a server id."""
+"""Calls the control plane at a host: a heartbeat with a record, or the deregistration of an id."""
 
 
 class ModelServer:
-    """One machine that runs model servers one after the other.
+    """A machine that runs one model server instance after the other.
 
     Parameters
     ----------
     control_hosts
-        Returns the hosts that the operator's list names now.
+        Returns the hosts of the configured control planes.
     call
         Calls a control plane.
     """
@@ -92,16 +92,16 @@
         self._now_s = now_s
         self._control_hosts = control_hosts
         self._call = call
-        self._endpoint: str | None = None  # the control plane that acknowledged last
+        self._endpoint: str | None = None  # the control plane that last acknowledged a call
         self._sequence = 0
 
     @property
     def instance(self) -> ServerInstance:
-        """The present server, or the last one while none runs."""
+        """The running instance, or the last one while none runs."""
         return self.instances[-1]
 
     async def run(self) -> None:
-        """Run servers one after the other, without end."""
+        """Run instances one after the other, forever."""
         while True:
             instance = ServerInstance(f"{self._name}.{len(self.instances) + 1}", f"{self._name}:80")
             self.instances.append(instance)
@@ -150,9 +150,9 @@
             instance.draining = Acknowledgement(self._now_s(), outcome.in_contact)
 
     async def _call_any(self, instance: ServerInstance, state: str | None) -> CallOutcome | None:
-        """Call control planes one after the other until one acknowledges; None where none does.
+        """Call control planes in turn until one acknowledges; return None if none does.
 
-        A heartbeat with this state, or a deregistration where `state` is None.
+        Sends a heartbeat with this state, or a deregistration if `state` is None.
         """
         hosts = self._control_hosts()
         self._rng.shuffle(hosts)
@@ -168,7 +168,7 @@
         return None
 
     def _record(self, instance: ServerInstance, state: str | None) -> ServerRecord | None:
-        """Return the next heartbeat: its sequence number rises with each call."""
+        """Return the next heartbeat, with an incremented sequence number; None for a deregistration."""
         if state is None:
             return None
         self._sequence += 1
--- a/lab/simulation/network.py
+++ b/lab/simulation/network.py
@@ -1,8 +1,8 @@
-"""The network between simulated hosts: TCP connections over links that delay, block, damage and break.
+"""The network between simulated hosts: TCP connections over links that can be delayed, blocked and damaged.
 
-Data of one direction arrives in order. A blocked link holds it up, and it comes once the link is open again,
-unless its sender gave the connection up by then (`TCP_USER_TIMEOUT`). A killed process resets its
-connections; a host without power says nothing.
+Data arrives in order in each direction. A blocked link queues data until it is unblocked, unless the sender
+has closed the connection by then (`TCP_USER_TIMEOUT`). The connections of a killed process are closed or
+reset; a host without power sends nothing.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from lab.simulation.process import SimulatedProcess
 from lab.simulation.transport import SimulatedTransport
 
-DELAY_S = (0.000_5, 0.003)  # of data on a link: shortest, longest
+DELAY_S = (0.000_5, 0.003)  # range of the delay of data on a link
 OUTSIDE = "outside"  # the host of servers and operators
 
 ProtocolFactory = Callable[[], asyncio.BaseProtocol]
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Listener:
-    """Who accepts connections at an address."""
+    """The process that accepts connections at an address, and its protocol factory."""
 
     process: SimulatedProcess
     factory: ProtocolFactory
 
 
 class SimulatedServer:
-    """What `create_server` returns."""
+    """The server object that `create_server` returns."""
 
     def __init__(self, close: Callable[[], None]) -> None:
         self._close = close
@@ -44,39 +44,39 @@
 
 
 class Network:
-    """All links and connections. `SimulatedEventLoop` connects and listens through it."""
+    """All links and connections; implements connect and listen for `SimulatedEventLoop`."""
 
     def __init__(self, loop: SimulatedEventLoop, rng: random.Random) -> None:
         self.loop = loop
         self.rng = rng
-        self._blocked: Counter[tuple[str, str]] = Counter()  # (source, target): how many faults block it
+        self._blocked: Counter[tuple[str, str]] = Counter()  # number of blocks by (source, target)
         self._extra_delay_s: dict[str, float] = {}  # by host
-        self._damage_probability: dict[str, float] = {}  # by host: of each write of its processes
+        self._damage_probability: dict[str, float] = {}  # by host, for each write of its processes
         self._powered: set[str] = {OUTSIDE}
         self._listeners: dict[tuple[str, int], Listener] = {}
-        self._transports: dict[SimulatedTransport, None] = {}  # open ones, in the order of their making
+        self._transports: dict[SimulatedTransport, None] = {}  # open ones, in order of creation
         loop.connect = self._connect
         loop.listen = self._listen
 
     # Links.
 
     def blocked(self, source: str, target: str) -> bool:
-        """Return whether nothing gets from one host to another."""
+        """Return whether the link from one host to another is blocked."""
         return (source, target) in self._blocked
 
     def block(self, source: str, target: str) -> None:
-        """Block one direction; blocks are counted."""
+        """Block one direction of a link; overlapping blocks are counted."""
         self._blocked[source, target] += 1
 
     def unblock(self, source: str, target: str) -> None:
-        """Withdraw one block."""
+        """Remove one block; the link works once no block is left."""
         self._blocked[source, target] -= 1
         if self._blocked[source, target] <= 0:
             del self._blocked[source, target]
             self._resume()
 
     def unblock_all(self) -> None:
-        """Withdraw all blocks."""
+        """Remove all blocks."""
         self._blocked.clear()
         self._resume()
 
@@ -90,19 +90,19 @@
         return {host for pair in self._blocked for host in pair}
 
     def delay(self, host: str, extra_s: float) -> bool:
-        """Set by how much what a host sends and receives is delayed; return whether that is a change."""
+        """Set the extra delay of a host's traffic in each direction; return whether it changed."""
         changed = self._extra_delay_s.get(host, 0.0) != extra_s
         self._extra_delay_s[host] = extra_s
         return changed
 
     def damage(self, host: str, probability: float) -> bool:
-        """Set the probability with which writes on a host are damaged; return whether that is a change."""
+        """Set the probability with which writes on a host are corrupted; return whether it changed."""
         changed = self._damage_probability.get(host, 0.0) != probability
         self._damage_probability[host] = probability
         return changed
 
     def damages(self, host: str) -> bool:
-        """Draw whether the next write of a host is damaged."""
+        """Draw whether the next write of a host is corrupted."""
         probability = self._damage_probability.get(host, 0.0)
         return probability > 0.0 and self.rng.random() < probability
 
@@ -118,15 +118,15 @@
     # Hosts.
 
     def power_on(self, host: str) -> None:
-        """A host is up: its kernel answers, whatever processes run."""
+        """Mark a host as powered: its kernel responds even if no process runs."""
         self._powered.add(host)
 
     def powered(self, host: str) -> bool:
-        """Return whether a host is up."""
+        """Return whether a host has power."""
         return host in self._powered
 
     def end_process(self, process: SimulatedProcess, power_lost: bool) -> None:
-        """Close what a process had open: with resets, or silently where its host lost power."""
+        """Close a process's listeners and connections, without notice to peers if its host lost power."""
         if power_lost:
             self._powered.discard(process.host)
         self._listeners = {at: each for at, each in self._listeners.items() if each.process is not process}
@@ -136,7 +136,7 @@
     # Connections.
 
     def forget(self, transport: SimulatedTransport) -> None:
-        """Drop a transport on which nothing happens any more."""
+        """Remove a transport whose connection has ended at both ends."""
         self._transports.pop(transport, None)
 
     def _listen(
@@ -149,7 +149,7 @@
         self._listeners[at] = listener
 
         def close() -> None:
-            """Free the address, unless a later process has it."""
+            """Release the address unless a later process uses it."""
             if self._listeners.get(at) is listener:
                 del self._listeners[at]
 
@@ -169,7 +169,7 @@
     def _on_syn(
         self, process: SimulatedProcess, host: str, port: int, established: asyncio.Future[SimulatedTransport]
     ) -> None:
-        """A request to connect arrives; where it is lost, the caller waits until it gives up."""
+        """Handle a connection request; if it is lost, the caller waits until its own timeout."""
         if self.blocked(process.host, host) or not self.powered(host):
             return
         listener = self._listeners.get((host, port))
--- a/lab/simulation/operators.py
+++ b/lab/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Simulated operators: each changes the newest configuration that it knows, and reads it back."""
+"""Simulated operators, which change the newest configuration that they know and check reads."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 SERVICE = "pool"
 TENANT = "tenant"
-MAX_ATTEMPTS = 40  # of one change
-UPDATE_PROBABILITY = 0.7  # that a change is an update of the configuration, and no replacement
-DUPLICATE_PROBABILITY = 0.2  # that an acknowledged change is submitted once more
-PREMATURE_PROBABILITY = 0.1  # that a change names a base version which does not exist yet
+MAX_ATTEMPTS = 40  # attempts to submit one change
+UPDATE_PROBABILITY = 0.7  # that a change updates the configuration instead of replacing it
+DUPLICATE_PROBABILITY = 0.2  # that an acknowledged change is submitted again
+PREMATURE_PROBABILITY = 0.1  # that a change with a base version that does not exist yet follows
 PAUSE_S = (0.05, 0.35)  # between two changes of one operator
 READ_INTERVAL_S = 0.3
 
@@ -58,7 +58,7 @@
 
 
 class Operator:
-    """Submits changes one at a time until it is stopped; its reads are checked."""
+    """Submits changes one at a time, and checks its reads."""
 
     def __init__(self, cluster: SimulatedCluster, rng: random.Random) -> None:
         self._cluster = cluster
@@ -67,14 +67,14 @@
         self.acknowledged = 0
 
     async def change_forever(self) -> None:
-        """Submit one change after the other."""
+        """Submit one change after the other, forever."""
         await asyncio.sleep(0.3 + 0.2 * self._rng.random())
         while True:
             await self._change()
             await asyncio.sleep(self._rng.uniform(*PAUSE_S))
 
     async def read_forever(self) -> None:
-        """Read at intervals; no read may be older than what was acknowledged before it began."""
+        """Read periodically; no read may be older than the newest change acknowledged before it began."""
         while True:
             await asyncio.sleep(READ_INTERVAL_S)
             await self.read(self._draw_host())
@@ -107,7 +107,7 @@
             await self._submit_premature()
 
     async def _submit_premature(self) -> None:
-        """Submit a change whose base version does not exist, before and after one that makes it."""
+        """Submit a change whose base version does not exist, then the base, then the change again."""
         base = self.version + 1
         premature = change_to(base + 1, base, True, f"premature {self._rng.random()}")
         status = await self._submit(premature, MAX_ATTEMPTS // 8)
@@ -118,7 +118,7 @@
             await self._submit(premature, MAX_ATTEMPTS // 8)
 
     async def _submit(self, change: ConfigurationChange, attempts: int = MAX_ATTEMPTS) -> int:
-        """Submit a change until its result is definite; return the status, 0 where none is."""
+        """Submit a change until its result is definite; return the HTTP status, or 0 if none is."""
         previous = ""
         for _ in range(attempts):
             hosts = [host for host in self._cluster.control_hosts() if host != previous]
@@ -138,7 +138,7 @@
             self._cluster.node_checker.on_acknowledged(change.body["version"])
 
     async def _refresh(self) -> None:
-        """Read the current version, after a conflict or without a definite result."""
+        """Read the current version, after a rejection or an indefinite result."""
         for _ in range(MAX_ATTEMPTS):
             reply = await self.read(self._draw_host())
             if reply is not None:
--- a/lab/simulation/process.py
+++ b/lab/simulation/process.py
@@ -1,4 +1,4 @@
-"""A simulated process: whether it runs, the clock that it reads, and what waits for it while it is frozen."""
+"""A simulated process: its state, its clock, and the callbacks deferred while it is frozen."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 CURRENT_PROCESS: contextvars.ContextVar[SimulatedProcess | None] = contextvars.ContextVar(
     "current_process", default=None
 )
-"""The process in whose context a callback runs; None for the world outside of all processes."""
+"""The process in whose context a callback runs; None outside of all processes."""
 
 
 @dataclass(frozen=True, slots=True)
 class SteadyClock:
-    """A machine's monotonic clock against the simulation's time; both in seconds."""
+    """A machine's monotonic clock as a linear function of the simulated time; both in seconds."""
 
-    offset_s: float = 0.0  # at the simulation's start
-    rate: float = 1.0  # seconds that it counts in one second
+    offset_s: float = 0.0  # reading at the start of the simulation
+    rate: float = 1.0  # clock seconds per simulated second
 
     def local(self, simulated_s: float) -> float:
-        """Return what the clock reads at a simulated time."""
+        """Return the clock's reading at a simulated time."""
         return self.offset_s + self.rate * simulated_s
 
     def simulated(self, local_s: float) -> float:
@@ -32,15 +32,15 @@
 
 
 class BlockingCalls(Protocol):
-    """Runs the calls for which a process would use a thread of its own."""
+    """Runs the blocking calls that a process would run in a thread."""
 
     def submit(self, process: SimulatedProcess, call: Callable[[], Any]) -> asyncio.Future[Any]:
-        """Run a call after all earlier ones; the future gets its result or its `OSError`."""
+        """Queue a call after all earlier ones; the future receives its result or its `OSError`."""
 
 
 @dataclass(slots=True, eq=False)
 class SimulatedProcess:
-    """One life of a process. Changed by `SimulatedHost`, followed by `SimulatedEventLoop`."""
+    """One run of a process. `SimulatedHost` sets its state, `SimulatedEventLoop` acts on it."""
 
     name: str
     host: str
@@ -54,9 +54,9 @@
     context: contextvars.Context = field(default_factory=contextvars.Context)
 
     def __post_init__(self) -> None:
-        """Mark the context: callbacks that run in it, or in a copy of it, belong to this process."""
+        """Set this process in its context; callbacks in it or in a copy of it belong to the process."""
         self.context.run(CURRENT_PROCESS.set, self)
 
 
 class NoThreads(Executor):
-    """Stands for a thread pool where none may be used: every call on it fails."""
+    """A thread pool for processes that must not use one: every call on it fails."""
--- a/lab/simulation/progress.py
+++ b/lab/simulation/progress.py
@@ -1,4 +1,4 @@
-"""Whether everything works again once no fault is left: orders, reads, heartbeats, quotas and placement."""
+"""Checks that changes, reads, heartbeats, quotas and placement make progress after all faults have ended."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ProgressChecker:
-    """Counts from its making on; all faults have ended by then."""
+    """Measures progress since its creation, which follows the end of all faults."""
 
     def __init__(self, cluster: SimulatedCluster, operators: Sequence[Operator]) -> None:
         self._cluster = cluster
@@ -40,14 +40,14 @@
         self._readable.add(host)
 
     def complete(self) -> bool:
-        """Return whether each of them has got somewhere."""
+        """Return whether everything has made progress."""
         return not self.missing()
 
     def missing(self) -> str:
-        """Say what has not got anywhere yet; empty where all has."""
+        """Return a description of what has made no progress yet; empty if nothing is missing."""
         cluster = self._cluster
         if sum(operator.acknowledged for operator in self._operators) == self._acknowledged:
-            return "no order is acknowledged"
+            return "no change is acknowledged"
         unread = set(cluster.control_hosts()) - self._readable
         if unread:
             return f"{sorted(unread)} answer no read"
@@ -68,7 +68,7 @@
         return ""
 
     def check_idle(self) -> None:
-        """Raise `InvariantViolation` where an owner counts requests in flight: there are none."""
+        """Raise `InvariantViolation` if an owner counts requests in flight after all have completed."""
         for machine in self._cluster.machines.values():
             if machine.components is None:
                 continue
--- a/lab/simulation/simulated_host.py
+++ b/lab/simulation/simulated_host.py
@@ -1,4 +1,4 @@
-"""A simulated machine as faults see it: the one process on it is asked to end, suspended and resumed."""
+"""The base of simulated machines: terminates, suspends and resumes the machine's process."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class SimulatedHost(ABC):
-    """A machine that runs one process at a time, or none.
+    """A machine that runs at most one process at a time.
 
     Attributes
     ----------
     host
-        Its address.
+        The machine's address.
     process
-        The process that runs; None while there is none.
+        The running process; None while there is none.
     """
 
     def __init__(self, host: str, loop: SimulatedEventLoop) -> None:
@@ -27,7 +27,7 @@
 
     @abstractmethod
     def _report_change(self) -> None:
-        """Tell the world that the process began, ended, was suspended or was resumed."""
+        """Notify the cluster that the process was started, ended, suspended or resumed."""
 
     def terminate(self) -> None:
         """Send SIGTERM."""
--- a/lab/simulation/transport.py
+++ b/lab/simulation/transport.py
@@ -1,4 +1,4 @@
-"""One end of a simulated TCP connection, as asyncio's streams use it."""
+"""One end of a simulated TCP connection, as an asyncio transport."""
 
 from __future__ import annotations
 
@@ -11,49 +11,49 @@
 from lab.simulation.event_loop import SimulatedEventLoop
 from lab.simulation.process import SimulatedProcess
 
-TIMEOUT_TOLERANCE_S = 0.000_001  # rounding of sums of times
-USER_TIMEOUT_S = 1.0  # `TCP_USER_TIMEOUT` of the programs: data unacknowledged for longer ends a connection
+TIMEOUT_TOLERANCE_S = 0.000_001  # rounding error of sums of times
+USER_TIMEOUT_S = 1.0  # `TCP_USER_TIMEOUT` of the programs: limit on unacknowledged data
 
 
 class Links(Protocol):
-    """The links that a connection runs over; see `lab.simulation.network.Network` for its methods."""
+    """The links that a connection uses; implemented by `lab.simulation.network.Network`."""
 
     loop: SimulatedEventLoop
     rng: random.Random
 
     def blocked(self, source: str, target: str) -> bool:
-        """Return whether nothing gets from one host to another."""
+        """Return whether the link from one host to another is blocked."""
 
     def powered(self, host: str) -> bool:
-        """Return whether a host is up."""
+        """Return whether a host has power."""
 
     def damages(self, host: str) -> bool:
-        """Draw whether the next write of a host is damaged."""
+        """Draw whether the next write of a host is corrupted."""
 
     def delay_s(self, source: str, target: str) -> float:
         """Draw the delay of data on a link."""
 
     def forget(self, transport: SimulatedTransport) -> None:
-        """Drop a transport on which nothing happens any more."""
+        """Remove a transport whose connection has ended at both ends."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Data:
-    """Bytes on their way."""
+    """Bytes in transit."""
 
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class _Established:
-    """The answer to a request to connect: the first thing on the way back."""
+    """The reply to a connection request: the first segment from the accepting side."""
 
     future: asyncio.Future[SimulatedTransport]
 
 
 @dataclass(frozen=True, slots=True)
 class _Closed:
-    """The end of the connection, with a reset or in order."""
+    """The end of the connection, by a reset or an orderly close."""
 
     reset: bool
 
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Segment:
-    """What is sent, and when it arrives if the link lets it."""
+    """Content in transit, and its arrival time unless the link is blocked."""
 
     due_s: float
     content: _Content
 
 
 class SimulatedTransport(asyncio.Transport):
-    """An end of a connection; what it sends is queued here until the other end has it."""
+    """One end of a connection; queues what it sends until it arrives at the other end."""
 
     def __init__(self, network: Links, process: SimulatedProcess, host: str, peer_host: str) -> None:
         super().__init__()
@@ -81,19 +81,19 @@
         self._host = host
         self._peer_host = peer_host
         self._protocol: asyncio.Protocol | None = None
-        self._early: list[_Data | _Closed] = []  # arrived before there was a protocol
+        self._early: list[_Data | _Closed] = []  # arrived before the protocol was set
         self._queue: deque[_Segment] = deque()
         self._pump_scheduled = False
         self._last_due_s = 0.0
         self._unacknowledged_since_s: float | None = None
         self._timeout_armed = False
         self._closing = False
-        self._detached = False  # this end's kernel knows the connection no more
+        self._detached = False  # this end's kernel has no state of the connection any more
 
-    # What asyncio's streams call, in the process's context.
+    # The transport interface of asyncio, called in the process's context.
 
     def begin(self, protocol: asyncio.BaseProtocol) -> None:
-        """The connection is made, and this end's process has taken it."""
+        """Set the protocol of an established connection, and deliver what has arrived already."""
         assert isinstance(protocol, asyncio.Protocol)
         self._protocol = protocol
         protocol.connection_made(self)
@@ -113,13 +113,13 @@
         self._enqueue(_Data(content))
 
     def close(self) -> None:
-        """Send what is queued, then end the connection."""
+        """Close the connection after the queued data."""
         self._end(_Closed(reset=False))
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Reset the connection."""
         if self._network.blocked(self._host, self._peer_host):
-            self._queue.clear()  # what a blocked link holds up is lost
+            self._queue.clear()  # data queued on a blocked link is lost
         self._end(_Closed(reset=True))
 
     def is_closing(self) -> bool:
@@ -127,29 +127,29 @@
         return self._closing
 
     def get_write_buffer_size(self) -> int:
-        """Return how many bytes wait to be sent."""
+        """Return the number of queued bytes."""
         return sum(
             len(segment.content.content) for segment in self._queue if isinstance(segment.content, _Data)
         )
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Return nothing: there is no socket."""
+        """Return the default: there is no socket."""
         return default
 
     def pause_reading(self) -> None:
-        """Do nothing: streams here never hold so much."""
+        """Do nothing: the simulation needs no flow control."""
 
     def resume_reading(self) -> None:
-        """Do nothing, as reading is never paused."""
+        """Do nothing: reading is never paused."""
 
     # Sending.
 
     def establish(self, future: asyncio.Future[SimulatedTransport]) -> None:
-        """Answer a request to connect, from the accepting side."""
+        """Accept a connection request; called at the accepting side."""
         self._enqueue(_Established(future))
 
     def _send_damaged(self, content: bytes) -> None:
-        """Send half of it and break the connection, or send it with bytes exchanged."""
+        """Send a prefix and reset the connection, or send the content with random bytes inserted."""
         rng = self._network.rng
         if rng.random() < 0.5:
             self._enqueue(_Data(content[: rng.randrange(len(content))]))
@@ -178,7 +178,7 @@
     def _pump(self) -> None:
         self._pump_scheduled = False
         if not self._queue or self._network.blocked(self._host, self._peer_host):
-            return  # `resume` goes on
+            return  # `resume` restarts the pump
         segment = self._queue.popleft()
         self._arrive(segment.content)
         if not self._queue and not self._network.blocked(self._peer_host, self._host):
@@ -186,7 +186,7 @@
         self._schedule_pump()
 
     def resume(self) -> None:
-        """Go on where a link had been blocked."""
+        """Continue after a link was unblocked."""
         self._schedule_pump()
         if not self._queue and not self._network.blocked(self._peer_host, self._host):
             self._unacknowledged_since_s = None
@@ -206,7 +206,7 @@
         else:
             self._arm_timeout(USER_TIMEOUT_S - age_s)
 
-    # Arriving at the other end.
+    # Arrival at the other end.
 
     def _arrive(self, content: _Content) -> None:
         peer = self.peer
@@ -233,7 +233,7 @@
             self._detach(ConnectionResetError(104, "connection reset"))
 
     def _receive(self, content: _Data | _Closed) -> None:
-        """Hand the process what arrived, in its context."""
+        """Deliver what arrived to the protocol, in the process's context."""
         if self._detached:
             return
         if self._protocol is None:
@@ -246,7 +246,7 @@
             self._protocol.eof_received()
             self._detach(None)
 
-    # Ends.
+    # Close.
 
     def _end(self, closed: _Closed) -> None:
         if self._closing or not self.process.alive:
@@ -255,7 +255,7 @@
         self._detach(None)
 
     def _detach(self, error: Exception | None) -> None:
-        """This end is gone for its process; what is queued still goes out."""
+        """Detach this end from its process; queued data is still sent, except after a timeout."""
         if isinstance(error, TimeoutError):
             self._queue.clear()
         self._closing = True
@@ -267,13 +267,13 @@
         self._forget_when_over()
 
     def on_process_ended(self, power_lost: bool) -> None:
-        """The process has ended, and with it this end."""
-        already_lost = self._detached
+        """Close this end because its process ended; silently after a power loss."""
+        already_detached = self._detached
         self._detached = True
         self._closing = True
         if power_lost:
             self._queue.clear()
-        elif not already_lost:
+        elif not already_detached:
             self._enqueue(_Closed(reset=self._network.rng.random() < 0.5))
         self._forget_when_over()
 
--- a/lab/simulation/world.py
+++ b/lab/simulation/world.py
@@ -1,8 +1,8 @@
-"""Whole processes of the control side under a schedule of overlapping faults, by seed.
+"""Simulates whole processes under a schedule of overlapping faults, by seed.
 
-Real control planes and the nodes' side towards them run in virtual time, with their stores, streams and
-timers. A violated invariant raises `InvariantViolation`, as does a lack of progress once all faults have
-ended; a process that ends by itself raises `ProcessFailure`.
+Real control planes, and the nodes' clients of them, run in virtual time with their stores, streams and
+timers. An invariant violation raises `InvariantViolation`, as does a lack of progress after all faults have
+ended; a process that exits unexpectedly raises `ProcessFailure`.
 """
 
 from __future__ import annotations
@@ -33,37 +33,37 @@
 from lab.simulation.operators import Operator
 from lab.simulation.progress import ProgressChecker
 
-HASH_SEED = "0"
+HASH_SEED = "0"  # `PYTHONHASHSEED` of the worker processes
 SCHEDULE_BOUNDS = ScheduleBounds(1_000.0, 3_900.0, 2_600.0, 4)
-FAULTS_END_MS = 6_500.0  # by when all faults have ended
+FAULTS_END_MS = 6_500.0  # when all remaining faults are ended
 RECOVERY_MS = 12_000.0  # `recovery_timeout_s`
-STEP_MS = 250.0  # between two looks whether everything works again
-FAULT_FREE_MS = 1_000.0 * CONTACT_WINDOW_S + 800.0  # checked in the end, while nothing fails
-IDLE_MS = 400.0  # without requests, until owners count none in flight
+STEP_MS = 250.0  # between two checks of progress
+FAULT_FREE_MS = 1_000.0 * CONTACT_WINDOW_S + 800.0  # time without faults at the end, in which checks go on
+IDLE_MS = 400.0  # without requests, after which owners must count none in flight
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What happened in one run."""
+    """Statistics of one run."""
 
     acknowledged: int  # changes
     served: int  # requests
-    checked: int  # times that a node in touch was looked at
-    recovery_ms: float  # from the end of all faults until everything had worked once
+    checked: int  # checks of a node in contact
+    recovery_ms: float  # from the end of all faults until everything had made progress
 
 
 @dataclass(frozen=True, slots=True)
 class SeedResult:
-    """The outcome of one seed, with the shortest schedule found if it violates an invariant."""
+    """The result of one seed; on a violation with the shortest schedule found."""
 
     seed: int
-    violation: str  # empty if there was none
+    violation: str  # empty if there is none
     schedule: tuple[Fault, ...]
     summary: Summary | None
 
 
 class _SimulatedTime:
-    """Stands for the module `time` where the programs read their clock."""
+    """Replaces the module `time` where the programs read their clock."""
 
     def __init__(self, loop: SimulatedEventLoop) -> None:
         self.monotonic = loop.time
@@ -71,7 +71,7 @@
 
 @contextmanager
 def _simulated_environment(seed: int, loop: SimulatedEventLoop) -> Iterator[None]:
-    """Take clocks and random bits from the simulation, and collect no garbage before its end."""
+    """Take clocks and random bits from the simulation, and disable garbage collection until its end."""
     rng = random.Random(seed)
     state = random.getstate()
     random.seed(seed)
@@ -79,7 +79,7 @@
     logging.set_verbosity(logging.FATAL)
     unraisable = sys.unraisablehook
     gc.disable()
-    # A task of a process that is killed before it runs has a coroutine that is never awaited.
+    # The coroutine of a task whose process is killed before it runs is never awaited.
     with warnings.catch_warnings():
         warnings.simplefilter("ignore", RuntimeWarning)
         try:
@@ -90,7 +90,7 @@
             ):
                 yield
         finally:
-            # Coroutines of killed processes are closed here; what they would do then has no effect.
+            # Closes coroutines of killed processes; errors and effects of their cleanup are ignored.
             sys.unraisablehook = lambda _: None
             loop.close()
             gc.enable()
@@ -106,9 +106,9 @@
     Raises
     ------
     InvariantViolation
-        A rule is broken, or nothing goes on although no fault is left.
+        An invariant does not hold, or there is no progress after all faults have ended.
     ProcessFailure
-        A process ended by itself.
+        A process exited unexpectedly.
     """
     if schedule is None:
         schedule = draw_schedule(seed, SCHEDULE_BOUNDS, ALL_FAULTS)
@@ -151,7 +151,7 @@
 
 
 def run_seed(seed: int) -> SeedResult:
-    """Run a seed and shorten the schedule of a violation; called in the processes of `simulate_all`."""
+    """Run a seed and shrink the schedule of a violation; called in the workers of `simulate_all`."""
     schedule = draw_schedule(seed, SCHEDULE_BOUNDS, ALL_FAULTS)
     try:
         return SeedResult(seed, "", schedule, simulate(seed, schedule))
@@ -160,7 +160,7 @@
 
 
 def _shrink_schedule(seed: int, schedule: tuple[Fault, ...]) -> tuple[Fault, ...]:
-    """Return the schedule without the faults that the violation does not need."""
+    """Return the schedule without the faults that are not needed for a violation."""
     for index in range(len(schedule) - 1, -1, -1):
         shorter = schedule[:index] + schedule[index + 1 :]
         try:
@@ -171,9 +171,9 @@
 
 
 def simulate_all(seeds: Sequence[int], jobs: int) -> Iterator[SeedResult]:
-    """Run many seeds over several processes; yields results in the order of the seeds.
+    """Run many seeds in several processes; yields results in the order of the seeds.
 
-    The processes hash strings alike, so that a seed is the same run wherever it is played.
+    All workers use the same hash seed, so that a seed gives the same run in each of them.
     """
     with (
         mock.patch.dict(os.environ, {"PYTHONHASHSEED": HASH_SEED}),
--- a/tests/test_simulated_machines.py
+++ b/tests/test_simulated_machines.py
@@ -1,4 +1,4 @@
-"""The parts that simulated processes run on: event loop, network, files and disk."""
+"""The environment of simulated processes: event loop, network, file system and disk."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class _TwoHosts:
-    """Two hosts with a process each."""
+    """Two hosts with one process each."""
 
     def __init__(self, seed: int = 1, rate: float = 1.0) -> None:
         self.loop = SimulatedEventLoop()  # type: ignore[abstract]
@@ -84,7 +84,7 @@
     assert len(hosts.log) == 3
 
 
-def test_a_frozen_process_goes_on_where_it_was() -> None:
+def test_a_frozen_process_resumes_where_it_was() -> None:
     hosts = _TwoHosts()
 
     async def work() -> None:
@@ -119,7 +119,7 @@
     assert simulated_s == pytest.approx(1.0 / rate)
 
 
-def test_a_loop_without_an_end_is_reported() -> None:
+def test_an_endless_loop_is_reported() -> None:
     hosts = _TwoHosts()
 
     async def spin() -> None:
@@ -131,7 +131,7 @@
         hosts.loop.run_until(1.0)
 
 
-def test_an_error_that_nobody_handles_ends_the_simulation() -> None:
+def test_an_unhandled_error_ends_the_simulation() -> None:
     hosts = _TwoHosts()
     hosts.loop.after(0.5, lambda: 1 // 0)
     with pytest.raises(ProcessFailure, match="ZeroDivisionError"):
@@ -150,7 +150,7 @@
     assert len(hosts.log) == 100
 
 
-def test_a_blocked_link_holds_data_up_until_the_sender_gives_up() -> None:
+def test_a_blocked_link_queues_data_until_the_sender_times_out() -> None:
     for blocked_s, arrives in ((0.5, True), (3.0, False)):
         hosts = _TwoHosts()
         hosts.start(hosts.server, hosts.serve())
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_killed_process_closes_its_connections_and_a_dark_host_says_nothing(seed: int) -> None:
+def test_a_killed_process_closes_its_connections_but_a_power_loss_sends_nothing(seed: int) -> None:
     hosts = _TwoHosts(seed)
     hosts.start(hosts.server, hosts.serve())
     hosts.start(hosts.client, hosts.send(1))
@@ -185,7 +185,7 @@
 
 
 @pytest.mark.parametrize(("powered", "error"), [(True, ConnectionRefusedError), (False, TimeoutError)])
-def test_nobody_listens(powered: bool, error: type[Exception]) -> None:
+def test_connect_without_a_listener_fails(powered: bool, error: type[Exception]) -> None:
     hosts = _TwoHosts()
     if not powered:
         hosts.end(hosts.server, power_lost=True)
@@ -232,7 +232,7 @@
     files.close(file)
 
 
-def test_what_is_synced_outlives_a_loss_of_power_and_the_rest_is_kept_lost_or_torn_by_itself() -> None:
+def test_power_loss_keeps_synced_data_and_keeps_drops_or_tears_each_other_write() -> None:
     seen: set[bytes | None] = set()
     for seed in range(300):
         files = SimulatedFiles(random.Random(seed))
@@ -249,7 +249,7 @@
     assert any(rest and rest.startswith(b"AA") and len(rest) < 4 for rest in seen)
 
 
-def test_names_last_by_the_sync_of_their_folder_each_by_itself() -> None:
+def test_power_loss_keeps_or_drops_each_unsynced_directory_entry() -> None:
     found = set()
     for seed in range(60):
         files = SimulatedFiles(random.Random(seed))
@@ -270,8 +270,8 @@
     assert files.read(FILE) == b"x"
 
 
-def _disk_after(seed: int, crash: Callable[[SimulatedDisk], None]) -> bytes | None:
-    """The file after three writes in one call that a crash interrupts."""
+def _content_after_crash(seed: int, crash: Callable[[SimulatedDisk], None]) -> bytes | None:
+    """Return the file's content after a crash during a call with three writes."""
     loop = SimulatedEventLoop()  # type: ignore[abstract]
     disk = SimulatedDisk(loop, random.Random(seed))
     disk.files.sync_directory(FILE.parent)
@@ -287,14 +287,14 @@
     return disk.files.read(FILE)
 
 
-def test_a_crash_in_the_middle_of_a_call_leaves_a_part_of_it() -> None:
-    killed = {_disk_after(seed, lambda disk: disk.crash(power_lost=False)) for seed in range(60)}
+def test_a_crash_during_a_call_leaves_a_prefix_of_it() -> None:
+    killed = {_content_after_crash(seed, lambda disk: disk.crash(power_lost=False)) for seed in range(60)}
     assert {None, b"", b"0", b"01", b"012"} >= killed
     assert len(killed) >= 4
-    assert _disk_after(1, lambda _: None) == b"012"
+    assert _content_after_crash(1, lambda _: None) == b"012"
 
 
-def test_a_stalled_disk_finishes_nothing_until_it_goes_on() -> None:
+def test_a_stalled_disk_finishes_no_call_until_it_resumes() -> None:
     loop = SimulatedEventLoop()  # type: ignore[abstract]
     disk = SimulatedDisk(loop, random.Random(1))
     process = SimulatedProcess("p", "h", SteadyClock())
--- a/tests/test_simulated_processes.py
+++ b/tests/test_simulated_processes.py
@@ -1,4 +1,4 @@
-"""Whole processes of the control side under faults in virtual time, and each checker with a planted bug."""
+"""Whole processes under faults in virtual time, and each checker with an injected bug."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 from lab.simulation.files import SimulatedFiles
 from lab.simulation.world import run_seed, simulate
 
-SEEDS = int(os.environ.get("SIMULATION_SEEDS", "25"))  # `dunlinloft world` plays thousands
+SEEDS = int(os.environ.get("SIMULATION_SEEDS", "25"))  # `dunlinloft world` runs thousands
 
 BugInjection = Callable[[pytest.MonkeyPatch], None]
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_no_random_schedule_of_faults_breaks_a_rule(seed: int) -> None:
+def test_random_fault_schedule_violates_no_invariant(seed: int) -> None:
     summary = simulate(seed)
     assert summary.acknowledged > 0
     assert summary.served > 0
@@ -45,49 +45,49 @@
     assert simulate(7) == simulate(7)
 
 
-# One seed each that broke a rule once.
+# Regression tests: seeds that violated an invariant.
 
 
 def test_a_change_that_was_rejected_too_early_is_not_taken_by_the_next_head() -> None:
-    """The head's process alone remembered it; seeds 19 and 51 of the first schedules."""
-    behind = Fault(5_817.012458479109, FaultKind.BEHIND, 526.719346794428, 13_074)
-    assert simulate(19, (behind,)).acknowledged > 0
+    """Only the head's process stored the rejection (seeds 19 and 51 of the first schedules)."""
+    behind_fault = Fault(5_817.012458479109, FaultKind.BEHIND, 526.719346794428, 13_074)
+    assert simulate(19, (behind_fault,)).acknowledged > 0
 
 
-# Planted bugs, without and with faults.
+# Injected bugs, without and with faults.
 
 
 def _replace_attribute(owner: Any, name: str, value: Any) -> BugInjection:
     return lambda monkeypatch: monkeypatch.setattr(owner, name, value)
 
 
-def _no_node_is_sent_changes(monkeypatch: pytest.MonkeyPatch) -> None:
+def _suppress_publishing(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(NodePublisher, "_publish_current", lambda _: None)
 
 
-def _draining_is_not_passed_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def _drop_draining_state(monkeypatch: pytest.MonkeyPatch) -> None:
     real = ServerRegistry.on_heartbeat
 
-    def forgetful(self: ServerRegistry, record: Any, now_ms: float, relayed: bool = False) -> None:
+    def as_ready(self: ServerRegistry, record: Any, now_ms: float, relayed: bool = False) -> None:
         real(self, msgspec.structs.replace(record, state="ready"), now_ms, relayed)
 
-    monkeypatch.setattr(ServerRegistry, "on_heartbeat", forgetful)
+    monkeypatch.setattr(ServerRegistry, "on_heartbeat", as_ready)
 
 
-def _nobody_owns_a_quota(monkeypatch: pytest.MonkeyPatch) -> None:
+def _deny_quota_ownership(monkeypatch: pytest.MonkeyPatch) -> None:
     def refuse(_: QuotaService, __: str, message: QuotaRequest) -> QuotaGrant:
         return QuotaGrant(message.request_id, message.tenant, 0.0, 0.0, 0.0, 0.0, False)
 
     monkeypatch.setattr(QuotaService, "grant", refuse)
 
 
-def _no_placement_is_given(monkeypatch: pytest.MonkeyPatch) -> None:
+def _withhold_placements(monkeypatch: pytest.MonkeyPatch) -> None:
     real = PlacementService.choose_server
 
-    def silent(self: PlacementService, number: int, message: Any) -> Any:
+    def without_server(self: PlacementService, number: int, message: Any) -> Any:
         return msgspec.structs.replace(real(self, number, message), server_id="")
 
-    monkeypatch.setattr(PlacementService, "choose_server", silent)
+    monkeypatch.setattr(PlacementService, "choose_server", without_server)
 
 
 async def _refuse(*_: Any) -> bool:
@@ -95,7 +95,7 @@
 
 
 async def _fail(_: PeriodicLoops) -> None:
-    raise RuntimeError("planted")
+    raise RuntimeError("injected failure")
 
 
 def _commit_at_once(chain: ChainReplica) -> None:
@@ -103,11 +103,11 @@
 
 
 INJECTED_BUGS: dict[str, tuple[BugInjection, str]] = {
-    "no node is sent changes": (_no_node_is_sent_changes, "serves by version"),
-    "draining is not passed on": (_draining_is_not_passed_on, "after its drain was acknowledged"),
+    "no node is sent changes": (_suppress_publishing, "serves by version"),
+    "draining is not passed on": (_drop_draining_state, "after its drain was acknowledged"),
     "a server expires between two heartbeats": (
         _replace_attribute(server_registry, "EXPIRY_INTERVALS", 0.5),
-        "which beats",
+        "which sends heartbeats",
     ),
     "a deregistration is ignored": (
         _replace_attribute(ServerRegistry, "on_deregistration", lambda *_, **__: None),
@@ -115,14 +115,14 @@
     ),
     "a server never expires": (
         _replace_attribute(ServerRegistry, "expire", lambda *_: None),
-        "stopped beating",
+        "whose heartbeats stopped",
     ),
     "heartbeats are not acknowledged": (
         _replace_attribute(ServerRegistrar, "heartbeat", _refuse),
         "no heartbeat of",
     ),
-    "nobody owns a quota": (_nobody_owns_a_quota, "is granted no quota by an owner"),
-    "no placement is given": (_no_placement_is_given, "gets no placement from an owner"),
+    "nobody owns a quota": (_deny_quota_ownership, "is granted no quota by an owner"),
+    "no placement is given": (_withhold_placements, "gets no placement from an owner"),
     "completed requests stay in flight": (
         _replace_attribute(PlacementService, "on_completed", lambda *_: None),
         "requests that are not in flight",
@@ -139,7 +139,7 @@
 
 
 def _violation(seeds: range, schedule: tuple[Fault, ...] | None = ()) -> str:
-    """The first violation that one of these seeds shows."""
+    """Return the message of the first violation among these seeds, or an empty string."""
     for seed in seeds:
         try:
             simulate(seed, schedule)
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("name", INJECTED_BUGS)
-def test_a_planted_bug_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_injected_bug_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     inject_bug, message = INJECTED_BUGS[name]
     inject_bug(monkeypatch)
     assert message in _violation(range(12))
@@ -181,27 +181,27 @@
 
 
 def test_a_violation_is_reported_with_the_shortest_schedule(monkeypatch: pytest.MonkeyPatch) -> None:
-    _no_node_is_sent_changes(monkeypatch)
+    _suppress_publishing(monkeypatch)
     result = run_seed(2)
     assert "serves by version" in result.violation
     assert result.schedule == ()
     assert result.summary is None
 
 
-# A newcomer whose seeds are all gone.
+# A new machine whose seeds no longer exist.
 
 
-@pytest.mark.parametrize("reads_again", [True, False])
-def test_a_newcomer_finds_the_others_once_its_settings_name_them(
-    reads_again: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("reloads_settings", [True, False])
+def test_a_new_machine_joins_only_after_reloading_its_seeds(
+    reloads_settings: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    if not reads_again:
+    if not reloads_settings:
         monkeypatch.setattr(LiveSettings, "reload", lambda _: None)
     joined: list[bool] = []
     real = SimulatedCluster.run
 
     def run(self: SimulatedCluster, for_ms: float) -> None:
-        """Before the run proper: a newcomer with stale seeds, whose settings are mended 2 s later."""
+        """Before the first run, add a machine with stale seeds, and correct its settings 1.5 s later."""
         if not joined:
             joined.append(False)
             real(self, 1_000.0)
@@ -210,19 +210,19 @@
             self.add("10.0.1.9:7000")
             self.configured_seeds = seeds
             real(self, 1_500.0)
-            newcomer = self.machines["10.0.1.9:7000"]
-            assert newcomer.replica is not None
-            assert newcomer.replica.view is None
+            new_machine = self.machines["10.0.1.9:7000"]
+            assert new_machine.replica is not None
+            assert new_machine.replica.view is None
             self.update_seeds()
             real(self, 3_500.0)
-            joined[0] = newcomer.replica is not None and newcomer.replica.view is not None
+            joined[0] = new_machine.replica is not None and new_machine.replica.view is not None
         real(self, for_ms)
 
     monkeypatch.setattr(SimulatedCluster, "run", run)
-    if reads_again:
+    if reloads_settings:
         simulate(0, ())
     else:
         with pytest.raises(InvariantViolation, match="answer no read"):
             simulate(0, ())
-    assert joined == [reads_again]
+    assert joined == [reloads_settings]
     assert deployment_of(0).control_machines == 3
--- a/tests/test_versions_side_by_side.py
+++ b/tests/test_versions_side_by_side.py
@@ -1,8 +1,9 @@
-"""Two versions of the fleet's programs run side by side, as they do while a fleet is upgraded.
+"""Two versions of the programs run side by side in one fleet, as during a rolling upgrade.
 
-`fixtures/version-35b32c1.tar.xz` holds the sources of the programs as they were at that commit. Processes of
-that version and of this one form one fleet on loopback: replicas of both in one chain, nodes of both on their
-streams. Whatever one of them can't read is logged as `event=refused_line` or ends a stream.
+`fixtures/version-35b32c1.tar.xz` holds the sources of the programs at that commit. Processes of that version
+and of the current one form a fleet on loopback: replicas of both versions in one chain, and nodes of both
+subscribed to them. A message that one version can't decode is logged as `event=refused_line`, or ends a
+stream.
 """
 
 from __future__ import annotations
@@ -30,15 +31,15 @@
 TOKEN_USAGE = "420,16"
 RATE_PER_S = 500.0
 REQUESTS = 20
-REFUSED = (429, 503)  # nothing was executed; clients try again
+REFUSED = (429, 503)  # not executed; clients retry
 WAIT_S = 15.0
 WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
-_networks = itertools.count(214 + 3 * (WORKER % 12))  # each worker has loopback networks of its own
+_networks = itertools.count(214 + 3 * (WORKER % 12))  # each worker has its own loopback networks
 
 
 @pytest.fixture(scope="module")
 def earlier(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The tree of the earlier version."""
+    """Extract the source tree of the earlier version."""
     tree = tmp_path_factory.mktemp("earlier")
     with tarfile.open(EARLIER) as archive:
         archive.extractall(tree, filter="data")
@@ -48,7 +49,7 @@
 
 @pytest.fixture
 def session_loop() -> Iterator[asyncio.Runner]:
-    """An event loop for one test."""
+    """Return an event loop for one test."""
     with asyncio.Runner() as runner:
         yield runner
 
@@ -67,8 +68,8 @@
     }
 
 
-class Upgrade:
-    """A fleet of two versions, its servers and its client."""
+class MixedFleet:
+    """A fleet of two versions, with its servers and a client."""
 
     def __init__(self, fleet: RouterFleet, session: aiohttp.ClientSession) -> None:
         self.fleet = fleet
@@ -76,8 +77,8 @@
         self.servers = [ModelServer(f"127.{fleet.network}.2.{n}", "pool") for n in (1, 2)]
         self._ids = itertools.count(1)
 
-    async def status_of(self, path: str, node: int) -> int:
-        """The status of one request at a node."""
+    async def request_status(self, path: str, node: int) -> int:
+        """Send a request to a node; return the HTTP status."""
         headers = {
             "Host": HOST, "X-Attempt-Id": f"try-{next(self._ids)}", "X-Deadline-Ms": "2000", "Api-Key": KEY,
             "X-Prompt-Prefix": PROMPT_PARTS, "X-Token-Usage": TOKEN_USAGE,
@@ -87,24 +88,24 @@
             await answer.read()
             return answer.status
 
-    async def all_nodes_serve(self) -> None:
-        """Requests are answered at each node; one that is refused is sent again, as clients do.
+    async def wait_until_all_nodes_serve(self) -> None:
+        """Check that each node serves requests; refused ones are retried, as clients do.
 
-        A node may refuse for a moment after a change of the quota's owner or of its only known server.
+        A node may refuse briefly after a change of the quota's owner or of its only known server.
         """
         async with asyncio.timeout(WAIT_S):
             for node in range(self.fleet.nodes):
                 served = 0
                 while served < REQUESTS:
-                    status = await self.status_of("/safe/a", node)
+                    status = await self.request_status("/safe/a", node)
                     assert status in (200, *REFUSED)
                     served += status == 200
 
-    async def all_nodes_route(self, prefix: str) -> None:
-        """A route that was added comes into force at each node."""
+    async def wait_until_all_nodes_route(self, prefix: str) -> None:
+        """Wait until an added route is active at each node."""
         async with asyncio.timeout(WAIT_S):
             for node in range(self.fleet.nodes):
-                while await self.status_of(f"{prefix}a", node) != 200:
+                while await self.request_status(f"{prefix}a", node) != 200:
                     await asyncio.sleep(0.02)
 
     async def add_route(self, version: int, prefix: str) -> None:
@@ -113,15 +114,15 @@
         change = {"version": version, "upsert": {"routes": [route]}}
         assert await self.fleet.put(self.session, change, version - 1, "update") == 200
 
-    async def drains(self, server: ModelServer) -> None:
-        """A server that drains gets nothing more from any node."""
+    async def check_drained(self, server: ModelServer) -> None:
+        """Drain a server; wait until it gets no more requests from any node."""
         server.behaviour.draining = True
         for node in range(self.fleet.nodes):
             unused = 0
             async with asyncio.timeout(WAIT_S):
                 while unused < REQUESTS:
                     before = sum(server.received.executed.values())
-                    status = await self.status_of("/safe/a", node)
+                    status = await self.request_status("/safe/a", node)
                     assert status in (200, *REFUSED)
                     if status != 200:
                         continue
@@ -129,7 +130,7 @@
 
 
 def _unreadable_messages(fleet: RouterFleet) -> list[str]:
-    """The log lines of messages that one version could not read, and of faults."""
+    """Return the log lines on messages that one version could not decode, and on failures."""
     markers = (
         "event=refused_line",
         "event=loop_failed",
@@ -156,30 +157,30 @@
     sources = dict.fromkeys(earlier_processes, earlier)
     fleet = RouterFleet(tmp_path, next(_networks), sources=sources)
 
-    async def play() -> None:
+    async def run_upgrade() -> None:
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(fleet.stop)
             session = await stack.enter_async_context(aiohttp.ClientSession())
-            upgrade = Upgrade(fleet, session)
+            mixed_fleet = MixedFleet(fleet, session)
             fleet.start()
-            for server in upgrade.servers:
+            for server in mixed_fleet.servers:
                 stack.push_async_callback(server.stop)
                 await server.start(fleet.control_addresses())
             assert await fleet.put(session, _configuration(1), 0) == 200
             await fleet.wait_ready(session)
-            await upgrade.all_nodes_serve()
-            await upgrade.add_route(2, "/second/")
-            await upgrade.all_nodes_route("/second/")
-            # Each replica in turn goes on with the other version's disk: an upgrade, or a rollback.
+            await mixed_fleet.wait_until_all_nodes_serve()
+            await mixed_fleet.add_route(2, "/second/")
+            await mixed_fleet.wait_until_all_nodes_route("/second/")
+            # Restarts each replica with the other version on the same disk: an upgrade, or a rollback.
             for version, process in enumerate(fleet.control, 3):
                 process.end()
                 process.source = earlier if process.source != earlier else Path(__file__).parent.parent
                 process.start()
-                await upgrade.add_route(version, f"/version-{version}/")
-                await upgrade.all_nodes_route(f"/version-{version}/")
-            await upgrade.all_nodes_serve()
-            await upgrade.drains(upgrade.servers[0])
+                await mixed_fleet.add_route(version, f"/version-{version}/")
+                await mixed_fleet.wait_until_all_nodes_route(f"/version-{version}/")
+            await mixed_fleet.wait_until_all_nodes_serve()
+            await mixed_fleet.check_drained(mixed_fleet.servers[0])
             assert (await fleet.read_configuration(session))["version"] == 5
 
-    session_loop.run(play())
+    session_loop.run(run_upgrade())
     assert _unreadable_messages(fleet) == []
