--- a/lab/simulation/calm.py
+++ b/lab/simulation/calm.py
@@ -1,7 +1,7 @@
 """Tracks which hosts are in contact: neither they nor the core of the control plane were disturbed recently.
 
-The core consists of the control machines that hold state. Invariants with a time bound hold only for hosts
-that have been in contact for the contact window. Times are in seconds.
+The core consists of the control machines that hold state. Invariants with a time bound apply only to hosts
+in contact, which have been undisturbed for the contact window. Times are in seconds.
 """
 
 from __future__ import annotations
