--- a/dunlinloft/cli/handlers/exploration.py
+++ b/dunlinloft/cli/handlers/exploration.py
@@ -12,7 +12,7 @@
 from lab.explore.duties import Duties
 from lab.explore.ledger import LedgerSystem
 from lab.explore.membership import MembershipSystem
-from lab.explore.search import Found, Move, System, exhaust_with, replay, shorten, wander
+from lab.explore.search import Found, Move, System, exhaustive_search_with, random_walk, replay, shorten
 from lab.explore.voters import VotersSystem
 
 # Bounds are small enough for exhaustive search.
@@ -37,7 +37,7 @@
 ) -> ExitCode:
     """Explore all event orders up to a depth, then walk at random; fails if a property is violated."""
     for system in EXHAUSTIVE_SYSTEMS[name]:
-        found = exhaust_with(system, depth, states, jobs)
+        found = exhaustive_search_with(system, depth, states, jobs)
         if found.broken:
             return _report_violation(system, found, trace_file)
         bounds = ", ".join(f"{key.strip('_')} {value}" for key, value in _bounds(system).items())
@@ -47,7 +47,7 @@
         )
     if not moves:
         return ExitCode.SUCCESS
-    found = wander(RANDOM_WALK_SYSTEMS[name], seed, RANDOM_WALK_STEPS, moves)
+    found = random_walk(RANDOM_WALK_SYSTEMS[name], seed, RANDOM_WALK_STEPS, moves)
     if found.broken:
         return _report_violation(RANDOM_WALK_SYSTEMS[name], found, trace_file)
     stdout.print(
--- a/lab/behaviour_runs.py
+++ b/lab/behaviour_runs.py
@@ -16,7 +16,7 @@
 from lab.explore.duties import Duties as DutiesSystem
 from lab.explore.ledger import LedgerSystem
 from lab.explore.membership import MembershipSystem
-from lab.explore.search import System, exhaust, wander
+from lab.explore.search import System, exhaustive_search, random_walk
 from lab.explore.voters import VotersSystem
 from lab.observation import Recorder
 from lab.scenario import load
@@ -111,7 +111,7 @@
             case 3:
                 ill = fleet.split(fleet.names[:5], fleet.names[5:], one_way=rng.random() < 0.3)
                 fleet.run(rng.uniform(500.0, 6_000.0))
-                fleet.lines.recover(ill)
+                fleet.lines.remove_fault(ill)
             case 4:
                 fleet.lose(0.05, duplicate=0.02, reorder=0.02, jitter_ms=5.0)
             case 5 if process is not None and process.alive and not process.stopped:
@@ -209,9 +209,9 @@
 def play_explorer(name: str, recorder: Recorder) -> None:
     """How many states, moves and levels a bounded search and a walk find: states' marks hold names."""
     searched, walked = EXPLORED[name]
-    found, left = exhaust(searched(), depth=40, most=EXHAUSTED_STATES)
+    found, left = exhaustive_search(searched(), depth=40, most=EXHAUSTED_STATES)
     recorder.add(found.states, found.moves, found.depth, found.whole, len(left))
-    found = wander(walked(), 1, WALK_STEPS, WALKED_MOVES)
+    found = random_walk(walked(), 1, WALK_STEPS, WALKED_MOVES)
     recorder.add(found.states, found.moves, found.depth, bool(found.broken))
 
 
--- a/lab/capacity/peaks.py
+++ b/lab/capacity/peaks.py
@@ -72,7 +72,7 @@
     names = list(fleet.names)
     ill = fleet.split(names[: members // sizes.REGIONS], names[members // sizes.REGIONS :])
     fleet.run(CUT_MS)
-    fleet.lines.recover(ill)
+    fleet.lines.remove_fault(ill)
     watched = Watched(fleet)
     return {"agreed": watched.until(fleet.agreed), "peak": watched.peak}
 
--- a/lab/cells.py
+++ b/lab/cells.py
@@ -25,7 +25,7 @@
 from dunlinloft.fleet.membership.core import Membership
 from lab.fit import line
 from lab.virtual.askers import Askers
-from lab.virtual.cell_oracle import amiss, cells
+from lab.virtual.cell_oracle import cell_problems, cells
 from lab.virtual.cell_processes import Hosted, Member
 from lab.virtual.cells import CellFleet
 from lab.virtual.meeting import Meeting
@@ -128,7 +128,7 @@
 def _well(fleet: CellFleet, flat: bool) -> bool:
     if flat:
         return all(process.core.alive_count() == len(fleet.names) for process in fleet.members())
-    return not amiss(fleet)
+    return not cell_problems(fleet)
 
 
 def _quiet(core: type[Membership], size: int, seed: int) -> dict[str, list[float]]:
--- a/lab/day.py
+++ b/lab/day.py
@@ -21,7 +21,7 @@
 Step = Callable[[float], None]  # hears how much of the day is over, from 0 to 1
 
 
-class Witness:
+class DayObserver:
     """All that look on: oracle, figures, the digest of what happened, and a log where one is wanted."""
 
     def __init__(self, plan: Plan, log: IO[bytes] | None = None) -> None:
@@ -56,7 +56,7 @@
 
 
 @contextlib.contextmanager
-def rare_collections() -> Iterator[None]:
+def infrequent_gc() -> Iterator[None]:
     """Look for circles of garbage seldom: a day makes few, and hundreds of nodes are much to look through."""
     before = gc.get_threshold()
     gc.collect()
@@ -79,8 +79,8 @@
     """One seed in virtual time."""
     began = time.perf_counter()
     plan = Plan(scenario, seed)
-    witness = Witness(plan, log)
+    witness = DayObserver(plan, log)
     world = host(plan, [witness.see])
-    with rare_collections():
+    with infrequent_gc():
         world.run(step)
     return witness.result(plan, world.now(), time.perf_counter() - began)
--- a/lab/explore/search.py
+++ b/lab/explore/search.py
@@ -77,7 +77,7 @@
     return moves[::-1]
 
 
-def exhaust(
+def exhaustive_search(
     system: System,
     depth: int,
     most: int = 10**9,
@@ -125,13 +125,13 @@
 
 
 def _work(system: System, depth: int, most: int, start: list[Node], begin: int) -> Found:
-    return exhaust(system, depth, most, start=start, begin=begin)[0]
+    return exhaustive_search(system, depth, most, start=start, begin=begin)[0]
 
 
-def exhaust_with(system: System, depth: int, most: int, jobs: int) -> Found:
+def exhaustive_search_with(system: System, depth: int, most: int, jobs: int) -> Found:
     """The same by several processes, each with a part of the states; states are counted once."""
     began = time.perf_counter()
-    found, left = exhaust(system, depth, most, stop_at=SPREAD * jobs if jobs > 1 else 0)
+    found, left = exhaustive_search(system, depth, most, stop_at=SPREAD * jobs if jobs > 1 else 0)
     if found.broken or not left or found.depth >= depth or jobs <= 1:
         return found
     parts = [list(left)[n::jobs] for n in range(jobs)]
@@ -149,7 +149,7 @@
     return _end(whole, began)
 
 
-def wander(system: System, seed: int, steps: int, most: int) -> Found:
+def random_walk(system: System, seed: int, steps: int, most: int) -> Found:
     """Walk at random until so many moves are made, back to the start after so many steps.
 
     Of a few moves at each state it takes the first that leads where it has not been. Mostly those that
--- a/lab/lines.py
+++ b/lab/lines.py
@@ -1,6 +1,6 @@
 """Links between machines, each direction by itself, with what is wrong with them.
 
-A `Line` says what becomes of a datagram or of a piece of a stream. On a stream nothing is lost for good:
+A `DirectedLink` says what becomes of a datagram or of a piece of a stream. On a stream nothing is lost for good:
 a loss shows as the wait for its repetition, and a cut holds everything back until it is over, as TCP does.
 """
 
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Ill:
+class LinkFault:
     """What is wrong with some links; several add up. The figures are those of the scenario's `Link`."""
 
     pairs: frozenset[tuple[str, str]]
@@ -36,7 +36,7 @@
     datagrams_only: bool = False  # streams pass as ever
 
 
-class Line:
+class DirectedLink:
     """One direction between two machines."""
 
     __slots__ = (
@@ -48,9 +48,9 @@
         self.base_ms, self._jitter, self._clock, self._random = base_ms, jitter, clock, random.Random(seed)
         self._free_ms = 0.0
         self._held: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self.ail([])
+        self.apply_faults([])
 
-    def ail(self, ills: list[Ill]) -> None:
+    def apply_faults(self, ills: list[LinkFault]) -> None:
         """Suffer from these, and from nothing else, from now on."""
         self.loss = 1.0 - math.prod(1.0 - ill.loss * (not ill.cut) - ill.cut for ill in ills)
         ills = [ill for ill in ills if not ill.datagrams_only]
@@ -111,7 +111,7 @@
         self._clock.after(self.stream_ms(size), do, *args)
 
 
-class Lines:
+class Links:
     """All links; made when they are first used."""
 
     def __init__(
@@ -119,19 +119,19 @@
     ) -> None:
         self._names, self._same, self._cross = names, same_ms, cross_ms
         self._jitter, self._clock, self._seed = jitter, clock, seed
-        self._lines: dict[tuple[str, str], Line] = {}
-        self._ills: list[Ill] = []
+        self._lines: dict[tuple[str, str], DirectedLink] = {}
+        self._ills: list[LinkFault] = []
         self.on_change: Callable[[], None] = lambda: None
 
-    def between(self, source: str, target: str) -> Line:
+    def between(self, source: str, target: str) -> DirectedLink:
         """The line from one machine to another; a server and its node are one machine."""
         line = self._lines.get((source, target))
         if line is None:
             near = CALLERS in (source, target) or self._names.zone(source) == self._names.zone(target)
             base = 0.5 * (self._same if near else self._cross)
-            line = Line(base, self._jitter, self._clock, f"{self._seed}{source}>{target}")
+            line = DirectedLink(base, self._jitter, self._clock, f"{self._seed}{source}>{target}")
             self._lines[source, target] = line
-            line.ail(self._for(source, target))
+            line.apply_faults(self._for(source, target))
         return line
 
     def rtt_ms(self, a: str, b: str) -> float:
@@ -139,25 +139,25 @@
         there, back = self.between(a, b), self.between(b, a)
         return there.base_ms + there.delay_ms + back.base_ms + back.delay_ms
 
-    def _for(self, source: str, target: str) -> list[Ill]:
+    def _for(self, source: str, target: str) -> list[LinkFault]:
         pair = machine(source), machine(target)
         return [ill for ill in self._ills if pair in ill.pairs]
 
-    def fall_ill(self, ill: Ill) -> None:
+    def add_fault(self, ill: LinkFault) -> None:
         """Have links suffer from something more."""
         self._ills.append(ill)
         self._renew(ill)
 
-    def recover(self, ill: Ill) -> None:
+    def remove_fault(self, ill: LinkFault) -> None:
         """End that."""
         if ill in self._ills:
             self._ills = [other for other in self._ills if other is not ill]
             self._renew(ill)
 
-    def _renew(self, ill: Ill) -> None:
+    def _renew(self, ill: LinkFault) -> None:
         for (source, target), line in self._lines.items():
             if (machine(source), machine(target)) in ill.pairs:
-                line.ail(self._for(source, target))
+                line.apply_faults(self._for(source, target))
         self.on_change()
 
 
--- a/lab/members.py
+++ b/lab/members.py
@@ -93,7 +93,7 @@
     fleet.run(30_000.0)
     fleet.start(names[-1])
     fleet.run(10_000.0)
-    fleet.lines.recover(ill)
+    fleet.lines.remove_fault(ill)
     return {"agreed_s": [fleet.run(LIMIT_MS, fleet.agreed) / 1000.0]}
 
 
--- a/lab/processes/day.py
+++ b/lab/processes/day.py
@@ -14,7 +14,7 @@
 
 import uvloop
 
-from lab.day import Step, Witness, rare_collections
+from lab.day import DayObserver, Step, infrequent_gc
 from lab.plan import Plan
 from lab.processes.host import ProcessHost
 from lab.results import Result
@@ -44,10 +44,10 @@
     began = time.perf_counter()
     _raise_limit()
     plan = Plan(scenario, seed)
-    witness = Witness(plan, log)
+    witness = DayObserver(plan, log)
     folder = Path(tempfile.mkdtemp(prefix="dunlinloft-lab-"))
     try:
-        with rare_collections():
+        with infrequent_gc():
             at = uvloop.run(_day(plan, witness, step, folder, logs))
     finally:
         shutil.rmtree(folder, ignore_errors=True)
@@ -56,7 +56,7 @@
     return result
 
 
-async def _day(plan: Plan, witness: Witness, step: Step, folder: Path, logs: Path | None) -> float:
+async def _day(plan: Plan, witness: DayObserver, step: Step, folder: Path, logs: Path | None) -> float:
     loop = asyncio.get_running_loop()
     task = asyncio.current_task()
     assert task is not None
--- a/lab/processes/pipe.py
+++ b/lab/processes/pipe.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from lab.lines import Line
+from lab.lines import DirectedLink
 
 
 class Pipe:
@@ -13,7 +13,7 @@
 
     __slots__ = ("_deliver", "_line", "_waiting")
 
-    def __init__(self, line: Line, deliver: Callable[[bytes | None], None]) -> None:
+    def __init__(self, line: DirectedLink, deliver: Callable[[bytes | None], None]) -> None:
         self._line, self._deliver = line, deliver
         self._waiting: deque[bytes | None] = deque()
 
--- a/lab/processes/relay.py
+++ b/lab/processes/relay.py
@@ -11,7 +11,7 @@
 from functools import partial
 from typing import cast
 
-from lab.lines import Lines
+from lab.lines import Links
 from lab.processes.block import Address, Block
 from lab.processes.gates import OPEN, SHUT, Gate
 from lab.processes.pipe import Pipe
@@ -99,7 +99,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Clock,
-        lines: Lines,
+        lines: Links,
         block: Block,
         places: dict[str, int],
     ) -> None:
--- a/lab/processes/standin.py
+++ b/lab/processes/standin.py
@@ -11,7 +11,7 @@
 
 from lab import records
 from lab.callers import Order
-from lab.lines import Line
+from lab.lines import DirectedLink
 from lab.processes.pipe import Pipe
 from lab.servers import Job, Server
 
@@ -45,7 +45,9 @@
 class Connection(asyncio.Protocol):
     """One connection from a node to a server."""
 
-    def __init__(self, host: ProcessHost, node: str, server: Server, there: Line, back: Line) -> None:
+    def __init__(
+        self, host: ProcessHost, node: str, server: Server, there: DirectedLink, back: DirectedLink
+    ) -> None:
         self._host, self._node, self._server = host, node, server
         self._in, self._out = Pipe(there, self._came), Pipe(back, self._goes)
         self._transport: asyncio.Transport | None = None
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from dunlinloft.node import VERSION
-from lab.day import rare_collections
+from lab.day import infrequent_gc
 from lab.processes.block import NoBlock
 from lab.scale import talk
 from lab.scale.limits import Refused, check, claim, duration_s, virtual_s
@@ -32,7 +32,7 @@
     machine = Machine.here()
     check(plan, machine)
     say(f"about {duration_s(plan) / 60.0:.1f} minutes")
-    with claim(), rare_collections():
+    with claim(), infrequent_gc():
         return uvloop.run(_interruptible(plan, machine, say, keep))
 
 
--- a/lab/scale/virtual.py
+++ b/lab/scale/virtual.py
@@ -18,7 +18,7 @@
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import State
-from lab.day import rare_collections
+from lab.day import infrequent_gc
 from lab.scale import talk
 from lab.virtual.fleet import Fleet
 
@@ -105,7 +105,7 @@
 
 async def _answer(command: talk.Command) -> talk.Answer:
     assert isinstance(command, talk.Simulate)
-    with rare_collections():
+    with infrequent_gc():
         return simulate(command)
 
 
--- a/lab/virtual/cell_meeting.py
+++ b/lab/virtual/cell_meeting.py
@@ -16,7 +16,7 @@
 from dunlinloft.fleet.messages import ApplicationMessage, State
 from dunlinloft.fleet.shared_state import messages as shared
 from dunlinloft.fleet.wire import MAX_DATAGRAM_BYTES, MessageRejected
-from lab.lines import Ill
+from lab.lines import LinkFault
 from lab.names import Names
 from lab.scenario import Network, Nodes, Scenario
 from lab.virtual.cell_processes import Guide, Member, Paths, read, read_state, written
@@ -155,8 +155,8 @@
 
     # Links
 
-    def split(self, *parts: list[str], one_way: bool = False) -> Ill:
-        """Cut parts off from each other; `lines.recover` ends it."""
+    def split(self, *parts: list[str], one_way: bool = False) -> LinkFault:
+        """Cut parts off from each other; `lines.remove_fault` ends it."""
         sides = [{self.groups[name] for name in part} for part in parts]
         if any(a & b for n, a in enumerate(sides) for b in sides[:n]):
             sides = [self._apart(part, n) for n, part in enumerate(parts)]
@@ -168,8 +168,8 @@
             for a in one
             for b in other
         )
-        ill = Ill(pairs, cut=True)
-        self.lines.fall_ill(ill)
+        ill = LinkFault(pairs, cut=True)
+        self.lines.add_fault(ill)
         return ill
 
     def _apart(self, part: list[str], n: int) -> set[str]:
@@ -180,9 +180,11 @@
             self.zones[group] = zone
         return {self.groups[name] for name in part}
 
-    def lose(self, share: float, duplicate: float = 0.0, reorder: float = 0.0, jitter_ms: float = 0.0) -> Ill:
+    def lose(
+        self, share: float, duplicate: float = 0.0, reorder: float = 0.0, jitter_ms: float = 0.0
+    ) -> LinkFault:
         """All links lose so much, and may do worse."""
         pairs = frozenset((a, b) for a in self.zones for b in self.zones)
-        ill = Ill(pairs, loss=share, jitter_ms=jitter_ms, duplicate=duplicate, reorder=reorder)
-        self.lines.fall_ill(ill)
+        ill = LinkFault(pairs, loss=share, jitter_ms=jitter_ms, duplicate=duplicate, reorder=reorder)
+        self.lines.add_fault(ill)
         return ill
--- a/lab/virtual/cell_oracle.py
+++ b/lab/virtual/cell_oracle.py
@@ -54,7 +54,7 @@
     return found
 
 
-def amiss(fleet: CellFleet, bounded: bool = True) -> str:
+def cell_problems(fleet: CellFleet, bounded: bool = True) -> str:
     """What is not as it must be once all is quiet; "" where nothing is.
 
     Cells of a service in a region are apart and hold whom they must, each member's view is its cell, and
@@ -84,9 +84,11 @@
 
 
 def quiet(fleet: CellFleet, limit_ms: float = 60_000.0, bounded: bool = True) -> float:
-    """Let time pass until nothing is amiss; the time that passed."""
-    took = fleet.run(limit_ms, lambda: not amiss(fleet, bounded), every_ms=250.0)
-    assert not amiss(fleet, bounded), f"seed {fleet.seed} at {fleet.now():.0f} ms: {amiss(fleet, bounded)}"
+    """Runs until `cell_problems` finds nothing; returns the time that passed."""
+    took = fleet.run(limit_ms, lambda: not cell_problems(fleet, bounded), every_ms=250.0)
+    assert not cell_problems(fleet, bounded), (
+        f"seed {fleet.seed} at {fleet.now():.0f} ms: {cell_problems(fleet, bounded)}"
+    )
     return took
 
 
--- a/lab/virtual/cell_processes.py
+++ b/lab/virtual/cell_processes.py
@@ -14,7 +14,7 @@
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import Message, State
 from dunlinloft.fleet.wire import Wire
-from lab.lines import Line, Lines
+from lab.lines import DirectedLink, Links
 from lab.names import Names
 from lab.virtual.fleet import Fleet
 from lab.virtual.meeting import Meeting, Process
@@ -32,14 +32,14 @@
         return self.census.cell()
 
 
-class Paths(Lines):
+class Paths(Links):
     """Links between groups of processes: few, however many processes there are."""
 
     def __init__(self, groups: dict[str, str], names: Names, jitter: float, fleet: Fleet) -> None:
         super().__init__(names, 0.2, 10.0, jitter, fleet, fleet.seed)
         self._groups = groups
 
-    def between(self, source: str, target: str) -> Line:
+    def between(self, source: str, target: str) -> DirectedLink:
         """The line from one process to another, which all of their groups share."""
         return super().between(self._groups[source], self._groups[target])
 
--- a/lab/virtual/fleet.py
+++ b/lab/virtual/fleet.py
@@ -16,7 +16,7 @@
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import MetadataValue
-from lab.lines import Ill, Lines
+from lab.lines import LinkFault, Links
 from lab.names import Names
 from lab.scenario import Network, Nodes, Scenario
 from lab.virtual.meeting import Meeting, Process
@@ -42,7 +42,7 @@
         names = Names(Scenario("fleet", nodes=Nodes(count=size), network=network))
         self.names = list(names.nodes)
         self.zones = names.nodes
-        super().__init__(self.rng, Lines(names, 0.2, 10.0, network.jitter, self, seed))
+        super().__init__(self.rng, Links(names, 0.2, 10.0, network.jitter, self, seed))
         self._core = core
         self._seeds = [f"addr:{name}" for name in self.names[:seeds]]
         self.processes: dict[str, Process] = {}
@@ -173,8 +173,8 @@
                 return False
         return True
 
-    def split(self, *parts: list[str], one_way: bool = False) -> Ill:
-        """Cut parts off from each other; `lines.recover` ends it."""
+    def split(self, *parts: list[str], one_way: bool = False) -> LinkFault:
+        """Cut parts off from each other; `lines.remove_fault` ends it."""
         pairs = {
             (a, b)
             for i, one in enumerate(parts)
@@ -183,13 +183,15 @@
             for a in one
             for b in other
         }
-        ill = Ill(frozenset(pairs), cut=True)
-        self.lines.fall_ill(ill)
+        ill = LinkFault(frozenset(pairs), cut=True)
+        self.lines.add_fault(ill)
         return ill
 
-    def lose(self, share: float, duplicate: float = 0.0, reorder: float = 0.0, jitter_ms: float = 0.0) -> Ill:
+    def lose(
+        self, share: float, duplicate: float = 0.0, reorder: float = 0.0, jitter_ms: float = 0.0
+    ) -> LinkFault:
         """All links lose so much, and may do worse."""
         pairs = frozenset((a, b) for a in self.names for b in self.names if a != b)
-        ill = Ill(pairs, loss=share, jitter_ms=jitter_ms, duplicate=duplicate, reorder=reorder)
-        self.lines.fall_ill(ill)
+        ill = LinkFault(pairs, loss=share, jitter_ms=jitter_ms, duplicate=duplicate, reorder=reorder)
+        self.lines.add_fault(ill)
         return ill
--- a/lab/virtual/meeting.py
+++ b/lab/virtual/meeting.py
@@ -11,7 +11,7 @@
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import ApplicationMessage, Message, State, estimated_size
-from lab.lines import Lines
+from lab.lines import Links
 from lab.servers import Clock
 
 STREAM_LIMIT_MS = 1_500.0  # for an exchange or a probe over a stream
@@ -45,7 +45,7 @@
 class Meeting(Clock):
     """Processes, addresses, and links between them."""
 
-    def __init__(self, rng: random.Random, lines: Lines) -> None:
+    def __init__(self, rng: random.Random, lines: Links) -> None:
         self.rng, self.lines = rng, lines
         self.by_address: dict[str, Process] = {}
         self.bytes, self.datagrams = Counter[str](), Counter[str]()
--- a/lab/world.py
+++ b/lab/world.py
@@ -13,7 +13,7 @@
 
 from lab import records
 from lab.callers import Callers, Done, Front, Order, Orders
-from lab.lines import Ill, Lines
+from lab.lines import LinkFault, Links
 from lab.names import CALLERS
 from lab.plan import Plan
 from lab.records import Sink
@@ -54,7 +54,7 @@
         self.scenario: Scenario = plan.scenario
         self.names = plan.names
         scenario, seed = plan.scenario, plan.seed
-        self.lines = Lines(plan.names, plan.same_ms, plan.cross_ms, scenario.network.jitter, self, seed)
+        self.lines = Links(plan.names, plan.same_ms, plan.cross_ms, scenario.network.jitter, self, seed)
         self.orders = Orders(self)
         self.front = Front(plan.names.nodes, seed)
         self.callers = Callers(plan, self, self, self.front, self.orders, self.tell)
@@ -76,7 +76,7 @@
             self.servers[name.partition("/")[0]].call = self._inner_call(name)
         self._noise = random.Random(f"{seed}noise")
         self._inner = random.Random(f"{seed}inner")
-        self._ills: dict[int, list[Ill]] = {}
+        self._ills: dict[int, list[LinkFault]] = {}
         self.builds: dict[str, Release] = {}  # servers that run a new build
 
     # What a host does
@@ -287,17 +287,17 @@
 
     def _link(self, n: int, fault: Link | Split, on: bool) -> None:
         for ill in self._ills.pop(n, []):
-            self.lines.recover(ill)
+            self.lines.remove_fault(ill)
         if not on:
             return
-        ill = Ill(self._pairs(fault), cut=True)
+        ill = LinkFault(self._pairs(fault), cut=True)
         if isinstance(fault, Link):
-            ill = Ill(
+            ill = LinkFault(
                 self._pairs(fault), fault.loss, fault.delay_ms, fault.jitter_ms, fault.duplicate,
                 fault.reorder, fault.rate_kbps, fault.cut, fault.refuse, fault.datagrams_only,
             )  # fmt: skip
         self._ills[n] = [ill]
-        self.lines.fall_ill(ill)
+        self.lines.add_fault(ill)
 
     def kill(self, name: str, back_s: float = 0.0) -> None:
         """SIGKILL, and a new start under the same name some time later, where one is wanted."""
@@ -344,11 +344,11 @@
         others = set(self.names.nodes) | set(self.names.servers) | {CALLERS}
         key = -1 - list(self.servers).index(server.name)
         for ill in self._ills.pop(key, []):
-            self.lines.recover(ill)
+            self.lines.remove_fault(ill)
         if on:
             pairs = {(server.name, other) for other in others} | {(other, server.name) for other in others}
-            self._ills[key] = [Ill(frozenset(pairs), cut=True)]
-            self.lines.fall_ill(self._ills[key][0])
+            self._ills[key] = [LinkFault(frozenset(pairs), cut=True)]
+            self.lines.add_fault(self._ills[key][0])
             server.reachable = False
             self.after(LOST_NOTICE_MS, self._miss, server)
         else:
--- a/tests/test_cell_random.py
+++ b/tests/test_cell_random.py
@@ -8,7 +8,7 @@
 import pytest
 
 from dunlinloft.fleet import interface as api
-from lab.lines import Ill
+from lab.lines import LinkFault
 from lab.virtual.cell_oracle import Watch, by_service, quiet, sums
 from lab.virtual.cells import CellFleet
 from lab.virtual.meeting import Process
@@ -43,7 +43,7 @@
             directory=self.rng.choice((0, 1, 3, 6)), file=FILE,
         )  # fmt: skip
         self.watch = Watch(self.fleet)
-        self.ills: list[Ill] = []
+        self.ills: list[LinkFault] = []
         self.gone: list[str] = []
         self.was_split = False
 
@@ -118,7 +118,7 @@
 
     def heal(self, living: list[str]) -> None:
         for ill in self.ills:
-            self.fleet.lines.recover(ill)
+            self.fleet.lines.remove_fault(ill)
         self.ills, self.fleet.cut_now = [], False
         self.fleet.excused_ms = self.fleet.now() + AFTER_MS
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -13,7 +13,7 @@
 from dunlinloft.fleet.cells.service_totals import MAX_REPORT_AGE_MS
 from dunlinloft.fleet.member_count import MISSING_MEMBER_GRACE_MS
 from dunlinloft.fleet.membership.core import Membership
-from lab.virtual.cell_oracle import Watch, amiss, cells, parted, quiet, sums, told_right
+from lab.virtual.cell_oracle import Watch, cell_problems, cells, parted, quiet, sums, told_right
 from lab.virtual.cells import CellFleet
 
 HOUR_MS = 3_600_000.0
@@ -103,7 +103,7 @@
     fleet.run(30_000.0)
     assert fleet.cut_of(sides[0][0]).depth == 1
     assert fleet.cut_of(sides[1][0]).depth == 0
-    fleet.lines.recover(ill)
+    fleet.lines.remove_fault(ill)
     quiet(fleet)
     assert fleet.cut_of(sides[1][0]).depth >= 1
     assert fleet.false_deaths == []
@@ -283,7 +283,7 @@
     fleet._exchange(first, second.core.address, first.core.state())
     fleet.run(60_000.0)
     assert [m.name for m in fleet.there(first)] == [second.name]
-    fleet.lines.recover(ill)
+    fleet.lines.remove_fault(ill)
     quiet(fleet, 200_000.0)
     assert fleet.false_deaths == []
 
@@ -295,7 +295,7 @@
     fleet.kill("db-east-0")
     fleet.run(30_000.0)
     assert fleet.refused["foreign"] > 0
-    assert amiss(fleet) == ""
+    assert cell_problems(fleet) == ""
 
 
 # The reporter
@@ -339,10 +339,10 @@
     assert len(cells(fleet)) >= 2
     fleet.kill("web-east-1")
     fleet.run(30 * 60_000.0)
-    assert amiss(fleet) == ""
+    assert cell_problems(fleet) == ""
     fleet.start("web-east-1")
     fleet.run(HOUR_MS - fleet.now())
-    assert amiss(fleet) == ""
+    assert cell_problems(fleet) == ""
     assert {member.census.position()[1] for member in fleet.members()} == {6}
     for guide in fleet.guides:
         fleet.start(guide)
@@ -377,7 +377,7 @@
         fleet.kill(guide)
         fleet.start(guide)
     fleet.run(WARM_UP_MS - 11_000.0)
-    fleet.lines.recover(ill)
+    fleet.lines.remove_fault(ill)
     right(fleet)
     assert watch.most["web"] <= 1.0 + 1e-9
 
@@ -410,7 +410,7 @@
     fleet.run(HOUR_MS)
     assert {member.census.position()[1] for member in fleet.members()} == {5}
     assert all(member.fallback() for member in fleet.members())
-    fleet.lines.recover(ill)
+    fleet.lines.remove_fault(ill)
     right(fleet, 60_000.0)
     assert watch.most["web"] <= 1.0 + 1e-9
     assert fleet.false_deaths == []
@@ -444,7 +444,7 @@
     fleet.kill("web-east-0")
     fleet.run(3.0 * MISSING_MEMBER_GRACE_MS)
     assert {member.census.position()[1] for member in fleet.members()} == {6}  # nothing grows
-    fleet.lines.recover(ill)
+    fleet.lines.remove_fault(ill)
     until(fleet, lambda: not any(m.fallback() for m in fleet.members()), 60_000.0)
     until(fleet, lambda: {m.census.position()[1] for m in fleet.members()} == {5}, 60_000.0)
 
@@ -490,7 +490,7 @@
         fleet.start(fleet.add("web", "east"))
     fleet.run(60_000.0)
     assert fleet.false_deaths == []
-    fleet.lines.recover(ill)
+    fleet.lines.remove_fault(ill)
     for name in fleet.names[::5]:
         fleet.processes[name].starved = False
     quiet(fleet)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -18,7 +18,7 @@
 from lab.explore.duties import Duties
 from lab.explore.ledger import LedgerSystem
 from lab.explore.membership import MembershipSystem
-from lab.explore.search import System, digest, exhaust, replay, shorten, wander
+from lab.explore.search import System, digest, exhaustive_search, random_walk, replay, shorten
 from lab.explore.voters import VotersSystem
 
 MOVES, STEPS = 40_000, 70
@@ -84,7 +84,7 @@
     system = make()
     with pytest.MonkeyPatch.context() as patch:
         plant(patch)
-        found = wander(system, 1, STEPS, MOVES)
+        found = random_walk(system, 1, STEPS, MOVES)
         assert found.broken, f"nothing in {found.moves} moves"
         trace = shorten(system, found.trace)
         assert len(trace) <= len(found.trace)
@@ -100,9 +100,9 @@
 @pytest.mark.parametrize("make", SYSTEMS)
 def test_nothing_is_found_in_the_cores_as_they_are(make: Callable[[], System]) -> None:
     system = make()
-    found = wander(system, 7, STEPS, 6_000)
+    found = random_walk(system, 7, STEPS, 6_000)
     assert not found.broken and found.depth > STEPS // 2
-    found, _ = exhaust(system, 4, 3_000)
+    found, _ = exhaustive_search(system, 4, 3_000)
     assert not found.broken and found.depth >= 2
 
 
--- a/tests/test_lab_oracle.py
+++ b/tests/test_lab_oracle.py
@@ -11,7 +11,7 @@
 from dunlinloft.balancer import interface as api
 from lab import records
 from lab.callers import Done, Order
-from lab.day import Witness, play_virtual
+from lab.day import DayObserver, play_virtual
 from lab.oracle import Oracle
 from lab.plan import Plan
 from lab.results import Result
@@ -257,7 +257,7 @@
 
 def test_a_log_holds_every_record_as_a_line_of_its_kind() -> None:
     lines: list[bytes] = []
-    witness = Witness(Plan(parse(DAY), 1))
+    witness = DayObserver(Plan(parse(DAY), 1))
     host = VirtualHost(witness._plan if hasattr(witness, "_plan") else Plan(parse(DAY), 1), [])
     host.sinks.append(lambda record: lines.append(records.line(record)))
     host.run()
--- a/tests/test_lab_processes.py
+++ b/tests/test_lab_processes.py
@@ -14,7 +14,7 @@
 import pytest
 
 from lab.day import play_virtual
-from lab.lines import Ill, Lines
+from lab.lines import LinkFault, Links
 from lab.names import Names
 from lab.plan import Plan
 from lab.processes import host
@@ -175,7 +175,7 @@
         loop, block = asyncio.get_running_loop(), Block()
         plan = Plan(parse('name = "x"\n[nodes]\ncount = 2'), 1)
         clock = LoopClock(loop)
-        lines = Lines(Names(plan.scenario), 0.2, 4.0, 0.0, clock, 1)
+        lines = Links(Names(plan.scenario), 0.2, 4.0, 0.0, clock, 1)
         relay = Relay(loop, clock, lines, block, {"n1": 0, "n2": 1})
         await relay.start()
         got: list[tuple[bytes, Address]] = []
@@ -204,14 +204,14 @@
             reader, writer = await asyncio.open_connection(*block.alias(1), local_addr=local)
             writer.write(b"a")
             assert await reader.read(1) == b"A"
-            cut = Ill(frozenset({("n1", "n2")}), cut=True)
-            lines.fall_ill(cut)
+            cut = LinkFault(frozenset({("n1", "n2")}), cut=True)
+            lines.add_fault(cut)
             one.sendto(b"lost", block.alias(1))
             writer.write(b"b")
             two.sendto(b"still", block.alias(0))  # only the one direction is cut
             await wait_until(lambda: got[2:] == [(b"still", block.alias(1))])
             assert heard == [b"a"]
-            lines.recover(cut)
+            lines.remove_fault(cut)
             assert await reader.read(1) == b"B"
             assert len(got) == 3
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
--- a/tests/test_lab_scenario.py
+++ b/tests/test_lab_scenario.py
@@ -16,7 +16,7 @@
 
 from dunlinloft.cli import main
 from dunlinloft.cli.handlers.config_check import check_file
-from lab.lines import Ill, Line, Lines
+from lab.lines import DirectedLink, LinkFault, Links
 from lab.names import Names
 from lab.plan import Plan
 from lab.registry import ACTIVE, Registry
@@ -116,9 +116,9 @@
 PAIR = frozenset({("n1", "a2")})
 
 
-def ill_line(seed: str = "s", **faults: Any) -> Line:
-    line = Line(5.0, 0.0, Clock(), seed)
-    line.ail([Ill(PAIR, **faults)])
+def ill_line(seed: str = "s", **faults: Any) -> DirectedLink:
+    line = DirectedLink(5.0, 0.0, Clock(), seed)
+    line.apply_faults([LinkFault(PAIR, **faults)])
     return line
 
 
@@ -151,15 +151,15 @@
 def test_a_cut_is_one_way_holds_a_stream_back_and_ends() -> None:
     clock, got = Clock(), list[str]()
     names = Names(parse('name = "x"'))
-    lines = Lines(names, 0.2, 10.0, 0.0, clock, 1)
-    ill = Ill(PAIR, cut=True)
-    lines.fall_ill(ill)
+    lines = Links(names, 0.2, 10.0, 0.0, clock, 1)
+    ill = LinkFault(PAIR, cut=True)
+    lines.add_fault(ill)
     lines.between("n1", "a2").carry(10, got.append, "there")
     lines.between("a2", "n1").carry(10, got.append, "back")
     lines.between("a1/node", "a2").carry(10, got.append, "other")
     clock.run()
     assert sorted(got) == ["back", "other"]
-    lines.recover(ill)
+    lines.remove_fault(ill)
     clock.run()
     assert got[-1] == "there"
     assert clock.at < 1000.0
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -27,7 +27,7 @@
     Header,
     Record,
 )
-from lab.lines import Ill
+from lab.lines import LinkFault
 from lab.virtual.fleet import Fleet
 from lab.virtual.scene import Broken
 
@@ -191,7 +191,7 @@
     fleet.start(sides[1][2])
     fleet.run(5_000.0)
     assert not fleet.agreed()
-    fleet.lines.recover(partition)
+    fleet.lines.remove_fault(partition)
     assert_agreement(fleet)
 
 
@@ -207,7 +207,7 @@
     fleet = agreed_fleet(15, 6)
     members = [name for name in fleet.names if name != "n2"]
     pairs = frozenset(("n2", name) for name in members)
-    fleet.lines.fall_ill(Ill(pairs, cut=True, datagrams_only=True))
+    fleet.lines.add_fault(LinkFault(pairs, cut=True, datagrams_only=True))
     fleet.run(20_000.0)
     assert not [death for death in fleet.false_deaths if death[2] != "n2"]
     assert fleet.flaps["dead"] == 0
