--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,4 +1,4 @@
-"""The stand-in world: servers, discovery, callers, links and processes that fail, and what came of it.
+"""Test lab: simulated servers, discovery, callers, links and failing processes, with checks and metrics.
 
-Only `dunlinloft.cli` and tests may import it; it may import all else.
+Only `dunlinloft.cli` and tests may import this package; it may import all other packages.
 """
--- a/lab/behaviour.py
+++ b/lab/behaviour.py
@@ -1,10 +1,10 @@
-"""Digests of what the simulated worlds do: a net under changes that must not change behaviour.
+"""Records digests of simulation runs, as a regression check for changes that must not alter behaviour.
 
 Run as `python -m lab.behaviour [--seeds N] [--jobs J] [--group G] [--subset] [--check FILE] [--write FILE]`.
-Each run, of a group and a seed (or a scenario's name), is hashed into a short hex digest: every delay that is
-scheduled, with its simulated time, and every action, message and record, in order. As the delays show the
-draws of the random sources, one draw more or less changes nearly all that follows. `lab.observation` says
-what is watched and how it is hashed, `lab.behaviour_runs` what is played.
+Each run, identified by a group and a seed (or a scenario name), is hashed into a short hex digest: every
+scheduled delay with its simulated time, and every action, message and record, in order. The delays depend on
+the random draws, so one draw more or less changes nearly everything that follows. `lab.observation` defines
+what is observed and how it is hashed, `lab.behaviour_runs` what is run.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from lab.observation import Recorder, observing
 from lab.scenario import SHIPPED
 
-Digests = dict[str, dict[str, str]]  # by group and run
+Digests = dict[str, dict[str, str]]  # keyed by group, then by run
 
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """Runs of one kind; `subset` of them are checked in every build."""
+    """Runs of one kind; those in `subset` are checked in every build."""
 
     play: Callable[[str, Recorder], None]
     runs: tuple[str, ...]
@@ -41,7 +41,7 @@
 
 
 HASH_SEED = "0"
-LARGE_SCENARIOS = ("fleet200",)  # minutes each: left out
+LARGE_SCENARIOS = ("fleet200",)  # left out: each takes minutes
 SCENARIOS = tuple(sorted(path.stem for path in SHIPPED.glob("*.toml") if path.stem not in LARGE_SCENARIOS))
 GROUPS: dict[str, Group] = {
     "control": Group(runs.play_control, _seeds(3_000, 300), ("3003", "3004")),
@@ -58,7 +58,7 @@
 
 
 def digest_of(group: str, run: str) -> str:
-    """Play one run in this process, observed; its digest."""
+    """Execute one run in this process under observation and return its digest."""
     recorder = Recorder()
     with observing(recorder):
         GROUPS[group].play(run, recorder)
@@ -71,7 +71,7 @@
 
 
 def record(tasks: Sequence[tuple[str, str]], jobs: int) -> Digests:
-    """The digests of these runs, over so many processes; each group's time goes to standard error."""
+    """Return the digests of the runs, using `jobs` processes; prints the time per group to standard error."""
     if jobs > 1:
         with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
             results = list(pool.map(_timed, tasks))
@@ -88,26 +88,28 @@
 
 
 def differences(recorded: Digests, found: Digests) -> list[str]:
-    """The runs whose digests differ from the recorded ones, or that are not recorded."""
+    """Describe the runs whose digest differs from the recorded one or has none recorded."""
     different = []
     for group, digests_of in found.items():
         for run, digest in digests_of.items():
-            before = recorded.get(group, {}).get(run)
-            if before != digest:
-                what = "not recorded" if before is None else f"{before} recorded"
+            expected = recorded.get(group, {}).get(run)
+            if expected != digest:
+                what = "not recorded" if expected is None else f"{expected} recorded"
                 different.append(f"{group} {run}: {what}, {digest} found")
     return different
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Print, check or write digests; 1 where some differ from the file's."""
+    """Print, check or write digests; returns 1 if any digest differs from the one in the file."""
     parser = argparse.ArgumentParser(
         prog="python -m lab.behaviour", description=(__doc__ or "").split("\n")[0]
     )
-    parser.add_argument("--seeds", type=int, help="of each group, at most")
+    parser.add_argument("--seeds", type=int, help="maximum number of runs per group")
     parser.add_argument("--jobs", type=int, default=1)
-    parser.add_argument("--group", action="append", choices=tuple(GROUPS), help="these groups alone")
-    parser.add_argument("--subset", action="store_true", help="the runs that every build checks alone")
+    parser.add_argument(
+        "--group", action="append", choices=tuple(GROUPS), help="run only this group; repeatable"
+    )
+    parser.add_argument("--subset", action="store_true", help="only the runs that every build checks")
     parser.add_argument("--check", type=Path, help="compare with the digests in this file")
     parser.add_argument("--write", type=Path, help="add the digests to this file")
     options = parser.parse_args(arguments)
@@ -120,8 +122,8 @@
     if options.write is not None:
         digests: Digests = json.loads(options.write.read_text()) if options.write.exists() else {}
         for group, digests_of in found.items():
-            known = digests.get(group, {}) | digests_of
-            digests[group] = {run: known[run] for run in GROUPS[group].runs if run in known}
+            merged = digests.get(group, {}) | digests_of
+            digests[group] = {run: merged[run] for run in GROUPS[group].runs if run in merged}
         options.write.write_text(json.dumps(digests, indent=1) + "\n", encoding="utf-8")
     if options.check is not None:
         different = differences(json.loads(options.check.read_text(encoding="utf-8")), found)
@@ -134,7 +136,7 @@
 
 if __name__ == "__main__":
     if os.environ.get("PYTHONHASHSEED") != HASH_SEED:
-        # The scenario `quotas` visits sets of names in the order of their hashes.
+        # The scenario `quotas` iterates over sets of names, whose order depends on the hash seed.
         environment = {**os.environ, "PYTHONHASHSEED": HASH_SEED}
         os.execve(sys.executable, [sys.executable, "-m", "lab.behaviour", *sys.argv[1:]], environment)
     sys.exit(main())
--- a/lab/behaviour_runs.py
+++ b/lab/behaviour_runs.py
@@ -1,4 +1,4 @@
-"""What `lab.behaviour` plays: a function a group, each with the run's seed or name and a recorder."""
+"""The runs behind `lab.behaviour`: one function per group, taking the run's seed or name and a recorder."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from lab.virtual.fleet import Fleet
 
 SCENARIO_SEED = 1
-TIME_OF_DAY_S = 1_790_000_000.0  # a release's plan holds it; the same in each run, or digests would differ
+TIME_OF_DAY_S = 1_790_000_000.0  # stored in a release plan; fixed so that digests are reproducible
 QUOTA_BOUNDS = QuotaBounds(8.0, 0.1, 72_000.0)
 QUOTA_LIMITS = (
     QuotaLimit(436_251.0, 436_251.0),
@@ -41,7 +41,7 @@
 
 
 def play_control(seed: str, recorder: Recorder) -> None:
-    """A seed of `dunlinloft world`, to its end; a broken rule is part of what happens."""
+    """Run one seed of `dunlinloft world` to its end; a violated invariant is recorded as part of the run."""
     try:
         recorder.add(control_world.play(int(seed)))
     except InvariantViolation:
@@ -49,22 +49,22 @@
 
 
 def play_quotas(seed: str, recorder: Recorder) -> None:
-    """Twenty-odd seconds of one tenant's requests, with troubles one after the other."""
+    """Run one tenant's requests for some twenty seconds with a sequence of faults."""
     rng = random.Random(f"quotas {seed}")
     cluster = QuotaCluster(int(seed), QUOTA_BOUNDS, QUOTA_LIMITS[int(seed) % len(QUOTA_LIMITS)])
     traffic(cluster, QUOTA_AMOUNTS)
     cluster.run(5_000.0)
     for _ in range(5):
         cluster.demand = rng.choice((0.2, 0.75, 3.0))
-        end = _quota_trouble(cluster, rng)
+        end = _inject_quota_fault(cluster, rng)
         cluster.run(rng.uniform(100.0, 3_000.0))
         end()
         cluster.run(rng.uniform(50.0, 2_000.0))
     recorder.add(cluster.window.total, cluster.window.worst)
 
 
-def _quota_trouble(cluster: QuotaCluster, rng: random.Random) -> Callable[[], object]:
-    """Begin one trouble; what ends it."""
+def _inject_quota_fault(cluster: QuotaCluster, rng: random.Random) -> Callable[[], object]:
+    """Inject one random fault and return the function that ends it."""
     address, nodes = rng.choice(cluster.seeds), sorted(cluster.nodes)
     match rng.randrange(5):
         case 0:
@@ -85,14 +85,14 @@
 
 
 def play_scenario(name: str, recorder: Recorder) -> None:
-    """A shipped scenario on the virtual host, with its figures."""
+    """Run a shipped scenario on the virtual host and record its figures."""
     with mock.patch("time.time", return_value=TIME_OF_DAY_S):
         result = play_virtual(load(name), SCENARIO_SEED)
     recorder.add(list(result.figures.values()), len(result.breaks))
 
 
 def play_members(seed: str, recorder: Recorder) -> None:
-    """Gossip among members that die, stop, leave and are cut off."""
+    """Run membership gossip while members are killed, stopped, partitioned and leave."""
     fleet = Fleet(12, int(seed))
     rng = random.Random(f"members {seed}")
     for _ in range(12):
@@ -109,9 +109,9 @@
                 fleet.run(rng.uniform(200.0, 4_000.0))
                 fleet.cont(name)
             case 3:
-                ill = fleet.split(fleet.names[:5], fleet.names[5:], one_way=rng.random() < 0.3)
+                partition = fleet.split(fleet.names[:5], fleet.names[5:], one_way=rng.random() < 0.3)
                 fleet.run(rng.uniform(500.0, 6_000.0))
-                fleet.lines.remove_fault(ill)
+                fleet.lines.remove_fault(partition)
             case 4:
                 fleet.lose(0.05, duplicate=0.02, reorder=0.02, jitter_ms=5.0)
             case 5 if process is not None and process.alive and not process.stopped:
@@ -121,7 +121,7 @@
 
 
 def play_cells(seed: str, recorder: Recorder) -> None:
-    """Cells of two services and their directory, with a member killed, one stopped and one added."""
+    """Run the cells of two services and their directory; one member is killed, one stopped and one added."""
     fleet = CellFleet({"a": 14, "b": 6}, int(seed), regions=("east", "west"))
     rng = random.Random(f"cells {seed}")
     fleet.run(8_000.0)
@@ -137,7 +137,7 @@
 
 
 def play_leases(seed: str, recorder: Recorder) -> None:
-    """Leader leases, the ledger and changes of voters, under kills, stops, cuts and hand-overs."""
+    """Run leader leases, the ledger and voter changes under kills, stops, partitions and hand-overs."""
     world = duties.World(int(seed), ledger=True, loss=0.02)
     rng = random.Random(f"leases {seed}")
     world.run(6_000.0)
@@ -170,7 +170,7 @@
 
 
 def play_shared(seed: str, recorder: Recorder) -> None:
-    """Shared state and placement of keyed requests, under kills, stops and cuts."""
+    """Run shared state and placement of keyed requests under kills, stops and partitions."""
     world = shared.World(int(seed), loss=0.02)
     rng = random.Random(f"shared {seed}")
     for _ in range(20):
@@ -207,7 +207,10 @@
 
 
 def play_explorer(name: str, recorder: Recorder) -> None:
-    """How many states, moves and levels a bounded search and a walk find: states' marks hold names."""
+    """Record how many states, moves and levels a bounded search and a random walk find.
+
+    The states themselves are left out, because their digests contain identifiers.
+    """
     searched, walked = EXPLORED[name]
     found, left = exhaustive_search(searched(), depth=40, most=EXHAUSTED_STATES)
     recorder.add(found.states, found.moves, found.depth, found.whole, len(left))
@@ -216,12 +219,12 @@
 
 
 def play_balancer(seed: str, recorder: Recorder) -> None:
-    """The decision module under random events; `Balancer.handle` is tapped."""
+    """Run the decision module with random events; `Balancer.handle` is observed."""
     BalancerDriver(int(seed)).run(BALANCER_EVENTS)
 
 
 def play_controller(seed: str, recorder: Recorder) -> None:
-    """The delay controller alone, under random answers and failures."""
+    """Run the delay controller alone with random answers and failures."""
     rng = random.Random(f"controller {seed}")
     controller, now, aim_ms = DelayController(), 0.0, rng.choice((50.0, 400.0, 3_000.0))
     load = 1.0
--- a/lab/lines.py
+++ b/lab/lines.py
@@ -1,7 +1,7 @@
-"""Links between machines, each direction by itself, with what is wrong with them.
+"""Network links between machines, one object per direction, and the faults that apply to them.
 
-A `DirectedLink` says what becomes of a datagram or of a piece of a stream. On a stream nothing is lost for good:
-a loss shows as the wait for its repetition, and a cut holds everything back until it is over, as TCP does.
+A `DirectedLink` decides what happens to a datagram or to a chunk of a stream. Streams lose nothing for good:
+a loss appears as a retransmission delay, and a cut holds all data back until it ends, as TCP does.
 """
 
 from __future__ import annotations
--- a/lab/oracle.py
+++ b/lab/oracle.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from lab import records as r
-from lab.callers import FORGET_MS, REFUSALS
+from lab.callers import REFUSALS, REQUEST_RETENTION_MS
 from lab.lines import machine
 from lab.names import CALLERS
 from lab.plan import Plan
@@ -189,7 +189,7 @@
     def _on_asked(self, record: r.Asked) -> None:
         self._asked += 1
         self._open[record.id] = _Taken(record)
-        while self._over and self._over[0][0] < record.at - FORGET_MS:
+        while self._over and self._over[0][0] < record.at - REQUEST_RETENTION_MS:
             id = self._over.popleft()[1]
             self._open.pop(id, None)
             self._served.pop(id, None)
--- a/lab/virtual/node.py
+++ b/lab/virtual/node.py
@@ -163,7 +163,7 @@
             self.member.asked(order.tenant)
         if not order.key:
             return None, True
-        return self.member.zone_of_key(self.balancer.classes[order.name], order.key, order.again)
+        return self.member.zone_of_key(self.balancer.classes[order.name], order.key, order.is_retry)
 
     def leave(self) -> None:
         """Say goodbye to the fleet."""
--- a/lab/world.py
+++ b/lab/world.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lab import records
-from lab.callers import Callers, Done, Front, Order, Orders
+from lab.callers import Callers, Done, FrontRouter, Order, Orders
 from lab.lines import LinkFault, Links
 from lab.names import CALLERS
 from lab.plan import Plan
@@ -56,7 +56,7 @@
         scenario, seed = plan.scenario, plan.seed
         self.lines = Links(plan.names, plan.same_ms, plan.cross_ms, scenario.network.jitter, self, seed)
         self.orders = Orders(self)
-        self.front = Front(plan.names.nodes, seed)
+        self.front = FrontRouter(plan.names.nodes, seed)
         self.callers = Callers(plan, self, self, self.front, self.orders, self.tell)
         self.servers: dict[str, Server] = {}
         self.registries: list[Registry] = []
