--- a/lab/capacity/membership.py
+++ b/lab/capacity/membership.py
@@ -23,7 +23,7 @@
 from lab.capacity import sizes
 from lab.capacity.model import TIMED, Experiment, Figure
 from lab.capacity.tools import StillLoop, best_ms, held_bytes, mean_us, peak_bytes, rss_bytes
-from lab.members import settled
+from lab.members import settled_fleet
 from lab.virtual.fleet import Fleet
 
 FLEET = "capacity"
@@ -179,7 +179,7 @@
 
 def _gossip(members: int, seed: int) -> dict[str, float]:
     """A quiet fleet in virtual time, per member and second."""
-    fleet = settled(members, seed, Timed)
+    fleet = settled_fleet(members, seed, Timed)
     _clear(fleet)
     fleet.run(QUIET_MS)
     whole = members * QUIET_MS / 1000.0
@@ -196,7 +196,7 @@
 
 def _churn(members: int, seed: int) -> dict[str, float]:
     """Members that die and come back: what one such event costs each member, beyond the quiet."""
-    fleet = settled(members, seed, Timed)
+    fleet = settled_fleet(members, seed, Timed)
     _clear(fleet)
     fleet.run(CHURN * 2.0 * CHURN_MS)
     quiet = sum(fleet.bytes.values()), sum(fleet.stream_bytes.values())
--- a/lab/capacity/peaks.py
+++ b/lab/capacity/peaks.py
@@ -6,7 +6,7 @@
 
 from lab.capacity import sizes
 from lab.capacity.model import Experiment, Figure
-from lab.members import settled
+from lab.members import settled_fleet
 from lab.virtual.duties import World
 from lab.virtual.fleet import CORE, Fleet
 
@@ -50,7 +50,7 @@
 
 def _zone(members: int, seed: int) -> dict[str, float]:
     """A fifteenth of the members dies at once, and comes back a minute later."""
-    fleet = settled(members, seed, CORE)
+    fleet = settled_fleet(members, seed, CORE)
     lost = fleet.names[members // 3 : members // 3 + max(1, members // sizes.ZONES)]
     lives = {name: fleet.processes[name].core.incarnation for name in lost}
     watched = Watched(fleet)
@@ -68,7 +68,7 @@
 
 def _region(members: int, seed: int) -> dict[str, float]:
     """A fifth of the members is cut off, and the cut ends."""
-    fleet = settled(members, seed, CORE)
+    fleet = settled_fleet(members, seed, CORE)
     names = list(fleet.names)
     ill = fleet.split(names[: members // sizes.REGIONS], names[members // sizes.REGIONS :])
     fleet.run(CUT_MS)
@@ -79,7 +79,7 @@
 
 def _restart(members: int, seed: int) -> dict[str, float]:
     """All members die and start anew at once."""
-    fleet = settled(members, seed, CORE)
+    fleet = settled_fleet(members, seed, CORE)
     for name in fleet.names:
         fleet.kill(name)
     watched = Watched(fleet)
--- a/lab/day.py
+++ b/lab/day.py
@@ -1,4 +1,4 @@
-"""Plays one seed of a scenario and says what it came to."""
+"""Runs one seed of a scenario and returns its result."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from lab.scenario import Scenario
 from lab.virtual.host import VirtualHost
 
-Step = Callable[[float], None]  # hears how much of the day is over, from 0 to 1
+Step = Callable[[float], None]  # progress callback: the elapsed share of the day, from 0 to 1
 
 
 class DayObserver:
-    """All that look on: oracle, figures, the digest of what happened, and a log where one is wanted."""
+    """Passes the records of a day to the oracle, the figures, the digest and, if there is one, the log."""
 
     def __init__(self, plan: Plan, log: IO[bytes] | None = None) -> None:
         self.oracle, self.figures = Oracle(plan), Figures(plan)
         self._digest, self._log = hashlib.blake2b(digest_size=16), log
 
     def see(self, record: records.Record) -> None:
-        """Take the next record."""
+        """Process the next record."""
         line = records.line(record)
         self._digest.update(line)
         if self._log is not None:
@@ -38,10 +38,10 @@
         self.figures.see(record)
 
     def result(self, plan: Plan, at: float, took_s: float) -> Result:
-        """What it came to."""
+        """Finish the oracle and return the result of the day."""
         breaks = self.oracle.finish(at)
-        seen = {"strayed": float(self.oracle.strayed), "cold_excess": self.oracle.cold_excess}
-        figures = self.figures.totals() | seen
+        oracle_figures = {"strayed": float(self.oracle.strayed), "cold_excess": self.oracle.cold_excess}
+        figures = self.figures.totals() | oracle_figures
         series = self.figures.series()
         return Result(
             plan.seed, figures, breaks, dict(self.oracle.counts), missed(plan.scenario.expect, figures),
@@ -51,21 +51,24 @@
 
 
 def log_path(folder: Path, scenario: Scenario, host: str, seed: int) -> Path:
-    """Where the log of a seed is written."""
+    """Return the path of a seed's log."""
     return folder / f"{scenario.name}-{host}-{seed}.jsonl"
 
 
 @contextlib.contextmanager
 def infrequent_gc() -> Iterator[None]:
-    """Look for circles of garbage seldom: a day makes few, and hundreds of nodes are much to look through."""
-    before = gc.get_threshold()
+    """Run the cyclic garbage collector rarely.
+
+    A day creates few reference cycles, and each collection would traverse the state of hundreds of nodes.
+    """
+    thresholds = gc.get_threshold()
     gc.collect()
     gc.freeze()
     gc.set_threshold(200_000, 20, 100)
     try:
         yield
     finally:
-        gc.set_threshold(*before)
+        gc.set_threshold(*thresholds)
         gc.unfreeze()
 
 
@@ -76,11 +79,11 @@
     log: IO[bytes] | None = None,
     host: type[VirtualHost] = VirtualHost,
 ) -> Result:
-    """One seed in virtual time."""
-    began = time.perf_counter()
+    """Run one seed in virtual time."""
+    started = time.perf_counter()
     plan = Plan(scenario, seed)
     witness = DayObserver(plan, log)
     world = host(plan, [witness.see])
     with infrequent_gc():
         world.run(step)
-    return witness.result(plan, world.now(), time.perf_counter() - began)
+    return witness.result(plan, world.now(), time.perf_counter() - started)
--- a/lab/members.py
+++ b/lab/members.py
@@ -1,7 +1,7 @@
-"""Measures membership in virtual time: what it must show, each with its bound, over many seeds.
+"""Measures membership in virtual time over many seeds, and checks the figures against their bounds.
 
-Each experiment is a fleet, something that happens to it, and a few figures. `PLAIN` runs the same with
-the plainest membership that works, to compare with.
+Each experiment consists of a fleet, an event such as a crash or a partition, and a few figures. The core
+`plain` runs the same experiments with the simplest working membership protocol, as a baseline.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from dunlinloft.fleet.membership.core import Membership
 from lab.virtual.fleet import Fleet
 from lab.virtual.plain import PlainPing
-from lab.virtual.scene import Broken
+from lab.virtual.scene import InvariantViolation
 
-LIMIT_MS = 60_000.0  # for anything that is waited for: what takes longer counts as this
+TIMEOUT_MS = 60_000.0  # longest wait; what takes longer counts as this value
 CORES: dict[str, type[Membership]] = {"swim": Membership, "plain": PlainPing}
 
 
 @dataclass(slots=True)
 class Bound:
-    """What a figure has to keep: its p99, or its greatest value, over all samples."""
+    """An upper bound on a figure's p99 or maximum over all samples."""
 
     figure: str
     most: float
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Experiment:
-    """Something to measure; `play` adds samples by figure for one seed."""
+    """An experiment; `play` returns the samples of one seed by figure."""
 
     name: str
     text: str
@@ -42,40 +42,40 @@
     bounds: list[Bound] = field(default_factory=list)
 
 
-def settled(size: int, seed: int, core: type[Membership]) -> Fleet:
-    """A fleet in which all have found each other, and the news of that has died away."""
+def settled_fleet(size: int, seed: int, core: type[Membership]) -> Fleet:
+    """Return a fleet in which all members know each other and the join updates are fully disseminated."""
     fleet = Fleet(size, seed, core, at_once=True)
-    fleet.run(LIMIT_MS, fleet.agreed)
-    fleet.run(12_000.0)  # until the news of the join has died away
+    fleet.run(TIMEOUT_MS, fleet.agreed)
+    fleet.run(12_000.0)  # until the join updates are no longer disseminated
     return fleet
 
 
 def _crash(loss: float) -> Callable[[int, int, type[Membership], float], dict[str, list[float]]]:
     def play(size: int, seed: int, core: type[Membership], minutes: float) -> dict[str, list[float]]:
-        fleet = settled(size, seed, core)
+        fleet = settled_fleet(size, seed, core)
         if loss:
             fleet.lose(loss)
             fleet.run(5_000.0)
-        took = []
+        durations = []
         for name in fleet.rng.sample(fleet.names, 4):
-            life = fleet.processes[name].core.incarnation
+            incarnation = fleet.processes[name].core.incarnation
             fleet.kill(name)
-            took.append(fleet.run(LIMIT_MS, partial(fleet.knows_gone, name, life)) / 1000.0)
+            durations.append(fleet.run(TIMEOUT_MS, partial(fleet.knows_gone, name, incarnation)) / 1000.0)
             fleet.run(3_000.0)
-        return {"known_s": took, "false": [float(len(fleet.false_deaths))]}
+        return {"known_s": durations, "false": [float(len(fleet.false_deaths))]}
 
     return play
 
 
 def _loss(size: int, seed: int, core: type[Membership], minutes: float) -> dict[str, list[float]]:
-    fleet = settled(size, seed, core)
+    fleet = settled_fleet(size, seed, core)
     fleet.lose(0.2)
     fleet.run(minutes * 60_000.0)
     return {"false": [float(len(fleet.false_deaths))]}
 
 
 def _starved(size: int, seed: int, core: type[Membership], minutes: float) -> dict[str, list[float]]:
-    fleet = settled(size, seed, core)
+    fleet = settled_fleet(size, seed, core)
     for name in fleet.rng.sample(fleet.names, size // 5):
         fleet.processes[name].starved = True
     fleet.run(minutes * 60_000.0)
@@ -83,35 +83,35 @@
 
 
 def _heal(size: int, seed: int, core: type[Membership], minutes: float) -> dict[str, list[float]]:
-    fleet = settled(size, seed, core)
+    fleet = settled_fleet(size, seed, core)
     names = list(fleet.names)
     fleet.rng.shuffle(names)
-    ill = fleet.split(names[: size // 2], names[size // 2 :])
+    partition = fleet.split(names[: size // 2], names[size // 2 :])
     fleet.run(20_000.0)
     fleet.kill(names[0])
     fleet.kill(names[-1])
     fleet.run(30_000.0)
     fleet.start(names[-1])
     fleet.run(10_000.0)
-    fleet.lines.remove_fault(ill)
-    return {"agreed_s": [fleet.run(LIMIT_MS, fleet.agreed) / 1000.0]}
+    fleet.lines.remove_fault(partition)
+    return {"agreed_s": [fleet.run(TIMEOUT_MS, fleet.agreed) / 1000.0]}
 
 
 def _return(size: int, seed: int, core: type[Membership], minutes: float) -> dict[str, list[float]]:
-    fleet = settled(size, seed, core)
-    took = []
+    fleet = settled_fleet(size, seed, core)
+    durations = []
     for name in fleet.rng.sample(fleet.names, 2):
-        life = fleet.processes[name].core.incarnation
+        incarnation = fleet.processes[name].core.incarnation
         fleet.stop(name)
-        fleet.run(LIMIT_MS, partial(fleet.knows_gone, name, life))
+        fleet.run(TIMEOUT_MS, partial(fleet.knows_gone, name, incarnation))
         fleet.run(3_000.0)
         fleet.cont(name)
-        took.append(fleet.run(LIMIT_MS, fleet.agreed) / 1000.0)
-    return {"alive_s": took}
+        durations.append(fleet.run(TIMEOUT_MS, fleet.agreed) / 1000.0)
+    return {"alive_s": durations}
 
 
 def _quiet(size: int, seed: int, core: type[Membership], minutes: float) -> dict[str, list[float]]:
-    fleet = settled(size, seed, core)
+    fleet = settled_fleet(size, seed, core)
     fleet.bytes.clear()
     fleet.datagrams.clear()
     fleet.stream_bytes.clear()
@@ -125,7 +125,7 @@
 
 def _start(size: int, seed: int, core: type[Membership], minutes: float) -> dict[str, list[float]]:
     fleet = Fleet(size, seed, core, at_once=True)
-    return {"agreed_s": [fleet.run(LIMIT_MS, fleet.agreed) / 1000.0]}
+    return {"agreed_s": [fleet.run(TIMEOUT_MS, fleet.agreed) / 1000.0]}
 
 
 EXPERIMENTS = {
@@ -152,7 +152,7 @@
 
 @dataclass(slots=True)
 class Measured:
-    """A figure over all seeds."""
+    """A figure's samples over all seeds."""
 
     experiment: str
     figure: str
@@ -160,20 +160,22 @@
     bound: Bound | None
 
     def value(self, of: str) -> float:
-        """`p50`, `p99` or `max` of the samples; a percentile is one that was seen, the next above."""
+        """Return `p50`, `p99` or `max` of the samples; a percentile is the next higher sample."""
         if of == "max":
             return max(self.samples)
         return float(np.percentile(self.samples, float(of[1:]), method="higher"))
 
     def kept(self) -> bool:
-        """Whether its bound holds."""
+        """Return whether the bound holds."""
         return self.bound is None or self.value(self.bound.of) <= self.bound.most
 
 
-def _one(name: str, size: int, seed: int, core: str, minutes: float) -> dict[str, list[float]] | str:
+def _run_experiment(
+    name: str, size: int, seed: int, core: str, minutes: float
+) -> dict[str, list[float]] | str:
     try:
         return EXPERIMENTS[name].play(size, seed, CORES[core], minutes)
-    except Broken as problem:
+    except InvariantViolation as problem:
         return f"{name}: {problem}"
 
 
@@ -186,21 +188,23 @@
     jobs: int,
     step: Callable[[], None],
 ) -> tuple[list[Measured], list[str]]:
-    """Play the experiments; the figures, and what was broken with its seed."""
+    """Run the experiments; returns the figures, and the rule violations with their seeds."""
     samples: dict[str, dict[str, list[float]]] = {name: {} for name in names}
-    broken: list[str] = []
+    violations: list[str] = []
     with ProcessPoolExecutor(jobs, mp_context=get_context("spawn")) as pool:
-        waiting: dict[Future[dict[str, list[float]] | str], str] = {
-            pool.submit(_one, name, size, seed, core, minutes): name for seed in seeds for name in names
+        experiments_by_future: dict[Future[dict[str, list[float]] | str], str] = {
+            pool.submit(_run_experiment, name, size, seed, core, minutes): name
+            for seed in seeds
+            for name in names
         }
-        for done in as_completed(waiting):
-            found = done.result()
+        for future in as_completed(experiments_by_future):
+            result = future.result()
             step()
-            if isinstance(found, str):
-                broken.append(found)
+            if isinstance(result, str):
+                violations.append(result)
                 continue
-            for figure, values in found.items():
-                samples[waiting[done]].setdefault(figure, []).extend(values)
+            for figure, values in result.items():
+                samples[experiments_by_future[future]].setdefault(figure, []).extend(values)
     measured = [
         Measured(
             name, figure, values, next((b for b in EXPERIMENTS[name].bounds if b.figure == figure), None)
@@ -208,4 +212,4 @@
         for name in names
         for figure, values in samples[name].items()
     ]
-    return measured, sorted(broken)
+    return measured, sorted(violations)
--- a/lab/names.py
+++ b/lab/names.py
@@ -1,8 +1,8 @@
-"""Who is meant by a name in a scenario: nodes, servers, zones, shares of them.
+"""Resolves the names in a scenario to nodes and servers.
 
 Front nodes are `n1`, `n2`, ...; the servers of the first tier `a1`, `a2`, ..., of the second `b1`, ...;
-the node of server `a1` is `a1/node`. A choice is a name, `zone:NAME`, `nodes`, `servers`, `callers`,
-`share:0.2` (of the nodes or servers, whichever are asked for; the same at each run of a seed) or `*`.
+the node of server `a1` is `a1/node`. A selector is a name, `zone:NAME`, `nodes`, `servers`, `callers`,
+`share:0.2` (of the nodes or of the servers, depending on the key; constant for a seed) or `*`.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 CALLERS = "callers"
 
 
-class BadName(Exception):
-    """Nobody is called so."""
+class UnknownNameError(Exception):
+    """A selector matches no node or server."""
 
 
 class Names:
-    """All that a scenario names, each with its zone."""
+    """All nodes and servers of a scenario, with their zones."""
 
     def __init__(self, scenario: Scenario) -> None:
         zones = scenario.network.zones
@@ -35,30 +35,32 @@
         ]
         self.servers = {name: zone for tier in self.tiers for name, zone in tier.items()}
         inner = self.tiers[0] if len(self.tiers) > 1 else {}
-        self.inner = {f"{name}/node": zone for name, zone in inner.items()}  # the nodes of the servers
+        self.server_nodes = {
+            f"{name}/node": zone for name, zone in inner.items()
+        }  # nodes that run beside first-tier servers
 
     def zone(self, name: str) -> str:
-        """The zone of a node, a server or the callers (who have none)."""
-        return self.nodes.get(name) or self.servers.get(name) or self.inner.get(name, "")
+        """Return the zone of a node or a server; "" for the callers."""
+        return self.nodes.get(name) or self.servers.get(name) or self.server_nodes.get(name, "")
 
-    def choices(self, fault: AnyFault) -> Iterator[tuple[str, str]]:
-        """Each choice that a fault names, with its key."""
+    def selectors(self, fault: AnyFault) -> Iterator[tuple[str, str]]:
+        """Yield the key and value of each selector in a fault."""
         for key in ("nodes", "servers"):
-            for choice in getattr(fault, key, ()):
-                yield key, choice
+            for selector in getattr(fault, key, ()):
+                yield key, selector
         for key in ("source", "target"):
             if hasattr(fault, key):
                 yield key, getattr(fault, key)
         for part in getattr(fault, "parts", ()):
-            for choice in part:
-                yield "parts", choice
+            for selector in part:
+                yield "parts", selector
 
-    def pick(self, choice: str, key: str, seed: int = 0) -> list[str]:
-        """Who is meant; `BadName` says what there would be."""
+    def pick(self, selector: str, key: str, seed: int = 0) -> list[str]:
+        """Return the names that a selector matches; raises `UnknownNameError` listing the valid ones."""
         pool = self._pool(key)
-        if choice == "*":
+        if selector == "*":
             return list(pool)
-        kind, _, value = choice.partition(":")
+        kind, _, value = selector.partition(":")
         if kind == "zone" and value in self.zones:
             return [name for name, zone in pool.items() if zone == value]
         if kind == "share" and key in ("nodes", "servers"):
@@ -67,22 +69,26 @@
             except ValueError:
                 share = -1.0
             if 0.0 <= share <= 1.0:
-                # Of the first tier's servers, as those of the second are hidden behind them.
+                # Only first-tier servers count, since nodes do not reach the second tier directly.
                 names = list(self.tiers[0] if key == "servers" else pool)
-                return sorted(random.Random(f"{seed}{choice}").sample(names, round(share * len(names))))
-        if choice in ("nodes", "servers", CALLERS) and key not in ("nodes", "servers"):
-            groups = {"nodes": self.nodes | self.inner, "servers": self.servers, CALLERS: {CALLERS: ""}}
-            return list(groups[choice])
-        if choice in pool:
-            return [choice]
-        raise BadName(f"nobody is {choice!r}; expected one of {self._example(key)}")
+                return sorted(random.Random(f"{seed}{selector}").sample(names, round(share * len(names))))
+        if selector in ("nodes", "servers", CALLERS) and key not in ("nodes", "servers"):
+            groups = {
+                "nodes": self.nodes | self.server_nodes,
+                "servers": self.servers,
+                CALLERS: {CALLERS: ""},
+            }
+            return list(groups[selector])
+        if selector in pool:
+            return [selector]
+        raise UnknownNameError(f"nothing is named {selector!r}; expected one of {self._example(key)}")
 
     def _pool(self, key: str) -> dict[str, str]:
         if key == "nodes":
             return self.nodes
         if key == "servers":
             return self.servers
-        return self.nodes | self.inner | self.servers | {CALLERS: ""}
+        return self.nodes | self.server_nodes | self.servers | {CALLERS: ""}
 
     def _example(self, key: str) -> str:
         if key == "nodes":
--- a/lab/processes/host.py
+++ b/lab/processes/host.py
@@ -55,7 +55,7 @@
         self._zero = loop.time()
         self._wall_zero_ms = time.time() * 1000.0
         self.block = Block()
-        self.places = {name: n for n, name in enumerate((*plan.names.nodes, *plan.names.inner))}
+        self.places = {name: n for n, name in enumerate((*plan.names.nodes, *plan.names.server_nodes))}
         self.server_places = {name: n for n, name in enumerate(plan.names.servers)}
         self.connections: dict[str, set[Connection]] = defaultdict(set)
         self.watches: dict[str, set[AgentConnection]] = defaultdict(set)
@@ -139,7 +139,7 @@
             address = self.block.discovery(place)
             make = partial(AgentConnection, self, agent)
             self._agents.append(await self.loop.create_server(make, *address))
-            tier = int(node in self.names.inner)
+            tier = int(node in self.names.server_nodes)
             for name in self.names.tiers[tier]:
                 server = self.servers[name]
                 address = self.block.server(place, self.server_places[name])
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -410,7 +410,7 @@
 
 def _check(scenario: Scenario, source: str) -> None:
     """What types alone don't say: names that must exist, and figures that contradict each other."""
-    from lab.names import BadName, Names  # it needs the types above
+    from lab.names import Names, UnknownNameError  # it needs the types above
 
     names = Names(scenario)
     for where, items in (("classes", scenario.classes), ("tenants", scenario.tenants)):
@@ -427,10 +427,10 @@
     for n, fault in enumerate(scenario.faults):
         if fault.at_s > scenario.day.length_s:
             raise BadScenario(f"{source}: faults[{n}].at_s: the day ends at {scenario.day.length_s:g} s")
-        for key, choice in names.choices(fault):
+        for key, choice in names.selectors(fault):
             try:
                 names.pick(choice, key)
-            except BadName as problem:
+            except UnknownNameError as problem:
                 raise BadScenario(f"{source}: faults[{n}].{key}: {problem}") from None
 
 
--- a/lab/settings.py
+++ b/lab/settings.py
@@ -12,8 +12,8 @@
 def settings(plan: Plan, node: str, max_attempts: int = 0) -> dict[str, Any]:
     """The `settings` object of a node: of a front node, or of the node that a first-tier server calls."""
     scenario, names = plan.scenario, plan.names
-    inner = node in names.inner
-    copies = list(names.inner if inner else names.nodes)
+    inner = node in names.server_nodes
+    copies = list(names.server_nodes if inner else names.nodes)
     tier, rules = scenario.tiers[int(inner)], scenario.rules
     return {
         "classes": [
--- a/lab/virtual/duties.py
+++ b/lab/virtual/duties.py
@@ -35,7 +35,7 @@
 from dunlinloft.fleet.leases.table_rows import STATE_TABLE_ROLE
 from dunlinloft.fleet.leases.voters import VOTERS_KEY
 from lab.virtual import scene
-from lab.virtual.scene import Broken
+from lab.virtual.scene import InvariantViolation
 
 WALL_MS = 1_700_000_000_000
 SEEN_MS = 300.0  # how often a process is told what is seen of the others
@@ -98,7 +98,7 @@
         self.kept += 1
         key = self._keys[action.request_id]
         if action.request_id in self._gone:
-            raise Broken(
+            raise InvariantViolation(
                 f"{self._world.when()}: entry {action.request_id} is acknowledged, and a successor lacks it"
             )
         self.acked[key] = max(self.acked.get(key, 0), action.request_id)
@@ -128,7 +128,7 @@
             least = max(self.acked.get(key, 0), self._found.get(key, 0))
             if found < least or found in self._gone:
                 what = f"{process.name} finds entry {found} of {key}, and {least} was acknowledged or found"
-                raise Broken(f"{self._world.when()}: {what}")
+                raise InvariantViolation(f"{self._world.when()}: {what}")
             self._found[key] = found
         self._gone |= {wanted for wanted, key in self._keys.items() if wanted > rows.get(key, 0)}
 
@@ -258,23 +258,25 @@
     def _elected(self, voters: VoterSet) -> None:
         names = self.epochs.setdefault(voters.epoch, voters.names)
         if names != voters.names:
-            raise Broken(f"{self.when()}: change {voters.epoch} of voters is {names} and {voters.names}")
+            raise InvariantViolation(
+                f"{self.when()}: change {voters.epoch} of voters is {names} and {voters.names}"
+            )
 
     def _started(self, process: Process, start: LeaseAcquired) -> None:
         before = self.tokens.get(start.role, 0)
         if start.token <= before and self.token_matters:
-            raise Broken(f"{self.when()}: {start.role}: token {start.token} after {before}")
+            raise InvariantViolation(f"{self.when()}: {start.role}: token {start.token} after {before}")
         self.tokens[start.role] = start.token
         process.working[start.role] = start.token
         self.history.append((self.now, start.role, process.name, start.token))
         if not self.act(start.role, start.token) and self.token_matters:
-            raise Broken(f"{self.when()}: {start.role}: its new holder's token is refused")
+            raise InvariantViolation(f"{self.when()}: {start.role}: its new holder's token is refused")
 
     def act(self, duty: str, token: int) -> bool:
         """Somebody acts with a token; whether it is obeyed, which an old one may not be."""
         obeyed = self.guard.admits(duty, token)
         if obeyed and token < self.tokens.get(duty, 0) and self.token_matters:
-            raise Broken(f"{self.when()}: {duty}: an act with the old token {token} was obeyed")
+            raise InvariantViolation(f"{self.when()}: {duty}: an act with the old token {token} was obeyed")
         return obeyed
 
     def holders(self, duty: str) -> list[str]:
@@ -286,7 +288,7 @@
         for duty in self.duties:
             holders = self.holders(duty)
             if len(holders) > 1:
-                raise Broken(f"{self.when()}: {duty} is held by {' and '.join(holders)}")
+                raise InvariantViolation(f"{self.when()}: {duty} is held by {' and '.join(holders)}")
 
     def hand_over(self, duty: str, to: str = "") -> None:
         """Operators ask the holder to hand a duty over."""
--- a/lab/virtual/fleet.py
+++ b/lab/virtual/fleet.py
@@ -20,7 +20,7 @@
 from lab.names import Names
 from lab.scenario import Network, Nodes, Scenario
 from lab.virtual.meeting import Meeting, Process
-from lab.virtual.scene import Broken
+from lab.virtual.scene import InvariantViolation
 
 WALL_MS = 1_700_000_000_000  # what clocks say when a run begins
 CORE: type[Membership] = Membership
@@ -125,7 +125,7 @@
         key, before = member.precedence(), process.keys.get(change.name)
         if before is not None and key < before:
             what = f"{process.name} goes back on {change.name}, {before} to {key}"
-            raise Broken(f"seed {self.seed} at {self._now:.0f} ms: {what}")
+            raise InvariantViolation(f"seed {self.seed} at {self._now:.0f} ms: {what}")
         process.keys[change.name] = key
         self.flaps[change.change] += 1
         if (
--- a/lab/virtual/host.py
+++ b/lab/virtual/host.py
@@ -65,7 +65,7 @@
 
     def run(self, step: Callable[[float], None] = lambda share: None) -> None:
         """Play the day; `step` hears its share as it goes."""
-        for name in (*self.names.nodes, *self.names.inner):
+        for name in (*self.names.nodes, *self.names.server_nodes):
             self.start_node(name, first=True)
         self.begin()
         length = 1000.0 * (self.scenario.day.length_s + self.scenario.day.after_s)
--- a/lab/virtual/member.py
+++ b/lab/virtual/member.py
@@ -50,7 +50,7 @@
         super().__init__(rng, host.lines)
         self._host = host
         self.share = frozenset(host.scenario.nodes.share)
-        names = [*host.names.nodes, *host.names.inner]
+        names = [*host.names.nodes, *host.names.server_nodes]
         self.voters = names[:VOTERS]
         self.seeds = [f"addr:{name}" for name in names[:SEEDS]]
 
--- a/lab/virtual/node.py
+++ b/lab/virtual/node.py
@@ -80,7 +80,7 @@
         self._handling = False
         self.written = 0
         self._cpu_ms = host.scenario.nodes.cpu_ms
-        self._tier = host.scenario.tiers[int(name in host.names.inner)]
+        self._tier = host.scenario.tiers[int(name in host.names.server_nodes)]
         self.zones = host.names.zones
         self.member: Member | None = None
         if host.meeting is not None:
--- a/lab/virtual/scene.py
+++ b/lab/virtual/scene.py
@@ -9,7 +9,7 @@
 from typing import Any, Generic, TypeVar
 
 
-class Broken(AssertionError):
+class InvariantViolation(AssertionError):
     """Something that must hold does not; says the seed and the time."""
 
 
--- a/lab/virtual/shared.py
+++ b/lab/virtual/shared.py
@@ -25,7 +25,7 @@
     TimerFired,
 )
 from lab.virtual import scene
-from lab.virtual.scene import Broken
+from lab.virtual.scene import InvariantViolation
 
 SEEN_MS, LATE_MS = 250.0, 2_500.0  # how often a process hears who is there; how long a death takes to be seen
 ZONES = ("linz", "wien", "krems")
@@ -165,7 +165,7 @@
         first = self.sent.setdefault(key, (self.now, place.group))
         if first[1] != place.group:
             what = f"key {key:x} went to {first[1]}, and {self.now - first[0]:.0f} ms later to {place.group}"
-            raise Broken(f"{self.when()}: {what}, at {name}")
+            raise InvariantViolation(f"{self.when()}: {what}, at {name}")
         self.counts["again" if again else "first"] += 1
         return place
 
@@ -182,11 +182,11 @@
             age, true = held.age_ms(process.clock()), self.now - self.written.get(record, self.now)
             if age < true - SLACK_MS:
                 what = f"{process.name} takes {writer}'s record for {age:.0f} ms old, and it is {true:.0f}"
-                raise Broken(f"{self.when()}: {what}")
+                raise InvariantViolation(f"{self.when()}: {what}")
 
     def check_parts(self, spare: float = 1.05) -> float:
         """The parts of a quota that are in force add up to no more than it."""
         whole = sum(p.part.quotas.get("t", 0.0) for p in self.processes.values() if p.alive)
         if whole > QUOTA * spare:
-            raise Broken(f"{self.when()}: parts add up to {whole:.0f} of {QUOTA:.0f}")
+            raise InvariantViolation(f"{self.when()}: parts add up to {whole:.0f} of {QUOTA:.0f}")
         return whole / QUOTA
--- a/lab/world.py
+++ b/lab/world.py
@@ -60,7 +60,7 @@
         self.callers = Callers(plan, self, self, self.front, self.orders, self.tell)
         self.servers: dict[str, Server] = {}
         self.registries: list[Registry] = []
-        callers_of = [list(plan.names.nodes), list(plan.names.inner)]
+        callers_of = [list(plan.names.nodes), list(plan.names.server_nodes)]
         for t, (tier, names) in enumerate(zip(scenario.tiers, plan.names.tiers, strict=True)):
             mean = plan.mean_work_ms * tier.work
             rules = scenario.rules
@@ -72,7 +72,7 @@
             self.registries.append(
                 Registry(list(names), callers_of[t], scenario.discovery, self, f"{seed}discovery{t}")
             )
-        for name in plan.names.inner:
+        for name in plan.names.server_nodes:
             self.servers[name.partition("/")[0]].call = self._inner_call(name)
         self._noise = random.Random(f"{seed}noise")
         self._inner = random.Random(f"{seed}inner")
@@ -152,7 +152,7 @@
 
     def agent(self, node: str) -> Agent:
         """The part of discovery that is on a node's machine."""
-        return self.registries[int(node in self.names.inner)].agents[node]
+        return self.registries[int(node in self.names.server_nodes)].agents[node]
 
     # Requests at servers
 
@@ -372,7 +372,7 @@
         server.die()
         self.drop_attempts(server.name)
         node = f"{server.name}/node"
-        if node in self.names.inner:
+        if node in self.names.server_nodes:
             self.signal(node, "kill")
             self.start_node(node)
         server.start()
--- a/tests/test_lease_planted_faults.py
+++ b/tests/test_lease_planted_faults.py
@@ -13,7 +13,7 @@
 from dunlinloft.fleet.leases.messages import PrepareResponse
 from dunlinloft.fleet.leases.voter import Voter
 from lab.virtual.duties import LATE_SEEN_MS, World
-from lab.virtual.scene import Broken
+from lab.virtual.scene import InvariantViolation
 from tests.lease_world import (
     OUTDATED_TOKEN,
     TERM_MS,
@@ -68,7 +68,7 @@
         world.token_matters = not allow_memory_loss
         try:
             inject_random_faults(world, 25_000.0, allow_memory_loss)
-        except Broken as error:
+        except InvariantViolation as error:
             found.add(TWO_LEADERS if TWO_LEADERS in str(error) else OUTDATED_TOKEN)
     return found
 
@@ -103,7 +103,7 @@
 
 def test_clock_drift_is_tolerated_and_a_manager_that_ignores_it_is_caught() -> None:
     partition_leaders(LeaseManager)
-    with pytest.raises(Broken, match="is held by"):
+    with pytest.raises(InvariantViolation, match="is held by"):
         partition_leaders(ManagerIgnoringDrift)
 
 
@@ -130,5 +130,5 @@
 ) -> None:
     restart_voters_under_a_lease()
     monkeypatch.setattr("dunlinloft.fleet.leases.voting_member.Voter", VoterWithoutRecovery)
-    with pytest.raises(Broken, match=TWO_LEADERS):
+    with pytest.raises(InvariantViolation, match=TWO_LEADERS):
         restart_voters_under_a_lease()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -29,7 +29,7 @@
 )
 from lab.lines import LinkFault
 from lab.virtual.fleet import Fleet
-from lab.virtual.scene import Broken
+from lab.virtual.scene import InvariantViolation
 
 
 def record(
@@ -345,7 +345,7 @@
     plant_fault: Callable[[str, Any], None],
 ) -> None:
     plant_fault("View", ViewIgnoringIncarnations)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolation):
         test_old_datagrams_replayed_much_later_revive_no_dead_member()
 
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -26,7 +26,7 @@
 from dunlinloft.fleet.shared_state.observations import ServerObservations
 from dunlinloft.fleet.shared_state.quota_shares import QuotaAllocator, quota_share
 from dunlinloft.fleet.shared_state.verdicts import ReceivedReport, VerdictPool
-from lab.virtual.scene import Broken
+from lab.virtual.scene import InvariantViolation
 from lab.virtual.shared import QUOTA, ZONES, World
 
 heartbeat = encode(Heartbeat("linz", 0, {}, 1.0, 1.0, []))
@@ -142,7 +142,7 @@
 
 @pytest.mark.parametrize("plant", [plant_ignored_transit_time, plant_bindings_without_acknowledgement])
 def test_planted_faults_are_caught(plant: Callable[[pytest.MonkeyPatch], None]) -> None:
-    with pytest.MonkeyPatch.context() as patch, pytest.raises(Broken):
+    with pytest.MonkeyPatch.context() as patch, pytest.raises(InvariantViolation):
         plant(patch)
         for seed in range(60):
             play(seed)
@@ -168,7 +168,7 @@
     isolate(world)
     assert world.counts["cut off"] == 30
     assert any(p.core.affinity.counts["elsewhere"] for p in world.processes.values())
-    with pytest.MonkeyPatch.context() as patch, pytest.raises(Broken, match="went to"):
+    with pytest.MonkeyPatch.context() as patch, pytest.raises(InvariantViolation, match="went to"):
         plant_never_isolated(patch)
         isolate(World(1, members=5))
 
--- a/tests/test_state_table.py
+++ b/tests/test_state_table.py
@@ -8,7 +8,7 @@
 from dunlinloft.fleet.leases.table_read import ReadResult
 from dunlinloft.fleet.leases.table_rows import MAX_ROWS, STATE_TABLE_ROLE
 from lab.virtual.duties import World
-from lab.virtual.scene import Broken
+from lab.virtual.scene import InvariantViolation
 from tests.lease_world import inject_random_faults, write_rows
 
 
@@ -51,7 +51,7 @@
         self._restore()
 
     original = TablePrimary.start
-    with pytest.MonkeyPatch.context() as patch, pytest.raises(Broken, match="finds entry"):
+    with pytest.MonkeyPatch.context() as patch, pytest.raises(InvariantViolation, match="finds entry"):
         patch.setattr(TablePrimary, "start", start)
         for seed in range(6):
             world = World(seed, 5, 3, duties=0, ledger=True)
--- a/tests/test_voter_changes.py
+++ b/tests/test_voter_changes.py
@@ -21,7 +21,7 @@
 from dunlinloft.fleet.leases.table_rows import STATE_TABLE_ROLE
 from dunlinloft.fleet.leases.voters import VoterChange, VoterChangeStep
 from lab.virtual.duties import World
-from lab.virtual.scene import Broken
+from lab.virtual.scene import InvariantViolation
 from tests.lease_world import (
     TWO_LEADERS,
     all_roles_led,
@@ -164,6 +164,6 @@
     for seed in range(12):
         remove_granting_voters(seed)
     plant(monkeypatch)
-    with pytest.raises(Broken, match=TWO_LEADERS):
+    with pytest.raises(InvariantViolation, match=TWO_LEADERS):
         for seed in range(12):
             remove_granting_voters(seed)
