--- a/dunlinloft/cli/handlers/capacity.py
+++ b/dunlinloft/cli/handlers/capacity.py
@@ -21,7 +21,7 @@
 from lab.capacity.membership import Host, fill
 from lab.capacity.model import TIMED, Experiment, Figure, Plan, Report, Row, run
 from lab.capacity.tools import best_ms
-from lab.runner import BadSeeds, read_seeds
+from lab.runner import SeedListError, read_seeds
 
 TABLE_WIDTH = 190  # columns, if the output is not a terminal
 COLUMNS = ("experiment", "figure", "unit", "means", "slope", "±", "intercept", "r²", "at", "", "±", "checked")
@@ -60,7 +60,7 @@
     try:
         wanted_seeds = read_seeds(seeds) if seeds else []
         wanted_sizes = read_seeds(sizes) if sizes else []
-    except BadSeeds as error:
+    except SeedListError as error:
         return report_invalid_input(error)
     if unknown:
         return report_invalid_input(f"{unknown[0]}: unknown experiment; available: {', '.join(EXPERIMENTS)}")
--- a/dunlinloft/cli/handlers/membership_bounds.py
+++ b/dunlinloft/cli/handlers/membership_bounds.py
@@ -11,7 +11,7 @@
 from dunlinloft.cli.progress import PERCENT_COLUMNS
 from dunlinloft.cli.tables import PLAIN_STYLE
 from lab.members import EXPERIMENTS, measure
-from lab.runner import BadSeeds, read_seeds
+from lab.runner import SeedListError, read_seeds
 
 
 def measure_membership(
@@ -24,7 +24,7 @@
         return report_invalid_input(f"unknown experiment {unknown[0]!r}; available: {', '.join(EXPERIMENTS)}")
     try:
         seed_list = read_seeds(seeds)
-    except BadSeeds as error:
+    except SeedListError as error:
         return report_invalid_input(error)
     with Progress(*PERCENT_COLUMNS, TimeElapsedColumn(), console=stderr, transient=True) as progress:
         bar = progress.add_task(f"{size} members, {core}", total=len(seed_list) * len(names))
--- a/dunlinloft/cli/handlers/scale.py
+++ b/dunlinloft/cli/handlers/scale.py
@@ -16,7 +16,7 @@
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
 from dunlinloft.exceptions import DunlinloftError
-from lab.runner import BadSeeds, read_seeds
+from lab.runner import SeedListError, read_seeds
 from lab.scale.fit import Line
 from lab.scale.limits import Refused
 from lab.scale.plan import Plan, Results, Sample
@@ -118,7 +118,7 @@
     """Measure all sizes; fails if a sample is invalid, a live member was declared dead or a crash missed."""
     try:
         plan = _plan(options)
-    except (BadSeeds, OptionError) as error:
+    except (SeedListError, OptionError) as error:
         return report_invalid_input(error)
     started_s = time.monotonic()
 
@@ -148,7 +148,7 @@
 
 
 def _plan(options: ScaleOptions) -> Plan:
-    """Build the plan from the options. Raises `BadSeeds` or `OptionError`."""
+    """Build the plan from the options. Raises `SeedListError` or `OptionError`."""
     return Plan(
         parse_sizes(options.sizes),
         parse_sizes(options.virtual_sizes),
--- a/dunlinloft/cli/handlers/scenarios.py
+++ b/dunlinloft/cli/handlers/scenarios.py
@@ -13,9 +13,9 @@
 from dunlinloft.cli.progress import PERCENT_COLUMNS
 from dunlinloft.cli.tables import PLAIN_STYLE
 from lab.oracle import RULES
-from lab.results import BadResults, Result, Results, read, summary, write
-from lab.runner import BadSeeds, Run, play_all, read_seeds
-from lab.scenario import SHIPPED, BadScenario, Scenario, load
+from lab.results import Result, Results, ResultsError, empty_results, read, write
+from lab.runner import Run, SeedListError, play_all, read_seeds
+from lab.scenario import SHIPPED_SCENARIOS, Scenario, ScenarioError, load
 
 MAX_VIOLATIONS_SHOWN = 12  # rule violations printed per seed
 
@@ -46,9 +46,9 @@
         scenario = load(name, changes)
         seed_list = read_seeds(seeds)
         _require_playable(scenario, name, host)
-    except (BadScenario, BadSeeds) as error:
+    except (ScenarioError, SeedListError) as error:
         return report_invalid_input(error)
-    results = summary(scenario, host)
+    results = empty_results(scenario, host)
     try:
         _play(Run(scenario, host, seed_list, jobs, Path(logs) if logs else None), results)
     except KeyboardInterrupt:
@@ -70,12 +70,12 @@
 
 
 def _require_playable(scenario: Scenario, name: str, host: str) -> None:
-    """Raise `BadScenario` if the host can't run the scenario."""
+    """Raise `ScenarioError` if the host can't run the scenario."""
     if host == "processes":
         from lab.processes.day import unfit
 
         if reason := unfit(scenario):
-            raise BadScenario(f"{name}: {reason}")
+            raise ScenarioError(f"{name}: {reason}")
 
 
 def _play(task: Run, results: Results) -> None:
@@ -163,7 +163,7 @@
 
     try:
         rows, method = compare_results(read(Path(first)), read(Path(second)))
-    except BadResults as error:
+    except ResultsError as error:
         return report_invalid_input(error)
     stdout.print(f"A: {first}\nB: {second}", highlight=False)
     table = Table(**PLAIN_STYLE)
@@ -182,7 +182,7 @@
 
     try:
         text = page(read(Path(results)))
-    except BadResults as error:
+    except ResultsError as error:
         return report_invalid_input(error)
     Path(html_file).write_text(text, encoding="utf-8")
     stdout.print(f"wrote {html_file}", highlight=False)
@@ -192,7 +192,7 @@
 def list_scenarios() -> ExitCode:
     """Print the shipped scenarios; fails if the installation has none."""
     table = Table("scenario", "about")
-    for path in sorted(SHIPPED.glob("*.toml")):
+    for path in sorted(SHIPPED_SCENARIOS.glob("*.toml")):
         table.add_row(path.stem, load(str(path)).about)
     stdout.print(table)
     return ExitCode.SUCCESS if table.row_count else ExitCode.CHECK_FAILED
--- a/lab/behaviour.py
+++ b/lab/behaviour.py
@@ -22,7 +22,7 @@
 
 from lab import behaviour_runs as runs
 from lab.observation import Recorder, observing
-from lab.scenario import SHIPPED
+from lab.scenario import SHIPPED_SCENARIOS
 
 Digests = dict[str, dict[str, str]]  # keyed by group, then by run
 
@@ -42,7 +42,9 @@
 
 HASH_SEED = "0"
 LARGE_SCENARIOS = ("fleet200",)  # left out: each takes minutes
-SCENARIOS = tuple(sorted(path.stem for path in SHIPPED.glob("*.toml") if path.stem not in LARGE_SCENARIOS))
+SCENARIOS = tuple(
+    sorted(path.stem for path in SHIPPED_SCENARIOS.glob("*.toml") if path.stem not in LARGE_SCENARIOS)
+)
 GROUPS: dict[str, Group] = {
     "control": Group(runs.play_control, _seeds(3_000, 300), ("3003", "3004")),
     "quotas": Group(runs.play_quotas, _seeds(0, 36), ("0", "2")),
--- a/lab/compare.py
+++ b/lab/compare.py
@@ -10,7 +10,7 @@
 import numpy as np
 from scipy import stats
 
-from lab.results import BadResults, Result, Results
+from lab.results import Result, Results, ResultsError
 
 FIGURES = ("goodput", "worst_10s", "late", "refused", "failed", "lost", "attempts", "p50_ms", "p99_ms")
 OPTIONAL_FIGURE_PREFIXES = ("quota.", "sick_", "strayed", "fleet_")  # shown if not zero in the first file
@@ -28,7 +28,7 @@
     a, b = ({r.seed: r for r in results.counted()} for results in (first, second))
     seeds = [seed for seed in a if seed in b]
     if not seeds:
-        raise BadResults("the files have no seed in common that counts")
+        raise ResultsError("the files have no seed in common that counts")
     first_results, second_results = [a[seed] for seed in seeds], [b[seed] for seed in seeds]
     names = list(FIGURES)
     names += sorted(
--- a/lab/observation.py
+++ b/lab/observation.py
@@ -1,12 +1,12 @@
-"""Hashes what simulated worlds do, by watching the few methods that all of it passes through.
+"""Hashes the activity of simulations by observing the few methods through which all of it passes.
 
-A hash depends on no name of a class, field, function or module, nor on the shape of plain data: dataclasses
-and tuples count as the sequence of their values, enumerations as their encoded value, floats by `repr`.
-Messages and stored records (msgspec structs) count as their encoded bytes, names and tags included, since
-those stay. Sets count in sorted order, dicts in their own.
+A hash depends on no name of a class, field, function or module, nor on the type of plain data: dataclasses
+and tuples are encoded as the sequence of their values, enumerations as their encoded value, floats by `repr`.
+Messages and stored records (msgspec structs) are encoded as their wire bytes, names and tags included, since
+those are stable. Sets are encoded in sorted order, dicts in insertion order.
 
-`_taps` is the one place that says which methods are watched. The worlds know nothing of it; outside
-`observing` they run as ever.
+`_observed_methods` alone defines which methods are observed. The simulations do not depend on it; outside
+`observing` they run unchanged.
 """
 
 from __future__ import annotations
@@ -38,25 +38,25 @@
 
 
 class Recorder:
-    """Hashes what is seen, in order."""
+    """Hashes observations in order."""
 
     def __init__(self) -> None:
         self._hash = hashlib.blake2b(digest_size=DIGEST_BYTES)
         self.entries = 0
 
     def add(self, *values: Any) -> None:
-        """Take one observation. Raises `TypeError` for a value whose encoding might hold a name."""
+        """Add one observation. Raises `TypeError` for a value whose encoding might contain a name."""
         self.entries += 1
         self._hash.update(encoded(values))
         self._hash.update(b"\n")
 
     def digest(self) -> str:
-        """What was seen so far, in short hex."""
+        """Return the hex digest of the observations so far."""
         return self._hash.hexdigest()
 
 
 def encoded(value: Any) -> bytes:
-    """A value as bytes that hold no name of a class or field but those on the wire or on disk."""
+    """Encode a value without names of classes or fields, except those on the wire or on disk."""
     if isinstance(value, Enum):
         return encoded(value.value)
     if value is None or isinstance(value, bool | int | float | str | bytes):
@@ -75,60 +75,72 @@
     raise TypeError(f"no encoding without names for {type(value)}")
 
 
-# What is observed.
+# Observed methods.
 
 
 @dataclass(frozen=True, slots=True)
-class Tap:
-    """A method that is watched, and what is recorded of a call: `view(self, arguments, result)`."""
+class ObservedMethod:
+    """An observed method; `view(self, arguments, result)` selects what is recorded of a call."""
 
     owner: type
     method: Callable[..., Any]
     view: Callable[[Any, tuple[Any, ...], Any], tuple[Any, ...]]
-    returned: bool = False  # recorded once the call is over, with its result; else before it
+    returned: bool = False  # recorded after the call, with its result; otherwise before the call
 
 
-def _taps() -> tuple[Tap, ...]:
-    """All that is watched. Whoever renames or moves one of these methods follows here."""
+def _observed_methods() -> tuple[ObservedMethod, ...]:
+    """Return all observed methods; must be updated when one of them is renamed or moved."""
     return (
-        # The control plane's replicas, and tenants' quotas.
-        Tap(Cluster, Cluster.after, lambda cluster, args, _: (cluster.now, args[0])),
-        Tap(Cluster, Cluster._perform, lambda cluster, args, _: (cluster.now, args[0].address, args[1])),
-        Tap(Cluster, Cluster._arrive, lambda cluster, args, _: (cluster.now, *args)),
-        Tap(QuotaCluster, QuotaCluster._spent, lambda world, args, _: (world.now, args[0].name, args[1])),
-        Tap(
+        # Control plane replicas and tenant quotas.
+        ObservedMethod(Cluster, Cluster.after, lambda cluster, args, _: (cluster.now, args[0])),
+        ObservedMethod(
+            Cluster, Cluster._perform, lambda cluster, args, _: (cluster.now, args[0].address, args[1])
+        ),
+        ObservedMethod(Cluster, Cluster._arrive, lambda cluster, args, _: (cluster.now, *args)),
+        ObservedMethod(
+            QuotaCluster, QuotaCluster._spent, lambda world, args, _: (world.now, args[0].name, args[1])
+        ),
+        ObservedMethod(
             QuotaOwner,
             QuotaOwner.handle_request,
             lambda owner, args, decision: (*args, None if decision == NotQuotaOwner() else decision),
             returned=True,
         ),
-        # Days of nodes, servers and callers.
-        Tap(VirtualHost, VirtualHost.after, lambda host, args, _: (host.now(), args[0])),
-        Tap(World, World.tell, lambda host, args, _: (_values(args[0]),)),
-        Tap(VirtualNode, VirtualNode.act, lambda node, args, _: (node.name, args[0])),
-        # Members of a fleet.
-        Tap(Fleet, Fleet.after, lambda fleet, args, _: (fleet.now(), args[0])),
-        Tap(
+        # Scenarios with nodes, servers and callers.
+        ObservedMethod(VirtualHost, VirtualHost.after, lambda host, args, _: (host.now(), args[0])),
+        ObservedMethod(World, World.tell, lambda host, args, _: (_values(args[0]),)),
+        ObservedMethod(VirtualNode, VirtualNode.act, lambda node, args, _: (node.name, args[0])),
+        # Fleet membership.
+        ObservedMethod(Fleet, Fleet.after, lambda fleet, args, _: (fleet.now(), args[0])),
+        ObservedMethod(
             meeting.Meeting,
             meeting.Meeting.do,
             lambda fleet, args, _: (fleet.now(), args[0].name, args[1]),
         ),
-        Tap(
+        ObservedMethod(
             meeting.Meeting,
             meeting.Meeting.deliver,
             lambda fleet, args, _: (fleet.now(), *args),
         ),
-        Tap(CellMeeting, CellMeeting.arrive, lambda fleet, args, _: (fleet.now(), *args)),
-        Tap(CellMeeting, CellMeeting.guided, lambda fleet, args, _: (fleet.now(), args[0].name, args[1])),
-        # Leader leases and the ledger; shared state.
-        Tap(Scene, Scene.after, lambda scene, args, _: (scene.now, args[0])),
-        Tap(duties.World, duties.World.do, lambda world, args, _: (world.now, args[0].name, args[1])),
-        Tap(duties.World, duties.World.deliver, lambda world, args, _: (world.now, *args)),
-        Tap(shared.World, shared.World.do, lambda world, args, _: (world.now, args[0].name, args[1])),
-        Tap(shared.World, shared.World.deliver, lambda world, args, _: (world.now, *args)),
-        Tap(shared.World, shared.World.ask, lambda world, args, place: (*args, place), returned=True),
-        # The decision module, wherever it runs.
-        Tap(
+        ObservedMethod(CellMeeting, CellMeeting.arrive, lambda fleet, args, _: (fleet.now(), *args)),
+        ObservedMethod(
+            CellMeeting, CellMeeting.guided, lambda fleet, args, _: (fleet.now(), args[0].name, args[1])
+        ),
+        # Leader leases, the ledger and shared state.
+        ObservedMethod(Scene, Scene.after, lambda scene, args, _: (scene.now, args[0])),
+        ObservedMethod(
+            duties.World, duties.World.do, lambda world, args, _: (world.now, args[0].name, args[1])
+        ),
+        ObservedMethod(duties.World, duties.World.deliver, lambda world, args, _: (world.now, *args)),
+        ObservedMethod(
+            shared.World, shared.World.do, lambda world, args, _: (world.now, args[0].name, args[1])
+        ),
+        ObservedMethod(shared.World, shared.World.deliver, lambda world, args, _: (world.now, *args)),
+        ObservedMethod(
+            shared.World, shared.World.ask, lambda world, args, place: (*args, place), returned=True
+        ),
+        # The decision module in any of the simulations.
+        ObservedMethod(
             Balancer,
             Balancer.handle,
             lambda _, args, actions: (args[1], args[0], actions),
@@ -138,29 +150,29 @@
 
 
 def _values(record: msgspec.Struct) -> list[Any]:
-    """The values of the simulator's own log records, whose tags are names of classes."""
+    """Return the field values of a lab record without its tag, which is the name of its class."""
     return [getattr(record, name) for name in record.__struct_fields__]
 
 
 @contextmanager
 def observing(recorder: Recorder) -> Iterator[None]:
-    """Record the calls of all tapped methods in this process, and put the methods back in the end."""
+    """Record the calls of all observed methods in this process; restores the methods at the end."""
     with ExitStack() as stack:
-        for tap in _taps():
-            name = tap.method.__name__
-            stack.callback(setattr, tap.owner, name, tap.owner.__dict__[name])
-            setattr(tap.owner, name, _watched(tap, recorder))
+        for observed in _observed_methods():
+            name = observed.method.__name__
+            stack.callback(setattr, observed.owner, name, observed.owner.__dict__[name])
+            setattr(observed.owner, name, _recording(observed, recorder))
         yield
 
 
-def _watched(tap: Tap, recorder: Recorder) -> Callable[..., Any]:
-    @functools.wraps(tap.method)
+def _recording(observed: ObservedMethod, recorder: Recorder) -> Callable[..., Any]:
+    @functools.wraps(observed.method)
     def call(self: Any, *args: Any, **options: Any) -> Any:
-        if not tap.returned:
-            recorder.add(*tap.view(self, args, None))
-        result = tap.method(self, *args, **options)
-        if tap.returned:
-            recorder.add(*tap.view(self, args, result))
+        if not observed.returned:
+            recorder.add(*observed.view(self, args, None))
+        result = observed.method(self, *args, **options)
+        if observed.returned:
+            recorder.add(*observed.view(self, args, result))
         return result
 
     return call
--- a/lab/plan.py
+++ b/lab/plan.py
@@ -1,7 +1,7 @@
-"""What a seed draws before the day begins: who asks what and when, and what the machines are like.
+"""Everything drawn from a seed before a run: arrivals, request work and machine properties.
 
-Both hosts play the same plan, so a seed means the same traffic on both. Draws come from `numpy`, each
-purpose with a stream of its own, so that a new draw for one leaves the others as they were.
+Both hosts run the same plan, so a seed means the same traffic on both. Each purpose has its own `numpy` random
+stream, so that an additional draw for one purpose does not change the others.
 """
 
 from __future__ import annotations
@@ -17,36 +17,36 @@
 
 
 def stream(seed: int, purpose: str) -> np.random.Generator:
-    """The random stream of one purpose."""
+    """Return the random stream for a purpose."""
     return np.random.default_rng([seed, zlib.crc32(purpose.encode())])
 
 
 def draw(span: Span, random: np.random.Generator) -> float:
-    """One figure of a span."""
+    """Draw one value from a span."""
     return float(random.uniform(span[0], span[1])) if isinstance(span, list) else float(span)
 
 
 def lognormal(mean: float, cv: float, size: int, random: np.random.Generator) -> np.ndarray:
-    """Draws with this mean and coefficient of variation."""
+    """Draw lognormal values with this mean and coefficient of variation."""
     sigma = math.sqrt(math.log(1.0 + cv * cv))
     return random.lognormal(math.log(mean) - sigma * sigma / 2.0, sigma, size) if mean else np.zeros(size)
 
 
 @dataclass(slots=True)
 class Arrival:
-    """One piece of work that a caller wants done."""
+    """One request of a caller, as planned."""
 
     at_ms: float
-    node: str  # where its front sends it while that node serves
-    cls: int  # in the scenario's order
-    tenant: int  # -1: none
+    node: str  # home node, used while it accepts callers
+    cls: int  # index in the scenario
+    tenant: int  # index in the scenario; -1: none
     work_ms: float  # over all tiers
-    leaves_ms: float  # after which its caller has left; inf: never
-    honours: bool
+    leaves_ms: float  # delay until the caller disconnects; inf: never
+    honours: bool  # whether the caller honours `Retry-After`
 
 
 class Plan:
-    """All that is drawn beforehand for a scenario and a seed."""
+    """All random draws made in advance for a scenario and a seed."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed = scenario, seed
@@ -71,7 +71,7 @@
         self.arrivals = self._arrivals(stream(seed, "arrivals"))
 
     def capacity_per_s(self, tier: int) -> float:
-        """Requests a second that a tier's warm servers could bear at most."""
+        """Return the maximum request rate of a tier's warm servers, in requests per second."""
         spec = self.scenario.tiers[tier]
         calls = math.prod(t.calls for t in self.scenario.tiers[:tier])
         speed = sum(self.speeds[name] for name in self.names.tiers[tier])
@@ -83,9 +83,9 @@
         return arrivals.rate_per_s or load * self.capacity_per_s(0)
 
     def _weights(self, random: np.random.Generator) -> np.ndarray:
-        """Each front node's share: from the busiest, which gets `skew` times the mean, falling evenly."""
+        """Return each node's share of the traffic: the busiest gets `skew` times the mean."""
         count, skew = len(self.names.nodes), self.scenario.arrivals.skew
-        # A geometric fall whose first is `skew` times the mean; its ratio is found by halving.
+        # A geometric series whose first term is `skew` times the mean; its ratio is found by bisection.
         low, high = 0.0, 1.0
         for _ in range(60):
             ratio = (low + high) / 2.0
@@ -96,7 +96,7 @@
         return np.asarray(weights / weights.sum())
 
     def rate_at(self, at_s: np.ndarray) -> np.ndarray:
-        """Requests a second that come at these times."""
+        """Return the arrival rate at these times, in requests per second."""
         arrivals = self.scenario.arrivals
         rate = self.rate_per_s * (1.0 + arrivals.swing * np.sin(2.0 * math.pi * at_s / arrivals.swing_s))
         for burst in arrivals.bursts:
@@ -106,11 +106,11 @@
 
     def _arrivals(self, random: np.random.Generator) -> list[Arrival]:
         scenario, length_s = self.scenario, self.scenario.day.length_s
-        grid = np.linspace(0.0, length_s, 2000)
-        most = float(self.rate_at(grid).max())
-        # Thinning (Lewis and Shedler, 1979): draw at the highest rate, keep each by its time's share of it.
-        times = np.sort(random.uniform(0.0, length_s, random.poisson(most * length_s)))
-        times = times[random.uniform(0.0, most, len(times)) < self.rate_at(times)]
+        sample_times = np.linspace(0.0, length_s, 2000)
+        peak_rate = float(self.rate_at(sample_times).max())
+        # Thinning (Lewis and Shedler, 1979): draw at the peak rate, keep each with probability rate / peak.
+        times = np.sort(random.uniform(0.0, length_s, random.poisson(peak_rate * length_s)))
+        times = times[random.uniform(0.0, peak_rate, len(times)) < self.rate_at(times)]
         count = len(times)
         nodes = random.choice(len(self.weights), count, p=self.weights)
         classes = random.choice(len(self.mix), count, p=self.mix)
@@ -118,11 +118,11 @@
         if scenario.tenants:
             shares = np.array([tenant.share for tenant in scenario.tenants])
             tenants = random.choice(len(shares), count, p=shares / shares.sum())
-        unit = np.empty(count)
+        work_ms = np.empty(count)
         for n, cls in enumerate(scenario.classes):
-            mine = classes == n
-            unit[mine] = lognormal(self.work_ms[n], cls.cv, int(mine.sum()), random)
-        leaves = np.where(
+            of_class = classes == n
+            work_ms[of_class] = lognormal(self.work_ms[n], cls.cv, int(of_class.sum()), random)
+        leave_delays = np.where(
             random.uniform(size=count) < scenario.callers.impatient,
             random.uniform(5.0, 1500.0, count),
             math.inf,
@@ -134,6 +134,6 @@
                 float(at) * 1000.0, names[node], int(cls), int(tenant), float(work), float(leave), bool(kind)
             )
             for at, node, cls, tenant, work, leave, kind in zip(
-                times, nodes, classes, tenants, unit, leaves, honours, strict=True
+                times, nodes, classes, tenants, work_ms, leave_delays, honours, strict=True
             )
         ]
--- a/lab/processes/agent.py
+++ b/lab/processes/agent.py
@@ -11,7 +11,7 @@
 
 from lab import records
 from lab.processes.block import text
-from lab.registry import Agent, Entry, told
+from lab.registry import Agent, Entry, told_entries
 
 if TYPE_CHECKING:
     from lab.processes.host import ProcessHost
@@ -84,12 +84,12 @@
                 self._tell(changed)
 
     def _tell_whole(self) -> None:
-        self._tell(self._agent.whole(), True)
+        self._tell(self._agent.full_list(), True)
 
     def _tell(self, entries: list[Entry], whole: bool = False) -> None:
         self._watch = None
         now = self._host.now()
-        self._host.tell(records.Told(now, self._agent.node, self._agent.index, whole, told(entries)))
+        self._host.tell(records.Told(now, self._agent.node, self._agent.index, whole, told_entries(entries)))
         self._write(200, listing(self._host, self._agent, entries, whole))
 
     def _write(self, status: int, content: dict[str, Any]) -> None:
--- a/lab/processes/host.py
+++ b/lab/processes/host.py
@@ -26,7 +26,7 @@
 from lab.processes.relay import Relay
 from lab.processes.standin import Connection, acceptor
 from lab.records import Sink
-from lab.registry import Entry, told
+from lab.registry import Entry, told_entries
 from lab.scenario import Operation, Release
 from lab.servers import Server
 from lab.settings import settings
@@ -135,7 +135,7 @@
         for node in self.places:
             agent = self.agent(node)
             place = self.places[node]
-            agent.on_news = partial(self._news, node)
+            agent.on_update = partial(self._news, node)
             address = self.block.discovery(place)
             make = partial(AgentConnection, self, agent)
             self._agents.append(await self.loop.create_server(make, *address))
@@ -236,7 +236,7 @@
             "discovery": text(self.block.discovery(place)),
             "seed": f"{self.plan.seed:08x}{place:04x}{self._starts[name]:04x}",
             "limits": {"cores": 1.0, "memory_mb": nodes.memory_mb, "sockets": nodes.sockets},
-            "known": listing(self, agent, agent.whole(), True),
+            "known": listing(self, agent, agent.full_list(), True),
             "settings": settings(self.plan, name, self._attempts.get(name, 0)),
         }
         if admin is not None:
@@ -288,7 +288,7 @@
         self._admins[child.pid] = admin
         now, agent = self.now(), self.agent(name)
         self.tell(records.Process(now, name, "started"))
-        self.tell(records.Told(now, name, agent.index, True, told(agent.whole())))
+        self.tell(records.Told(now, name, agent.index, True, told_entries(agent.full_list())))
         return child
 
     def _upgrades(self, name: str) -> bool:
--- a/lab/records.py
+++ b/lab/records.py
@@ -1,7 +1,7 @@
-"""What happened in a day, one record each: what the oracle, the figures and the logs are made from.
+"""Records of the events of a run, from which the oracle, the figures and the logs are derived.
 
-Both hosts write the same records. `at` is in milliseconds since the day began. In a log each record is
-one line of JSON whose `kind` is its type's name in lower case.
+Both hosts write the same records. `at` is in milliseconds since the start of the run. In a log each record is
+one line of JSON whose `kind` is the type's name in lower case.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 import msgspec
 from msgspec import Struct
 
-CLOSED, UNREACHED, SILENT = 0, -1, -2  # in place of a status: ended without one, never reached, nothing
+CLOSED, UNREACHED, SILENT = 0, -1, -2  # in place of a status: connection closed, node not reached, no answer
 
 
 class Record(Struct, tag_field="kind", tag=str.lower, gc=False):
-    """Something that happened."""
+    """Base class of all records."""
 
     at: float
 
 
 class Asked(Record):
-    """A caller has written a request's last byte to a node."""
+    """A caller has sent the last byte of a request to a node."""
 
     id: str
     node: str
     cls: str
     budget_ms: float
-    origin: str  # `callers`, or the server whose node this is
+    origin: str  # `callers`, or the server that runs beside the node
     key: str = ""
     tenant: str = ""
 
 
 class Answered(Record):
-    """A caller has its answer: a status, or one of `CLOSED`, `UNREACHED` and `SILENT`.
+    """A caller has received its answer: a status, or one of `CLOSED`, `UNREACHED` and `SILENT`.
 
-    `maker` is the server whose mark the body bears; "" where there is none.
+    `maker` is the server named in the body; "" if there is none.
     """
 
     id: str
@@ -46,14 +46,14 @@
 
 
 class Left(Record):
-    """A caller has closed its connection before the answer."""
+    """A caller has closed its connection before receiving an answer."""
 
     id: str
     node: str
 
 
 class Arrived(Record):
-    """An attempt's last byte has come to a server; its first was sent at `began`."""
+    """The last byte of an attempt has arrived at a server; the first byte was sent at `began`."""
 
     id: str
     node: str
@@ -62,7 +62,7 @@
 
 
 class Ended(Record):
-    """A server is done with an attempt: `served`, `error`, `turned` (never ran) or `dropped`."""
+    """A server has finished an attempt: `served`, `error`, `turned` (rejected, never ran) or `dropped`."""
 
     id: str
     server: str
@@ -70,7 +70,7 @@
 
 
 class Told(Record):
-    """News of the list has reached a node: name, status, and the time of its start (0: long ago)."""
+    """A node has received a server list update; entries are name, status and start time (0: long ago)."""
 
     node: str
     index: int
@@ -79,7 +79,7 @@
 
 
 class Process(Record):
-    """A process `started`, is `ready`, was sent a signal (`kill`, `term`, `stop`, `cont`, `hup`), `ended`."""
+    """A process `started`, is `ready`, got a signal (`kill`, `term`, `stop`, `cont`, `hup`) or `ended`."""
 
     node: str
     what: str
@@ -87,7 +87,7 @@
 
 
 class Faulted(Record):
-    """A fault begins or ends; `whom` are the nodes and servers that it touches."""
+    """A fault begins or ends; `whom` lists the affected nodes and servers."""
 
     name: str
     on: bool
@@ -96,19 +96,19 @@
 
 
 class Started(Record):
-    """A server has started, cold; `Fell` says that it was pushed over."""
+    """A server has started cold."""
 
     server: str
 
 
 class Fell(Record):
-    """A cold server got more than it could take, and is down."""
+    """A cold server was overloaded and went down."""
 
     server: str
 
 
 class Closed(Record):
-    """A caller's work is over, with all its tries: `in_time`, `late`, `refused`, `failed`, `lost`, `left`."""
+    """An arrival has its final outcome: `in_time`, `late`, `refused`, `failed`, `lost` or `left`."""
 
     cls: str
     outcome: str
@@ -119,21 +119,21 @@
 
 
 class Belief(Record):
-    """What a process believed and used: figures by name."""
+    """A process's view of the system and its resource usage: figures by name."""
 
     node: str
     figures: dict[str, float]
 
 
 class Broke(Record):
-    """Bytes or actions that break the published protocol."""
+    """Bytes or actions that violate the published protocol."""
 
     who: str
     what: str
 
 
 class Late(Record):
-    """The lab itself, or a node's process, got its turn so much late: verdicts on time allow for it."""
+    """The lab or a node's process was scheduled late by `late_ms`; time limits are extended by that."""
 
     who: str
     late_ms: float
@@ -145,5 +145,5 @@
 
 
 def line(record: Record) -> bytes:
-    """The record as a line of JSON."""
+    """Encode a record as a line of JSON."""
     return _encode(record) + b"\n"
--- a/lab/report.py
+++ b/lab/report.py
@@ -1,4 +1,4 @@
-"""One self-contained page of a result file: figures, pictures over time, faults as shaded spans."""
+"""Renders a result file as one self-contained HTML page: figures, charts over time, and faults as spans."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     "left": "#c9c9c9",
 }  # fmt: skip
 SHADES = ("#999999", "#b07aa1", "#e0a458", "#6c9a8b", "#8899cc")
-MOST_GAP_S = 1.9  # between what a process says; beyond that it was not there
-MOST_SEEDS, MOST_NODES = 6, 24  # with pictures of their own; lines of nodes in one
+MAX_REPORT_GAP_S = 1.9  # longest interval between reports of a running process
+MAX_SHOWN_SEEDS, MAX_SHOWN_NODES = 6, 24  # seeds shown with charts; nodes drawn in one chart
 BELIEFS = (
     ("hosts_down", "servers avoided"), ("inflight", "requests in flight"), ("memory_mb", "memory in MB"),
     ("cpu_share", "share of a core used"), ("fleet_members", "members in its view"),
@@ -34,15 +34,15 @@
 
 
 def page(results: Results) -> str:
-    """The page as HTML."""
+    """Render the page as HTML."""
     environment = Environment(loader=PackageLoader("lab", "."), autoescape=select_autoescape(default=True))
-    shown = [result for result in results.results if result.figures][:MOST_SEEDS]
+    shown = [result for result in results.results if result.figures][:MAX_SHOWN_SEEDS]
     classes = sorted({k.split(".")[1] for r in shown for k in r.figures if k.startswith("class.")})
     return environment.get_template("report.html.j2").render(
         results=results,
         classes=classes,
         rules=RULES,
-        seeds=[(result, _pictures(result), _faults(result)) for result in shown],
+        seeds=[(result, _charts(result), _faults(result)) for result in shown],
         hidden=len(results.results) - len(shown),
         broken=sum(bool(result.broken) for result in results.results),
         kept=sum(result.kept() for result in results.results),
@@ -50,17 +50,21 @@
 
 
 def _faults(result: Result) -> list[tuple[str, str, str, str]]:
-    """Each fault's colour, name, time and whom."""
+    """Return the colour, name, time and affected nodes or servers of each fault."""
     found = []
     for n, span in enumerate(result.faults):
         whom = ", ".join(span.whom[:12]) + (f" and {len(span.whom) - 12} more" if len(span.whom) > 12 else "")
-        when = f"{span.start_s:.1f} s" if _moment(result, n) else f"{span.start_s:.1f} to {span.end_s:.1f} s"
+        when = (
+            f"{span.start_s:.1f} s"
+            if _is_instantaneous(result, n)
+            else f"{span.start_s:.1f} to {span.end_s:.1f} s"
+        )
         found.append((SHADES[n % len(SHADES)], span.name.partition(":")[2], when, whom))
     return found
 
 
-def _moment(result: Result, n: int) -> bool:
-    """Whether a fault is one moment and no span: a signal, or what operators did."""
+def _is_instantaneous(result: Result, n: int) -> bool:
+    """Return whether a fault is instantaneous: a signal, a start or an operator action."""
     kind = result.faults[n].name.partition(":")[2]
     return kind in ("kill", "terminate", "operation", "started")
 
@@ -68,13 +72,13 @@
 def _shade(axes: Axes, result: Result) -> None:
     for n, span in enumerate(result.faults):
         colour = SHADES[n % len(SHADES)]
-        if _moment(result, n):
+        if _is_instantaneous(result, n):
             axes.axvline(span.start_s, color=colour, linewidth=1.5, linestyle="--")
         else:
             axes.axvspan(span.start_s, span.end_s, color=colour, alpha=0.18, linewidth=0)
 
 
-def _picture(title: str, label: str, result: Result) -> tuple[Figure, Axes]:
+def _new_chart(title: str, label: str, result: Result) -> tuple[Figure, Axes]:
     figure = Figure(figsize=(9.0, 2.5), layout="constrained")
     axes = figure.add_subplot()
     axes.set_title(title, loc="left", fontsize=10)
@@ -93,25 +97,27 @@
     return base64.b64encode(buffer.getvalue()).decode()
 
 
-def _length(result: Result) -> int:
-    """Seconds in which anything came."""
+def _duration_s(result: Result) -> int:
+    """Return the number of seconds up to the last arrival."""
     outcomes = result.series.outcomes.values()
     totals = np.sum([counts for by in outcomes for counts in by.values()], axis=0)
     return int(np.flatnonzero(totals)[-1]) + 1 if totals.any() else 1
 
 
-def _pictures(result: Result) -> list[tuple[str, str]]:
-    """Each picture's text for those who don't see it, and its PNG in base64."""
-    length = _length(result)
-    found = [_outcomes(name, result, length) for name in sorted(result.series.outcomes)]
-    found.append(_latencies(result, length))
-    found.append(_attempts(result, length))
-    found += [picture for key, title in BELIEFS if (picture := _belief(key, title, result))]
+def _charts(result: Result) -> list[tuple[str, str]]:
+    """Return the alternative text and the base64 PNG of each chart."""
+    length = _duration_s(result)
+    found = [_outcome_chart(name, result, length) for name in sorted(result.series.outcomes)]
+    found.append(_latency_chart(result, length))
+    found.append(_attempt_chart(result, length))
+    found += [chart for key, title in BELIEFS if (chart := _belief_chart(key, title, result))]
     return found
 
 
-def _outcomes(name: str, result: Result, length: int) -> tuple[str, str]:
-    figure, axes = _picture(f"{name}: what became of what came in each second", "requests", result)
+def _outcome_chart(name: str, result: Result, length: int) -> tuple[str, str]:
+    figure, axes = _new_chart(
+        f"{name}: outcomes of the requests that arrived in each second", "requests", result
+    )
     seconds = np.arange(length)
     bottom = np.zeros(length)
     for outcome in OUTCOMES:
@@ -125,8 +131,8 @@
     return f"outcomes of {name} by second", _encode(figure)
 
 
-def _latencies(result: Result, length: int) -> tuple[str, str]:
-    figure, axes = _picture("latency of what was served, by the second it came in", "ms", result)
+def _latency_chart(result: Result, length: int) -> tuple[str, str]:
+    figure, axes = _new_chart("latency of served requests, by second of arrival", "ms", result)
     for name, values in result.series.percentiles.items():
         shown = np.array(values[:length])
         shown[shown == 0.0] = math.nan
@@ -137,8 +143,8 @@
     return "latency percentiles by second", _encode(figure)
 
 
-def _attempts(result: Result, length: int) -> tuple[str, str]:
-    figure, axes = _picture("attempts at servers, and refusals", "a second", result)
+def _attempt_chart(result: Result, length: int) -> tuple[str, str]:
+    figure, axes = _new_chart("attempts at servers, and refusals", "a second", result)
     seconds = np.arange(length) + 0.5
     axes.plot(seconds, result.series.attempts[:length], label="attempts", linewidth=1.3)
     axes.plot(seconds, result.series.refusals[:length], label="refusals", linewidth=1.3)
@@ -148,35 +154,35 @@
     return "attempts and refusals by second", _encode(figure)
 
 
-def _belief(key: str, title: str, result: Result) -> tuple[str, str] | None:
+def _belief_chart(key: str, title: str, result: Result) -> tuple[str, str] | None:
     beliefs = sorted(result.series.beliefs.items(), key=lambda item: (len(item[0]), item[0]))
     nodes = {name: _series(key, figures) for name, figures in beliefs}
     nodes = {name: series for name, series in nodes.items() if series is not None}
     if not nodes:
         return None
-    figure, axes = _picture(f"what each process says: {title}", title, result)
+    figure, axes = _new_chart(f"reported by each process: {title}", title, result)
     named = len(nodes) <= 12
-    for name, series in list(nodes.items())[:MOST_NODES]:
+    for name, series in list(nodes.items())[:MAX_SHOWN_NODES]:
         assert series is not None
         axes.plot(*series, label=name if named else None, linewidth=1.0, alpha=0.9 if named else 0.5)
-    axes.set_xlim(0, _length(result))
+    axes.set_xlim(0, _duration_s(result))
     axes.set_ylim(bottom=0)
     if named:
         axes.legend(fontsize=7, loc="upper left", bbox_to_anchor=(1.0, 1.0), frameon=False)
-    elif len(nodes) > MOST_NODES:
-        axes.text(1.0, 1.0, f"{MOST_NODES} of {len(nodes)} nodes", transform=axes.transAxes, fontsize=7)
+    elif len(nodes) > MAX_SHOWN_NODES:
+        axes.text(1.0, 1.0, f"{MAX_SHOWN_NODES} of {len(nodes)} nodes", transform=axes.transAxes, fontsize=7)
     return f"{title} by node", _encode(figure)
 
 
 def _series(key: str, figures: dict[str, list[float]]) -> tuple[Any, Any] | None:
-    """Times and values of a figure."""
+    """Return the times and values of a figure, or None if there are too few."""
     at = np.array(figures["at_s"])
     values = np.array(figures.get("cpu_s" if key == "cpu_share" else key, []))
     if len(values) != len(at) or len(at) < 2:
         return None
-    if key == "cpu_share":  # from the processor time used; a new process counts from 0 again
+    if key == "cpu_share":  # derivative of the CPU time, which starts at 0 in a new process
         values = np.diff(values, prepend=math.nan) / np.diff(at, prepend=math.nan)
         values[values < 0.0] = math.nan
-    # While a process was away it believed nothing: its line is broken there.
-    gaps = np.flatnonzero(np.diff(at) > MOST_GAP_S) + 1
+    # Interrupt the line while the process was not running.
+    gaps = np.flatnonzero(np.diff(at) > MAX_REPORT_GAP_S) + 1
     return np.insert(at, gaps, at[gaps - 1]), np.insert(values, gaps, math.nan)
--- a/lab/results.py
+++ b/lab/results.py
@@ -1,4 +1,4 @@
-"""What a run leaves behind: a file that can be compared and shown, typed."""
+"""Typed result files, which can be compared and shown."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 VERSION = 1
 
 
-class BadResults(Exception):
-    """A file that holds no results; says why."""
+class ResultsError(Exception):
+    """A file does not contain valid results."""
 
 
 class Missed(Struct):
@@ -32,18 +32,18 @@
     seed: int
     figures: dict[str, float]
     breaks: list[Break]
-    broken: dict[str, int]  # how often each rule was broken
+    broken: dict[str, int]  # number of violations by rule
     missed: list[Missed]
     faults: list[Span]
     series: Series
-    digest: str  # of all that happened; on the virtual host the same for each run of a seed
-    took_s: float  # of real time
-    late_ms: float = 0.0  # how late the lab itself was at most
-    counted: bool = True  # False: it ran too late to say anything
+    digest: str  # hash of all records; deterministic for a seed on the virtual host
+    took_s: float  # wall-clock time
+    late_ms: float = 0.0  # maximum scheduling delay of the lab itself
+    counted: bool = True  # False: scheduling delays were too long for a valid result
     crashed: str = ""
 
     def kept(self) -> bool:
-        """Whether all rules and expectations held."""
+        """Return whether all rules and expectations were met."""
         return not (self.broken or self.missed or self.crashed)
 
 
@@ -57,12 +57,12 @@
     version: int = VERSION
 
     def counted(self) -> list[Result]:
-        """Those that say something."""
+        """Return the valid results."""
         return [result for result in self.results if result.counted and not result.crashed]
 
 
 def missed(expects: list[Expect], figures: dict[str, float]) -> list[Missed]:
-    """Which expectations the figures don't meet; a figure that there isn't is missed too."""
+    """Return the expectations that are not met; one on a figure that does not exist counts as not met."""
     found = []
     for expect in expects:
         value = figures.get(expect.figure)
@@ -76,23 +76,23 @@
 
 
 def write(results: Results, path: Path) -> None:
-    """Save as JSON."""
+    """Write results as JSON."""
     path.write_bytes(msgspec.json.encode(results) + b"\n")
 
 
 def read(path: Path) -> Results:
-    """Load what `write` saved; `BadResults` says what is wrong with a file."""
+    """Read a result file; raises `ResultsError` if it is invalid."""
     try:
         results = msgspec.json.decode(path.read_bytes(), type=Results)
     except OSError as problem:
-        raise BadResults(f"{path}: {problem.strerror}") from None
+        raise ResultsError(f"{path}: {problem.strerror}") from None
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
-        raise BadResults(f"{path}: no results of the lab: {problem}") from None
+        raise ResultsError(f"{path}: not a result file of the lab: {problem}") from None
     if results.version != VERSION:
-        raise BadResults(f"{path}: version {results.version}, and this program reads {VERSION}")
+        raise ResultsError(f"{path}: version {results.version}, and this program reads {VERSION}")
     return results
 
 
-def summary(scenario: Scenario, host: str) -> Results:
-    """Results without any yet."""
+def empty_results(scenario: Scenario, host: str) -> Results:
+    """Return an empty `Results` for a scenario and host."""
     return Results(scenario.name, host, scenario.about, [])
--- a/lab/runner.py
+++ b/lab/runner.py
@@ -1,4 +1,4 @@
-"""Plays seeds, several at a time where asked, each then in a process of its own."""
+"""Runs the seeds of a scenario, optionally in parallel with one process per seed."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from lab.results import Result
 from lab.scenario import Scenario
 
-END_S = 10.0  # for a worker to clear up after itself
+WORKER_EXIT_S = 10.0  # time for a terminated worker to clean up before it is killed
 
 
 @dataclass(slots=True)
 class Run:
-    """What is to be played."""
+    """A scenario, host and seeds to run."""
 
     scenario: Scenario
     host: str
@@ -33,25 +33,25 @@
     logs: Path | None = None
 
 
-class BadSeeds(Exception):
-    """A list of seeds that can't be read."""
+class SeedListError(Exception):
+    """A list of seeds is malformed."""
 
 
 def read_seeds(text: str) -> list[int]:
-    """Seeds written as `7`, `1-20` or `1,4,7-9`."""
+    """Parse seeds written as `7`, `1-20` or `1,4,7-9`."""
     seeds: list[int] = []
     for part in text.split(","):
         first, dash, last = part.strip().partition("-")
         if not first.isdigit() or (dash and not last.isdigit()):
-            raise BadSeeds(f"{part!r} is no seed; expected a whole number or a range such as 1-20")
+            raise SeedListError(f"{part!r} is not a seed; expected a whole number or a range such as 1-20")
         seeds += range(int(first), int(last) + 1) if dash else [int(first)]
     if not seeds:
-        raise BadSeeds(f"{text!r} holds no seed; a range goes upwards")
+        raise SeedListError(f"{text!r} contains no seed; ranges must be ascending")
     return list(dict.fromkeys(seeds))
 
 
 def play(run: Run, seed: int, step: Step) -> Result:
-    """One seed, in this process."""
+    """Run one seed in this process."""
     with contextlib.ExitStack() as stack:
         log = None
         if run.logs is not None:
@@ -59,18 +59,18 @@
             log = stack.enter_context(log_path(run.logs, run.scenario, run.host, seed).open("wb"))
         if run.host == "virtual":
             return play_virtual(run.scenario, seed, step, log)
-        from lab.processes.day import play_processes  # it brings sockets along
+        from lab.processes.day import play_processes  # imported late, as it needs sockets
 
         return play_processes(run.scenario, seed, step, log, run.logs)
 
 
 def failed(seed: int, problem: str) -> Result:
-    """The result of a run that came to no end."""
+    """Return the result of a run that crashed."""
     return Result(seed, {}, [], {}, [], [], Series(), "", 0.0, crashed=problem)
 
 
-def _work(pipe: Connection, run: Run, seed: int) -> None:
-    # Ctrl-C reaches the whole group of processes; whoever runs the workers tells them to end.
+def _worker_main(pipe: Connection, run: Run, seed: int) -> None:
+    # Ctrl-C reaches the whole process group; the parent process terminates the workers.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
@@ -84,7 +84,7 @@
 
 
 def play_all(run: Run, progress: Callable[[int, float], None]) -> Iterator[Result]:
-    """Every seed's result, in the order in which they end; `progress` hears a seed and its share."""
+    """Yield results in order of completion; `progress` gets a seed and the share of it that is done."""
     if run.jobs <= 1 or len(run.seeds) == 1:
         for seed in run.seeds:
             try:
@@ -93,37 +93,37 @@
                 yield failed(seed, traceback.format_exc(limit=-4))
         return
     context = multiprocessing.get_context("spawn")
-    waiting = deque(run.seeds)
-    working: dict[Connection, tuple[int, SpawnProcess]] = {}
+    pending_seeds = deque(run.seeds)
+    workers: dict[Connection, tuple[int, SpawnProcess]] = {}
     try:
-        while waiting or working:
-            while waiting and len(working) < run.jobs:
-                seed = waiting.popleft()
-                ours, theirs = context.Pipe(duplex=False)
-                process = context.Process(target=_work, args=(theirs, run, seed))
+        while pending_seeds or workers:
+            while pending_seeds and len(workers) < run.jobs:
+                seed = pending_seeds.popleft()
+                receiver, sender = context.Pipe(duplex=False)
+                process = context.Process(target=_worker_main, args=(sender, run, seed))
                 process.start()
-                theirs.close()
-                working[ours] = seed, process
-            for pipe in wait(list(working)):
+                sender.close()
+                workers[receiver] = seed, process
+            for pipe in wait(list(workers)):
                 assert isinstance(pipe, Connection)
-                seed, process = working[pipe]
+                seed, process = workers[pipe]
                 try:
-                    news = pipe.recv()
+                    message = pipe.recv()
                 except EOFError:
                     process.join()
-                    news = failed(seed, f"its process ended with {process.exitcode}")
-                if isinstance(news, Result):
-                    del working[pipe]
+                    message = failed(seed, f"its process ended with {process.exitcode}")
+                if isinstance(message, Result):
+                    del workers[pipe]
                     pipe.close()
                     process.join()
-                    yield news
+                    yield message
                 else:
-                    progress(seed, news)
+                    progress(seed, message)
     finally:
-        for pipe, (_, process) in working.items():
+        for pipe, (_, process) in workers.items():
             process.terminate()
             pipe.close()
-        for _, process in working.values():
-            process.join(END_S)
+        for _, process in workers.values():
+            process.join(WORKER_EXIT_S)
             if process.is_alive():
                 process.kill()
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -1,7 +1,7 @@
-"""A scenario file as typed values: what there is, what comes, what fails, and what is expected.
+"""Typed scenario files: servers and nodes, traffic, faults and expected results.
 
-Times in keys that end with `_s` are seconds, with `_ms` milliseconds. A `Span` is one figure, or two
-between which each seed draws its own. Unknown keys are refused with the nearest known one.
+Keys that end with `_s` are in seconds, those with `_ms` in milliseconds. A `Span` is a single value, or a
+range from which each seed draws a value. Unknown keys are rejected with a hint at the closest known key.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 Count = Annotated[int, Meta(ge=1)]
 Span = NotNegative | Annotated[list[NotNegative], Meta(min_length=2, max_length=2)]
 
-SHIPPED = Path(__file__).parent / "scenarios"
+SHIPPED_SCENARIOS = Path(__file__).parent / "scenarios"
 
 
-class BadScenario(Exception):
-    """A file that no day can be made of; says where, and what was expected."""
+class ScenarioError(Exception):
+    """A scenario file is invalid; the message names the place and what was expected."""
 
 
 class Day(Struct, forbid_unknown_fields=True):
-    """How long callers come, and how long their last requests are waited for."""
+    """Duration of the arrivals, and how long to wait for the last requests."""
 
     length_s: Positive = 20.0
     after_s: Positive = 7.0
 
 
 class Network(Struct, forbid_unknown_fields=True):
-    """Round trips between machines of one zone and of two, and how much single ones vary."""
+    """Round-trip times within a zone and between zones, and their jitter."""
 
     zones: Annotated[list[str], Meta(min_length=1)] = msgspec.field(
         default_factory=lambda: ["linz", "wien", "krems"]
@@ -48,33 +48,31 @@
 
 
 class Nodes(Struct, forbid_unknown_fields=True):
-    """The front nodes, spread over the zones in turn, and what each process may use."""
+    """The front nodes, distributed round-robin over the zones, and the resource limits of each process."""
 
     count: Count = 3
     memory_mb: Positive = 96.0
     sockets: Annotated[int, Meta(ge=64)] = 512
-    fleet: bool = False  # whether they are members of one fleet
-    share: list[Literal["verdicts", "limits", "affinity", "releases"]] = []  # what its members share
-    cpu_ms: NotNegative = (
-        0.5  # of a core, for a request; virtual nodes take so long, real ones what they take
-    )
+    fleet: bool = False  # whether the nodes form one fleet
+    share: list[Literal["verdicts", "limits", "affinity", "releases"]] = []  # state shared by fleet members
+    cpu_ms: NotNegative = 0.5  # core time per request of virtual nodes; real nodes ignore it
 
 
 class Tier(Struct, forbid_unknown_fields=True):
-    """The servers of one tier. With a tier behind it each of them has a node of its own to call that."""
+    """The servers of one tier. If there is a next tier, each server has its own node to call it through."""
 
     name: str = "slot-front"
     servers: Count = 12
     cores: Positive = 2.0
     speed: Span = msgspec.field(default_factory=lambda: [0.85, 1.1])
-    work: NotNegative = 0.44  # share of a request's work that is done here
+    work: NotNegative = 0.44  # share of a request's work done in this tier
     slots_per_core: Positive = 16.0
     queue_per_core: NotNegative = 20.0
-    thrash: NotNegative = 0.15  # how much slower for each time over `thrash_at` that it holds
-    thrash_at: Positive = 20.0  # requests a core
+    thrash: NotNegative = 0.15  # slowdown per multiple of `thrash_at` above it
+    thrash_at: Positive = 20.0  # requests per core
     cold_from: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.45
     cold_s: NotNegative = 6.0
-    choke_at: NotNegative = 0.0  # requests a core; held for `choke_over_s` it chokes; 0: never
+    choke_at: NotNegative = 0.0  # requests per core that, held for `choke_over_s`, slow it down; 0: never
     choke_over_s: Positive = 2.0
     choke_slower: Annotated[float, Meta(ge=1.0)] = 3.0
     choke_rest_s: Positive = 3.0
@@ -83,9 +81,9 @@
     pause_ms: NotNegative = 0.0
     connections: Count = 1200
     handshake_rtts: NotNegative = 1.0
-    handshake_ms: NotNegative = 3.0  # of work
+    handshake_ms: NotNegative = 3.0  # work per handshake
     cell_size: Count = 8
-    calls: NotNegative = 0.0  # to the tier behind, for each request, on average
+    calls: NotNegative = 0.0  # mean number of calls to the next tier per request
     cancels: Literal["queued", "all"] = "all"
     report_delay_ms: NotNegative = 60.0
     report_noise: Share = 0.08
@@ -93,7 +91,7 @@
 
 
 class Class(Struct, forbid_unknown_fields=True):
-    """A class of requests; `work_ms` of one core at speed 1 over all tiers, lognormal."""
+    """A request class; `work_ms` is the lognormal work over all tiers, on one core at speed 1."""
 
     name: str
     share: Positive
@@ -102,7 +100,7 @@
     deadline_ms: Positive
     effect: Literal["safe", "keyed", "unsafe"]
     cv: NotNegative = 1.2
-    noise: Share = 0.2  # between attempts of one request
+    noise: Share = 0.2  # variation between attempts of one request
     worth: Positive = 1.0
     late_worth: Share = 0.0
     group: Literal["all", "zone", "cell"] = "zone"
@@ -110,7 +108,7 @@
 
 
 class Tenant(Struct, forbid_unknown_fields=True):
-    """One of those who share the service: its share of the requests, and its quota over all nodes."""
+    """A tenant: its share of the requests, and its quota over all nodes."""
 
     name: str
     share: Positive
@@ -118,7 +116,7 @@
 
 
 class Burst(Struct, forbid_unknown_fields=True):
-    """For a while `times` as much comes."""
+    """An interval in which the arrival rate is multiplied by `times`."""
 
     at_s: NotNegative
     for_s: Positive
@@ -126,43 +124,43 @@
 
 
 class Arrivals(Struct, forbid_unknown_fields=True):
-    """How requests come: Poisson, around `load` of the first tier's capacity or `rate_per_s` in all."""
+    """Poisson arrivals at `load` times the first tier's capacity, or at `rate_per_s` in total."""
 
     load: Span = 0.4
-    rate_per_s: NotNegative = 0.0  # 0: by load
-    swing: Share = 0.0
+    rate_per_s: NotNegative = 0.0  # 0: use `load`
+    swing: Share = 0.0  # relative amplitude of a sine of period `swing_s`
     swing_s: Positive = 20.0
-    skew: Annotated[float, Meta(ge=1.0)] = 1.0  # what the busiest node gets, over the mean
+    skew: Annotated[float, Meta(ge=1.0)] = 1.0  # rate of the busiest node relative to the mean
     bursts: list[Burst] = []
 
 
 class Callers(Struct, forbid_unknown_fields=True):
-    """What a caller does: how often it tries, how long it waits in between, and when it gives up."""
+    """Caller behaviour: number of tries, backoff, and when a caller gives up."""
 
     tries: Count = 3
-    try_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.6  # of the deadline that one try may take
+    try_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.6  # share of the deadline that one try may take
     backoff_ms: Span = 100.0
-    honours: Share = 0.3  # share of them that wait as `Retry-After` says
-    repeats: bool = False  # whether they ask for keyed work again that may have run, within its window
-    impatient: Share = 0.0  # share that leave at a random time before the answer is due
-    notice_s: Span = msgspec.field(default_factory=lambda: [1.4, 3.9])  # until the front sees a node dead
+    honours: Share = 0.3  # share of callers that honour `Retry-After`
+    repeats: bool = False  # whether keyed requests that may have run are retried within their window
+    impatient: Share = 0.0  # share of callers that disconnect at a random time before the deadline
+    notice_s: Span = msgspec.field(default_factory=lambda: [1.4, 3.9])  # until the front detects a dead node
 
 
 class Discovery(Struct, forbid_unknown_fields=True):
-    """How soon each node is told of a change."""
+    """Delay with which nodes learn of server list changes."""
 
     notice_s: Span = msgspec.field(default_factory=lambda: [0.3, 2.2])
-    spread_ms: NotNegative = 60.0  # between nodes
+    spread_ms: NotNegative = 60.0  # maximum additional delay, drawn per node
     mode: Literal["pushed", "on_request"] = "pushed"
 
 
 class Rules(Struct, forbid_unknown_fields=True):
-    """The figures of the four rules."""
+    """Limits of the four published rules."""
 
     max_attempts: Count = 5
     drain_ms: Positive = 500.0
     slack_ms: NotNegative = 70.0
-    overdue_ms: Positive = 500.0  # so long after its time an answer earns nothing; later it is lost
+    overdue_ms: Positive = 500.0  # an answer later than this after the deadline counts as lost
     overload_factor: Positive = 2.5
     overload_ms: Positive = 3000.0
     start_capacity: Share = 0.3
@@ -171,7 +169,7 @@
 
 
 class Fault(Struct, tag_field="kind", forbid_unknown_fields=True, kw_only=True):
-    """What fails, from when and for how long; with `flap_s` it comes and goes in that rhythm."""
+    """A fault with its start and duration; with `flap_s` it turns on and off at that interval."""
 
     at_s: NotNegative
     for_s: Positive = math.inf
@@ -179,7 +177,7 @@
 
 
 class Link(Fault, tag="link", kw_only=True):
-    """Links from some to others, in that direction, and in the other with `both`."""
+    """A fault on the links from `source` to `target`, and in the other direction with `both`."""
 
     source: str = "*"
     target: str = "*"
@@ -190,27 +188,27 @@
     duplicate: Share = 0.0
     reorder: Share = 0.0
     rate_kbps: NotNegative = 0.0  # 0: no limit
-    cut: bool = False  # silent
+    cut: bool = False  # everything is dropped silently
     refuse: bool = False  # connections are refused, datagrams lost
-    datagrams_only: bool = False  # streams pass as ever
+    datagrams_only: bool = False  # streams are not affected
 
 
 class Split(Fault, tag="split", kw_only=True):
-    """Each part is cut off from the others; who is in no part sees all."""
+    """A network partition into `parts`; machines in no part reach all others."""
 
     parts: Annotated[list[list[str]], Meta(min_length=2)]
-    one_way: bool = False  # only what goes from an earlier part to a later one
+    one_way: bool = False  # cut only from earlier parts to later ones
 
 
 class Kill(Fault, tag="kill", kw_only=True):
-    """SIGKILL for nodes; with `back_s` they are started again under their names."""
+    """SIGKILL to nodes; with `back_s` they are restarted under the same names after that time."""
 
     nodes: list[str]
     back_s: NotNegative = 0.0
 
 
 class Terminate(Fault, tag="terminate", kw_only=True):
-    """SIGTERM for nodes, one after another `apart_s`, SIGKILL `kill_s` later."""
+    """SIGTERM to nodes, one every `apart_s`, followed by SIGKILL `kill_s` later."""
 
     nodes: list[str]
     apart_s: NotNegative = 0.0
@@ -219,20 +217,20 @@
 
 
 class Stop(Fault, tag="stop", kw_only=True):
-    """SIGSTOP for nodes, SIGCONT after `for_s`; their sockets stay open."""
+    """SIGSTOP to nodes, SIGCONT after `for_s`; their sockets stay open."""
 
     nodes: list[str]
 
 
 class Hog(Fault, tag="hog", kw_only=True):
-    """Nodes get only this share of their core."""
+    """Limits nodes to this share of their core."""
 
     nodes: list[str]
     share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.1
 
 
 class Clock(Fault, tag="clock", kw_only=True):
-    """Virtual nodes' clocks: the wall's is off by so much, the monotonic one runs so much faster."""
+    """Clock fault of virtual nodes: a wall clock offset and a relative drift of the monotonic clock."""
 
     nodes: list[str]
     wall_ms: float = 0.0
@@ -240,40 +238,40 @@
 
 
 class ServerFault(Fault, tag="server", kw_only=True):
-    """What is wrong with servers; several at once are possible."""
+    """A fault of servers; several kinds may be combined."""
 
     servers: list[str]
-    slow: Annotated[float, Meta(ge=1.0)] = 1.0  # times its usual time
-    hang: bool = False  # takes all, answers nothing
-    errors: Share = 0.0  # answered with 500, at once
-    pause_ms: NotNegative = 0.0  # stands still for so long, again and again
+    slow: Annotated[float, Meta(ge=1.0)] = 1.0  # slowdown factor
+    hang: bool = False  # accepts requests, answers none
+    errors: Share = 0.0  # share of requests answered immediately with 500
+    pause_ms: NotNegative = 0.0  # length of repeated pauses
     pause_every_ms: Positive = 1000.0
-    vanish: bool = False  # its machine is cut off; afterwards it starts cold
-    drain: bool = False  # leaves in order; afterwards it starts cold
-    restart: bool = False  # dies and starts cold at once
+    vanish: bool = False  # the machine is unreachable; afterwards the server starts cold
+    drain: bool = False  # leaves gracefully; afterwards starts cold
+    restart: bool = False  # dies and starts cold immediately
 
 
 class Silence(Fault, tag="discovery", kw_only=True):
-    """Discovery tells these nodes nothing; or, with `late_s`, so much later."""
+    """Discovery sends these nodes no updates or, with `late_s`, delays them by that time."""
 
     nodes: list[str] = msgspec.field(default_factory=lambda: ["*"])
     late_s: NotNegative = 0.0
 
 
 class Operation(Fault, tag="operate", kw_only=True):
-    """What operators do: `quiesce` and `resume`, `upgrade` with a handed socket, `reload`."""
+    """An operator action: `quiesce`, `resume`, `upgrade` with socket hand-over, or `reload`."""
 
     nodes: list[str]
     do: Literal["quiesce", "resume", "upgrade", "reload"]
     apart_s: NotNegative = 0.0
-    max_attempts: Annotated[int, Meta(ge=0)] = 0  # of the settings that `reload` brings; 0: as before
-    spoilt: bool = False  # the file that `reload` brings is cut off
+    max_attempts: Annotated[int, Meta(ge=0)] = 0  # new value set by `reload`; 0: unchanged
+    spoilt: bool = False  # the file that `reload` reads is truncated
 
 
 class Release(Fault, tag="release", kw_only=True):
-    """A new build: these servers start anew with it, one after another; operators stage it if they do.
+    """A new build: the servers restart with it one after another, as a staged release if `staged`.
 
-    What is wrong with the build shows `ill_s` after each start.
+    Defects of the build take effect `ill_s` after each start.
     """
 
     servers: list[str]
@@ -282,9 +280,9 @@
         default_factory=lambda: [1.0, 5.0, 25.0, 50.0, 100.0]
     )  # percent
     bake_s: Positive = 30.0
-    lead_s: NotNegative = 2.0  # from when operators begin it until the first server starts
+    lead_s: NotNegative = 2.0  # from the operators' start of the release until the first server restarts
     apart_s: NotNegative = 0.5
-    slow: Positive = 1.0  # times the usual time
+    slow: Positive = 1.0  # slowdown factor
     errors: Share = 0.0
     hang: bool = False
     ill_s: NotNegative = 0.0
@@ -296,7 +294,7 @@
 
 
 class Expect(Struct, forbid_unknown_fields=True):
-    """A bound that a figure has to keep, such as `goodput` or `class.slot-view.goodput`."""
+    """Bounds on a figure, such as `goodput` or `class.slot-view.goodput`."""
 
     figure: str
     at_least: float = -math.inf
@@ -311,7 +309,7 @@
 
 
 class Scenario(Struct, forbid_unknown_fields=True):
-    """A day in the life of a fleet."""
+    """A complete scenario."""
 
     name: str
     about: str = ""
@@ -332,7 +330,7 @@
 
 
 def _fields(kind: msgspec.inspect.Type, value: Any) -> dict[str, msgspec.inspect.Type] | None:
-    """The keys that an object may have here; of several kinds, that which its `kind` names."""
+    """Return the keys valid for an object; for a tagged union, those of the type that the tag names."""
     options = kind.types if isinstance(kind, msgspec.inspect.UnionType) else (kind,)
     for option in options:
         if not isinstance(option, msgspec.inspect.StructType):
@@ -340,16 +338,16 @@
         if option.tag_field is None:
             return {field.encode_name: field.type for field in option.fields}
         if value.get(option.tag_field) == option.tag:
-            found = {field.encode_name: field.type for field in option.fields}
-            return found | {option.tag_field: msgspec.inspect.StrType()}
+            fields = {field.encode_name: field.type for field in option.fields}
+            return fields | {option.tag_field: msgspec.inspect.StrType()}
     return None
 
 
 def _unknown(value: Any, kind: msgspec.inspect.Type, path: str) -> str | None:
-    """What there is to say of the first key that is not known; None where all are."""
+    """Return an error text for the first unknown key, or None."""
     if isinstance(value, list) and isinstance(kind, msgspec.inspect.ListType):
-        found = (_unknown(item, kind.item_type, f"{path}[{n}]") for n, item in enumerate(value))
-        return next((text for text in found if text), None)
+        errors = (_unknown(item, kind.item_type, f"{path}[{n}]") for n, item in enumerate(value))
+        return next((text for text in errors if text), None)
     fields = _fields(kind, value) if isinstance(value, dict) else None
     if fields is None:
         return None
@@ -365,15 +363,15 @@
 
 
 def _change(raw: dict[str, Any], change: str) -> None:
-    """Put `path=value` into a scenario's raw values, the value written as in TOML."""
+    """Apply a change `path=value` to the raw scenario; the value is written as in TOML."""
     path, equals, value = change.partition("=")
     *above, key = path.strip().split(".")
     try:
-        found = tomllib.loads(f"value = {value}")["value"]
+        parsed_value = tomllib.loads(f"value = {value}")["value"]
     except tomllib.TOMLDecodeError:
         equals = ""
     if not equals or not key:
-        raise BadScenario(f"{change!r}: expected path=value, with the value written as in TOML")
+        raise ScenarioError(f"{change!r}: expected path=value, with the value written as in TOML")
     place: Any = raw
     for step in above:
         if isinstance(place, list) and step.isdigit() and int(step) < len(place):
@@ -381,73 +379,73 @@
         elif isinstance(place, dict):
             place = place.setdefault(step, {})
     if not isinstance(place, dict):
-        raise BadScenario(f"{change!r}: there is no {path.strip()}")
-    place[key] = found
+        raise ScenarioError(f"{change!r}: there is no {path.strip()}")
+    place[key] = parsed_value
 
 
 def parse(text: str, source: str = "scenario", changes: Sequence[str] = ()) -> Scenario:
-    """Read a scenario's text; `BadScenario` names the line or path, and what was expected there.
+    """Parse a scenario; raises `ScenarioError` with the line or path and what was expected there.
 
-    `changes` are put in first, each as `path=value`.
+    `changes` are applied first, each given as `path=value`.
     """
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as problem:
-        raise BadScenario(f"{source}: not TOML: {problem}") from None
+        raise ScenarioError(f"{source}: not TOML: {problem}") from None
     for change in changes:
         _change(raw, change)
     if unknown := _unknown(raw, msgspec.inspect.type_info(Scenario), ""):
-        raise BadScenario(f"{source}: {unknown}")
+        raise ScenarioError(f"{source}: {unknown}")
     try:
         scenario = msgspec.convert(raw, Scenario)
     except msgspec.ValidationError as problem:
         what, _, where = str(problem).partition(" - at `$")
         place = where.rstrip("`").lstrip(".")
-        raise BadScenario(f"{source}: {place + ': ' if place else ''}{what}") from None
+        raise ScenarioError(f"{source}: {place + ': ' if place else ''}{what}") from None
     _check(scenario, source)
     return scenario
 
 
 def _check(scenario: Scenario, source: str) -> None:
-    """What types alone don't say: names that must exist, and figures that contradict each other."""
-    from lab.names import Names, UnknownNameError  # it needs the types above
+    """Check what types can't express: names that must exist, and values that contradict each other."""
+    from lab.names import Names, UnknownNameError  # imported late, as it needs the types above
 
     names = Names(scenario)
     for where, items in (("classes", scenario.classes), ("tenants", scenario.tenants)):
         called = [item.name for item in items]
         if len(set(called)) < len(called):
-            raise BadScenario(f"{source}: {where}: two have the same name")
+            raise ScenarioError(f"{source}: {where}: two have the same name")
     if scenario.nodes.share and not scenario.nodes.fleet:
-        raise BadScenario(f"{source}: nodes.share: needs nodes.fleet")
+        raise ScenarioError(f"{source}: nodes.share: needs nodes.fleet")
     if "affinity" in scenario.nodes.share and (scenario.nodes.count < 3 or len(scenario.network.zones) < 2):
-        raise BadScenario(f"{source}: nodes.share: affinity needs three nodes and two zones, or more")
+        raise ScenarioError(f"{source}: nodes.share: affinity needs three nodes and two zones, or more")
     for n, tier in enumerate(scenario.tiers):
         if tier.calls and n + 1 == len(scenario.tiers):
-            raise BadScenario(f"{source}: tiers[{n}].calls: there is no tier behind the last")
+            raise ScenarioError(f"{source}: tiers[{n}].calls: there is no tier behind the last")
     for n, fault in enumerate(scenario.faults):
         if fault.at_s > scenario.day.length_s:
-            raise BadScenario(f"{source}: faults[{n}].at_s: the day ends at {scenario.day.length_s:g} s")
+            raise ScenarioError(f"{source}: faults[{n}].at_s: the day ends at {scenario.day.length_s:g} s")
         for key, choice in names.selectors(fault):
             try:
                 names.pick(choice, key)
             except UnknownNameError as problem:
-                raise BadScenario(f"{source}: faults[{n}].{key}: {problem}") from None
+                raise ScenarioError(f"{source}: faults[{n}].{key}: {problem}") from None
 
 
 def load(name: str, changes: Sequence[str] = ()) -> Scenario:
-    """Read a scenario by its file's path, or by the name of one that is shipped; `changes` as for `parse`."""
+    """Load a scenario by path or by the name of a shipped one; `changes` as in `parse`."""
     path = Path(name)
-    if not path.is_file() and (SHIPPED / f"{name}.toml").exists():
-        path = SHIPPED / f"{name}.toml"
+    if not path.is_file() and (SHIPPED_SCENARIOS / f"{name}.toml").exists():
+        path = SHIPPED_SCENARIOS / f"{name}.toml"
     try:
         return parse(path.read_text(encoding="utf-8"), str(path.name), changes)
     except OSError as problem:
-        known = ", ".join(sorted(file.stem for file in SHIPPED.glob("*.toml")))
-        raise BadScenario(f"{name}: {problem.strerror or problem}; shipped are {known}") from None
+        known = ", ".join(sorted(file.stem for file in SHIPPED_SCENARIOS.glob("*.toml")))
+        raise ScenarioError(f"{name}: {problem.strerror or problem}; shipped are {known}") from None
     except UnicodeDecodeError:
-        raise BadScenario(f"{name}: must be text in UTF-8") from None
+        raise ScenarioError(f"{name}: must be text in UTF-8") from None
 
 
 def schema() -> dict[str, Any]:
-    """The JSON Schema of a scenario file, from the types."""
+    """Return the JSON Schema of scenario files, derived from the types."""
     return msgspec.json.schema(Scenario)
--- a/lab/virtual/host.py
+++ b/lab/virtual/host.py
@@ -91,7 +91,7 @@
         attempts = old.max_attempts if old is not None else 0
         self.tell(records.Process(self._now, name, "started"))
         node = self.nodes[name] = self.node_type(self, name, self.plan.seed * 1_000_003 + life, attempts)
-        self.agent(name).on_news = lambda index, changed: node.turn(node.tell_list, index, changed, False)
+        self.agent(name).on_update = lambda index, changed: node.turn(node.tell_list, index, changed, False)
         node.handle(api.Started())
         if first:
             self._admit(name, node, True)
@@ -192,7 +192,7 @@
             for node in (new, *self._old[name]):
                 node.turn(node.tell_list, index, changed, False)
 
-        self.agent(name).on_news = tell
+        self.agent(name).on_update = tell
         self._share(name)
         self.after(START_MS, self._retire, old)
 
--- a/lab/virtual/node.py
+++ b/lab/virtual/node.py
@@ -23,7 +23,7 @@
 from lab import records
 from lab.callers import Done, Order
 from lab.records import UNREACHED
-from lab.registry import ACTIVE, LEFT, Entry, told
+from lab.registry import ACTIVE, LEFT, Entry, told_entries
 from lab.servers import Job, Server
 from lab.settings import settings
 
@@ -85,7 +85,7 @@
         self.member: Member | None = None
         if host.meeting is not None:
             self.member = host.meeting.join(self)
-        self.tell_list(host.agent(name).index, host.agent(name).whole(), True)
+        self.tell_list(host.agent(name).index, host.agent(name).full_list(), True)
 
     # Clocks and turns
 
@@ -331,7 +331,7 @@
     def tell_list(self, index: int, entries: list[Entry], whole: bool) -> None:
         """News from its agent."""
         now = self._host.now()
-        self._host.tell(records.Told(now, self.name, index, whole, told(entries)))
+        self._host.tell(records.Told(now, self.name, index, whole, told_entries(entries)))
         offset = self.now() - now - self._wall_ms  # from the wall's clock, as it sees it, to its own
         listed = []
         for entry in entries:
--- a/lab/world.py
+++ b/lab/world.py
@@ -315,7 +315,7 @@
         elif on:
             agent.silent = True
         else:
-            agent.speak()
+            agent.end_silence()
 
     def _server(self, fault: ServerFault, server: Server, on: bool) -> None:
         if fault.vanish:
--- a/tests/test_lab_scenario.py
+++ b/tests/test_lab_scenario.py
@@ -20,8 +20,8 @@
 from lab.names import Names
 from lab.plan import Plan
 from lab.registry import ACTIVE, Registry
-from lab.runner import BadSeeds, read_seeds
-from lab.scenario import SHIPPED, BadScenario, Discovery, Tier, load, parse, schema
+from lab.runner import SeedListError, read_seeds
+from lab.scenario import SHIPPED_SCENARIOS, Discovery, ScenarioError, Tier, load, parse, schema
 from lab.servers import Job, Server
 from tests.peers import settings
 
@@ -48,7 +48,7 @@
 def test_a_file_that_is_no_good_is_refused_with_its_place_and_what_was_expected(
     text: str, where: str, what: str, tmp_path: Path
 ) -> None:
-    with pytest.raises(BadScenario) as caught:
+    with pytest.raises(ScenarioError) as caught:
         parse(text, "day.toml")
     message = str(caught.value)
     assert message.startswith("day.toml: ")
@@ -61,7 +61,7 @@
 
 
 def test_all_shipped_scenarios_are_good_and_the_schema_knows_their_keys() -> None:
-    shipped = sorted(SHIPPED.glob("*.toml"))
+    shipped = sorted(SHIPPED_SCENARIOS.glob("*.toml"))
     assert len(shipped) >= 10
     definitions = schema()["$defs"]
     for path in shipped:
@@ -168,7 +168,7 @@
 def test_seeds_are_read_or_refused() -> None:
     assert read_seeds("1-3,7,2") == [1, 2, 3, 7]
     for text in ("", "x", "3-1", "1-", "-2"):
-        with pytest.raises(BadSeeds):
+        with pytest.raises(SeedListError):
             read_seeds(text)
 
 
