--- a/lab/plan.py
+++ b/lab/plan.py
@@ -1,6 +1,6 @@
 """Everything drawn from a seed before a run: arrivals, request work and machine properties.
 
-Both hosts run the same plan, so a seed means the same traffic on both. Each purpose has its own `numpy` random
+Both hosts run the same plan, so a seed means the same traffic on both. Each purpose has its own random
 stream, so that an additional draw for one purpose does not change the others.
 """
 
--- a/lab/processes/caller.py
+++ b/lab/processes/caller.py
@@ -13,7 +13,7 @@
 from lab.processes.pipe import Pipe
 from lab.processes.standin import METHODS, body, maker, target
 from lab.records import CLOSED, SILENT, UNREACHED
-from lab.world import CONNECT_MS
+from lab.world import CALLER_CONNECT_TIMEOUT_MS
 
 if TYPE_CHECKING:
     from lab.processes.host import ProcessHost
@@ -186,7 +186,7 @@
         """On a new connection."""
         line = self.host.lines.between(self.origin, self.node)
         if self.origin == CALLERS and (line.refuse or line.cut):
-            wait = CONNECT_MS if line.cut else 0.0
+            wait = CALLER_CONNECT_TIMEOUT_MS if line.cut else 0.0
             return self.host.after(wait, errand.end, UNREACHED)
         self.host.spawn(self._dial(errand))
 
--- a/lab/processes/host.py
+++ b/lab/processes/host.py
@@ -293,7 +293,7 @@
 
     def _upgrades(self, name: str) -> bool:
         return any(
-            isinstance(fault, Operation) and fault.do == "upgrade" and name in self._whom(fault)
+            isinstance(fault, Operation) and fault.do == "upgrade" and name in self._affected(fault)
             for fault in self.scenario.faults
         )
 
--- a/lab/settings.py
+++ b/lab/settings.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start, in the form of the published pages, from a scenario and its plan."""
+"""Builds a node's start-up settings, in the published format, from a scenario and its plan."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 from lab.plan import Plan
 
-EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
+SEMANTICS_BY_EFFECT = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 
 
 def settings(plan: Plan, node: str, max_attempts: int = 0) -> dict[str, Any]:
-    """The `settings` object of a node: of a front node, or of the node that a first-tier server calls."""
+    """Return the `settings` object of a front node, or of a node that runs beside a first-tier server."""
     scenario, names = plan.scenario, plan.names
-    inner = node in names.server_nodes
-    copies = list(names.server_nodes if inner else names.nodes)
-    tier, rules = scenario.tiers[int(inner)], scenario.rules
+    is_server_node = node in names.server_nodes
+    sibling_names = list(names.server_nodes if is_server_node else names.nodes)
+    tier, rules = scenario.tiers[int(is_server_node)], scenario.rules
     return {
         "classes": [
             {
@@ -23,7 +23,7 @@
                 "give_up_ms": cls.deadline_ms,
                 "importance": cls.worth,
                 "late_worth": cls.late_worth,
-                "semantics": EFFECTS[cls.effect],
+                "semantics": SEMANTICS_BY_EFFECT[cls.effect],
                 "dedup_scope": cls.group if cls.effect == "keyed" else "all",
                 "window_ms": cls.window_ms,
                 "stream": False,
@@ -38,9 +38,9 @@
         "score_parts": {"whole": 0.4, "worst_class": 0.2, "worst_tenant": 0.1, "worst_window": 0.3},
         "locality": names.zone(node),
         "dcs": names.zones,
-        "siblings": len(copies),
-        "my_number": copies.index(node),
-        "tier": int(inner),
+        "siblings": len(sibling_names),
+        "my_number": sibling_names.index(node),
+        "tier": int(is_server_node),
         "stages": [spec.name for spec in scenario.tiers],
         "family": "chain",
         "family_info": {"passes_deadline": True},
--- a/lab/system_packages.py
+++ b/lab/system_packages.py
@@ -1,8 +1,8 @@
-"""Which Debian packages a clean build needs, as far as shared libraries tell.
+"""Checks which Debian packages a clean build needs for its shared libraries.
 
 Run as `python -m lab.system_packages check FOLDER --deploy deploy/system.toml`: each library that a file in
-FOLDER needs has to belong to a listed package, or to one that a listed package depends on. Which package has
-which library is in `deploy/debian-packages.json`; `record` writes that file anew from this machine's dpkg.
+FOLDER needs has to belong to a listed package or one of its dependencies. `deploy/debian-packages.json` maps
+packages to libraries; `record` regenerates that file from this machine's dpkg.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Package(msgspec.Struct, frozen=True):
-    """One Debian package: the packages that it depends on, and the shared libraries that it has."""
+    """One Debian package: its dependencies and its shared libraries."""
 
     depends: tuple[str, ...]
     libraries: tuple[str, ...]
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingLibrary:
-    """A library that no listed package brings, and a file that needs it."""
+    """A library that no listed package provides, and a file that needs it."""
 
     library: str
     file: str
 
 
 class UnknownPackageError(Exception):
-    """A deploy file lists a package that the index does not have."""
+    """A deploy file lists a package that is not in the index."""
 
 
 def read_index(path: Path = INDEX) -> dict[str, Package]:
@@ -62,18 +62,18 @@
 
 
 def closure(packages: Iterable[str], index: PackageIndex) -> set[str]:
-    """Return packages with all that they depend on. Raises `UnknownPackageError`."""
+    """Return packages with all their dependencies. Raises `UnknownPackageError`."""
     pending = list(packages)
     unknown = [name for name in pending if name not in index]
     if unknown:
         raise UnknownPackageError(f"not in {INDEX.name}: {', '.join(sorted(unknown))}")
-    found: set[str] = set()
+    names: set[str] = set()
     while pending:
         name = pending.pop()
-        if name not in found:
-            found.add(name)
-            pending.extend(each for each in index[name].depends if each in index)
-    return found
+        if name not in names:
+            names.add(name)
+            pending.extend(entry for entry in index[name].depends if entry in index)
+    return names
 
 
 def needed_libraries(folder: Path) -> dict[str, str]:
@@ -89,7 +89,7 @@
 
 
 def _needed_by(path: Path) -> list[str]:
-    """Return the libraries that one file names as needed; none where it is no ELF file."""
+    """Return the libraries that a file needs; none if it is not an ELF file."""
     with path.open("rb") as stream:
         try:
             dynamic = ELFFile(stream).get_section_by_name(".dynamic")
@@ -101,7 +101,7 @@
 
 
 def missing_libraries(folder: Path, packages: Iterable[str], index: PackageIndex) -> list[MissingLibrary]:
-    """Return the libraries that a folder needs and no listed package brings. Raises `UnknownPackageError`."""
+    """Return the needed libraries that no listed package provides. Raises `UnknownPackageError`."""
     present = {library for name in closure(packages, index) for library in index[name].libraries}
     needed = needed_libraries(folder)
     return [
@@ -110,7 +110,7 @@
 
 
 def record_index(packages: Iterable[str]) -> dict[str, Package]:
-    """Return these packages, and all that they depend on, as this machine's dpkg has them."""
+    """Return these packages and their dependencies, as installed on this machine."""
     listing = subprocess.run(
         ["dpkg-query", "-W", "-f", _DPKG_FIELDS], capture_output=True, text=True, check=True
     ).stdout
@@ -130,27 +130,29 @@
 
 
 def _installed(relations: str, installed: Mapping[str, str]) -> tuple[str, ...]:
-    """Return the packages that a list of dependencies names; of alternatives the first that is installed."""
-    found = []
+    """Return the packages in a dependency list; of alternatives, the first that is installed."""
+    names = []
     for relation in relations.split(","):
-        alternatives = [re.split(r"[ :(]", each.strip())[0] for each in relation.split("|")]
-        chosen = next((each for each in alternatives if each in installed), None)
+        alternatives = [re.split(r"[ :(]", entry.strip())[0] for entry in relation.split("|")]
+        chosen = next((entry for entry in alternatives if entry in installed), None)
         if chosen is not None:
-            found.append(chosen)
-    return tuple(sorted(set(found)))
+            names.append(chosen)
+    return tuple(sorted(set(names)))
 
 
 def _libraries_of(package: str) -> tuple[str, ...]:
-    done = subprocess.run(["dpkg-query", "-L", package], capture_output=True, text=True, check=True)
-    names = {Path(line).name for line in done.stdout.splitlines() if "/lib" in line}
+    completed = subprocess.run(["dpkg-query", "-L", package], capture_output=True, text=True, check=True)
+    names = {Path(line).name for line in completed.stdout.splitlines() if "/lib" in line}
     return tuple(sorted(name for name in names if _LIBRARY_NAME.fullmatch(name)))
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Check a folder, or record the index; 1 where a library is missing."""
+    """Check a folder or record the index; returns 1 if a library is missing."""
     parser = argparse.ArgumentParser(prog="python -m lab.system_packages")
     commands = parser.add_subparsers(dest="command", required=True)
-    check = commands.add_parser("check", help="whether the listed packages bring what a folder needs")
+    check = commands.add_parser(
+        "check", help="check that the listed packages provide the libraries that a folder needs"
+    )
     check.add_argument("folder", type=Path)
     check.add_argument("--deploy", type=Path, default=DEPLOY_FILES[0], help="the deploy file with the list")
     commands.add_parser("record", help=f"write {INDEX.name} from this machine's dpkg")
@@ -160,8 +162,8 @@
         INDEX.write_bytes(msgspec.json.format(msgspec.json.encode(record_index(listed)), indent=1) + b"\n")
         return 0
     missing = missing_libraries(options.folder, listed_packages(options.deploy), read_index())
-    for each in missing:
-        print(f"{each.library}: needed by {each.file}, in no listed package", file=sys.stderr)
+    for entry in missing:
+        print(f"{entry.library}: needed by {entry.file}, in no listed package", file=sys.stderr)
     return 1 if missing else 0
 
 
--- a/lab/virtual/host.py
+++ b/lab/virtual/host.py
@@ -20,7 +20,7 @@
 from lab.scenario import Operation, Release
 from lab.servers import Job
 from lab.virtual.node import ANSWER_BYTES, REQUEST_BYTES, Attempt, VirtualNode
-from lab.world import CONNECT_MS, World, release_query
+from lab.world import CALLER_CONNECT_TIMEOUT_MS, World, release_query
 
 if TYPE_CHECKING:
     from lab.virtual.member import NodeMeeting
@@ -221,7 +221,7 @@
         if line.refuse:
             return self.after(self.lines.rtt_ms(CALLERS, node), self._reply, order.id, UNREACHED, "", 0.0)
         if line.cut:
-            return self.after(CONNECT_MS, self._reply, order.id, UNREACHED, "", 0.0)
+            return self.after(CALLER_CONNECT_TIMEOUT_MS, self._reply, order.id, UNREACHED, "", 0.0)
         line.carry(REQUEST_BYTES, process.come, order, done)
 
     def _expire(self, id: str) -> None:
