--- a/lab/behaviour_runs.py
+++ b/lab/behaviour_runs.py
@@ -162,11 +162,13 @@
             case 4:
                 world.replay()
             case 5:
-                world.book.change(add=name) if rng.random() < 0.6 else world.book.change(remove=name)
-        world.book.enter(f"key-{step % 3}")
+                world.table_oracle.change(add=name) if rng.random() < 0.6 else world.table_oracle.change(
+                    remove=name
+                )
+        world.table_oracle.enter(f"key-{step % 3}")
         world.run(rng.uniform(100.0, 2_000.0))
     world.run(5_000.0)
-    recorder.add(list(world.history), world.messages, world.book.kept)
+    recorder.add(list(world.history), world.messages, world.table_oracle.kept)
 
 
 def play_shared(seed: str, recorder: Recorder) -> None:
--- a/lab/capacity/shared.py
+++ b/lab/capacity/shared.py
@@ -164,8 +164,8 @@
 def _shared_day(name: str, members: int, seed: int, parts: tuple[str, ...]) -> dict[str, float]:
     member.CORE = Timed
     host = VirtualHost(Plan(_scenario(members, parts), seed), [])
-    assert host.meeting is not None
-    counts, whole = host.meeting.bytes, members * MEASURED_MS / 1000.0
+    assert host.network is not None
+    counts, whole = host.network.bytes, members * MEASURED_MS / 1000.0
     found: dict[str, float] = {}
 
     def clear() -> None:
--- a/lab/cells.py
+++ b/lab/cells.py
@@ -25,11 +25,11 @@
 from dunlinloft.fleet.cells.service_totals import MAX_REPORT_AGE_MS
 from dunlinloft.fleet.membership.core import Membership
 from lab.fit import line
-from lab.virtual.askers import Askers
+from lab.virtual.askers import DirectoryLoadFleet
 from lab.virtual.cell_oracle import cell_problems, cells
-from lab.virtual.cell_processes import Hosted, Member
+from lab.virtual.cell_processes import HostedCellMembership, Member
 from lab.virtual.cells import CellFleet
-from lab.virtual.meeting import Meeting
+from lab.virtual.meeting import MembershipNetwork
 
 MAX_CELL_MEMBERS = 100  # members per cell at most
 START_INTERVAL_MS = 20.0  # between member starts
@@ -112,7 +112,7 @@
 
 
 def _settled_fleet(size: int, seed: int, core: type[Membership], loss: float = 0.0) -> CellFleet:
-    flat = not issubclass(core, Hosted)
+    flat = not issubclass(core, HostedCellMembership)
     fleet = CellFleet(
         {"web": size}, seed, most=MAX_CELL_MEMBERS, directory=0 if flat else 3, core=core,
         apart_ms=START_INTERVAL_MS,
@@ -156,9 +156,9 @@
         "core_cpu_us_s": [1e6 * fleet.cpu["member core"] * share],
         "wire_cpu_us_s": [1e6 * fleet.cpu["member wire"] * share],
         "memory_kb": [
-            deep_bytes([m.core, m.census], (Meeting, Member)) / 1024.0 for m in chosen
+            deep_bytes([m.core, m.census], (MembershipNetwork, Member)) / 1024.0 for m in chosen
         ],
-        "cells": [float(len(cells(fleet)))] if issubclass(core, Hosted) else [1.0],
+        "cells": [float(len(cells(fleet)))] if issubclass(core, HostedCellMembership) else [1.0],
         "false": [float(len(fleet.false_deaths))],
     }  # fmt: skip
 
@@ -177,9 +177,9 @@
 
 def _directory(cells: int, seed: int) -> dict[str, list[float]]:
     """Measure the cost per directory process and second with this many cells of the usual size."""
-    askers = Askers(cells, TARGET_MEMBERS / TARGET_CELLS, seed, DIRECTORY_PROCESSES)
+    askers = DirectoryLoadFleet(cells, TARGET_MEMBERS / TARGET_CELLS, seed, DIRECTORY_PROCESSES)
     askers.run(2.0 * MAX_REPORT_AGE_MS)
-    for counter in (askers.kinds, askers.counts, askers.bytes, askers.datagrams, askers.taken):
+    for counter in (askers.kinds, askers.counts, askers.bytes, askers.datagrams, askers.received_bytes):
         counter.clear()
     askers.stream_bytes.clear()
     askers.cpu.clear()
@@ -189,26 +189,26 @@
     processes = askers.directory()
     names = [directory_process.name for directory_process in processes]
     held = [
-        deep_bytes([g.core, g.directory], (Meeting,)) / 1024.0 for g in askers.rng.sample(processes, 3)
+        deep_bytes([g.core, g.directory], (MembershipNetwork,)) / 1024.0 for g in askers.rng.sample(processes, 3)
     ]  # fmt: skip
     return {
         "out_bytes_s": [sum(askers.bytes[n] for n in names) * share],
-        "in_bytes_s": [sum(askers.taken[n] for n in names) * share],
+        "in_bytes_s": [sum(askers.received_bytes[n] for n in names) * share],
         "out_messages_s": [sum(askers.datagrams[n] for n in names) * share],
         "replication_bytes_s": [(askers.kinds["PullRequest"] + askers.kinds["PullResponse"]) * share],
         "answers_bytes_s": [askers.kinds["LookupResponse"] * share],
         "cpu_ms_s": [1e3 * (askers.cpu["directory core"] + askers.cpu["directory wire"]) * share],
         "memory_kb": [sum(held) / len(held)],
         "known_cells": [float(min(askers.known(directory_process) for directory_process in processes))],
-        "sure_share": [askers.sure_share()],
+        "sure_share": [askers.reliable_share()],
     }
 
 
 EXPERIMENTS: dict[str, Callable[[int, int], dict[str, list[float]]]] = {
-    "quiet": partial(_quiet, Hosted),
+    "quiet": partial(_quiet, HostedCellMembership),
     "quiet-flat": partial(_quiet, Membership),
-    "crash": partial(_crash, Hosted, 0.0),
-    "crash-loss": partial(_crash, Hosted, 0.2),
+    "crash": partial(_crash, HostedCellMembership, 0.0),
+    "crash-loss": partial(_crash, HostedCellMembership, 0.2),
     "crash-flat": partial(_crash, Membership, 0.0),
     "crash-loss-flat": partial(_crash, Membership, 0.2),
     "directory": _directory,
--- a/lab/observation.py
+++ b/lab/observation.py
@@ -27,11 +27,11 @@
 from lab.control.cluster import Cluster
 from lab.control.quota_cluster import QuotaCluster
 from lab.virtual import duties, meeting, shared
-from lab.virtual.cell_meeting import CellMeeting
+from lab.virtual.cell_meeting import CellNetwork
 from lab.virtual.fleet import Fleet
 from lab.virtual.host import VirtualHost
 from lab.virtual.node import VirtualNode
-from lab.virtual.scene import Scene
+from lab.virtual.scene import Simulation
 from lab.world import World
 
 DIGEST_BYTES = 8
@@ -113,21 +113,23 @@
         # Fleet membership.
         ObservedMethod(Fleet, Fleet.after, lambda fleet, args, _: (fleet.now(), args[0])),
         ObservedMethod(
-            meeting.Meeting,
-            meeting.Meeting.do,
+            meeting.MembershipNetwork,
+            meeting.MembershipNetwork.do,
             lambda fleet, args, _: (fleet.now(), args[0].name, args[1]),
         ),
         ObservedMethod(
-            meeting.Meeting,
-            meeting.Meeting.deliver,
+            meeting.MembershipNetwork,
+            meeting.MembershipNetwork.deliver,
             lambda fleet, args, _: (fleet.now(), *args),
         ),
-        ObservedMethod(CellMeeting, CellMeeting.arrive, lambda fleet, args, _: (fleet.now(), *args)),
+        ObservedMethod(CellNetwork, CellNetwork.arrive, lambda fleet, args, _: (fleet.now(), *args)),
         ObservedMethod(
-            CellMeeting, CellMeeting.guided, lambda fleet, args, _: (fleet.now(), args[0].name, args[1])
+            CellNetwork,
+            CellNetwork.perform_directory_actions,
+            lambda fleet, args, _: (fleet.now(), args[0].name, args[1]),
         ),
         # Leader leases, the ledger and shared state.
-        ObservedMethod(Scene, Scene.after, lambda scene, args, _: (scene.now, args[0])),
+        ObservedMethod(Simulation, Simulation.after, lambda scene, args, _: (scene.now, args[0])),
         ObservedMethod(
             duties.World, duties.World.do, lambda world, args, _: (world.now, args[0].name, args[1])
         ),
--- a/lab/virtual/askers.py
+++ b/lab/virtual/askers.py
@@ -1,7 +1,7 @@
-"""Cells that only ask and report, to load a directory of many processes: all services in all regions.
+"""Load generator for a directory: cells of all services and regions that only send lookups and reports.
 
-Each cell is one process that speaks for all of its members: each asks in its turn, and the answer to one of
-them, the reporter's, is answered by a report. So the directory's part is played whole, and nothing else.
+Each cell is one process acting for all its members: every member sends lookups, and the response to one of
+them, the reporter, is answered with a summary report. The directory's side runs in full, and nothing else.
 """
 
 from __future__ import annotations
@@ -13,93 +13,98 @@
 from dunlinloft.fleet.cells.partition import CellPartition
 from dunlinloft.fleet.cells.wire import DirectoryWire
 from dunlinloft.fleet.membership.core import Membership
-from lab.virtual.cell_processes import FLEET, Guide
+from lab.virtual.cell_processes import FLEET, DirectoryProcess
 from lab.virtual.cells import CellFleet
-from lab.virtual.meeting import Meeting, Process
+from lab.virtual.meeting import MembershipNetwork, Process
 
 REGIONS = tuple(f"region-{n}" for n in range(5))
-FIND_MS = 10_000.0
+LOOKUP_INTERVAL_MS = 10_000.0
 WALL_MS = 1_700_000_000_000
 
 
-class Mouth(Process):
-    """All members of one cell, as the directory sees them."""
+class SimulatedCell(Process):
+    """All members of one cell, as seen by the directory."""
 
-    def __init__(self, meeting: Meeting, name: str, service: str, region: str, size: int) -> None:
+    def __init__(self, network: MembershipNetwork, name: str, service: str, region: str, size: int) -> None:
         core = Membership(name, f"addr:{name}", [], 1, WALL_MS, random.Random(0))
-        super().__init__(meeting, name, core)
+        super().__init__(network, name, core)
         self.service, self.region, self.size = service, region, size
-        self.asked = self.version = 0
-        self.answers, self.sure = 0, 0
+        self.lookups_sent = self.version = 0
+        self.answers, self.reliable = 0, 0
 
 
-class Askers(CellFleet):
-    """A directory of many processes, and cells, one for each service and region."""
+class DirectoryLoadFleet(CellFleet):
+    """A directory of many processes, and one simulated cell per service and region."""
 
-    def __init__(self, cells: int, members: float, seed: int, guides: int) -> None:
-        super().__init__({}, seed, regions=REGIONS, directory=guides)
-        self._link = DirectoryWire(FLEET)
-        self.mouths: list[Mouth] = []
-        told = 0
+    def __init__(self, cells: int, members: float, seed: int, directory_names: int) -> None:
+        super().__init__({}, seed, regions=REGIONS, directory=directory_names)
+        self._wire = DirectoryWire(FLEET)
+        self.simulated_cells: list[SimulatedCell] = []
+        assigned = 0
         for n in range(cells):
-            size = round(members * (n + 1)) - told
-            told += size
+            size = round(members * (n + 1)) - assigned
+            assigned += size
             service, region = f"service-{n // len(REGIONS):03}", REGIONS[n % len(REGIONS)]
-            mouth = Mouth(self, f"cell-{n}", service, region, size)
-            self.groups[mouth.name] = f"{region}-{'abc'[n // len(REGIONS) % 3]}"
-            self.zones[self.groups[mouth.name]] = self.groups[mouth.name]
-            self.by_address[mouth.core.address] = mouth
-            self.mouths.append(mouth)
+            cell = SimulatedCell(self, f"cell-{n}", service, region, size)
+            self.groups[cell.name] = f"{region}-{'abc'[n // len(REGIONS) % 3]}"
+            self.zones[self.groups[cell.name]] = self.groups[cell.name]
+            self.by_address[cell.core.address] = cell
+            self.simulated_cells.append(cell)
             for member in range(size):
-                self.after(FIND_MS * self.rng.random(), self._ask, mouth, member)
-
-    def _ask(self, mouth: Mouth, member: int) -> None:
-        """A member asks; numbers tell them apart, and the reporter is the first."""
-        mouth.asked += 1
-        name = f"{mouth.service}-{member:04}"
-        find = LookupRequest(mouth.asked * 64 + member, name, mouth.service, mouth.region, 0, 0, 0)
-        self._send(mouth, self.rng.choice(self.guides), find)
-        self.after(FIND_MS * (0.9 + 0.2 * self.rng.random()), self._ask, mouth, member)
-
-    def _send(self, mouth: Mouth, guide: str, message: LookupRequest | SummaryReport) -> None:
-        data = self._link.write(message)
-        for took in self.lines.between(mouth.name, guide).datagram(len(data)):
-            self.after(took, self.arrive, f"addr:{guide}", mouth.core.address, data)
+                self.after(LOOKUP_INTERVAL_MS * self.rng.random(), self._send_lookup, cell, member)
+
+    def _send_lookup(self, cell: SimulatedCell, member: int) -> None:
+        """Send a member's lookup; request numbers encode the member, and member 0 is the reporter."""
+        cell.lookups_sent += 1
+        name = f"{cell.service}-{member:04}"
+        lookup = LookupRequest(cell.lookups_sent * 64 + member, name, cell.service, cell.region, 0, 0, 0)
+        self._send(cell, self.rng.choice(self.directory_names), lookup)
+        self.after(LOOKUP_INTERVAL_MS * (0.9 + 0.2 * self.rng.random()), self._send_lookup, cell, member)
+
+    def _send(
+        self, cell: SimulatedCell, directory_process: str, message: LookupRequest | SummaryReport
+    ) -> None:
+        data = self._wire.write(message)
+        for delay_ms in self.lines.between(cell.name, directory_process).datagram(len(data)):
+            self.after(delay_ms, self.arrive, f"addr:{directory_process}", cell.core.address, data)
 
     def arrive(self, address: str, source: str, data: bytes) -> None:
-        """A datagram comes in, at a cell or in the directory."""
-        mouth = self.by_address.get(address)
-        if not isinstance(mouth, Mouth):
+        """Deliver a datagram to a cell or to a directory process."""
+        cell = self.by_address.get(address)
+        if not isinstance(cell, SimulatedCell):
             return super().arrive(address, source, data)
-        found = self._link.read(data)
-        assert isinstance(found, LookupResponse)
-        mouth.answers += 1
-        mouth.sure += found.is_reliable
-        if found.request_number % 64:
+        response = self._wire.read(data)
+        assert isinstance(response, LookupResponse)
+        cell.answers += 1
+        cell.reliable += response.is_reliable
+        if response.request_number % 64:
             return
-        mouth.version += 1
-        some = [f"127.16.{n}.{len(mouth.name)}:7400" for n in range(10, 10 + min(4, mouth.size))]
-        summary = CellSummary(0, 0, 0, mouth.size, mouth.size, 1 << 62, 8.0 * mouth.size, "0.1.0", some)
+        cell.version += 1
+        addresses = [f"127.16.{n}.{len(cell.name)}:7400" for n in range(10, 10 + min(4, cell.size))]
+        summary = CellSummary(0, 0, 0, cell.size, cell.size, 1 << 62, 8.0 * cell.size, "0.1.0", addresses)
         report = SummaryReport(
-            found.incarnation, found.clock_ms, f"{mouth.service}-0000", WALL_MS, mouth.version, mouth.service,
-            mouth.region, summary,
+            response.incarnation, response.clock_ms, f"{cell.service}-0000", WALL_MS, cell.version,
+            cell.service, cell.region, summary,
         )  # fmt: skip
-        self._send(mouth, source.removeprefix("addr:"), report)
+        self._send(cell, source.removeprefix("addr:"), report)
 
-    def known(self, guide: Guide) -> int:
-        """How many cells a process of the directory knows with their right sums."""
-        right = {(m.service, m.region): m.size for m in self.mouths}
+    def known(self, directory_process: DirectoryProcess) -> int:
+        """Return the number of cells that a directory process knows with correct totals."""
+        expected_sizes = {(m.service, m.region): m.size for m in self.simulated_cells}
         return sum(
-            right.get((name, cell.region)) == cell.members(self.now()) and cell.partition == CellPartition()
-            for name, service in guide.directory.index.services.items()
+            expected_sizes.get((name, cell.region)) == cell.members(self.now())
+            and cell.partition == CellPartition()
+            for name, service in directory_process.directory.index.services.items()
             for cell in service.cells.values()
         )
 
-    def sure_share(self) -> float:
-        """Of all answers, how many were sure."""
-        return sum(m.sure for m in self.mouths) / max(1, sum(m.answers for m in self.mouths))
+    def reliable_share(self) -> float:
+        """Return the share of responses that were marked reliable."""
+        return sum(m.reliable for m in self.simulated_cells) / max(
+            1, sum(m.answers for m in self.simulated_cells)
+        )
 
     def give(self, process: Process, event: api.Event) -> None:
-        """Cells have no core."""
-        if not isinstance(process, Mouth):
+        """Ignore events for simulated cells, which have no core."""
+        if not isinstance(process, SimulatedCell):
             super().give(process, event)
--- a/lab/virtual/cell_meeting.py
+++ b/lab/virtual/cell_meeting.py
@@ -1,6 +1,6 @@
-"""How the processes of services in cells reach each other in virtual time: as bytes, over links by group.
+"""Network of cell members and directory processes in virtual time: encoded messages over links of groups.
 
-What cores, and their bytes, take of this machine's processor is summed up where `timed` asks for it.
+If `timed` is set, the CPU time of the cores and of encoding and decoding is accumulated.
 """
 
 from __future__ import annotations
@@ -19,52 +19,54 @@
 from lab.lines import LinkFault
 from lab.names import Names
 from lab.scenario import Network, Nodes, Scenario
-from lab.virtual.cell_processes import Guide, Member, Paths, read, read_state, written
+from lab.virtual.cell_processes import DirectoryProcess, GroupLinks, Member, encode, read, read_state
 from lab.virtual.fleet import Fleet
 from lab.virtual.meeting import STREAM_LIMIT_MS, Process
 
 T = TypeVar("T")
 
 
-class CellMeeting(Fleet):
-    """Members and guides, what they say to each other, and what that costs."""
+class CellNetwork(Fleet):
+    """Cell members and directory processes, the messages between them, and their cost."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(0, seed)
-        self.groups: dict[str, str] = {}  # of processes
+        self.groups: dict[str, str] = {}  # by process name
         names = Names(Scenario("cells", nodes=Nodes(count=0), network=Network()))
-        self.zones = names.nodes  # of groups
-        self.lines = Paths(self.groups, names, Network().jitter, self)
+        self.zones = names.nodes  # by group
+        self.lines = GroupLinks(self.groups, names, Network().jitter, self)
         self.refused: Counter[str] = Counter()
         self.kinds: Counter[str] = Counter()  # bytes by kind of message
         self.counts: Counter[str] = Counter()  # messages by kind
-        self.taken: Counter[str] = Counter()  # bytes of datagrams that came, by process
+        self.received_bytes: Counter[str] = Counter()  # bytes of received datagrams, by process
         self.timed = False
-        self.cpu: defaultdict[str, float] = defaultdict(float)  # seconds, by whose and what
+        self.cpu: defaultdict[str, float] = defaultdict(float)  # seconds, by role and activity
 
     def _timed(self, what: str, process: Process, do: Callable[..., T], *args: Any) -> T:
-        """Do it, and see how long it takes."""
+        """Call `do` and add its CPU time to `cpu` if `timed` is set."""
         if not self.timed:
             return do(*args)
-        begun = time.process_time()
-        done = do(*args)
-        whose = "directory" if isinstance(process, Guide) else "member"
-        self.cpu[f"{whose} {what}"] += time.process_time() - begun
-        return done
+        started = time.process_time()
+        result = do(*args)
+        role = "directory" if isinstance(process, DirectoryProcess) else "member"
+        self.cpu[f"{role} {what}"] += time.process_time() - started
+        return result
 
     # Cores
 
     def give(self, process: Process, event: api.Event) -> None:
-        """Give a core an event and do what it says."""
+        """Pass an event to a core and perform the resulting actions."""
         if process.alive:
             self.do(process, self._timed("core", process, process.core.handle, event, process.now()))
 
-    def guide(self, guide: Guide, event: Any) -> None:
-        """Give a directory's core an event and do what it says."""
-        self.guided(guide, self._timed("core", guide, guide.directory.handle, event, guide.now()))
+    def give_directory_event(self, guide: DirectoryProcess, event: Any) -> None:
+        """Pass an event to a directory core and perform the resulting actions."""
+        self.perform_directory_actions(
+            guide, self._timed("core", guide, guide.directory.handle, event, guide.now())
+        )
 
-    def guided(self, guide: Guide, actions: list[Any]) -> None:
-        """What a directory's core says."""
+    def perform_directory_actions(self, guide: DirectoryProcess, actions: list[Any]) -> None:
+        """Perform the actions of a directory core."""
         for action in actions:
             match action:
                 case api.SendDatagram():
@@ -77,13 +79,13 @@
                         )
                 case shared.SetTimer():
                     event = shared.TimerFired(action.token)
-                    self.after(action.delay_ms, self.turn, guide, self.guide, guide, event)
+                    self.after(action.delay_ms, self.turn, guide, self.give_directory_event, guide, event)
 
     # Bytes
 
     def post(self, process: Process, address: str, message: api.AnyMessage) -> None:
-        """A datagram goes out."""
-        data, kind = self._timed("wire", process, written, process, message), type(message).__name__
+        """Send a datagram."""
+        data, kind = self._timed("wire", process, encode, process, message), type(message).__name__
         if isinstance(message, ApplicationMessage):
             kind = type(message.content).__name__
         if len(data) > MAX_DATAGRAM_BYTES:
@@ -98,40 +100,57 @@
                 self.after(took, self.arrive, address, process.core.address, data)
 
     def arrive(self, address: str, source: str, data: bytes) -> None:
-        """A datagram comes in, at whoever is at this address by now."""
+        """Deliver a datagram to the process that currently has this address."""
         target = self.by_address.get(address)
         if target is None or not target.alive:
             return
-        self.taken[target.name] += len(data)
+        self.received_bytes[target.name] += len(data)
         try:
             message, cut = self._timed("wire", target, read, target, data)
         except MessageRejected as reason:
             self.refused[str(reason)] += 1
             return
-        if isinstance(target, Guide) and isinstance(message, LookupRequest | SummaryReport):
-            self.turn(target, self.guide, target, MemberMessageReceived(message, source))
+        if isinstance(target, DirectoryProcess) and isinstance(message, LookupRequest | SummaryReport):
+            self.turn(target, self.give_directory_event, target, MemberMessageReceived(message, source))
             return
-        self.reach_in(target, api.MessageReceived(message, source, cut))
-        if isinstance(target, Guide) and isinstance(message, ApplicationMessage):
-            self._told(target, message)
+        self.receive_event(target, api.MessageReceived(message, source, cut))
+        if isinstance(target, DirectoryProcess) and isinstance(message, ApplicationMessage):
+            self._on_directory_message(target, message)
 
-    def _told(self, guide: Guide, message: ApplicationMessage) -> None:
+    def _on_directory_message(self, guide: DirectoryProcess, message: ApplicationMessage) -> None:
         if isinstance(message.content, shared.PullRequest | shared.PullResponse):
-            self.turn(guide, self.guide, guide, shared.MessageReceived(message.content, message.header.name))
+            self.turn(
+                guide,
+                self.give_directory_event,
+                guide,
+                shared.MessageReceived(message.content, message.header.name),
+            )
 
     def _exchange(self, process: Process, address: str, state: State) -> None:
-        assert isinstance(process, Member | Guide)
+        assert isinstance(process, Member | DirectoryProcess)
         data = process.wire.write_state(state)
-        self._streamed(process, len(data))
+        self._count_stream_bytes(process, len(data))
         target = self.by_address.get(address)
         took = None if target is None else self._round_trips(process.name, target.name, 2, 1000)
         if target is None or took is None or not target.alive:
             self.after(STREAM_LIMIT_MS, self.turn, process, self.give, process, api.PushPullFailed(address))
             return
-        self.after(took * 0.75, self.turn, target, self._asked, target, process, address, data, took * 0.25)
+        self.after(
+            took * 0.75,
+            self.turn,
+            target,
+            self._on_push_pull_request,
+            target,
+            process,
+            address,
+            data,
+            took * 0.25,
+        )
 
-    def _asked(self, target: Process, process: Process, address: str, data: bytes, back_ms: float) -> None:
-        assert isinstance(target, Member | Guide)
+    def _on_push_pull_request(
+        self, target: Process, process: Process, address: str, data: bytes, back_ms: float
+    ) -> None:
+        assert isinstance(target, Member | DirectoryProcess)
         try:
             state, cut = read_state(target, data)
         except MessageRejected as reason:
@@ -139,16 +158,16 @@
             self.after(back_ms, self.turn, process, self.give, process, api.PushPullFailed(address))
             return
         answer = target.wire.write_state(target.core.state_for(state))
-        self._streamed(target, len(answer))
+        self._count_stream_bytes(target, len(answer))
         sender = next((r.address for r in state.records if r.name == state.header.name), "")
         self.give(target, api.PushPullReceived(state, sender, False, cut))
-        self.after(back_ms, self._answered, process, address, answer)
+        self.after(back_ms, self._on_push_pull_response, process, address, answer)
 
-    def _answered(self, process: Process, address: str, data: bytes) -> None:
+    def _on_push_pull_response(self, process: Process, address: str, data: bytes) -> None:
         state, cut = read_state(process, data)
-        self.reach_in(process, api.PushPullReceived(state, address, True, cut))
+        self.receive_event(process, api.PushPullReceived(state, address, True, cut))
 
-    def _streamed(self, process: Process, size: int) -> None:
+    def _count_stream_bytes(self, process: Process, size: int) -> None:
         self.stream_bytes[process.name] += size
         self.kinds["State"] += size
         self.counts["State"] += 1
@@ -156,24 +175,24 @@
     # Links
 
     def split(self, *parts: list[str], one_way: bool = False) -> LinkFault:
-        """Cut parts off from each other; `lines.remove_fault` ends it."""
-        sides = [{self.groups[name] for name in part} for part in parts]
-        if any(a & b for n, a in enumerate(sides) for b in sides[:n]):
-            sides = [self._apart(part, n) for n, part in enumerate(parts)]
+        """Partition the network into parts; `lines.remove_fault` ends it."""
+        group_sets = [{self.groups[name] for name in part} for part in parts]
+        if any(a & b for n, a in enumerate(group_sets) for b in group_sets[:n]):
+            group_sets = [self._separate_groups(part, n) for n, part in enumerate(parts)]
         pairs = frozenset(
             (a, b)
-            for i, one in enumerate(sides)
-            for j, other in enumerate(sides)
+            for i, source_groups in enumerate(group_sets)
+            for j, target_groups in enumerate(group_sets)
             if (i < j if one_way else i != j)
-            for a in one
-            for b in other
+            for a in source_groups
+            for b in target_groups
         )
-        ill = LinkFault(pairs, cut=True)
-        self.lines.add_fault(ill)
-        return ill
+        link_fault = LinkFault(pairs, cut=True)
+        self.lines.add_fault(link_fault)
+        return link_fault
 
-    def _apart(self, part: list[str], n: int) -> set[str]:
-        """Groups of their own for these, which lie in one with others; nothing may ail links by then."""
+    def _separate_groups(self, part: list[str], n: int) -> set[str]:
+        """Move processes that share a group with others into new groups; no link fault may be active yet."""
         for name in part:
             zone = self.groups[name].partition("~")[0]
             self.groups[name] = group = f"{zone}~{n}"
@@ -183,8 +202,8 @@
     def lose(
         self, share: float, duplicate: float = 0.0, reorder: float = 0.0, jitter_ms: float = 0.0
     ) -> LinkFault:
-        """All links lose so much, and may do worse."""
+        """Add packet loss, and optionally duplication, reordering and jitter, to all links."""
         pairs = frozenset((a, b) for a in self.zones for b in self.zones)
-        ill = LinkFault(pairs, loss=share, jitter_ms=jitter_ms, duplicate=duplicate, reorder=reorder)
-        self.lines.add_fault(ill)
-        return ill
+        link_fault = LinkFault(pairs, loss=share, jitter_ms=jitter_ms, duplicate=duplicate, reorder=reorder)
+        self.lines.add_fault(link_fault)
+        return link_fault
--- a/lab/virtual/cell_oracle.py
+++ b/lab/virtual/cell_oracle.py
@@ -1,4 +1,4 @@
-"""What must hold of cells, by an oracle that sees all members, cuts and parts of budgets."""
+"""Invariants of cells, checked by an oracle that sees all members, partitions and budget shares."""
 
 from __future__ import annotations
 
@@ -8,112 +8,114 @@
 from dunlinloft.fleet.cells.index import ServiceSums
 from dunlinloft.fleet.cells.messages import LookupRequest
 from dunlinloft.fleet.cells.partition import CellPartition, name_path
-from lab.virtual.cell_processes import Guide, Member
+from lab.virtual.cell_processes import DirectoryProcess, Member
 from lab.virtual.cells import CellFleet
 
-SAMPLE_MS = 250.0
+SAMPLE_INTERVAL_MS = 250.0
 
 
-class Watch:
-    """Looks at a fleet all the time: the most that parts of budgets added up to, by service."""
+class BudgetWatch:
+    """Samples a fleet and records the largest sum of budget shares by service."""
 
     def __init__(self, fleet: CellFleet) -> None:
         self._fleet = fleet
         self.most: dict[str, float] = defaultdict(float)
-        self.old: dict[str, float] = defaultdict(float)  # of those alone that were there when this began
-        self._first = dict(fleet.processes)
-        self._look()
+        self.old: dict[str, float] = defaultdict(float)  # only processes present at construction
+        self._initial_processes = dict(fleet.processes)
+        self._sample()
 
-    def _look(self) -> None:
+    def _sample(self) -> None:
         for service, members in by_service(self._fleet).items():
             self.most[service] = max(self.most[service], sum(member.part() for member in members))
-            old = sum(member.part() for member in members if self._first.get(member.name) is member)
+            old = sum(
+                member.part() for member in members if self._initial_processes.get(member.name) is member
+            )
             self.old[service] = max(self.old[service], old)
-        self._fleet.after(SAMPLE_MS, self._look)
+        self._fleet.after(SAMPLE_INTERVAL_MS, self._sample)
 
-    def anew(self) -> None:
-        """Forget what was until now."""
+    def reset(self) -> None:
+        """Discard the maxima recorded so far."""
         self.most.clear()
 
 
 def by_service(fleet: CellFleet) -> dict[str, list[Member]]:
-    """Members that run."""
-    found: dict[str, list[Member]] = defaultdict(list)
+    """Return the running members by service."""
+    members_by_key: dict[str, list[Member]] = defaultdict(list)
     for member in fleet.members():
-        found[member.service].append(member)
-    return found
+        members_by_key[member.service].append(member)
+    return members_by_key
 
 
 def cells(fleet: CellFleet) -> dict[tuple[str, str, CellPartition], list[Member]]:
-    """Members that run by service, region and cut, with its epoch."""
-    found: dict[tuple[str, str, CellPartition], list[Member]] = defaultdict(list)
+    """Return the running members by service, region and cell partition, epoch included."""
+    members_by_key: dict[tuple[str, str, CellPartition], list[Member]] = defaultdict(list)
     for member in fleet.members():
         core = member.core
         assert isinstance(core, CellMembership)
-        found[member.service, member.region, core.partition].append(member)
-    return found
+        members_by_key[member.service, member.region, core.partition].append(member)
+    return members_by_key
 
 
 def cell_problems(fleet: CellFleet, bounded: bool = True) -> str:
-    """What is not as it must be once all is quiet; "" where nothing is.
+    """Describe the first violation in a fleet that should be stable; "" if there is none.
 
-    Cells of a service in a region are apart and hold whom they must, each member's view is its cell, and
-    none is above the bound.
+    Cells of a service in a region must be disjoint and contain the members that belong to them, each member's
+    view must equal its cell, and no cell may exceed the size limit.
     """
-    found = cells(fleet)
-    for (service, region, cut), members in found.items():
-        where = f"{service}@{region} {cut.text()}/{cut.epoch}"
+    members_by_key = cells(fleet)
+    for (service, region, cut), members in members_by_key.items():
+        cell_name = f"{service}@{region} {cut.text()}/{cut.epoch}"
         for member in members:
             if not cut.includes_path(name_path(member.name)):
-                return f"{member.name} is in {where}, where it does not belong"
-        for other_service, other_region, other in found:
+                return f"{member.name} is in {cell_name}, where it does not belong"
+        for other_service, other_region, other in members_by_key:
             if (other_service, other_region) != (service, region) or other == cut:
                 continue
             if other.contains(cut) or cut.contains(other):
-                return f"{where} overlaps {other.text()}/{other.epoch}"
+                return f"{cell_name} overlaps {other.text()}/{other.epoch}"
         if bounded and len(members) > fleet.most:
-            return f"{where} has {len(members)} members"
-        truth = {member.name: member.core.incarnation for member in members}
+            return f"{cell_name} has {len(members)} members"
+        expected = {member.name: member.core.incarnation for member in members}
         for member in members:
-            there = {m.name: m.incarnation for m in fleet.there(member)} | {
+            seen = {m.name: m.incarnation for m in fleet.alive_members(member)} | {
                 member.name: member.core.incarnation
             }
-            if there != truth:
-                return f"{member.name} of {where} sees {sorted(there)}, and there are {sorted(truth)}"
+            if seen != expected:
+                return f"{member.name} of {cell_name} sees {sorted(seen)}, and there are {sorted(expected)}"
     return ""
 
 
-def quiet(fleet: CellFleet, limit_ms: float = 60_000.0, bounded: bool = True) -> float:
+def run_until_stable(fleet: CellFleet, limit_ms: float = 60_000.0, bounded: bool = True) -> float:
     """Runs until `cell_problems` finds nothing; returns the time that passed."""
-    took = fleet.run(limit_ms, lambda: not cell_problems(fleet, bounded), every_ms=250.0)
+    passed_ms = fleet.run(limit_ms, lambda: not cell_problems(fleet, bounded), every_ms=250.0)
     assert not cell_problems(fleet, bounded), (
         f"seed {fleet.seed} at {fleet.now():.0f} ms: {cell_problems(fleet, bounded)}"
     )
-    return took
+    return passed_ms
 
 
-def sums(fleet: CellFleet, guide: Guide, name: str) -> ServiceSums:
-    """What a process of the directory would tell a member."""
+def sums(fleet: CellFleet, directory_process: DirectoryProcess, name: str) -> ServiceSums:
+    """Return the totals that a directory process would send to a member."""
     member = fleet.at(name)
-    cut = fleet.cut_of(name)
-    find = LookupRequest(1, name, member.service, member.region, cut.epoch, cut.depth, cut.bits)
-    told = guide.directory.index.sums_for(find, fleet.now())
-    told.is_reliable = told.is_reliable and guide.directory.is_ready(fleet.now())
-    return told
+    cut = fleet.partition_of(name)
+    lookup = LookupRequest(1, name, member.service, member.region, cut.epoch, cut.depth, cut.bits)
+    totals = directory_process.directory.index.sums_for(lookup, fleet.now())
+    totals.is_reliable = totals.is_reliable and directory_process.directory.is_ready(fleet.now())
+    return totals
 
 
-def told_right(fleet: CellFleet) -> bool:
-    """Whether each process of the directory is sure of the true sums."""
+def directory_is_correct(fleet: CellFleet) -> bool:
+    """Return whether every directory process reports correct totals as reliable."""
     for members in by_service(fleet).values():
-        for guide in fleet.directory():
-            told = sums(fleet, guide, members[0].name)
-            if not told.is_reliable or told.service_members != len(members):
+        for directory_process in fleet.directory():
+            totals = sums(fleet, directory_process, members[0].name)
+            if not totals.is_reliable or totals.service_members != len(members):
                 return False
     return True
 
 
-def parted(fleet: CellFleet) -> bool:
-    """Whether each member's part is what it should be in the end, and rests on what the directory says."""
+def budgets_are_settled(fleet: CellFleet) -> bool:
+    """Return whether each member's budget share is final and based on the directory's totals."""
     return all(
         member.census.position()[1] == len(members) and not member.fallback()
         for members in by_service(fleet).values()
--- a/lab/virtual/cell_processes.py
+++ b/lab/virtual/cell_processes.py
@@ -1,4 +1,4 @@
-"""Processes of services in cells and of their directory, as hosts make them; see `lab.virtual.cells`."""
+"""Processes of cell members and of the directory, assembled as hosts do; see `lab.virtual.cells`."""
 
 from __future__ import annotations
 
@@ -17,82 +17,86 @@
 from lab.lines import DirectedLink, Links
 from lab.names import Names
 from lab.virtual.fleet import Fleet
-from lab.virtual.meeting import Meeting, Process
+from lab.virtual.meeting import MembershipNetwork, Process
 
 FLEET = "loft"
 
 
-class Hosted(CellMembership):
-    """A core whose budgets are parted by its host's census."""
+class HostedCellMembership(CellMembership):
+    """A membership core that takes its member count from the host's census."""
 
     census: CellMemberCount
 
     def counted_members(self) -> int:
-        """As the census has it."""
+        """Return the member count of the census."""
         return self.census.cell()
 
 
-class Paths(Links):
-    """Links between groups of processes: few, however many processes there are."""
+class GroupLinks(Links):
+    """Links between groups of processes, so that their number does not grow with the number of processes."""
 
     def __init__(self, groups: dict[str, str], names: Names, jitter: float, fleet: Fleet) -> None:
         super().__init__(names, 0.2, 10.0, jitter, fleet, fleet.seed)
         self._groups = groups
 
     def between(self, source: str, target: str) -> DirectedLink:
-        """The line from one process to another, which all of their groups share."""
+        """Return the link from one process to another, shared by all processes of their groups."""
         return super().between(self._groups[source], self._groups[target])
 
 
 class Member(Process):
-    """A member's process: its core, its bytes, its census."""
+    """A member process: core, wire format and census."""
 
-    def __init__(self, meeting: Meeting, name: str, core: Membership, service: str, region: str) -> None:
-        super().__init__(meeting, name, core)
+    def __init__(
+        self, network: MembershipNetwork, name: str, core: Membership, service: str, region: str
+    ) -> None:
+        super().__init__(network, name, core)
         self.service, self.region = service, region
         self.wire: CellWire | Wire = Wire(FLEET)
         self.census: CellMemberCount | MemberCount
 
     def recount(self) -> None:
-        """What a host does now and then, and when it is told of totals."""
-        here = {member.name for member in self.core.view.members.values() if member.is_alive()} | {self.name}
+        """Update the census; hosts do this periodically and when new totals arrive."""
+        alive_names = {member.name for member in self.core.view.members.values() if member.is_alive()} | {
+            self.name
+        }
         if isinstance(self.census, CellMemberCount) and isinstance(self.core, CellMembership):
-            self.census.observe(here, self.now(), self.core.service_totals, self.core.partition)
+            self.census.observe(alive_names, self.now(), self.core.service_totals, self.core.partition)
         elif isinstance(self.census, MemberCount):
-            self.census.observe(here, self.now())
+            self.census.observe(alive_names, self.now())
 
     def fallback(self) -> bool:
-        """Whether it holds what the directory says for too old, or has been told nothing."""
+        """Return whether the directory's totals are missing or outdated."""
         return isinstance(self.census, CellMemberCount) and self.census.uses_fallback
 
-    def told_ms(self) -> float:
-        """How old what the directory told it last is at most."""
+    def totals_age_ms(self) -> float:
+        """Return the maximum age of the latest totals from the directory."""
         totals = self.core.service_totals if isinstance(self.core, CellMembership) else None
         return totals.age_ms(self.now()) if totals is not None else math.inf
 
     def part(self) -> float:
-        """The share of a budget that it takes."""
+        """Return the member's share of a budget."""
         return 1.0 / self.census.position()[1]
 
 
-class Guide(Process):
-    """A process of the directory: its membership among its like, and what it knows of cells."""
+class DirectoryProcess(Process):
+    """A directory process: its membership among the directory processes, and its directory core."""
 
-    def __init__(self, meeting: Meeting, name: str, core: Membership, directory: Directory) -> None:
-        super().__init__(meeting, name, core)
+    def __init__(self, network: MembershipNetwork, name: str, core: Membership, directory: Directory) -> None:
+        super().__init__(network, name, core)
         self.directory = directory
         self.wire, self.link = Wire(FLEET + ".directory"), DirectoryWire(FLEET)
 
-    def here(self) -> dict[str, int]:
-        """Its like, with their lives."""
+    def peers(self) -> dict[str, int]:
+        """Return the live directory processes with their incarnations."""
         return {m.name: m.incarnation for m in self.core.view.members.values() if m.is_alive()}
 
 
-def written(process: Process, message: api.AnyMessage) -> bytes:
-    """A message as this process says it."""
-    if isinstance(process, Guide) and not isinstance(message, Message):
+def encode(process: Process, message: api.AnyMessage) -> bytes:
+    """Encode a message in the process's wire format."""
+    if isinstance(process, DirectoryProcess) and not isinstance(message, Message):
         return process.link.write(message)
-    assert isinstance(process, Member | Guide)
+    assert isinstance(process, Member | DirectoryProcess)
     if isinstance(process.wire, CellWire):
         return process.wire.write(message)
     assert isinstance(message, Message)
@@ -100,18 +104,18 @@
 
 
 def read(process: Process, data: bytes) -> tuple[api.AnyMessage, CellPartition | None]:
-    """What a datagram says to this process, and its sender's cut; `MessageRejected` where it says nothing."""
-    if isinstance(process, Guide) and process.link.accepts(data):
+    """Decode a datagram into its message and the sender's partition; raises `MessageRejected`."""
+    if isinstance(process, DirectoryProcess) and process.link.accepts(data):
         return process.link.read(data), None
-    assert isinstance(process, Member | Guide)
+    assert isinstance(process, Member | DirectoryProcess)
     if isinstance(process.wire, CellWire):
         return process.wire.read(data)
     return process.wire.read(data), None
 
 
 def read_state(process: Process, data: bytes) -> tuple[State, CellPartition | None]:
-    """A view as its bytes say it, and its sender's cut."""
-    assert isinstance(process, Member | Guide)
+    """Decode a view and its sender's partition."""
+    assert isinstance(process, Member | DirectoryProcess)
     if isinstance(process.wire, CellWire):
         return process.wire.read_state(data)
     return process.wire.read_state(data), None
--- a/lab/virtual/duties.py
+++ b/lab/virtual/duties.py
@@ -63,7 +63,7 @@
         return self.alive and not self.stopped and self.core.holds(duty, self.clock())
 
 
-class Book:
+class StateTableOracle:
     """What operators have entered, and what the ledger owes them: the oracle of the ledger."""
 
     def __init__(self, world: World) -> None:
@@ -133,7 +133,7 @@
         self._gone |= {wanted for wanted, key in self._keys.items() if wanted > rows.get(key, 0)}
 
 
-class World(scene.Scene[Process]):
+class World(scene.Simulation[Process]):
     """Voters, candidates, links and faults."""
 
     def __init__(
@@ -153,7 +153,7 @@
         self.lost: Counter[str] = Counter()
         self.messages = 0
         self.old: list[tuple[str, Message, str]] = []  # some that come again much later
-        self.book = Book(self)
+        self.table_oracle = StateTableOracle(self)
         for name in self.names:
             self.start(name)
 
@@ -223,9 +223,9 @@
                 case LeaseAcquired():
                     self._started(process, action)
                 case TableOpened():
-                    self.book.opened(process, action)
+                    self.table_oracle.opened(process, action)
                 case WriteCompleted():
-                    self.book.settled(action)
+                    self.table_oracle.settled(action)
                 case VotersChanged():
                     self._elected(action.voters)
                 case LeaseLost():
--- a/lab/virtual/fleet.py
+++ b/lab/virtual/fleet.py
@@ -19,14 +19,14 @@
 from lab.lines import LinkFault, Links
 from lab.names import Names
 from lab.scenario import Network, Nodes, Scenario
-from lab.virtual.meeting import Meeting, Process
+from lab.virtual.meeting import MembershipNetwork, Process
 from lab.virtual.scene import InvariantViolation
 
 WALL_MS = 1_700_000_000_000  # what clocks say when a run begins
 CORE: type[Membership] = Membership
 
 
-class Fleet(Meeting):
+class Fleet(MembershipNetwork):
     """Members, links between them, and the oracle."""
 
     def __init__(
@@ -131,7 +131,7 @@
         if (
             change.change is api.MemberChange.DEAD
             and self.healthy(change.name, member.incarnation)
-            and self.reach(process.name, change.name)
+            and self.can_reach(process.name, change.name)
         ):
             self.false_deaths.append((self._now, process.name, change.name))
         self.watch(process, change)
@@ -144,7 +144,7 @@
             and process.core.incarnation == life
         )  # fmt: skip
 
-    def reach(self, a: str, b: str) -> bool:
+    def can_reach(self, a: str, b: str) -> bool:
         """Whether no cut is between them."""
         return not (self.lines.between(a, b).cut or self.lines.between(b, a).cut)
 
@@ -154,12 +154,13 @@
         truth = {process.name: process.core.incarnation for process in living}
         digests = {process.core.digest() for process in living}
         return len(digests) == 1 and all(
-            {m.name: m.incarnation for m in self.there(process)} | {process.name: process.core.incarnation}
+            {m.name: m.incarnation for m in self.alive_members(process)}
+            | {process.name: process.core.incarnation}
             == truth
             for process in living[:1]
         )
 
-    def there(self, process: Process) -> Iterator[Any]:
+    def alive_members(self, process: Process) -> Iterator[Any]:
         """Whom a process holds to be there."""
         return (member for member in process.core.view.members.values() if member.is_alive())
 
--- a/lab/virtual/host.py
+++ b/lab/virtual/host.py
@@ -23,7 +23,7 @@
 from lab.world import CALLER_CONNECT_TIMEOUT_MS, World, release_query
 
 if TYPE_CHECKING:
-    from lab.virtual.member import NodeMeeting
+    from lab.virtual.member import NodeNetwork
 
 START_MS = 300.0  # until a process that was started takes callers
 STARVED = 0.3  # of a core, with less than which a node's timers come late
@@ -48,12 +48,12 @@
         self._old: dict[str, list[VirtualNode]] = defaultdict(list)  # processes that end beside a new one
         self._lives = count(1)
         self._dones: dict[str, tuple[str, Done]] = {}  # requests that wait for an answer, and where
-        self.meeting: NodeMeeting | None = None
+        self.network: NodeNetwork | None = None
         super().__init__(plan, sinks)
         if self.scenario.nodes.fleet:
-            from lab.virtual.member import NodeMeeting  # only where it is wanted
+            from lab.virtual.member import NodeNetwork  # only where it is wanted
 
-            self.meeting = NodeMeeting(self, random.Random(f"{plan.seed}fleet"))
+            self.network = NodeNetwork(self, random.Random(f"{plan.seed}fleet"))
 
     # Time
 
--- a/lab/virtual/meeting.py
+++ b/lab/virtual/meeting.py
@@ -23,16 +23,16 @@
 class Process:
     """One process that hosts a core."""
 
-    def __init__(self, meeting: Meeting, name: str, core: Membership) -> None:
-        self.meeting, self.name, self.core = meeting, name, core
+    def __init__(self, network: MembershipNetwork, name: str, core: Membership) -> None:
+        self.network, self.name, self.core = network, name, core
         self.alive, self.stopped, self.starved = True, False, False
-        self.phase_ms = meeting.rng.random() * STARVED_EVERY_MS
+        self.phase_ms = network.rng.random() * STARVED_EVERY_MS
         self.frozen: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.keys: dict[str, tuple[int, bool, int, int]] = {}
 
     def now(self) -> float:
         """Its own monotonic clock."""
-        return self.meeting.now()
+        return self.network.now()
 
     def wait_ms(self, now: float) -> float:
         """How long until it runs."""
@@ -42,7 +42,7 @@
         return 0.0 if into < STARVED_RUNS_MS else STARVED_EVERY_MS - into
 
 
-class Meeting(Clock):
+class MembershipNetwork(Clock):
     """Processes, addresses, and links between them."""
 
     def __init__(self, rng: random.Random, lines: Links) -> None:
@@ -57,7 +57,7 @@
     def changed(self, process: Process, change: api.MemberChanged) -> None:
         """A process's view has changed."""
 
-    def spoken(self, process: Process, message: ApplicationMessage) -> None:
+    def on_application_message(self, process: Process, message: ApplicationMessage) -> None:
         """A message has come that is about more than membership."""
 
     def wake(self, process: Process) -> None:
@@ -80,11 +80,11 @@
         else:
             do(*args)
 
-    def reach_in(self, process: Process, event: api.Event) -> None:
+    def receive_event(self, process: Process, event: api.Event) -> None:
         """Something has come from outside: whoever was kept from running sees to its timers first."""
         wait = process.wait_ms(self.now())
         if wait and process.alive and not process.stopped:
-            self.after(wait + TIMERS_FIRST_MS, self.reach_in, process, event)
+            self.after(wait + TIMERS_FIRST_MS, self.receive_event, process, event)
         else:
             self.turn(process, self.give, process, event)
 
@@ -133,9 +133,9 @@
         """A datagram comes in, at whoever is at this address by now."""
         target = self.by_address.get(address)
         if target is not None and target.alive:
-            self.reach_in(target, api.MessageReceived(message, source))
+            self.receive_event(target, api.MessageReceived(message, source))
             if isinstance(message, ApplicationMessage):
-                self.turn(target, self.spoken, target, message)
+                self.turn(target, self.on_application_message, target, message)
 
     def _round_trips(self, a: str, b: str, trips: int, size: int) -> float | None:
         """How long a stream takes for so many round trips; None where it does not come up in time."""
@@ -159,7 +159,7 @@
         answer = target.core.state()
         self.stream_bytes[target.name] += 40 + sum(record.estimated_size() for record in answer.records)
         self.give(target, api.PushPullReceived(state, process.core.address, False))
-        self.after(back_ms, self.reach_in, process, api.PushPullReceived(answer, address, True))
+        self.after(back_ms, self.receive_event, process, api.PushPullReceived(answer, address, True))
 
     def _dial(self, process: Process, address: str, number: int) -> None:
         target = self.by_address.get(address)
@@ -170,4 +170,4 @@
 
     def _dialled(self, target: Process, process: Process, number: int, back_ms: float) -> None:
         event = api.StreamProbeAcked(number, target.core.name, target.core.incarnation)
-        self.after(back_ms, self.reach_in, process, event)
+        self.after(back_ms, self.receive_event, process, event)
--- a/lab/virtual/member.py
+++ b/lab/virtual/member.py
@@ -31,7 +31,7 @@
 )
 from dunlinloft.node.fleet.singleton_roles import RoleHost
 from dunlinloft.node.server_list import key_id
-from lab.virtual.meeting import Meeting, Process
+from lab.virtual.meeting import MembershipNetwork, Process
 
 if TYPE_CHECKING:
     from lab.virtual.host import VirtualHost
@@ -43,7 +43,7 @@
 CORE: type[SharedState] = SharedState
 
 
-class NodeMeeting(Meeting):
+class NodeNetwork(MembershipNetwork):
     """All members of a day."""
 
     def __init__(self, host: VirtualHost, rng: random.Random) -> None:
@@ -64,9 +64,9 @@
         if isinstance(process, Member):
             process.recount()
 
-    def spoken(self, process: Process, message: ApplicationMessage) -> None:
+    def on_application_message(self, process: Process, message: ApplicationMessage) -> None:
         if isinstance(process, Member):
-            process.spoken(message)
+            process.on_application_message(message)
 
     def join(self, node: VirtualNode) -> Member:
         """A node's process starts as a member."""
@@ -86,11 +86,11 @@
         return member
 
 
-class Around:
+class RoleEnvironment:
     """What the duties' host has around it, in virtual time."""
 
-    def __init__(self, member: Member, meeting: NodeMeeting) -> None:
-        self._member, self._meeting = member, meeting
+    def __init__(self, member: Member, network: NodeNetwork) -> None:
+        self._member, self._network = member, network
         self.counts = {"errors": 0}
 
     @property
@@ -108,13 +108,13 @@
             return self._member.later(0.0, self._member.work.on_content, content, name)
         other = self.core.view.get(name)
         if other is not None and other.is_alive():
-            self._meeting.post(
+            self._network.post(
                 self._member, other.address, ApplicationMessage(self.core.header(), content, [])
             )
 
     def handle(self, event: api.Event, /) -> None:
         """Give the member's membership an event."""
-        self._meeting.give(self._member, event)
+        self._network.give(self._member, event)
 
     def request_view(self, name: str, /) -> None:
         """Views are compared by membership itself; the watch is of no use to a day."""
@@ -123,16 +123,16 @@
 class Member(Process):
     """One node's process among the others."""
 
-    def __init__(self, meeting: NodeMeeting, node: VirtualNode, core: Membership, rng: random.Random) -> None:
-        super().__init__(meeting, node.name, core)
-        self._meeting, self._node = meeting, node
+    def __init__(self, network: NodeNetwork, node: VirtualNode, core: Membership, rng: random.Random) -> None:
+        super().__init__(network, node.name, core)
+        self._network, self._node = network, node
         settings = node.settings
         self._tier = float(settings.tier)
         self.census = MemberCount(node.name, settings.replica_index, settings.replicas)
         self._place = settings.replica_index, settings.replicas
-        groups = node.zones if AFFINITY in meeting.share else []
+        groups = node.zones if AFFINITY in network.share else []
         self.shared = CORE(
-            node.name, core.incarnation, settings.zone, settings.tier, meeting.share, tenant_quotas(settings),
+            node.name, core.incarnation, settings.zone, settings.tier, network.share, tenant_quotas(settings),
             groups, dedup_window_ms(settings), rng, node.now(),
         )  # fmt: skip
         self._marks = {class_hash(cls.name): cls.name for cls in settings.classes}
@@ -140,10 +140,10 @@
         self._since: dict[int, float] = {}
         self.work: RoleHost | None = None
         self.releases: Releases | None = None
-        if RELEASES in meeting.share:
-            around = Around(self, meeting)
+        if RELEASES in network.share:
+            environment = RoleEnvironment(self, network)
             work = self.work = RoleHost(
-                around, around, node.name, settings.zone, meeting.voters, rng, self.now
+                environment, environment, node.name, settings.zone, network.voters, rng, self.now
             )  # fmt: skip
             self.releases = Releases(
                 self.shared,
@@ -157,7 +157,7 @@
     def now(self) -> float:
         return self._node.now()
 
-    def spoken(self, message: ApplicationMessage) -> None:
+    def on_application_message(self, message: ApplicationMessage) -> None:
         """A message has come that is about more than membership."""
         if isinstance(message.content, shared.Message):
             self.give_shared(shared.MessageReceived(message.content, message.header.name))
@@ -171,7 +171,7 @@
 
     def begin(self) -> None:
         """The process can be reached."""
-        if self._meeting.share:
+        if self._network.share:
             self._do(self.shared.begin())
             self._know()
         if self.work is not None:
@@ -181,7 +181,7 @@
 
     def later(self, delay_ms: float, do: Callable[..., None], *args: Any) -> None:
         """Do something later, in this process."""
-        self._meeting.after(delay_ms, self._meeting.turn, self, do, *args)
+        self._network.after(delay_ms, self._network.turn, self, do, *args)
 
     def _count(self) -> None:
         self.recount()
@@ -206,7 +206,7 @@
                 case shared.SendMessage():
                     member = self.core.view.get(action.recipient)
                     if member is not None and member.is_alive():
-                        self._meeting.post(
+                        self._network.post(
                             self, member.address, ApplicationMessage(self.core.header(), action.message, [])
                         )
                 case shared.SetTimer():
--- a/lab/virtual/node.py
+++ b/lab/virtual/node.py
@@ -36,7 +36,7 @@
 RESULTS = {"served": Result.SERVED, "error": Result.ERROR, "turned": Result.REJECTED}
 
 
-class Live:
+class OpenRequest:
     """A request that is owed its answer."""
 
     __slots__ = ("attempts", "done", "ends_ms", "order")
@@ -49,11 +49,13 @@
 class Attempt:
     """An attempt that is out, or was."""
 
-    __slots__ = ("began", "id", "job", "live", "new", "node", "number", "over", "server")
+    __slots__ = ("began", "id", "job", "new", "node", "number", "over", "request", "server")
 
-    def __init__(self, node: VirtualNode, live: Live, server: Server, began: float, new: bool) -> None:
-        self.node, self.live, self.server, self.began, self.new = node, live, server, began, new
-        self.id, self.number = live.order.id, len(live.attempts)
+    def __init__(
+        self, node: VirtualNode, request: OpenRequest, server: Server, began: float, new: bool
+    ) -> None:
+        self.node, self.request, self.server, self.began, self.new = node, request, server, began, new
+        self.id, self.number = request.order.id, len(request.attempts)
         self.job: Job | None = None
         self.over = False
 
@@ -69,7 +71,7 @@
         self._frozen: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self._busy_ms = 0.0
         self.ending = False
-        self._live: dict[str, Live] = {}
+        self._open_requests: dict[str, OpenRequest] = {}
         self._idle: dict[str, deque[float]] = {}
         self._in_service: set[int] = set()
         self._known: dict[int, Server] = {}
@@ -83,8 +85,8 @@
         self._tier = host.scenario.tiers[int(name in host.names.server_nodes)]
         self.zones = host.names.zones
         self.member: Member | None = None
-        if host.meeting is not None:
-            self.member = host.meeting.join(self)
+        if host.network is not None:
+            self.member = host.network.join(self)
         self.tell_list(host.agent(name).index, host.agent(name).full_list(), True)
 
     # Clocks and turns
@@ -119,7 +121,7 @@
         for do, args in frozen:
             self.turn(do, *args)
         if self.member is not None:
-            self.member.meeting.wake(self.member)
+            self.member.network.wake(self.member)
 
     def stop(self) -> None:
         """SIGSTOP."""
@@ -147,8 +149,8 @@
         if not self.ending and self._host.now() >= self.draining_ms + DRAIN_TAKES_MS:
             return self._host.answer(self.name, order, done, 503, "", 0.0)
         now = self.now()
-        live = self._live[order.id] = Live(order, now + order.budget_ms, done)
-        self.after(order.budget_ms, self._overdue, order.id, live)
+        request = self._open_requests[order.id] = OpenRequest(order, now + order.budget_ms, done)
+        self.after(order.budget_ms, self._overdue, order.id, request)
         ttl = max(0.0, order.budget_ms - DEADLINE_MARGIN_MS)
         pin, known = self._bound(order)
         if not known:
@@ -168,7 +170,7 @@
     def leave(self) -> None:
         """Say goodbye to the fleet."""
         if self.member is not None and self.member.alive:
-            self.member.meeting.give(self.member, fleet_api.LeaveRequested())
+            self.member.network.give(self.member, fleet_api.LeaveRequested())
             self.member.alive = False
 
     def hand_over(self) -> None:
@@ -178,23 +180,23 @@
 
     def gone(self, id: str) -> None:
         """Its caller has left."""
-        if self._live.pop(id, None) is not None:
+        if self._open_requests.pop(id, None) is not None:
             self.handle(api.ClientDisconnected(id))
 
     def _finish(self, id: str, status: int, maker: str = "", advice_ms: float = 0.0) -> None:
-        live = self._live.pop(id, None)
-        if live is not None:
-            self._host.answer(self.name, live.order, live.done, status, maker, advice_ms)
+        request = self._open_requests.pop(id, None)
+        if request is not None:
+            self._host.answer(self.name, request.order, request.done, status, maker, advice_ms)
             self.end_if_done()
 
     def end_if_done(self) -> None:
         """End, once told to, when all that was taken is answered."""
         over = self._host.now() >= self.draining_ms + 1000.0 * ACCEPT_AFTER_SIGTERM_S
-        if self.ending and self.alive and over and not self._live:
+        if self.ending and self.alive and over and not self._open_requests:
             self._host.ended(self)
 
-    def _overdue(self, id: str, live: Live) -> None:
-        if self._live.get(id) is live:
+    def _overdue(self, id: str, request: OpenRequest) -> None:
+        if self._open_requests.get(id) is request:
             self._finish(id, 504)
             self.handle(api.ClientDisconnected(id))
 
@@ -225,9 +227,9 @@
             case api.Reject():
                 self._finish(action.id, 503, "", action.retry_after_ms)
             case api.Cancel():
-                live = self._live.get(action.id)
-                if live is not None and action.attempt < len(live.attempts):
-                    self._give_up(live.attempts[action.attempt], Result.CANCELLED)
+                request = self._open_requests.get(action.id)
+                if request is not None and action.attempt < len(request.attempts):
+                    self._give_up(request.attempts[action.attempt], Result.CANCELLED)
             case api.CloseIdle():
                 server = self._known.get(action.server)
                 if server is not None:
@@ -237,16 +239,16 @@
 
     def send(self, id: str, number: int, timeout_ms: float) -> None:
         """Start an attempt on a connection that idles, or on a new one."""
-        live, server = self._live.get(id), self._known.get(number)
-        if live is None or server is None or number not in self._in_service:
-            count = len(live.attempts) if live is not None else 0
-            event = api.AttemptCompleted(id, count, number, Result.NOT_SENT, 0.0, live is None)
+        request, server = self._open_requests.get(id), self._known.get(number)
+        if request is None or server is None or number not in self._in_service:
+            count = len(request.attempts) if request is not None else 0
+            event = api.AttemptCompleted(id, count, number, Result.NOT_SENT, 0.0, request is None)
             return self.handle(event)
         now = self._host.now()
-        timeout_ms = max(0.0, min(timeout_ms, live.ends_ms - DEADLINE_MARGIN_MS - self.now()))
+        timeout_ms = max(0.0, min(timeout_ms, request.ends_ms - DEADLINE_MARGIN_MS - self.now()))
         new = not self._reuse(server, now)
-        attempt = Attempt(self, live, server, now, new)
-        live.attempts.append(attempt)
+        attempt = Attempt(self, request, server, now, new)
+        request.attempts.append(attempt)
         line = self._host.lines.between(self.name, server.name)
         if new:
             refused = line.refuse or (not server.up and server.reachable)
@@ -306,10 +308,10 @@
             return
         attempt.over = True
         self._host.attempts[attempt.server.name].discard(attempt)
-        owed = self._live.get(attempt.id) is attempt.live
+        owed = self._open_requests.get(attempt.id) is attempt.request
         if owed and result is Result.SERVED:
             self._finish(attempt.id, 200, attempt.server.name)
-        settled = self._live.get(attempt.id) is not attempt.live
+        settled = self._open_requests.get(attempt.id) is not attempt.request
         took = (self._host.now() - attempt.began) * self._rate
         self.handle(
             api.AttemptCompleted(
@@ -324,7 +326,7 @@
         )
         if self.member is not None:
             number = self._host.numbers[attempt.server.name]
-            self.member.ended(number, attempt.live.order.name, result, took)
+            self.member.ended(number, attempt.request.order.name, result, took)
 
     # Lists, and what operators do
 
@@ -368,11 +370,11 @@
         for tenant, counts in self.balancer.quota_counts.items():
             shares |= {f"within.{tenant}": float(counts.within), f"over.{tenant}": float(counts.over)}
         if self.member is not None:
-            shares["fleet_sent_bytes"] = float(self.member.meeting.bytes[self.name])
+            shares["fleet_sent_bytes"] = float(self.member.network.bytes[self.name])
             if self.member.releases is not None:
                 shares["release_share"] = self.member.shared.follower.order.share
         return shares | {
-            "inflight": float(len(self._live)),
+            "inflight": float(len(self._open_requests)),
             "hosts_listed": float(len(self.balancer.server_set.servers)),
             "hosts_down": float(self.balancer.excluded_count(self.now())),
             "backend_calls": float(self.written),
@@ -383,8 +385,8 @@
         self.alive = False
         if self.member is not None:
             self.member.alive = False
-        live, self._live = self._live, {}
-        for one in live.values():
+        request, self._open_requests = self._open_requests, {}
+        for one in request.values():
             for attempt in one.attempts:
                 if not attempt.over:
                     attempt.over = True
--- a/lab/virtual/scene.py
+++ b/lab/virtual/scene.py
@@ -16,7 +16,7 @@
 class Process:
     """A process with a clock of its own."""
 
-    def __init__(self, scene: Scene[Any], name: str, rate: float) -> None:
+    def __init__(self, scene: Simulation[Any], name: str, rate: float) -> None:
         self.scene, self.name, self.rate = scene, name, rate
         self.offset, self.started = scene.rng.random() * 1e6, scene.now
         self.life = next(scene.lives)
@@ -31,7 +31,7 @@
 P = TypeVar("P", bound=Process)
 
 
-class Scene(Generic[P]):
+class Simulation(Generic[P]):
     """Time, and processes by name."""
 
     def __init__(self, seed: int, members: int, loss: float) -> None:
--- a/lab/virtual/shared.py
+++ b/lab/virtual/shared.py
@@ -48,7 +48,7 @@
         )  # fmt: skip
 
 
-class World(scene.Scene[Process]):
+class World(scene.Simulation[Process]):
     """Processes, links, groups of servers, and the oracle."""
 
     def __init__(
--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -93,5 +93,5 @@
 def write_rows(world: World, duration_ms: float) -> None:
     """Write rows at regular intervals for this time."""
     for _ in range(int(duration_ms / 150.0)):
-        world.book.enter(f"k{world.rng.randrange(5)}")
+        world.table_oracle.enter(f"k{world.rng.randrange(5)}")
         world.run(150.0)
--- a/tests/test_cell_directory.py
+++ b/tests/test_cell_directory.py
@@ -12,7 +12,7 @@
 from dunlinloft.fleet.cells.report_replication import ReportReplication
 from dunlinloft.fleet.shared_state.anti_entropy import AntiEntropy
 from dunlinloft.fleet.shared_state.messages import MessageReceived, PullRequest, PullResponse
-from lab.virtual.askers import Askers
+from lab.virtual.askers import DirectoryLoadFleet
 
 
 def full(cells: int) -> Directory:
@@ -70,21 +70,21 @@
 
 def told_bytes() -> tuple[float, float]:
     """Bytes of replication for each report and process that hears of it; and how many answers were sure."""
-    askers = Askers(80, 3.0, 1, 8)
+    askers = DirectoryLoadFleet(80, 3.0, 1, 8)
     askers.run(70_000.0)
     askers.kinds.clear()
-    for mouth in askers.mouths:
-        mouth.answers = mouth.sure = 0
+    for cell in askers.simulated_cells:
+        cell.answers = cell.reliable = 0
     askers.run(20_000.0)
     assert [askers.known(guide) for guide in askers.directory()] == [80] * 8
     reports = 80 * 20_000.0 / 10_000.0
-    return askers.kinds["PullResponse"] / reports / 8, askers.sure_share()
+    return askers.kinds["PullResponse"] / reports / 8, askers.reliable_share()
 
 
 def test_replication_costs_a_few_times_the_new_data() -> None:
-    bytes_told, sure = told_bytes()
+    bytes_told, reliable = told_bytes()
     assert bytes_told < 700.0  # a report is 170 bytes, and comes from three partners
-    assert sure == 1.0
+    assert reliable == 1.0
 
 
 def test_replication_costs_more_where_reordered_datagrams_are_dropped(
--- a/tests/test_cell_random.py
+++ b/tests/test_cell_random.py
@@ -9,7 +9,7 @@
 
 from dunlinloft.fleet import interface as api
 from lab.lines import LinkFault
-from lab.virtual.cell_oracle import Watch, by_service, quiet, sums
+from lab.virtual.cell_oracle import BudgetWatch, by_service, run_until_stable, sums
 from lab.virtual.cells import CellFleet
 from lab.virtual.meeting import Process
 
@@ -42,7 +42,7 @@
             sizes, seed, regions=self.regions, most=self.rng.choice((4, 6, 8)),
             directory=self.rng.choice((0, 1, 3, 6)), file=FILE,
         )  # fmt: skip
-        self.watch = Watch(self.fleet)
+        self.watch = BudgetWatch(self.fleet)
         self.ills: list[LinkFault] = []
         self.gone: list[str] = []
         self.was_split = False
@@ -90,12 +90,12 @@
                 self.fleet.cont(name)
 
     def guide(self, living: list[str]) -> None:
-        for name in self.fleet.guides:
+        for name in self.fleet.directory_names:
             if not self.fleet.processes[name].alive:
                 self.fleet.start(name)
                 return
-        if self.fleet.guides:
-            self.fleet.kill(self.rng.choice(self.fleet.guides))
+        if self.fleet.directory_names:
+            self.fleet.kill(self.rng.choice(self.fleet.directory_names))
 
     def region(self, living: list[str]) -> None:
         groups = self.fleet.groups
@@ -126,7 +126,9 @@
         """All links are whole, all that was stopped goes on, the directory is there, or the seeds are."""
         self.heal([])
         self.cont([])
-        for name in self.fleet.guides or [name for name in self.gone if name.endswith(("-0", "-1", "-2"))]:
+        for name in self.fleet.directory_names or [
+            name for name in self.gone if name.endswith(("-0", "-1", "-2"))
+        ]:
             if not self.fleet.processes[name].alive:
                 self.fleet.start(name)
 
@@ -138,14 +140,14 @@
     for _ in range(day.rng.randrange(5, 20)):
         day.happen()
     day.mend()
-    quiet(fleet, 200_000.0)
+    run_until_stable(fleet, 200_000.0)
     assert fleet.false_deaths == []
     # Other cells hear of newcomers a dozen seconds late: until then the parts of these come on top.
     bound = 1.5 if day.was_split else 1.0 + 1e-9
     assert all(old <= bound for old in day.watch.old.values()), dict(day.watch.old)
     assert all(most < 1.5 for most in day.watch.most.values()), dict(day.watch.most)
     fleet.run(60_000.0)
-    quiet(fleet, 1_000.0)
+    run_until_stable(fleet, 1_000.0)
     for guide in fleet.directory():
         for members in by_service(fleet).values():
             assert sums(fleet, guide, members[0].name).service_members >= len(members)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -13,7 +13,15 @@
 from dunlinloft.fleet.cells.service_totals import MAX_REPORT_AGE_MS
 from dunlinloft.fleet.member_count import MISSING_MEMBER_GRACE_MS
 from dunlinloft.fleet.membership.core import Membership
-from lab.virtual.cell_oracle import Watch, cell_problems, cells, parted, quiet, sums, told_right
+from lab.virtual.cell_oracle import (
+    BudgetWatch,
+    budgets_are_settled,
+    cell_problems,
+    cells,
+    directory_is_correct,
+    run_until_stable,
+    sums,
+)
 from lab.virtual.cells import CellFleet
 
 HOUR_MS = 3_600_000.0
@@ -22,8 +30,12 @@
 def settled(sizes: dict[str, int], seed: int, **more: Any) -> CellFleet:
     """A fleet in which all is quiet, known to the directory, and parted by what that says."""
     fleet = CellFleet(sizes, seed, **more)
-    quiet(fleet)
-    until(fleet, lambda: told_right(fleet) and ("file" in more or parted(fleet)), 120_000.0)
+    run_until_stable(fleet)
+    until(
+        fleet,
+        lambda: directory_is_correct(fleet) and ("file" in more or budgets_are_settled(fleet)),
+        120_000.0,
+    )
     assert fleet.false_deaths == []
     return fleet
 
@@ -36,24 +48,24 @@
 
 def right(fleet: CellFleet, limit_ms: float = 120_000.0) -> None:
     """All is quiet again, and the directory says the truth to all."""
-    quiet(fleet, limit_ms)
-    until(fleet, lambda: told_right(fleet) and parted(fleet), limit_ms)
+    run_until_stable(fleet, limit_ms)
+    until(fleet, lambda: directory_is_correct(fleet) and budgets_are_settled(fleet), limit_ms)
 
 
 def cell_of(fleet: CellFleet, name: str) -> list[str]:
     """Who is in one's cell, by the oracle."""
-    member, cut = fleet.at(name), fleet.cut_of(name)
+    member, cut = fleet.at(name), fleet.partition_of(name)
     return sorted(m.name for m in cells(fleet)[member.service, member.region, cut])
 
 
 def reporter(fleet: CellFleet, name: str) -> str:
     """Who speaks for one's cell."""
-    spoken = [
+    on_application_message = [
         other for other in cell_of(fleet, name)
         if isinstance(core := fleet.at(other).core, CellMembership) and core.is_reporter()
     ]  # fmt: skip
-    assert len(spoken) == 1
-    return spoken[0]
+    assert len(on_application_message) == 1
+    return on_application_message[0]
 
 
 # Cutting and merging
@@ -62,23 +74,23 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_a_cell_splits_and_merges_while_members_join_and_die(seed: int) -> None:
     fleet = settled({"web": 7}, seed, file=40)
-    watch = Watch(fleet)
+    watch = BudgetWatch(fleet)
     assert len(cells(fleet)) == 1
     for n in range(33):
         fleet.start(fleet.add("web", "east"))
         fleet.run(700.0)
         if n % 4 == 3:
             fleet.kill(fleet.rng.choice(fleet.members()).name)
-    quiet(fleet)
-    until(fleet, lambda: told_right(fleet), 120_000.0)
+    run_until_stable(fleet)
+    until(fleet, lambda: directory_is_correct(fleet), 120_000.0)
     assert len(cells(fleet)) >= 4
     assert watch.most["web"] <= 1.0 + 1e-9
     while len(fleet.members()) > 3:
         fleet.leave(fleet.rng.choice(fleet.members()).name)
         fleet.run(500.0)
-    quiet(fleet, 300_000.0)
+    run_until_stable(fleet, 300_000.0)
     until(fleet, lambda: len(cells(fleet)) == 1, 300_000.0)
-    quiet(fleet, 30_000.0)
+    run_until_stable(fleet, 30_000.0)
     assert watch.most["web"] <= 1.0 + 1e-9
     assert fleet.false_deaths == []
 
@@ -86,13 +98,13 @@
 def test_a_service_that_starts_all_at_once_splits_without_delay() -> None:
     fleet = CellFleet({"web": 64}, 23)
     assert fleet.run(6_000.0, lambda: len(cells(fleet)) >= 8, every_ms=250.0) < 6_000.0
-    quiet(fleet, 20_000.0)
+    run_until_stable(fleet, 20_000.0)
     assert fleet.false_deaths == []
 
 
 def test_two_sides_of_a_network_partition_disagree_on_the_split_and_agree_again() -> None:
     fleet = CellFleet({"web": 8}, 5, directory=0)
-    quiet(fleet)
+    run_until_stable(fleet)
     sides = fleet.names[:6], fleet.names[6:]
     ill = fleet.split(*sides)
     fleet.run(15_000.0)
@@ -101,11 +113,11 @@
         fleet.groups[name] = fleet.groups[sides[0][0]]
         fleet.start(name)
     fleet.run(30_000.0)
-    assert fleet.cut_of(sides[0][0]).depth == 1
-    assert fleet.cut_of(sides[1][0]).depth == 0
+    assert fleet.partition_of(sides[0][0]).depth == 1
+    assert fleet.partition_of(sides[1][0]).depth == 0
     fleet.lines.remove_fault(ill)
-    quiet(fleet)
-    assert fleet.cut_of(sides[1][0]).depth >= 1
+    run_until_stable(fleet)
+    assert fleet.partition_of(sides[1][0]).depth >= 1
     assert fleet.false_deaths == []
 
 
@@ -127,7 +139,7 @@
         core.actions = []
         core._adopt_partition(cut, fleet.now())
     fleet.run(1_000.0)
-    quiet(fleet, 90_000.0)
+    run_until_stable(fleet, 90_000.0)
     assert fleet.false_deaths == []
 
 
@@ -162,7 +174,7 @@
 
 def test_cells_of_one_and_two_are_known_and_shrink_no_share_for_good() -> None:
     fleet = settled({"solo": 1, "duo": 2, "web": 4}, 6)
-    watch = Watch(fleet)
+    watch = BudgetWatch(fleet)
     fleet.kill("duo-east-1")
     fleet.kill("solo-east-0")
     fleet.run(60_000.0)
@@ -186,7 +198,7 @@
 def test_a_member_in_the_wrong_cell_finds_its_own_with_the_directory_and_without() -> None:
     for directory in (3, 0):
         fleet = CellFleet({"web": 24}, 7, directory=directory)
-        quiet(fleet)
+        run_until_stable(fleet)
         fleet.run(60_000.0)
         for n, epoch in ((3, 0), (8, 1), (13, 9)):
             name, core = fleet.names[n], fleet.at(fleet.names[n]).core
@@ -198,8 +210,11 @@
             core.actions = []
             core._adopt_partition(wrong, fleet.now())
             fleet.run(2_000.0)
-            assert not fleet.cut_of(name).includes_path(name_path(name)) or fleet.cut_of(name) == right_cut
-        quiet(fleet, 150_000.0)
+            assert (
+                not fleet.partition_of(name).includes_path(name_path(name))
+                or fleet.partition_of(name) == right_cut
+            )
+        run_until_stable(fleet, 150_000.0)
         assert fleet.false_deaths == []
 
 
@@ -211,14 +226,14 @@
     fleet.run(30_000.0)
     assert len(cells(fleet)) >= 4
     fleet.cont("web-east-2")
-    quiet(fleet, 30_000.0)
+    run_until_stable(fleet, 30_000.0)
     fleet.stop("web-east-2")
     for name in [member.name for member in fleet.members()][3:]:
         fleet.leave(name)
         fleet.run(400.0)
     until(fleet, lambda: len(cells(fleet)) == 1, 300_000.0)
     fleet.cont("web-east-2")
-    quiet(fleet, 30_000.0)
+    run_until_stable(fleet, 30_000.0)
     assert len(cells(fleet)) == 1
     assert fleet.false_deaths == []
 
@@ -238,38 +253,38 @@
     one, few = half(fleet, 0, 1), half(fleet, 1, 6)
     for name in (*one, *few):
         fleet.start(name)
-    quiet(fleet)
+    run_until_stable(fleet)
     fleet.stop(one[0])
     fleet.run(10_000.0)
     for name in half(fleet, 1, 4):
         fleet.start(name)
     fleet.run(20_000.0)
-    assert fleet.cut_of(few[0]).depth >= 1
+    assert fleet.partition_of(few[0]).depth >= 1
     fleet.cont(one[0])
-    quiet(fleet)
-    assert fleet.cut_of(one[0]).depth >= 1
+    run_until_stable(fleet)
+    assert fleet.partition_of(one[0]).depth >= 1
     assert fleet.false_deaths == []
 
 
 def test_newcomers_find_cells_in_which_no_seed_is_without_a_directory() -> None:
     fleet = CellFleet({"web": 24}, 20, most=4, directory=0)
-    quiet(fleet)
+    run_until_stable(fleet)
     fleet.run(60_000.0)
-    seeded = {fleet.cut_of(name) for name in fleet.names[:3]}
+    seeded = {fleet.partition_of(name) for name in fleet.names[:3]}
     news = [fleet.add("web", "east") for _ in range(8)]
     for name in news:
         fleet.start(name)
-    quiet(fleet, 150_000.0)
-    assert {fleet.cut_of(name) for name in news} - seeded
+    run_until_stable(fleet, 150_000.0)
+    assert {fleet.partition_of(name) for name in news} - seeded
     assert fleet.false_deaths == []
 
 
 def test_two_that_found_only_each_other_find_their_cell_without_a_directory() -> None:
     fleet = CellFleet({"web": 24}, 22, most=4, directory=0)
-    quiet(fleet)
+    run_until_stable(fleet)
     seeds, others = fleet.names[:3], fleet.names[3:]
-    seeded = [fleet.cut_of(name) for name in seeds]
-    far = next(cut for cut in map(fleet.cut_of, others) if cut not in seeded)
+    seeded = [fleet.partition_of(name) for name in seeds]
+    far = next(cut for cut in map(fleet.partition_of, others) if cut not in seeded)
     news: list[str] = []
     while len(news) < 2:
         name = fleet.add("web", "east")
@@ -282,9 +297,9 @@
     first, second = (fleet.at(name) for name in news)
     fleet._exchange(first, second.core.address, first.core.state())
     fleet.run(60_000.0)
-    assert [m.name for m in fleet.there(first)] == [second.name]
+    assert [m.name for m in fleet.alive_members(first)] == [second.name]
     fleet.lines.remove_fault(ill)
-    quiet(fleet, 200_000.0)
+    run_until_stable(fleet, 200_000.0)
     assert fleet.false_deaths == []
 
 
@@ -317,7 +332,7 @@
             fleet.cont(name)
         else:
             fleet.start(name)
-        quiet(fleet)
+        run_until_stable(fleet)
     right(fleet)
     assert fleet.false_deaths == []
 
@@ -327,15 +342,15 @@
 
 def test_cells_go_on_without_a_directory_for_an_hour_and_newcomers_find_them_by_seeds() -> None:
     fleet = settled({"web": 3}, 11, most=3, file=6)
-    watch = Watch(fleet)
-    for guide in fleet.guides:
+    watch = BudgetWatch(fleet)
+    for guide in fleet.directory_names:
         fleet.kill(guide)
     fleet.run(MAX_REPORT_AGE_MS + 15_000.0)
     assert all(member.fallback() for member in fleet.members())
     for _ in range(3):
         fleet.start(fleet.add("web", "east"))
         fleet.run(10_000.0)
-    quiet(fleet)
+    run_until_stable(fleet)
     assert len(cells(fleet)) >= 2
     fleet.kill("web-east-1")
     fleet.run(30 * 60_000.0)
@@ -344,7 +359,7 @@
     fleet.run(HOUR_MS - fleet.now())
     assert cell_problems(fleet) == ""
     assert {member.census.position()[1] for member in fleet.members()} == {6}
-    for guide in fleet.guides:
+    for guide in fleet.directory_names:
         fleet.start(guide)
     right(fleet)
     assert watch.most["web"] <= 1.0 + 1e-9
@@ -353,14 +368,14 @@
 
 def test_a_third_of_the_directory_lost_leaves_all_answers_within_their_bound() -> None:
     fleet = settled({"web": 20, "db": 3}, 12, directory=6)
-    for guide in fleet.guides[::3]:
+    for guide in fleet.directory_names[::3]:
         fleet.kill(guide)
     for _ in range(60):
         fleet.run(1_000.0)
         assert not [m.name for m in fleet.members() if m.fallback()]
-        assert max(m.told_ms() for m in fleet.members()) <= MAX_REPORT_AGE_MS
+        assert max(m.totals_age_ms() for m in fleet.members()) <= MAX_REPORT_AGE_MS
     right(fleet)
-    for guide in fleet.guides[::3]:
+    for guide in fleet.directory_names[::3]:
         fleet.start(guide)
     fleet.run(1_000.0)
     assert not any(sums(fleet, guide, "web-east-0").is_reliable for guide in fleet.directory()[::3])
@@ -370,10 +385,10 @@
 
 def test_a_restarted_directory_is_reliable_only_once_it_must_know_all_cells() -> None:
     fleet = settled({"web": 8}, 18, regions=("east", "west", "south"), directory=1)
-    watch = Watch(fleet)
+    watch = BudgetWatch(fleet)
     west = [name for name in fleet.names if "west" in name]
     ill = fleet.split([name for name in fleet.groups if name not in west], west)
-    for guide in fleet.guides:
+    for guide in fleet.directory_names:
         fleet.kill(guide)
         fleet.start(guide)
     fleet.run(WARM_UP_MS - 11_000.0)
@@ -384,7 +399,7 @@
 
 def test_a_newcomer_takes_no_greater_share_than_the_others_without_a_directory() -> None:
     fleet = settled({"web": 24}, 24, file=8)
-    for guide in fleet.guides:
+    for guide in fleet.directory_names:
         fleet.kill(guide)
     spoke = {reporter(fleet, name) for name in fleet.names}
     fleet.run(5_000.0)
@@ -394,7 +409,7 @@
     news = [fleet.add("web", "east") for _ in range(4)]
     for name in news:
         fleet.start(name)
-    quiet(fleet)
+    run_until_stable(fleet)
     fleet.run(5_000.0)
     assert all(fleet.at(name).census.position()[1] >= 24 and fleet.at(name).fallback() for name in news)
 
@@ -404,7 +419,7 @@
 
 def test_regions_partitioned_for_an_hour_and_back_keep_their_shares() -> None:
     fleet = settled({"web": 5}, 13, regions=("east", "west"), directory=2)
-    watch = Watch(fleet)
+    watch = BudgetWatch(fleet)
     sides = [[name for name in fleet.groups if region in fleet.groups[name]] for region in ("east", "west")]
     ill = fleet.split(*sides)
     fleet.run(HOUR_MS)
@@ -418,13 +433,13 @@
 
 def test_a_zone_lost_and_back_at_once_is_in_its_cells_again() -> None:
     fleet = settled({"web": 30, "db": 6}, 14)
-    watch = Watch(fleet)
+    watch = BudgetWatch(fleet)
     zone = [member.name for member in fleet.members() if fleet.groups[member.name].endswith("-a")]
     for name in zone:
         fleet.kill(name)
-    fleet.kill(fleet.guides[0])
+    fleet.kill(fleet.directory_names[0])
     fleet.run(40_000.0)
-    for name in [*zone, fleet.guides[0]]:
+    for name in [*zone, fleet.directory_names[0]]:
         fleet.start(name)
     right(fleet)
     assert all(most < 1.5 for most in watch.most.values())
@@ -465,10 +480,10 @@
     assert fleet.false_deaths == []
     celled = [fleet.at(name) for name in fleet.names[6:]]
     for member in celled:
-        there = {m.name for m in fleet.there(member)}
+        there = {m.name for m in fleet.alive_members(member)}
         assert there <= {other.name for other in celled}
         assert member.census.position()[1] >= 12
-    flat_views = [{m.name for m in fleet.there(fleet.at(name))} | {name} for name in flat]
+    flat_views = [{m.name for m in fleet.alive_members(fleet.at(name))} | {name} for name in flat]
     assert all(view == set(flat) for view in flat_views)
     for name in flat:
         fleet.kill(name)
@@ -493,4 +508,4 @@
     fleet.lines.remove_fault(ill)
     for name in fleet.names[::5]:
         fleet.processes[name].starved = False
-    quiet(fleet)
+    run_until_stable(fleet)
--- a/tests/test_lab_oracle.py
+++ b/tests/test_lab_oracle.py
@@ -65,9 +65,9 @@
 
 
 def second_answer(node: Planted, action: api.Action) -> list[api.Action]:
-    if isinstance(action, api.Fail | api.Reject) and action.id in node._live:
-        order = node._live[action.id].order
-        done = node._live[action.id].done
+    if isinstance(action, api.Fail | api.Reject) and action.id in node._open_requests:
+        order = node._open_requests[action.id].order
+        done = node._open_requests[action.id].done
         node._host.after(5.0, done, 502, "", 0.0)
         node._host.after(5.0, node._host.tell, records.Answered(node._host.now(), order.id, node.name, 502))
     return [action]
@@ -75,7 +75,7 @@
 
 def lose(node: Planted, action: api.Action) -> list[api.Action]:
     if isinstance(action, api.Send) and hash(action.server) % 5 == 0:
-        node._live.pop(action.id, None)  # nobody is told
+        node._open_requests.pop(action.id, None)  # nobody is told
         return []
     return [action]
 
@@ -142,7 +142,7 @@
     """Tries again for ever, where a repeat is harmless."""
 
     def _outcome(self, attempt: Attempt, result: api.Result, report: dict[str, float] | None) -> None:
-        live = attempt.live
+        live = attempt.request
         if attempt.over or live.order.name != "slot-view" or attempt.number > 7:
             return super()._outcome(attempt, result, report)
         attempt.over = True
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -256,7 +256,7 @@
             fleet.deliver(address, source, message)
     fleet.run(3_000.0)
     for process in fleet.living():
-        assert not {"n3", "n4"} & {member.name for member in fleet.there(process)}
+        assert not {"n3", "n4"} & {member.name for member in fleet.alive_members(process)}
     assert fleet.agreed()
 
 
--- a/tests/test_state_table.py
+++ b/tests/test_state_table.py
@@ -20,16 +20,16 @@
         for _ in range(6):
             inject_random_faults(world, 2_000.0)
             write_rows(world, 2_500.0)
-        assert not world.book.losses
-        kept, openings = kept + world.book.kept, openings + world.book.openings
+        assert not world.table_oracle.losses
+        kept, openings = kept + world.table_oracle.kept, openings + world.table_oracle.openings
     assert kept > 300 and openings > 40, (kept, openings)
 
 
 def test_a_table_whose_majority_restarted_reports_lost_rows_and_goes_on() -> None:
     world = World(5, 5, 5, duties=0, ledger=True)
-    assert world.run(20_000.0, lambda: world.book.openings > 0) < 20_000.0
+    assert world.run(20_000.0, lambda: world.table_oracle.openings > 0) < 20_000.0
     write_rows(world, 3_000.0)
-    assert world.book.kept > 5
+    assert world.table_oracle.kept > 5
     holder = world.holders(STATE_TABLE_ROLE)[0]
     for name in world.names[:3]:  # a majority restarts simultaneously
         world.kill(name)
@@ -37,11 +37,11 @@
     if holder not in world.names[:3]:
         world.kill(holder)
         world.start(holder)
-    before = world.book.openings
-    assert world.run(40_000.0, lambda: world.book.openings > before) < 40_000.0
-    assert world.book.losses == 1
+    before = world.table_oracle.openings
+    assert world.run(40_000.0, lambda: world.table_oracle.openings > before) < 40_000.0
+    assert world.table_oracle.losses == 1
     write_rows(world, 2_000.0)
-    assert world.book.acked  # the table accepts writes again
+    assert world.table_oracle.acked  # the table accepts writes again
 
 
 def test_a_primary_that_writes_before_it_reads_is_caught() -> None:
@@ -64,17 +64,17 @@
 
 def test_a_full_table_is_read_back_and_takes_no_further_row() -> None:
     world = World(2, 5, 5, duties=0, ledger=True)
-    assert world.run(20_000.0, lambda: world.book.openings > 0) < 20_000.0
+    assert world.run(20_000.0, lambda: world.table_oracle.openings > 0) < 20_000.0
     for n in range(MAX_ROWS):
-        world.book.enter(f"row/{n}")
+        world.table_oracle.enter(f"row/{n}")
         if n % 20 == 0:
             world.run(40.0)
     world.run(2_000.0)
-    assert world.book.kept == MAX_ROWS
-    world.book.enter("one too many")
+    assert world.table_oracle.kept == MAX_ROWS
+    world.table_oracle.enter("one too many")
     world.run(500.0)
-    assert world.book.kept == MAX_ROWS
+    assert world.table_oracle.kept == MAX_ROWS
     holder = world.holders(STATE_TABLE_ROLE)[0]
     world.kill(holder)
-    assert world.run(30_000.0, lambda: world.book.openings > 1) < 30_000.0
-    assert world.book.open_ms[-1] < 5_000.0
+    assert world.run(30_000.0, lambda: world.table_oracle.openings > 1) < 30_000.0
+    assert world.table_oracle.open_ms[-1] < 5_000.0
--- a/tests/test_voter_changes.py
+++ b/tests/test_voter_changes.py
@@ -36,7 +36,7 @@
     """Request a change of voters; return whether it is adopted within this time."""
     before, end = max(world.epochs), world.now + duration_ms
     while max(world.epochs) == before and world.now < end:
-        world.book.change(add, remove)
+        world.table_oracle.change(add, remove)
         world.run(100.0)
     return max(world.epochs) > before
 
@@ -50,21 +50,21 @@
             inject_random_faults(world, 1_500.0)
             others = [name for name in world.names if name not in world.voters]
             if len(world.voters) <= 3 or world.rng.random() < 0.5:
-                world.book.change(add=world.rng.choice(others))
+                world.table_oracle.change(add=world.rng.choice(others))
             else:
-                world.book.change(remove=world.rng.choice(world.voters))
+                world.table_oracle.change(remove=world.rng.choice(world.voters))
             write_rows(world, 2_000.0)
             world.run(world.rng.choice((0.0, 3_000.0)))
-        assert not world.book.losses
-        changes, kept = changes + max(world.epochs), kept + world.book.kept
+        assert not world.table_oracle.losses
+        changes, kept = changes + max(world.epochs), kept + world.table_oracle.kept
     assert changes > 15 and kept > 300, (changes, kept)
 
 
 def test_all_voters_are_replaced_one_by_one_and_the_old_ones_may_leave() -> None:
     world = World(3, 8, 3, duties=1, ledger=True)
-    assert world.run(20_000.0, lambda: world.book.openings > 0 and all_roles_led(world)) < 20_000.0
+    assert world.run(20_000.0, lambda: world.table_oracle.openings > 0 and all_roles_led(world)) < 20_000.0
     for n in range(20):
-        world.book.enter(f"row/{n}")
+        world.table_oracle.enter(f"row/{n}")
         world.run(50.0)
     before = dict(world.tokens)
     for old, new in zip(("m0", "m1", "m2"), ("m3", "m4", "m5"), strict=True):
@@ -78,18 +78,21 @@
     assert world.run(30_000.0, lambda: has_recovered(world.processes["m3"])) < 30_000.0
     for name in ("m6", "m7"):
         world.kill(name)
-    openings = world.book.openings
+    openings = world.table_oracle.openings
     for holder in world.holders(STATE_TABLE_ROLE):
         world.kill(holder)
         world.start(holder)
-    assert world.run(60_000.0, lambda: all_roles_led(world) and world.book.openings > openings) < 60_000.0
-    assert not world.book.losses and world.book.kept >= 20
+    assert (
+        world.run(60_000.0, lambda: all_roles_led(world) and world.table_oracle.openings > openings)
+        < 60_000.0
+    )
+    assert not world.table_oracle.losses and world.table_oracle.kept >= 20
     assert all(world.tokens[duty] >= before[duty] for duty in world.duties)
 
 
 def test_an_impossible_change_of_voters_is_rejected_with_its_reason() -> None:
     world = World(4, 8, 3, duties=0, ledger=True)
-    assert world.run(20_000.0, lambda: world.book.openings > 0) < 20_000.0
+    assert world.run(20_000.0, lambda: world.table_oracle.openings > 0) < 20_000.0
     core = world.processes[world.holders(STATE_TABLE_ROLE)[0]].core
 
     def rejection_of(add: str = "", remove: str = "") -> str:
@@ -116,7 +119,7 @@
 def remove_granting_voters(seed: int) -> None:
     """Remove the voters that granted a lease while its holder is partitioned from the change."""
     world = World(seed, 9, 5, duties=1, ledger=True)
-    assert world.run(30_000.0, lambda: world.book.openings > 0 and all_roles_led(world)) < 30_000.0
+    assert world.run(30_000.0, lambda: world.table_oracle.openings > 0 and all_roles_led(world)) < 30_000.0
     for duty, to in ((STATE_TABLE_ROLE, "m5"), ("d0", "m6")):
         world.hand_over(duty, to)
         world.run(6_000.0)
