--- a/lab/capacity/control.py
+++ b/lab/capacity/control.py
@@ -71,7 +71,7 @@
         self._wire = Wire("capacity")
         super().__init__(seed, MEMBERS, VOTERS, duties)
 
-    def naming(self, n: int) -> str:
+    def process_name(self, n: int) -> str:
         return sizes.name(n)
 
     def _send(self, process: Process, name: str, message: Message) -> None:
--- a/lab/capacity/shared.py
+++ b/lab/capacity/shared.py
@@ -82,7 +82,7 @@
         self._wire = Wire("capacity")
         super().__init__(seed, members, core)
 
-    def naming(self, n: int) -> str:
+    def process_name(self, n: int) -> str:
         return sizes.name(n)
 
     def _check_ages(self, process: Process) -> None:
--- a/lab/cells.py
+++ b/lab/cells.py
@@ -189,7 +189,8 @@
     processes = askers.directory()
     names = [directory_process.name for directory_process in processes]
     held = [
-        deep_bytes([g.core, g.directory], (MembershipNetwork,)) / 1024.0 for g in askers.rng.sample(processes, 3)
+        deep_bytes([g.core, g.directory], (MembershipNetwork,)) / 1024.0
+        for g in askers.rng.sample(processes, 3)
     ]  # fmt: skip
     return {
         "out_bytes_s": [sum(askers.bytes[n] for n in names) * share],
--- a/lab/virtual/cell_meeting.py
+++ b/lab/virtual/cell_meeting.py
@@ -21,7 +21,7 @@
 from lab.scenario import Network, Nodes, Scenario
 from lab.virtual.cell_processes import DirectoryProcess, GroupLinks, Member, encode, read, read_state
 from lab.virtual.fleet import Fleet
-from lab.virtual.meeting import STREAM_LIMIT_MS, Process
+from lab.virtual.meeting import STREAM_TIMEOUT_MS, Process
 
 T = TypeVar("T")
 
@@ -133,7 +133,7 @@
         target = self.by_address.get(address)
         took = None if target is None else self._round_trips(process.name, target.name, 2, 1000)
         if target is None or took is None or not target.alive:
-            self.after(STREAM_LIMIT_MS, self.turn, process, self.give, process, api.PushPullFailed(address))
+            self.after(STREAM_TIMEOUT_MS, self.turn, process, self.give, process, api.PushPullFailed(address))
             return
         self.after(
             took * 0.75,
--- a/lab/virtual/duties.py
+++ b/lab/virtual/duties.py
@@ -1,8 +1,8 @@
-"""Singleton roles in virtual time: voters and candidates among faults, with clocks of different rates.
+"""Singleton roles in virtual time: voters and candidates under faults, with clocks of different rates.
 
-What a process believes of the others comes late and may be wrong; safety may not rest on it. The oracle
-knows the true time: it checks at every event that one process at most holds a duty, by its own clock, that
-tokens rise from tenure to tenure, and that whoever obeys never obeys an old one.
+Membership information reaches processes late and may be wrong; safety must not depend on it. The oracle knows
+the true time. At every event it checks that at most one process holds a role by its own clock, that fencing
+tokens increase from lease to lease, and that no stale token is accepted.
 """
 
 from __future__ import annotations
@@ -38,61 +38,61 @@
 from lab.virtual.scene import InvariantViolation
 
 WALL_MS = 1_700_000_000_000
-SEEN_MS = 300.0  # how often a process is told what is seen of the others
-LATE_SEEN_MS = 2_200.0  # how long a death takes to be seen
+MEMBERSHIP_INTERVAL_MS = 300.0  # interval of membership updates to a process
+DEATH_DETECTION_MS = 2_200.0  # time until a death is detected
 
 
 class Process(scene.Process):
-    """A process with a clock of its own, and one of the wall's that may be wrong."""
+    """A process with its own monotonic clock, and a wall clock that may be wrong."""
 
     def __init__(self, world: World, name: str, rate: float, wall_error_ms: float) -> None:
         super().__init__(world, name, rate)
         self.wall_error_ms = wall_error_ms
-        self.working: dict[str, int] = {}  # duties whose work was started and not stopped here, with tokens
+        self.working: dict[str, int] = {}  # tokens of the roles whose work is running here
         self.core = world.core(
             name, self.life, world.named, world.duties, random.Random(world.rng.getrandbits(64)), self.wall,
             self.clock(), world.term_ms, world.drift,
         )  # fmt: skip
 
     def wall(self) -> int:
-        """What it takes for the time of day."""
+        """Return the process's wall clock time."""
         return int(WALL_MS + self.scene.now + self.wall_error_ms)
 
     def holds(self, duty: str) -> bool:
-        """Whether it would act for a duty now: it asks itself before each act."""
+        """Return whether the process would act in a role now; it checks this before each action."""
         return self.alive and not self.stopped and self.core.holds(duty, self.clock())
 
 
 class StateTableOracle:
-    """What operators have entered, and what the ledger owes them: the oracle of the ledger."""
+    """Oracle of the state table: records what was written and acknowledged, and checks what is read."""
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self._wanted = count(1)
+        self._request_ids = count(1)
         self._keys: dict[int, str] = {}
-        self.acked: dict[str, int] = {}  # by key: the latest entry that was acknowledged,
-        self._found: dict[str, int] = {}  # and what the latest opening found
-        self._gone: set[int] = set()  # entries that an opening did not find: they are no more
+        self.acked: dict[str, int] = {}  # by key: the latest acknowledged entry
+        self._found: dict[str, int] = {}  # by key: the entry found at the latest opening
+        self._gone: set[int] = set()  # entries not found at an opening, which must not reappear
         self._token = 0
         self.entered = self.kept = self.openings = self.losses = 0
-        self.open_ms: list[float] = []  # from each start of the duty to its opening
+        self.open_ms: list[float] = []  # time from each acquisition of the role to the table's opening
 
     def enter(self, key: str) -> None:
-        """Operators enter a row, at whoever holds the ledger."""
+        """Write a row at the current holder of the table."""
         for name in self._world.holders(STATE_TABLE_ROLE):
-            wanted = next(self._wanted)
+            wanted = next(self._request_ids)
             self._keys[wanted] = key
             self.entered += 1
             self._world.give(self._world.processes[name], WriteRequested(key, str(wanted).encode(), wanted))
 
     def change(self, add: str = "", remove: str = "") -> None:
-        """Operators want other voters, at whoever holds the ledger."""
+        """Request a change of voters at the current holder of the table."""
         for name in self._world.holders(STATE_TABLE_ROLE):
-            event = VoterChangeRequested(add, remove, next(self._wanted))
+            event = VoterChangeRequested(add, remove, next(self._request_ids))
             self._world.give(self._world.processes[name], event)
 
     def settled(self, action: WriteCompleted) -> None:
-        """An entry is acknowledged, or it is not known whether it is kept."""
+        """Record the outcome of a write: acknowledged, or unknown."""
         if not action.committed or action.request_id not in self._keys:
             return
         self.kept += 1
@@ -104,7 +104,7 @@
         self.acked[key] = max(self.acked.get(key, 0), action.request_id)
 
     def opened(self, process: Process, action: TableOpened) -> None:
-        """A holder says what there is: no less than was acknowledged, and nothing that was gone."""
+        """Check the rows at an opening: none older than acknowledged, and none that was gone before."""
         self.openings += 1
         started = max(
             at
@@ -113,28 +113,28 @@
         )
         self.open_ms.append(self._world.now - started)
         if action.token < self._token:
-            return  # replaced meanwhile: whatever it writes is refused
+            return  # already replaced: its writes are rejected
         self._token = action.token
         ledger = process.core.table
         rows = (
             {} if ledger is None else {k: int(row.value) for k, row in ledger.rows.items() if k != VOTERS_KEY}
         )
-        if action.rows_lost:  # said plainly: then nothing is owed any more
+        if action.rows_lost:  # an announced loss cancels all guarantees
             self.losses += 1
             self.acked.clear()
             self._found.clear()
         for key in {*self._keys.values()}:
             found = rows.get(key, 0)
-            least = max(self.acked.get(key, 0), self._found.get(key, 0))
-            if found < least or found in self._gone:
-                what = f"{process.name} finds entry {found} of {key}, and {least} was acknowledged or found"
+            oldest = max(self.acked.get(key, 0), self._found.get(key, 0))
+            if found < oldest or found in self._gone:
+                what = f"{process.name} finds entry {found} of {key}, and {oldest} was acknowledged or found"
                 raise InvariantViolation(f"{self._world.when()}: {what}")
             self._found[key] = found
         self._gone |= {wanted for wanted, key in self._keys.items() if wanted > rows.get(key, 0)}
 
 
 class World(scene.Simulation[Process]):
-    """Voters, candidates, links and faults."""
+    """Simulation of voters, candidates, links and faults."""
 
     def __init__(
         self, seed: int, members: int = 8, voters: int = 5, duties: int = 2, term_ms: float = 3000.0,
@@ -142,55 +142,55 @@
     ) -> None:  # fmt: skip
         super().__init__(seed, members, loss)
         self.core, self.term_ms, self.drift = core, term_ms, drift
-        self.named = self.names[:voters]  # as voters, by the configuration
-        self.epochs: dict[int, tuple[str, ...]] = {0: tuple(self.named)}  # who voted after which change
+        self.named = self.names[:voters]  # configured voters
+        self.epochs: dict[int, tuple[str, ...]] = {0: tuple(self.named)}  # voters by epoch
         self.duties = [f"d{n}" for n in range(duties)] + ([STATE_TABLE_ROLE] if ledger else [])
         self.delay_ms = 10.0
         self.guard = FencingGuard()
-        self.token_matters = True  # else only that there is one holder at most
+        self.token_matters = True  # if False, only the number of holders is checked
         self.tokens: dict[str, int] = {}
-        self.history: list[tuple[float, str, str, int]] = []  # when, duty, holder, token
+        self.history: list[tuple[float, str, str, int]] = []  # time, role, holder, token
         self.lost: Counter[str] = Counter()
         self.messages = 0
-        self.old: list[tuple[str, Message, str]] = []  # some that come again much later
+        self.old: list[tuple[str, Message, str]] = []  # messages to be replayed later
         self.table_oracle = StateTableOracle(self)
         for name in self.names:
             self.start(name)
 
     @property
     def voters(self) -> list[str]:
-        """Who votes since the latest change that anybody adopted."""
+        """Return the voters after the latest change adopted by any process."""
         return list(self.epochs[max(self.epochs)])
 
     # Processes
 
     def start(self, name: str) -> None:
-        """From nothing, with a clock at a rate within the drift."""
+        """Start a process without previous state, with a clock rate within the drift bound."""
         rate = 1.0 + self.rng.choice((-0.5, 0.5, 0.0)) * self.drift
         error = self.rng.choice((0.0, 0.0, -3_600_000.0, 3_600_000.0)) if self.now else 0.0
         process = self.processes[name] = Process(self, name, rate, error)
         self._gone_ms.pop(name, None)
         self.do(process, process.core.begin(process.clock()))
-        self.after(SEEN_MS * self.rng.random(), self._see, process)
+        self.after(MEMBERSHIP_INTERVAL_MS * self.rng.random(), self._observe_membership, process)
 
     def kill(self, name: str) -> None:
-        """Without a word."""
+        """Kill a process without notice to others."""
         super().kill(name)
         self.processes[name].working.clear()
 
     def resumed(self, process: Process) -> None:
-        """An act that it had begun is done before it looks."""
+        """Complete the actions that were in progress when the process was stopped."""
         for duty, token in process.working.items():
             self.act(duty, token)
 
-    def _see(self, process: Process) -> None:
-        """What membership would tell: late, and of the holders by their own word."""
+    def _observe_membership(self, process: Process) -> None:
+        """Send what membership would report: delayed, with the holders as they claim themselves."""
         if not process.alive:
             return
         here = frozenset(
             name
             for name in self.names
-            if self.now - self._gone_ms.get(name, self.now) < LATE_SEEN_MS
+            if self.now - self._gone_ms.get(name, self.now) < DEATH_DETECTION_MS
             and (name, process.name) not in self.cut
         )
         claims = {
@@ -199,20 +199,20 @@
             for duty in self.duties
             if other.name in here and other.alive and other.core.candidates[duty].is_leader
         }
-        told = [p.core.voters for p in self.processes.values() if p.name in here and p.alive]
-        latest = max(told, key=lambda voters: voters.epoch, default=None)
+        known_voters = [p.core.voters for p in self.processes.values() if p.name in here and p.alive]
+        latest = max(known_voters, key=lambda voters: voters.epoch, default=None)
         self.turn(
             process, self.give, process, MembershipObserved(here | {process.name}, claims, voters=latest)
         )
-        self.after(SEEN_MS * (0.5 + self.rng.random()), self._see, process)
+        self.after(MEMBERSHIP_INTERVAL_MS * (0.5 + self.rng.random()), self._observe_membership, process)
 
     def give(self, process: Process, event: Event) -> None:
-        """Give a core an event and do what it says."""
+        """Pass an event to a core and perform the resulting actions."""
         if process.alive:
             self.do(process, process.core.handle(event, process.clock()))
 
     def do(self, process: Process, actions: list[Any]) -> None:
-        """What a core says."""
+        """Perform the actions of a core."""
         for action in actions:
             match action:
                 case SendMessage():
@@ -221,13 +221,13 @@
                     event = TimerFired(action.token)
                     self.after(action.delay_ms / process.rate, self.turn, process, self.give, process, event)
                 case LeaseAcquired():
-                    self._started(process, action)
+                    self._on_acquired(process, action)
                 case TableOpened():
                     self.table_oracle.opened(process, action)
                 case WriteCompleted():
                     self.table_oracle.settled(action)
                 case VotersChanged():
-                    self._elected(action.voters)
+                    self._check_voters(action.voters)
                 case LeaseLost():
                     process.working.pop(action.role, None)
                     self.lost[action.reason.partition(" ")[0]] += 1
@@ -244,28 +244,30 @@
             self.after(delay * self.rng.choice((1, 1, 1, 4)), self.deliver, name, message, process.name)
 
     def deliver(self, name: str, message: Message, sender: str) -> None:
-        """A message comes to whoever has this name by now."""
+        """Deliver a message to the process that currently has this name."""
         process = self.processes[name]
         self.turn(process, self.give, process, MessageReceived(message, sender))
 
     def replay(self) -> None:
-        """Old messages come again."""
+        """Redeliver a quarter of the recorded messages."""
         for old in self.rng.sample(self.old, len(self.old) // 4):
             self.deliver(*old)
 
     # The oracle
 
-    def _elected(self, voters: VoterSet) -> None:
+    def _check_voters(self, voters: VoterSet) -> None:
         names = self.epochs.setdefault(voters.epoch, voters.names)
         if names != voters.names:
             raise InvariantViolation(
                 f"{self.when()}: change {voters.epoch} of voters is {names} and {voters.names}"
             )
 
-    def _started(self, process: Process, start: LeaseAcquired) -> None:
-        before = self.tokens.get(start.role, 0)
-        if start.token <= before and self.token_matters:
-            raise InvariantViolation(f"{self.when()}: {start.role}: token {start.token} after {before}")
+    def _on_acquired(self, process: Process, start: LeaseAcquired) -> None:
+        previous_token = self.tokens.get(start.role, 0)
+        if start.token <= previous_token and self.token_matters:
+            raise InvariantViolation(
+                f"{self.when()}: {start.role}: token {start.token} after {previous_token}"
+            )
         self.tokens[start.role] = start.token
         process.working[start.role] = start.token
         self.history.append((self.now, start.role, process.name, start.token))
@@ -273,24 +275,24 @@
             raise InvariantViolation(f"{self.when()}: {start.role}: its new holder's token is refused")
 
     def act(self, duty: str, token: int) -> bool:
-        """Somebody acts with a token; whether it is obeyed, which an old one may not be."""
+        """Perform an action with a token; returns whether it is accepted, which a stale one must not be."""
         obeyed = self.guard.admits(duty, token)
         if obeyed and token < self.tokens.get(duty, 0) and self.token_matters:
             raise InvariantViolation(f"{self.when()}: {duty}: an act with the old token {token} was obeyed")
         return obeyed
 
     def holders(self, duty: str) -> list[str]:
-        """Who would act for a duty at this instant."""
+        """Return the processes that would act in a role at this instant."""
         return [process.name for process in self.processes.values() if process.holds(duty)]
 
     def check(self) -> None:
-        """One holder at most, of each duty."""
+        """Check that each role has at most one holder."""
         for duty in self.duties:
             holders = self.holders(duty)
             if len(holders) > 1:
                 raise InvariantViolation(f"{self.when()}: {duty} is held by {' and '.join(holders)}")
 
     def hand_over(self, duty: str, to: str = "") -> None:
-        """Operators ask the holder to hand a duty over."""
+        """Ask the holder of a role to hand it over."""
         for name in self.holders(duty):
             self.give(self.processes[name], HandoverRequested(duty, to))
--- a/lab/virtual/host.py
+++ b/lab/virtual/host.py
@@ -1,4 +1,4 @@
-"""The heap of events, and what happens between virtual processes."""
+"""Virtual-time host: the event heap, node processes, and the transport between callers, nodes and servers."""
 
 from __future__ import annotations
 
@@ -25,33 +25,37 @@
 if TYPE_CHECKING:
     from lab.virtual.member import NodeNetwork
 
-START_MS = 300.0  # until a process that was started takes callers
-STARVED = 0.3  # of a core, with less than which a node's timers come late
-ASK_AGAIN_MS = 500.0  # operators who reach no steward try again
-POLL_MS = 100.0  # the front asks each node so often
-NOTED_MS = 1.5 * POLL_MS  # what its rhythm adds, on average, until it sees one dead and then acts on it
+PROCESS_START_MS = 300.0  # time until a started process accepts callers
+STARVATION_SHARE = 0.3  # share of a core below which a node's timers run late
+RELEASE_RETRY_MS = 500.0  # retry interval of operators while no node accepts a release
+READINESS_POLL_MS = 100.0  # interval at which the front polls each node
+POLL_DELAY_MS = (
+    1.5 * READINESS_POLL_MS
+)  # mean delay that polling adds to detecting a dead node and acting on it
 
 
 class VirtualHost(World):
-    """A day in virtual time."""
+    """Runs a scenario in virtual time."""
 
     node_type: type[VirtualNode] = VirtualNode
 
     def __init__(self, plan: Plan, sinks: list[Sink]) -> None:
         self._now = 0.0
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._number = count()
+        self._sequence = count()
         self.events = 0
         self.numbers = {name: server_id(name) for name in plan.names.servers}
         self.attempts: dict[str, set[Attempt]] = defaultdict(set)
         self.nodes: dict[str, VirtualNode] = {}
-        self._old: dict[str, list[VirtualNode]] = defaultdict(list)  # processes that end beside a new one
-        self._lives = count(1)
-        self._dones: dict[str, tuple[str, Done]] = {}  # requests that wait for an answer, and where
+        self._retiring: dict[str, list[VirtualNode]] = defaultdict(
+            list
+        )  # processes that end while their replacement runs
+        self._process_numbers = count(1)
+        self._pending: dict[str, tuple[str, Done]] = {}  # pending requests: their node and callback
         self.network: NodeNetwork | None = None
         super().__init__(plan, sinks)
         if self.scenario.nodes.fleet:
-            from lab.virtual.member import NodeNetwork  # only where it is wanted
+            from lab.virtual.member import NodeNetwork  # imported only if needed
 
             self.network = NodeNetwork(self, random.Random(f"{plan.seed}fleet"))
 
@@ -61,44 +65,46 @@
         return self._now
 
     def after(self, delay_ms: float, do: Callable[..., None], *args: Any) -> None:
-        heapq.heappush(self._heap, (self._now + delay_ms, next(self._number), do, args))
+        heapq.heappush(self._heap, (self._now + delay_ms, next(self._sequence), do, args))
 
     def run(self, step: Callable[[float], None] = lambda share: None) -> None:
-        """Play the day; `step` hears its share as it goes."""
+        """Run the scenario; `step` is called with the elapsed share."""
         for name in (*self.names.nodes, *self.names.server_nodes):
             self.start_node(name, first=True)
         self.begin()
         length = 1000.0 * (self.scenario.day.length_s + self.scenario.day.after_s)
-        heap, shown = self._heap, 0.0
+        heap, next_step_ms = self._heap, 0.0
         while heap and heap[0][0] <= length:
             self._now, _, do, args = heapq.heappop(heap)
             do(*args)
             self.events += 1
-            if self._now > shown:
+            if self._now > next_step_ms:
                 step(self._now / length)
-                shown = self._now + length / 100.0
+                next_step_ms = self._now + length / 100.0
             if self._now > 1000.0 * self.scenario.day.length_s and self.callers.finished():
                 break
 
     # Processes
 
     def start_node(self, name: str, first: bool = False) -> None:
-        """Start a process; the first ones take callers at once."""
-        life = next(self._lives)
+        """Start a process; with `first` it accepts callers immediately."""
+        process_number = next(self._process_numbers)
         old = self.nodes.get(name)
         if old is not None and old.alive:
             return
         attempts = old.max_attempts if old is not None else 0
         self.tell(records.Process(self._now, name, "started"))
-        node = self.nodes[name] = self.node_type(self, name, self.plan.seed * 1_000_003 + life, attempts)
+        node = self.nodes[name] = self.node_type(
+            self, name, self.plan.seed * 1_000_003 + process_number, attempts
+        )
         self.agent(name).on_update = lambda index, changed: node.turn(node.tell_list, index, changed, False)
         node.handle(api.Started())
         if first:
-            self._admit(name, node, True)
+            self._set_admitted(name, node, True)
         else:
-            self.after(START_MS, self._admit, name, node, True)
+            self.after(PROCESS_START_MS, self._set_admitted, name, node, True)
 
-    def _admit(self, name: str, node: VirtualNode, ready: bool) -> None:
+    def _set_admitted(self, name: str, node: VirtualNode, ready: bool) -> None:
         if self.nodes.get(name) is not node or (ready and not node.alive):
             return
         if ready:
@@ -113,37 +119,37 @@
         self.tell(records.Process(self._now, name, what))
         if what == "kill":
             node.die()
-            self.after(self.plan.notice_ms + NOTED_MS, self._admit, name, node, False)
+            self.after(self.plan.notice_ms + POLL_DELAY_MS, self._set_admitted, name, node, False)
         elif what == "term":
-            self._wind_up(node)
-            self.after(POLL_MS * 0.5, self._admit, name, node, False)
+            self._begin_shutdown(node)
+            self.after(READINESS_POLL_MS * 0.5, self._set_admitted, name, node, False)
         elif what == "stop":
             node.stop()
-            self.after(self.plan.notice_ms, self._unless_back, name, node)
+            self.after(self.plan.notice_ms, self._withdraw_if_stopped, name, node)
         elif what == "cont":
             node.cont()
-            self.after(POLL_MS, self._admit, name, node, not node.ending)
+            self.after(READINESS_POLL_MS, self._set_admitted, name, node, not node.ending)
 
-    def _unless_back(self, name: str, node: VirtualNode) -> None:
+    def _withdraw_if_stopped(self, name: str, node: VirtualNode) -> None:
         if node.stopped:
-            self._admit(name, node, False)
+            self._set_admitted(name, node, False)
 
-    def _wind_up(self, node: VirtualNode) -> None:
+    def _begin_shutdown(self, node: VirtualNode) -> None:
         node.ending, node.draining_ms = True, self._now
         node.leave()
         self.after(451.0, node.end_if_done)
 
     def ended(self, node: VirtualNode) -> None:
-        """A process that was told to has ended by itself."""
+        """Record that a process told to terminate has ended."""
         node.die()
         self.tell(records.Process(self._now, node.name, "ended"))
-        old = self._old[node.name]
+        old = self._retiring[node.name]
         if node in old:
             old.remove(node)
-            self._share(node.name)
+            self._update_process_count(node.name)
 
-    def _share(self, name: str) -> None:
-        processes = [self.nodes[name], *self._old[name]]
+    def _update_process_count(self, name: str) -> None:
+        processes = [self.nodes[name], *self._retiring[name]]
         for node in processes:
             node.turn(node.handle, api.ProcessCount(len(processes)))
 
@@ -151,7 +157,7 @@
         self.nodes[name].share = share
         member = self.nodes[name].member
         if member is not None:
-            member.starved = share < STARVED
+            member.starved = share < STARVATION_SHARE
 
     def skew(self, name: str, wall_ms: float, drift: float) -> None:
         self.nodes[name].skew(wall_ms, drift)
@@ -162,10 +168,10 @@
             return
         if what.do == "quiesce":
             node.draining_ms = self._now
-            self.after(POLL_MS * 0.5, self._admit, name, node, False)
+            self.after(READINESS_POLL_MS * 0.5, self._set_admitted, name, node, False)
         elif what.do == "resume":
             node.draining_ms = math.inf
-            self.after(POLL_MS * 0.5, self._admit, name, node, True)
+            self.after(READINESS_POLL_MS * 0.5, self._set_admitted, name, node, True)
         elif what.do == "reload" and not what.spoilt:
             self.tell(records.Process(self._now, name, "hup"))
             node.turn(node.reload, what.max_attempts)
@@ -178,74 +184,76 @@
             releases = node.member.releases if node.member is not None and node.alive else None
             if releases is not None and releases.start(query)[0] == 202:
                 return
-        self.after(ASK_AGAIN_MS, self.release, what, since_ms)
+        self.after(RELEASE_RETRY_MS, self.release, what, since_ms)
 
     def _upgrade(self, name: str, old: VirtualNode) -> None:
-        """A new process beside the old; once it is ready the old one is told to end."""
+        """Start a new process beside the old one, which is told to terminate once the new one is ready."""
         old.hand_over()
-        new = self.node_type(self, name, self.plan.seed * 1_000_003 + next(self._lives), old.max_attempts)
+        new = self.node_type(
+            self, name, self.plan.seed * 1_000_003 + next(self._process_numbers), old.max_attempts
+        )
         new.handle(api.Started())
-        self._old[name].append(old)
+        self._retiring[name].append(old)
         self.nodes[name] = new
 
         def tell(index: int, changed: list[Any]) -> None:
-            for node in (new, *self._old[name]):
+            for node in (new, *self._retiring[name]):
                 node.turn(node.tell_list, index, changed, False)
 
         self.agent(name).on_update = tell
-        self._share(name)
-        self.after(START_MS, self._retire, old)
+        self._update_process_count(name)
+        self.after(PROCESS_START_MS, self._retire, old)
 
     def _retire(self, old: VirtualNode) -> None:
         if old.alive:
             self.tell(records.Process(self._now, old.name, "term"))
-            self._wind_up(old)
+            self._begin_shutdown(old)
 
     # Requests between processes
 
     def ask(self, node: str, order: Order, done: Done) -> None:
-        inner = order.origin != CALLERS
+        from_server = order.origin != CALLERS
         process = self.nodes[node]
-        if not inner:
+        if not from_server:
             self.tell(
                 records.Asked(
                     self._now, order.id, node, order.name, order.budget_ms, CALLERS, order.key, order.tenant
                 )
             )
-        self._dones[order.id] = node, done
+        self._pending[order.id] = node, done
         limit = order.budget_ms + self.scenario.rules.overdue_ms
         self.after(limit, self._expire, order.id)
-        if inner:  # the node is on the server's own machine
-            return process.come(order, done)
-        line = self.lines.between(CALLERS, node)
-        if line.refuse:
+        if from_server:  # the node runs on the server's machine
+            return process.receive_request(order, done)
+        link = self.lines.between(CALLERS, node)
+        if link.refuse:
             return self.after(self.lines.rtt_ms(CALLERS, node), self._reply, order.id, UNREACHED, "", 0.0)
-        if line.cut:
+        if link.cut:
             return self.after(CALLER_CONNECT_TIMEOUT_MS, self._reply, order.id, UNREACHED, "", 0.0)
-        line.carry(REQUEST_BYTES, process.come, order, done)
+        link.carry(REQUEST_BYTES, process.receive_request, order, done)
 
     def _expire(self, id: str) -> None:
         self._reply(id, SILENT, "", 0.0)
 
     def answer(self, node: str, order: Order, done: Done, status: int, maker: str, advice_ms: float) -> None:
-        """A node's answer goes to its caller."""
+        """Send a node's answer to its caller."""
         if order.origin != CALLERS:
             return self._reply(order.id, status, maker, advice_ms)
-        line = self.lines.between(node, CALLERS)
-        line.carry(ANSWER_BYTES, self._reply, order.id, status, maker, advice_ms)
+        link = self.lines.between(node, CALLERS)
+        link.carry(ANSWER_BYTES, self._reply, order.id, status, maker, advice_ms)
 
     def _reply(self, id: str, status: int, maker: str, advice_ms: float) -> None:
-        waiting = self._dones.pop(id, None)
-        if waiting is not None:
-            waiting[1](status, maker, advice_ms)
+        pending = self._pending.pop(id, None)
+        if pending is not None:
+            pending[1](status, maker, advice_ms)
 
     def leave(self, node: str, id: str) -> None:
-        self._dones.pop(id, None)
-        for process in (self.nodes[node], *self._old[node]):
+        self._pending.pop(id, None)
+        for process in (self.nodes[node], *self._retiring[node]):
             self.lines.between(CALLERS, node).carry(0, process.turn, process.gone, id)
 
     def arrive(self, attempt: Attempt) -> None:
-        """An attempt's last byte is at its server."""
+        """Handle the arrival of an attempt's last byte at its server."""
         node, server, order = attempt.node, attempt.server, self.orders.get(attempt.id)
         if not server.up or order is None:
             return
@@ -255,20 +263,20 @@
             self.tell(records.Ended(self._now, job.id, server.name, how))
             if how != "dropped" and not attempt.over:
                 report = server.report() if server.tier.reports else None
-                line = self.lines.between(server.name, node.name)
-                line.carry(ANSWER_BYTES, node.turn, node.answered, attempt, how, report)
+                link = self.lines.between(server.name, node.name)
+                link.carry(ANSWER_BYTES, node.turn, node.answered, attempt, how, report)
 
         attempt.job = self.job(order, server, node.name, attempt.new, done)
         server.submit(attempt.job)
 
     def abandon(self, attempt: Attempt) -> None:
-        """A node closes the connection of an attempt; its server hears of it some time later."""
+        """Close an attempt's connection; the server notices after the network delay."""
         server = attempt.server
         server.connections = max(0, server.connections - 1)
         self.attempts[server.name].discard(attempt)
-        self.lines.between(attempt.node.name, server.name).carry(0, self._abandoned, attempt)
+        self.lines.between(attempt.node.name, server.name).carry(0, self._on_abandoned, attempt)
 
-    def _abandoned(self, attempt: Attempt) -> None:
+    def _on_abandoned(self, attempt: Attempt) -> None:
         if attempt.job is not None:
             attempt.server.cancel(attempt.job)
 
--- a/lab/virtual/meeting.py
+++ b/lab/virtual/meeting.py
@@ -1,4 +1,4 @@
-"""How virtual processes that host membership reach each other: datagrams and streams over the lab's links."""
+"""Network between virtual processes that host membership: datagrams and streams over the lab's links."""
 
 from __future__ import annotations
 
@@ -14,36 +14,36 @@
 from lab.lines import Links
 from lab.servers import Clock
 
-STREAM_LIMIT_MS = 1_500.0  # for an exchange or a probe over a stream
-TIMERS_FIRST_MS = 5.0
-STARVED_EVERY_MS, STARVED_RUNS_MS = 800.0, 80.0  # a starved process runs so long, so often
-MOST_FROZEN = 5000  # that a stopped process's socket holds
+STREAM_TIMEOUT_MS = 1_500.0  # timeout of a state exchange or probe over a stream
+TIMER_PRIORITY_MS = 5.0  # delay that lets due timers of a starved process run before incoming events
+STARVATION_PERIOD_MS, STARVATION_RUN_MS = 800.0, 80.0  # scheduling period and run time of a starved process
+MAX_FROZEN_EVENTS = 5000  # socket buffer of a stopped process, in events
 
 
 class Process:
-    """One process that hosts a core."""
+    """A process that hosts a membership core."""
 
     def __init__(self, network: MembershipNetwork, name: str, core: Membership) -> None:
         self.network, self.name, self.core = network, name, core
         self.alive, self.stopped, self.starved = True, False, False
-        self.phase_ms = network.rng.random() * STARVED_EVERY_MS
+        self.phase_ms = network.rng.random() * STARVATION_PERIOD_MS
         self.frozen: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.keys: dict[str, tuple[int, bool, int, int]] = {}
 
     def now(self) -> float:
-        """Its own monotonic clock."""
+        """Return the process's monotonic clock."""
         return self.network.now()
 
     def wait_ms(self, now: float) -> float:
-        """How long until it runs."""
+        """Return the time until the process is scheduled."""
         if not self.starved:
             return 0.0
-        into = (now + self.phase_ms) % STARVED_EVERY_MS
-        return 0.0 if into < STARVED_RUNS_MS else STARVED_EVERY_MS - into
+        position_ms = (now + self.phase_ms) % STARVATION_PERIOD_MS
+        return 0.0 if position_ms < STARVATION_RUN_MS else STARVATION_PERIOD_MS - position_ms
 
 
 class MembershipNetwork(Clock):
-    """Processes, addresses, and links between them."""
+    """Processes, their addresses and the links between them."""
 
     def __init__(self, rng: random.Random, lines: Links) -> None:
         self.rng, self.lines = rng, lines
@@ -51,24 +51,24 @@
         self.bytes, self.datagrams = Counter[str](), Counter[str]()
         self.stream_bytes = Counter[str]()
         self.notes = Counter[str]()
-        self.record: list[tuple[str, str, Message]] | None = None  # datagrams, to be sent again later
+        self.record: list[tuple[str, str, Message]] | None = None  # recorded datagrams, for replay
 
     @abstractmethod
     def changed(self, process: Process, change: api.MemberChanged) -> None:
-        """A process's view has changed."""
+        """Handle a change of a process's view."""
 
     def on_application_message(self, process: Process, message: ApplicationMessage) -> None:
-        """A message has come that is about more than membership."""
+        """Handle a message that is not part of the membership protocol."""
 
     def wake(self, process: Process) -> None:
-        """Let a stopped process go on: what has come meanwhile is worked off."""
+        """Resume a stopped process; it handles what arrived in the meantime."""
         process.stopped = False
         frozen, process.frozen = process.frozen, []
-        for do, args in frozen[-MOST_FROZEN:]:
+        for do, args in frozen[-MAX_FROZEN_EVENTS:]:
             do(*args)
 
     def turn(self, process: Process, do: Callable[..., None], *args: Any) -> None:
-        """Do something in a process, when it runs."""
+        """Call `do` in a process, as soon as the process runs."""
         if not process.alive:
             return
         if process.stopped:
@@ -81,20 +81,20 @@
             do(*args)
 
     def receive_event(self, process: Process, event: api.Event) -> None:
-        """Something has come from outside: whoever was kept from running sees to its timers first."""
+        """Handle an external event; a starved process runs its due timers first."""
         wait = process.wait_ms(self.now())
         if wait and process.alive and not process.stopped:
-            self.after(wait + TIMERS_FIRST_MS, self.receive_event, process, event)
+            self.after(wait + TIMER_PRIORITY_MS, self.receive_event, process, event)
         else:
             self.turn(process, self.give, process, event)
 
     def give(self, process: Process, event: api.Event) -> None:
-        """Give a core an event and do what it says."""
+        """Pass an event to a core and perform the resulting actions."""
         if process.alive:
             self.do(process, process.core.handle(event, process.now()))
 
     def do(self, process: Process, actions: list[api.Action]) -> None:
-        """What a core says."""
+        """Perform the actions of a core."""
         for action in actions:
             match action:
                 case api.SendDatagram():
@@ -106,7 +106,7 @@
                 case api.PushPull():
                     self._exchange(process, action.address, action.state)
                 case api.ProbeOverStream():
-                    self._dial(process, action.address, action.number)
+                    self._probe_over_stream(process, action.address, action.number)
                 case api.MemberChanged():
                     self.changed(process, action)
                 case api.LogEvent():
@@ -115,9 +115,9 @@
     # Links
 
     def post(self, process: Process, address: str, message: api.AnyMessage) -> None:
-        """A datagram goes out."""
+        """Send a datagram."""
         if not isinstance(message, Message):
-            return  # a flat core says nothing else
+            return  # a flat core sends only `Message`
         size = estimated_size(message)
         self.bytes[process.name] += size
         self.datagrams[process.name] += 1
@@ -126,11 +126,11 @@
             return
         if self.record is not None and len(self.record) < 50_000:
             self.record.append((process.core.address, address, message))
-        for took in self.lines.between(process.name, target.name).datagram(size):
-            self.after(took, self.deliver, address, process.core.address, message)
+        for duration_ms in self.lines.between(process.name, target.name).datagram(size):
+            self.after(duration_ms, self.deliver, address, process.core.address, message)
 
     def deliver(self, address: str, source: str, message: Message) -> None:
-        """A datagram comes in, at whoever is at this address by now."""
+        """Deliver a datagram to the process that currently has this address."""
         target = self.by_address.get(address)
         if target is not None and target.alive:
             self.receive_event(target, api.MessageReceived(message, source))
@@ -138,36 +138,57 @@
                 self.turn(target, self.on_application_message, target, message)
 
     def _round_trips(self, a: str, b: str, trips: int, size: int) -> float | None:
-        """How long a stream takes for so many round trips; None where it does not come up in time."""
-        there, back = self.lines.between(a, b), self.lines.between(b, a)
-        if there.cut or back.cut or there.refuse:
+        """Return the duration of a stream with this many round trips; None if it fails or times out."""
+        forward, backward = self.lines.between(a, b), self.lines.between(b, a)
+        if forward.cut or backward.cut or forward.refuse:
             return None
-        took = sum(there.stream_ms(size) + back.stream_ms(size) for _ in range(trips))
-        return took if took < STREAM_LIMIT_MS else None
+        duration_ms = sum(forward.stream_ms(size) + backward.stream_ms(size) for _ in range(trips))
+        return duration_ms if duration_ms < STREAM_TIMEOUT_MS else None
 
     def _exchange(self, process: Process, address: str, state: State) -> None:
         size = 40 + sum(record.estimated_size() for record in state.records)
         self.stream_bytes[process.name] += size
         target = self.by_address.get(address)
-        took = None if target is None else self._round_trips(process.name, target.name, 2, 1000)
-        if target is None or took is None or not target.alive:
-            self.after(STREAM_LIMIT_MS, self.turn, process, self.give, process, api.PushPullFailed(address))
+        duration_ms = None if target is None else self._round_trips(process.name, target.name, 2, 1000)
+        if target is None or duration_ms is None or not target.alive:
+            self.after(STREAM_TIMEOUT_MS, self.turn, process, self.give, process, api.PushPullFailed(address))
             return
-        self.after(took * 0.75, self.turn, target, self._met, target, process, address, state, took * 0.25)
-
-    def _met(self, target: Process, process: Process, address: str, state: State, back_ms: float) -> None:
+        self.after(
+            duration_ms * 0.75,
+            self.turn,
+            target,
+            self._on_push_pull,
+            target,
+            process,
+            address,
+            state,
+            duration_ms * 0.25,
+        )
+
+    def _on_push_pull(
+        self, target: Process, process: Process, address: str, state: State, back_ms: float
+    ) -> None:
         answer = target.core.state()
         self.stream_bytes[target.name] += 40 + sum(record.estimated_size() for record in answer.records)
         self.give(target, api.PushPullReceived(state, process.core.address, False))
         self.after(back_ms, self.receive_event, process, api.PushPullReceived(answer, address, True))
 
-    def _dial(self, process: Process, address: str, number: int) -> None:
+    def _probe_over_stream(self, process: Process, address: str, number: int) -> None:
         target = self.by_address.get(address)
-        took = None if target is None else self._round_trips(process.name, target.name, 2, 60)
-        if target is not None and took is not None:
+        duration_ms = None if target is None else self._round_trips(process.name, target.name, 2, 60)
+        if target is not None and duration_ms is not None:
             self.stream_bytes[process.name] += 120
-            self.after(took * 0.75, self.turn, target, self._dialled, target, process, number, took * 0.25)
-
-    def _dialled(self, target: Process, process: Process, number: int, back_ms: float) -> None:
+            self.after(
+                duration_ms * 0.75,
+                self.turn,
+                target,
+                self._on_stream_probe,
+                target,
+                process,
+                number,
+                duration_ms * 0.25,
+            )
+
+    def _on_stream_probe(self, target: Process, process: Process, number: int, back_ms: float) -> None:
         event = api.StreamProbeAcked(number, target.core.name, target.core.incarnation)
         self.after(back_ms, self.receive_event, process, event)
--- a/lab/virtual/member.py
+++ b/lab/virtual/member.py
@@ -1,4 +1,4 @@
-"""The fleet's part of a virtual node: the same cores that `dunlinloft.node` hosts, over the lab's links."""
+"""Fleet membership of a virtual node: the cores that `dunlinloft.node` hosts, over the lab's links."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
     from lab.virtual.host import VirtualHost
     from lab.virtual.node import VirtualNode
 
-WALL_MS = 1_700_000_000_000  # what clocks say when a day begins
-VOTERS = 3  # the first nodes
-SEEDS = 3  # nodes whose addresses the others are given
+WALL_MS = 1_700_000_000_000  # wall clock time at the start of a run
+VOTERS = 3  # number of voters: the first nodes
+SEEDS = 3  # number of seed nodes, whose addresses all nodes know
 CORE: type[SharedState] = SharedState
 
 
 class NodeNetwork(MembershipNetwork):
-    """All members of a day."""
+    """The network of all nodes that are fleet members."""
 
     def __init__(self, host: VirtualHost, rng: random.Random) -> None:
         super().__init__(rng, host.lines)
@@ -69,17 +69,17 @@
             process.on_application_message(message)
 
     def join(self, node: VirtualNode) -> Member:
-        """A node's process starts as a member."""
+        """Start a node's process as a member."""
         address = f"addr:{node.name}"
-        wall = int(WALL_MS + self._host.now())
+        wall_ms = int(WALL_MS + self._host.now())
         settings = node.settings
-        facts: dict[str, MetadataValue] = {
+        metadata: dict[str, MetadataValue] = {
             "zone": settings.zone,
             "tier": float(settings.tier),
             "program": "1",
         }
-        uid, rng = wall << 16 | self.rng.getrandbits(16), random.Random(self.rng.getrandbits(64))
-        core = Membership(node.name, address, self.seeds, uid, wall, rng, facts)
+        uid, rng = wall_ms << 16 | self.rng.getrandbits(16), random.Random(self.rng.getrandbits(64))
+        core = Membership(node.name, address, self.seeds, uid, wall_ms, rng, metadata)
         member = self.by_address[address] = Member(self, node, core, rng)
         self.give(member, api.Started())
         member.begin()
@@ -87,7 +87,7 @@
 
 
 class RoleEnvironment:
-    """What the duties' host has around it, in virtual time."""
+    """The interface that `RoleHost` needs from its process, in virtual time."""
 
     def __init__(self, member: Member, network: NodeNetwork) -> None:
         self._member, self._network = member, network
@@ -95,17 +95,17 @@
 
     @property
     def core(self) -> Membership:
-        """The member's membership."""
+        """Return the member's membership core."""
         return self._member.core
 
     def call_later(self, delay: float, callback: Callable[..., None], /, *args: Any) -> None:
-        """After so many seconds, in the member's process."""
+        """Call `callback` in the member's process after `delay` seconds."""
         self._member.later(1000.0 * delay, callback, *args)
 
     def send_to_member(self, name: str, content: duties.Message, /) -> None:
-        """Say something to a member, or to itself."""
-        if name == self._member.name and self._member.work is not None:
-            return self._member.later(0.0, self._member.work.on_content, content, name)
+        """Send a message to a member, which may be this one."""
+        if name == self._member.name and self._member.role_host is not None:
+            return self._member.later(0.0, self._member.role_host.on_content, content, name)
         other = self.core.view.get(name)
         if other is not None and other.is_alive():
             self._network.post(
@@ -113,15 +113,15 @@
             )
 
     def handle(self, event: api.Event, /) -> None:
-        """Give the member's membership an event."""
+        """Pass an event to the member's membership core."""
         self._network.give(self._member, event)
 
     def request_view(self, name: str, /) -> None:
-        """Views are compared by membership itself; the watch is of no use to a day."""
+        """Do nothing: membership compares views itself, and the simulation has no use for the view watch."""
 
 
 class Member(Process):
-    """One node's process among the others."""
+    """A node's process as a fleet member."""
 
     def __init__(self, network: NodeNetwork, node: VirtualNode, core: Membership, rng: random.Random) -> None:
         super().__init__(network, node.name, core)
@@ -129,78 +129,81 @@
         settings = node.settings
         self._tier = float(settings.tier)
         self.census = MemberCount(node.name, settings.replica_index, settings.replicas)
-        self._place = settings.replica_index, settings.replicas
+        self._position = settings.replica_index, settings.replicas
         groups = node.zones if AFFINITY in network.share else []
         self.shared = CORE(
             node.name, core.incarnation, settings.zone, settings.tier, network.share, tenant_quotas(settings),
             groups, dedup_window_ms(settings), rng, node.now(),
         )  # fmt: skip
-        self._marks = {class_hash(cls.name): cls.name for cls in settings.classes}
-        self._starts: dict[int, int] = {}
-        self._since: dict[int, float] = {}
-        self.work: RoleHost | None = None
+        self._class_names = {class_hash(cls.name): cls.name for cls in settings.classes}
+        self._start_ids: dict[int, int] = {}
+        self._started_ms: dict[int, float] = {}
+        self.role_host: RoleHost | None = None
         self.releases: Releases | None = None
         if RELEASES in network.share:
             environment = RoleEnvironment(self, network)
-            work = self.work = RoleHost(
+            role_host = self.role_host = RoleHost(
                 environment, environment, node.name, settings.zone, network.voters, rng, self.now
             )  # fmt: skip
             self.releases = Releases(
                 self.shared,
-                work.writes,
+                role_host.writes,
                 self.give_shared,
-                lambda: work.owner_of(STATE_TABLE_ROLE),
+                lambda: role_host.owner_of(STATE_TABLE_ROLE),
                 self.now,
             )
-            work.on_open, work.on_close = self.releases.on_table_opened, self.releases.on_table_closed
+            role_host.on_open, role_host.on_close = (
+                self.releases.on_table_opened,
+                self.releases.on_table_closed,
+            )
 
     def now(self) -> float:
         return self._node.now()
 
     def on_application_message(self, message: ApplicationMessage) -> None:
-        """A message has come that is about more than membership."""
+        """Handle a message that is not part of the membership protocol."""
         if isinstance(message.content, shared.Message):
             self.give_shared(shared.MessageReceived(message.content, message.header.name))
-        elif self.work is not None:
-            self.work.on_message(message)
+        elif self.role_host is not None:
+            self.role_host.on_message(message)
 
-    def _look(self) -> None:
-        if self.releases is not None and self.work is not None:
-            self.releases.tick(self.work.holds(STATE_TABLE_ROLE))
-            self.later(LOOK_INTERVAL_MS, self._look)
+    def _tick_releases(self) -> None:
+        if self.releases is not None and self.role_host is not None:
+            self.releases.tick(self.role_host.holds(STATE_TABLE_ROLE))
+            self.later(LOOK_INTERVAL_MS, self._tick_releases)
 
     def begin(self) -> None:
-        """The process can be reached."""
+        """Start the periodic tasks once the process is reachable."""
         if self._network.share:
-            self._do(self.shared.begin())
-            self._know()
-        if self.work is not None:
-            self.work.begin()
-            self._look()
-        self._count()
+            self._perform(self.shared.begin())
+            self._update_shared_state()
+        if self.role_host is not None:
+            self.role_host.begin()
+            self._tick_releases()
+        self._update_census()
 
     def later(self, delay_ms: float, do: Callable[..., None], *args: Any) -> None:
-        """Do something later, in this process."""
+        """Call `do` in this process after a delay."""
         self._network.after(delay_ms, self._network.turn, self, do, *args)
 
-    def _count(self) -> None:
+    def _update_census(self) -> None:
         self.recount()
-        self.later(1000.0 * COUNT_INTERVAL_S, self._count)
+        self.later(1000.0 * COUNT_INTERVAL_S, self._update_census)
 
     def recount(self) -> None:
-        """As a node does: its place among those that count."""
+        """Update the node's position among the counted members, as a node does."""
         self.census.observe(alive_in_tier(self.core, self._tier), self.now())
         at = self.census.position()
-        if at != self._place:
-            self._place = at
+        if at != self._position:
+            self._position = at
             self._node.placed(*at)
 
     def give_shared(self, event: shared.Event) -> None:
-        """Give the core of what is shared an event, and do what it says."""
+        """Pass an event to the shared state core and perform the resulting actions."""
         if self.alive:
-            self._do(self.shared.handle(event, self.now()))
+            self._perform(self.shared.handle(event, self.now()))
 
-    def _do(self, actions: list[shared.Action]) -> None:
+    def _perform(self, actions: list[shared.Action]) -> None:
         for action in actions:
             match action:
                 case shared.SendMessage():
@@ -212,35 +215,35 @@
                 case shared.SetTimer():
                     self.later(action.delay_ms, self.give_shared, shared.TimerFired(action.token))
                 case shared.ApplyVerdicts():
-                    self._node.handle(peer_verdicts(action.verdicts, self._marks))
+                    self._node.handle(peer_verdicts(action.verdicts, self._class_names))
                 case shared.ApplyQuotaShares():
                     self._node.handle(node_api.QuotaShares(action.quotas, action.retry_share))
                 case shared.LimitNewServers():
                     self._node.handle(node_api.CanaryLimit(action.servers, action.share))
 
-    def _know(self) -> None:
-        since = self._since if self.releases is not None else None
-        self.give_shared(node_status(self._node.balancer, self._starts, since, self.now()))
+    def _update_shared_state(self) -> None:
+        since = self._started_ms if self.releases is not None else None
+        self.give_shared(node_status(self._node.balancer, self._start_ids, since, self.now()))
         self.give_shared(membership_update(self.core, self.census))
-        self.later(1000.0 * STATUS_INTERVAL_S, self._know)
+        self.later(1000.0 * STATUS_INTERVAL_S, self._update_shared_state)
 
-    # What happens at the node
+    # Events at the node
 
     def listed(self, starts: dict[int, int], since_ms: dict[int, float]) -> None:
-        """Its list names these servers, with a mark of each one's start, and when that was."""
-        self._starts |= starts
-        self._since |= since_ms
+        """Record the listed servers with the identifier and time of each one's start."""
+        self._start_ids |= starts
+        self._started_ms |= since_ms
 
     def asked(self, tenant: str) -> None:
-        """A request has come."""
+        """Report an incoming request of a tenant."""
         self.give_shared(shared.RequestReceived(tenant))
 
     def ended(self, server: int, cls: str, result: Result, ms: float) -> None:
-        """An attempt is over."""
-        how = ATTEMPT_OUTCOMES.get(result)
-        if how is not None:
-            self.give_shared(shared.AttemptCompleted(server, cls, how, ms))
-
-    def zone_of_key(self, cls: node_api.RequestClass, key: str, again: bool) -> tuple[str | None, bool]:
-        """The zone that a request is bound to, if it is to any, and whether that can be known."""
-        return zone_of_key(self.shared, cls, key_id(key.encode()), again, self.now())
+        """Report a finished attempt."""
+        outcome = ATTEMPT_OUTCOMES.get(result)
+        if outcome is not None:
+            self.give_shared(shared.AttemptCompleted(server, cls, outcome, ms))
+
+    def zone_of_key(self, cls: node_api.RequestClass, key: str, is_retry: bool) -> tuple[str | None, bool]:
+        """Return the zone that a keyed request is bound to, if any, and whether that is known."""
+        return zone_of_key(self.shared, cls, key_id(key.encode()), is_retry, self.now())
--- a/lab/virtual/node.py
+++ b/lab/virtual/node.py
@@ -1,6 +1,7 @@
-"""A node in virtual time: the same `Balancer` among connections, time-outs and a deadline's backstop.
+"""A node in virtual time: the production `Balancer` with simulated connections, timeouts and deadlines.
 
-It does what `dunlinloft.node.node` and `dunlinloft.node.http.upstream` do on sockets, and decides as little.
+It does what `dunlinloft.node.node` and `dunlinloft.node.http.upstream` do on sockets, and like them leaves
+all decisions to the balancer.
 """
 
 from __future__ import annotations
@@ -32,12 +33,12 @@
     from lab.virtual.member import Member
 
 REQUEST_BYTES, ANSWER_BYTES = 400, 500
-DRAIN_TAKES_MS = 1900.0  # after a drain's begin, nothing new is taken from then on
+DRAIN_ACCEPT_MS = 1900.0  # time after the start of a drain from which new requests are rejected
 RESULTS = {"served": Result.SERVED, "error": Result.ERROR, "turned": Result.REJECTED}
 
 
 class OpenRequest:
-    """A request that is owed its answer."""
+    """A request that has not been answered yet."""
 
     __slots__ = ("attempts", "done", "ends_ms", "order")
 
@@ -47,7 +48,7 @@
 
 
 class Attempt:
-    """An attempt that is out, or was."""
+    """An attempt, pending or finished."""
 
     __slots__ = ("began", "id", "job", "new", "node", "number", "over", "request", "server")
 
@@ -61,12 +62,12 @@
 
 
 class VirtualNode:
-    """One process of a node."""
+    """A process of a node."""
 
     def __init__(self, host: VirtualHost, name: str, seed: int, max_attempts: int) -> None:
         self._host, self.name = host, name
         self.alive, self.stopped, self.draining_ms = True, False, math.inf
-        self.share = 1.0  # of its core that it gets
+        self.share = 1.0  # share of the core available to the process
         self._wall_ms, self._rate, self._anchor = 0.0, 1.0, (host.now(), host.now())
         self._frozen: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self._busy_ms = 0.0
@@ -74,7 +75,7 @@
         self._open_requests: dict[str, OpenRequest] = {}
         self._idle: dict[str, deque[float]] = {}
         self._in_service: set[int] = set()
-        self._known: dict[int, Server] = {}
+        self._servers_by_number: dict[int, Server] = {}
         self.max_attempts = max_attempts
         self.settings = read_settings(settings(host.plan, name, max_attempts))
         self.balancer = Balancer(self.settings, seed)
@@ -92,17 +93,17 @@
     # Clocks and turns
 
     def now(self) -> float:
-        """Its own monotonic clock."""
-        true, own = self._anchor
-        return own + (self._host.now() - true) * self._rate
+        """Return the process's monotonic clock."""
+        host_time, own_time = self._anchor
+        return own_time + (self._host.now() - host_time) * self._rate
 
     def skew(self, wall_ms: float, drift: float) -> None:
-        """Have its clocks go wrong from now on; the monotonic one never steps."""
+        """Set the clock errors from now on; the monotonic clock never steps."""
         self._anchor = self._host.now(), self.now()
         self._wall_ms, self._rate = wall_ms, 1.0 + drift
 
     def turn(self, do: Callable[..., None], *args: Any) -> None:
-        """Do something in this process: not if it is dead, later if it is stopped."""
+        """Call `do` in this process; ignored if it is dead, deferred while it is stopped."""
         if not self.alive:
             return
         if self.stopped:
@@ -111,11 +112,11 @@
             do(*args)
 
     def after(self, delay_ms: float, do: Callable[..., None], *args: Any) -> None:
-        """Do something later by its own clock."""
+        """Call `do` after a delay by the process's own clock."""
         self._host.after(delay_ms / self._rate, self.turn, do, *args)
 
     def cont(self) -> None:
-        """Go on after a stop."""
+        """Resume the process, as SIGCONT does."""
         self.stopped = False
         frozen, self._frozen = self._frozen, []
         for do, args in frozen:
@@ -124,13 +125,13 @@
             self.member.network.wake(self.member)
 
     def stop(self) -> None:
-        """SIGSTOP."""
+        """Suspend the process, as SIGSTOP does."""
         self.stopped = True
         if self.member is not None:
             self.member.stopped = True
 
-    def come(self, order: Order, done: Done) -> None:
-        """A request's last byte has come to its machine: it is worked on when there is a core for it."""
+    def receive_request(self, order: Order, done: Done) -> None:
+        """Receive a request's last byte; it is processed when the core is free."""
         if not self.alive or (
             self.ending and self._host.now() >= self.draining_ms + 1000.0 * ACCEPT_AFTER_SIGTERM_S
         ):
@@ -141,24 +142,24 @@
 
     def _begin(self, order: Order, done: Done) -> None:
         if self.alive:
-            self.turn(self._take, order, done)
+            self.turn(self._accept, order, done)
 
     # Requests
 
-    def _take(self, order: Order, done: Done) -> None:
-        if not self.ending and self._host.now() >= self.draining_ms + DRAIN_TAKES_MS:
+    def _accept(self, order: Order, done: Done) -> None:
+        if not self.ending and self._host.now() >= self.draining_ms + DRAIN_ACCEPT_MS:
             return self._host.answer(self.name, order, done, 503, "", 0.0)
         now = self.now()
         request = self._open_requests[order.id] = OpenRequest(order, now + order.budget_ms, done)
         self.after(order.budget_ms, self._overdue, order.id, request)
         ttl = max(0.0, order.budget_ms - DEADLINE_MARGIN_MS)
-        pin, known = self._bound(order)
+        pin, known = self._pinned_zone(order)
         if not known:
             return self._finish(order.id, 503, "", 1000.0 * UNKNOWN_ZONE_RETRY_S)
         self.handle(api.Request(order.id, order.name, ttl, order.tenant or None, False, pinned_group=pin))
 
-    def _bound(self, order: Order) -> tuple[str | None, bool]:
-        """What the fleet says of a request: the zone that it is bound to, and whether that can be known."""
+    def _pinned_zone(self, order: Order) -> tuple[str | None, bool]:
+        """Return the zone to which the fleet binds a request, if any, and whether that is known."""
         if self.member is None:
             return None, True
         if order.tenant:
@@ -168,18 +169,18 @@
         return self.member.zone_of_key(self.balancer.classes[order.name], order.key, order.is_retry)
 
     def leave(self) -> None:
-        """Say goodbye to the fleet."""
+        """Announce the departure to the fleet."""
         if self.member is not None and self.member.alive:
             self.member.network.give(self.member, fleet_api.LeaveRequested())
             self.member.alive = False
 
     def hand_over(self) -> None:
-        """Another process of this node goes on as the same member."""
+        """End this process's membership; another process of this node continues it."""
         if self.member is not None:
             self.member.alive = False
 
     def gone(self, id: str) -> None:
-        """Its caller has left."""
+        """Handle a caller's disconnect."""
         if self._open_requests.pop(id, None) is not None:
             self.handle(api.ClientDisconnected(id))
 
@@ -190,7 +191,7 @@
             self.end_if_done()
 
     def end_if_done(self) -> None:
-        """End, once told to, when all that was taken is answered."""
+        """End a process told to terminate once all accepted requests are answered."""
         over = self._host.now() >= self.draining_ms + 1000.0 * ACCEPT_AFTER_SIGTERM_S
         if self.ending and self.alive and over and not self._open_requests:
             self._host.ended(self)
@@ -201,7 +202,7 @@
             self.handle(api.ClientDisconnected(id))
 
     def handle(self, event: api.Event) -> None:
-        """Give the module an event and do what it says; what that raises waits its turn."""
+        """Pass an event to the balancer and perform its actions; nested events are queued."""
         self._events.append(event)
         if self._handling:
             return
@@ -212,11 +213,11 @@
         self._handling = False
 
     def decide(self, event: api.Event) -> list[api.Action]:
-        """The module's answer to an event."""
+        """Return the balancer's actions for an event."""
         return self.balancer.handle(event, self.now())
 
     def act(self, action: api.Action) -> None:
-        """Do one thing that the module says."""
+        """Perform one action of the balancer."""
         match action:
             case api.Send():
                 self.send(action.id, action.server, action.timeout_ms)
@@ -229,17 +230,17 @@
             case api.Cancel():
                 request = self._open_requests.get(action.id)
                 if request is not None and action.attempt < len(request.attempts):
-                    self._give_up(request.attempts[action.attempt], Result.CANCELLED)
+                    self._abandon(request.attempts[action.attempt], Result.CANCELLED)
             case api.CloseIdle():
-                server = self._known.get(action.server)
+                server = self._servers_by_number.get(action.server)
                 if server is not None:
                     self._close_idle(server)
 
     # Attempts
 
     def send(self, id: str, number: int, timeout_ms: float) -> None:
-        """Start an attempt on a connection that idles, or on a new one."""
-        request, server = self._open_requests.get(id), self._known.get(number)
+        """Start an attempt on an idle connection or on a new one."""
+        request, server = self._open_requests.get(id), self._servers_by_number.get(number)
         if request is None or server is None or number not in self._in_service:
             count = len(request.attempts) if request is not None else 0
             event = api.AttemptCompleted(id, count, number, Result.NOT_SENT, 0.0, request is None)
@@ -249,34 +250,34 @@
         new = not self._reuse(server, now)
         attempt = Attempt(self, request, server, now, new)
         request.attempts.append(attempt)
-        line = self._host.lines.between(self.name, server.name)
+        link = self._host.lines.between(self.name, server.name)
         if new:
-            refused = line.refuse or (not server.up and server.reachable)
+            refused = link.refuse or (not server.up and server.reachable)
             if refused or (server.up and server.connections >= server.tier.connections):
                 rtt = self._host.lines.rtt_ms(self.name, server.name)
-                return self._host.after(rtt, self.turn, self._outcome, attempt, Result.UNREACHABLE, None)
-            if line.cut or not server.reachable:
+                return self._host.after(rtt, self.turn, self._complete, attempt, Result.UNREACHABLE, None)
+            if link.cut or not server.reachable:
                 wait = min(timeout_ms, self.settings.connect_timeout_ms)
-                return self.after(wait, self._outcome, attempt, Result.UNREACHABLE, None)
+                return self.after(wait, self._complete, attempt, Result.UNREACHABLE, None)
             server.connections += 1
-        elif not server.up and server.reachable:  # a reset comes before the request is out
+        elif not server.up and server.reachable:  # the connection is reset before the request is sent
             rtt = self._host.lines.rtt_ms(self.name, server.name)
-            return self._host.after(rtt, self.turn, self._outcome, attempt, Result.RESET, None)
+            return self._host.after(rtt, self.turn, self._complete, attempt, Result.RESET, None)
         self._host.attempts[server.name].add(attempt)
         self.written += 1
-        self.after(timeout_ms, self._give_up, attempt, Result.TIMEOUT)
+        self.after(timeout_ms, self._abandon, attempt, Result.TIMEOUT)
         if new:
             rtts = 1.0 + server.tier.handshake_rtts
             wait = rtts * self._host.lines.rtt_ms(self.name, server.name)
-            self._host.after(wait, line.carry, REQUEST_BYTES, self._host.arrive, attempt)
+            self._host.after(wait, link.carry, REQUEST_BYTES, self._host.arrive, attempt)
         else:
-            line.carry(REQUEST_BYTES, self._host.arrive, attempt)
+            link.carry(REQUEST_BYTES, self._host.arrive, attempt)
 
     def _reuse(self, server: Server, now: float) -> bool:
         idle = self._idle.get(server.name)
-        trusted = IDLE_LIMIT_FRACTION * self.settings.keepalive_ms
+        reusable_ms = IDLE_LIMIT_FRACTION * self.settings.keepalive_ms
         while idle:
-            if now - idle.pop() < trusted:
+            if now - idle.pop() < reusable_ms:
                 return True
             server.connections -= 1
         return False
@@ -287,60 +288,60 @@
             server.connections = max(0, server.connections - len(idle))
 
     def reset(self, attempt: Attempt) -> None:
-        """A server has died under an attempt."""
+        """Handle a connection reset by the death of an attempt's server."""
         self._idle.pop(attempt.server.name, None)
-        self.turn(self._outcome, attempt, Result.RESET, None)
+        self.turn(self._complete, attempt, Result.RESET, None)
 
-    def answered(self, attempt: Attempt, how: str, report: dict[str, float] | None) -> None:
-        """A server's answer has come."""
+    def answered(self, attempt: Attempt, outcome: str, report: dict[str, float] | None) -> None:
+        """Handle a server's answer."""
         if attempt.over:
             return
         self._idle.setdefault(attempt.server.name, deque()).append(self._host.now())
-        self._outcome(attempt, RESULTS[how], report)
+        self._complete(attempt, RESULTS[outcome], report)
 
-    def _give_up(self, attempt: Attempt, result: Result) -> None:
+    def _abandon(self, attempt: Attempt, result: Result) -> None:
         if not attempt.over:
             self._host.abandon(attempt)
-            self._outcome(attempt, result, None)
+            self._complete(attempt, result, None)
 
-    def _outcome(self, attempt: Attempt, result: Result, report: dict[str, float] | None) -> None:
+    def _complete(self, attempt: Attempt, result: Result, report: dict[str, float] | None) -> None:
         if attempt.over:
             return
         attempt.over = True
         self._host.attempts[attempt.server.name].discard(attempt)
-        owed = self._open_requests.get(attempt.id) is attempt.request
-        if owed and result is Result.SERVED:
+        was_open = self._open_requests.get(attempt.id) is attempt.request
+        if was_open and result is Result.SERVED:
             self._finish(attempt.id, 200, attempt.server.name)
         settled = self._open_requests.get(attempt.id) is not attempt.request
-        took = (self._host.now() - attempt.began) * self._rate
+        duration_ms = (self._host.now() - attempt.began) * self._rate
         self.handle(
             api.AttemptCompleted(
                 attempt.id,
                 attempt.number,
                 self._host.numbers[attempt.server.name],
                 result,
-                took,
+                duration_ms,
                 settled,
                 report,
             )
         )
         if self.member is not None:
             number = self._host.numbers[attempt.server.name]
-            self.member.ended(number, attempt.request.order.name, result, took)
+            self.member.ended(number, attempt.request.order.name, result, duration_ms)
 
-    # Lists, and what operators do
+    # Server lists and operator actions
 
     def tell_list(self, index: int, entries: list[Entry], whole: bool) -> None:
-        """News from its agent."""
+        """Handle a server list update from the discovery agent."""
         now = self._host.now()
         self._host.tell(records.Told(now, self.name, index, whole, told_entries(entries)))
-        offset = self.now() - now - self._wall_ms  # from the wall's clock, as it sees it, to its own
+        offset = self.now() - now - self._wall_ms  # from its wall clock to its monotonic clock
         listed = []
         for entry in entries:
             server, number = self._host.servers[entry.name], self._host.numbers[entry.name]
             if entry.status == LEFT:
                 self._close_idle(server)
-            self._known[number] = server
+            self._servers_by_number[number] = server
             (self._in_service.add if entry.status == ACTIVE else self._in_service.discard)(number)
             started = entry.since_ms + offset if entry.since_ms > 0.0 else None
             listed.append(
@@ -354,18 +355,18 @@
         self.handle(api.ServerListUpdate(kind, index, listed))
 
     def reload(self, max_attempts: int) -> None:
-        """Take new settings."""
+        """Apply new settings."""
         self.max_attempts = max_attempts
         self.settings = read_settings(settings(self._host.plan, self.name, max_attempts))
         self.handle(api.Reconfigured(self.settings))
 
     def placed(self, number: int, nodes: int) -> None:
-        """The fleet has this node at another place."""
+        """Apply a new position of this node among its siblings."""
         self.settings = replace(self.settings, replica_index=number, replicas=nodes)
         self.handle(api.Reconfigured(self.settings))
 
     def belief(self) -> dict[str, float]:
-        """What it would say at its admin endpoint."""
+        """Return the figures that the admin endpoint would report."""
         shares: dict[str, float] = {}
         for tenant, counts in self.balancer.quota_counts.items():
             shares |= {f"within.{tenant}": float(counts.within), f"over.{tenant}": float(counts.over)}
@@ -381,18 +382,18 @@
         }
 
     def die(self) -> None:
-        """End at once; what it held is gone, and its connections are reset."""
+        """End immediately: open requests are lost and connections are reset."""
         self.alive = False
         if self.member is not None:
             self.member.alive = False
-        request, self._open_requests = self._open_requests, {}
-        for one in request.values():
-            for attempt in one.attempts:
+        open_requests, self._open_requests = self._open_requests, {}
+        for open_request in open_requests.values():
+            for attempt in open_request.attempts:
                 if not attempt.over:
                     attempt.over = True
                     self._host.abandon(attempt)
-            # Its caller finds a kept connection closed, tries once more on a new one, and reaches nobody.
-            self._host.answer(self.name, one.order, one.done, UNREACHED, "", 0.0)
+            # The caller finds its kept-alive connection closed, retries on a new one and gets no connection.
+            self._host.answer(self.name, open_request.order, open_request.done, UNREACHED, "", 0.0)
         for name, idle in self._idle.items():
             server = self._host.servers[name]
             server.connections = max(0, server.connections - len(idle))
--- a/lab/virtual/plain.py
+++ b/lab/virtual/plain.py
@@ -1,6 +1,6 @@
-"""The plainest membership that works, to compare with: all ping all, each second; dead after three losses.
+"""Baseline membership protocol: all members ping all others every second; dead after three losses.
 
-It keeps the join by exchange of views, and believes nothing that others say of a member's death.
+Joins still exchange views, but deaths reported by other members are ignored.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from dunlinloft.fleet.membership.timers import TimerKind
 from dunlinloft.fleet.messages import DEAD, Message, Ping, Record
 
-EVERY_MS = 1_000.0
-LOSSES = 3
+PING_INTERVAL_MS = 1_000.0
+MAX_LOST_PINGS = 3
 
 
 class PlainPing(Membership):
@@ -22,21 +22,21 @@
     def _start(self) -> None:
         self._missed: dict[str, int] = defaultdict(int)
         self._rejoin()
-        self.set_timer(EVERY_MS * self.rng.random(), TimerKind.PROBE_PERIOD)
+        self.set_timer(PING_INTERVAL_MS * self.rng.random(), TimerKind.PROBE_PERIOD)
 
     def _probe_next(self, now: float) -> None:
         for name in self.view.alive.names():
             self._missed[name] += 1
             member = self.view.members[name]
-            if self._missed[name] > LOSSES:
+            if self._missed[name] > MAX_LOST_PINGS:
                 self._merge_record(
                     Record(name, member.incarnation, member.revision, DEAD, member.uid, member.address), now
                 )
             else:
                 self.send_datagram(member.address, Ping(self.header(), 1, name, []))
-        for name in self.view.dead.names():  # it has no other way to find out that one is back
+        for name in self.view.dead.names():  # the only way to detect a returning member
             self.send_datagram(self.view.members[name].address, Ping(self.header(), 1, name, []))
-        self.set_timer(EVERY_MS, TimerKind.PROBE_PERIOD)
+        self.set_timer(PING_INTERVAL_MS, TimerKind.PROBE_PERIOD)
 
     def _handle_message(self, message: Message, source: str, now: float) -> None:
         name = message.header.name
@@ -60,4 +60,4 @@
         self._merge_record(record, now)
 
     def _disseminate(self, name: str, include_metadata: bool = True) -> None:
-        """Nothing is spread."""
+        """Disseminate nothing."""
--- a/lab/virtual/scene.py
+++ b/lab/virtual/scene.py
@@ -1,4 +1,4 @@
-"""What worlds of cores in virtual time have in common: a heap of events, and processes that die and stop."""
+"""Base of simulations of cores in virtual time: an event heap, and processes that may die or be stopped."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class InvariantViolation(AssertionError):
-    """Something that must hold does not; says the seed and the time."""
+    """An invariant is violated; the message includes the seed and the time."""
 
 
 class Process:
-    """A process with a clock of its own."""
+    """A process with its own clock."""
 
     def __init__(self, scene: Simulation[Any], name: str, rate: float) -> None:
         self.scene, self.name, self.rate = scene, name, rate
@@ -24,7 +24,7 @@
         self.frozen: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
 
     def clock(self) -> float:
-        """Its monotonic clock."""
+        """Return the process's monotonic clock."""
         return self.offset + (self.scene.now - self.started) * self.rate
 
 
@@ -32,31 +32,31 @@
 
 
 class Simulation(Generic[P]):
-    """Time, and processes by name."""
+    """Simulated time, and processes by name."""
 
     def __init__(self, seed: int, members: int, loss: float) -> None:
         self.rng, self.seed, self.loss = random.Random(seed), seed, loss
         self.now = 0.0
-        self.names = [self.naming(n) for n in range(members)]
+        self.names = [self.process_name(n) for n in range(members)]
         self.lives = count(1)
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._number = count()
+        self._sequence = count()
         self.cut: set[tuple[str, str]] = set()
         self.processes: dict[str, P] = {}
-        self._gone_ms: dict[str, float] = {}  # since when a process is dead or stopped
+        self._gone_ms: dict[str, float] = {}  # time since which a process has been dead or stopped
 
-    def naming(self, n: int) -> str:
-        """What the n-th process is called."""
+    def process_name(self, n: int) -> str:
+        """Return the name of the n-th process."""
         return f"m{n}"
 
     # Time
 
     def after(self, delay_ms: float, do: Callable[..., None], *args: Any) -> None:
-        """Do something later."""
-        heapq.heappush(self._heap, (self.now + max(0.0, delay_ms), next(self._number), do, args))
+        """Call `do` after a delay."""
+        heapq.heappush(self._heap, (self.now + max(0.0, delay_ms), next(self._sequence), do, args))
 
     def run(self, for_ms: float, until: Callable[[], bool] | None = None) -> float:
-        """Let time pass, until something holds; the time that passed."""
+        """Run for a time, or until `until` returns True; returns the time that passed."""
         start, end = self.now, self.now + for_ms
         while self._heap and self._heap[0][0] <= end:
             self.now, _, do, args = heapq.heappop(self._heap)
@@ -69,26 +69,26 @@
         return for_ms
 
     def check(self) -> None:
-        """What must hold at every instant."""
+        """Check the invariants; called after every event."""
 
     def when(self) -> str:
-        """Where a break is to be found."""
+        """Return the seed and time, for error messages."""
         return f"seed {self.seed} at {self.now:.0f} ms"
 
     # Processes
 
     def kill(self, name: str) -> None:
-        """Without a word."""
+        """Kill a process without notice to others."""
         self.processes[name].alive = False
         self._gone_ms[name] = self.now
 
     def stop(self, name: str) -> None:
-        """SIGSTOP."""
+        """Suspend a process, as SIGSTOP does."""
         self.processes[name].stopped = True
         self._gone_ms[name] = self.now
 
     def cont(self, name: str) -> None:
-        """SIGCONT: what has come meanwhile is worked off."""
+        """Resume a process, as SIGCONT does; it handles what arrived in the meantime."""
         process = self.processes[name]
         if process.alive and process.stopped:
             process.stopped = False
@@ -99,10 +99,10 @@
                 do(*args)
 
     def resumed(self, process: P) -> None:
-        """A stopped process goes on in the middle of what it did."""
+        """Complete what was in progress when the process was stopped."""
 
     def turn(self, process: P, do: Callable[..., None], *args: Any) -> None:
-        """Do something in a process: later if it is stopped."""
+        """Call `do` in a process; deferred while it is stopped, ignored if it is dead."""
         if process.alive and process.stopped:
             process.frozen.append((do, args))
         elif process.alive:
--- a/lab/virtual/shared.py
+++ b/lab/virtual/shared.py
@@ -1,8 +1,8 @@
-"""SharedState state in virtual time: the cores that nodes host, among links and processes that fail.
+"""Shared state in virtual time: the cores that nodes host, with failing links and processes.
 
-What a process believes of who is there comes late, as membership's word does. The oracle knows true time and
-all that was written: no record may be taken for younger than it is, parts of a quota may not add up to more
-than it, and a key may go to one group only while its window runs.
+Membership information reaches processes late, as in production. The oracle knows the true time and everything
+that was written. It checks that no record is considered younger than it is, that the shares of a quota never
+add up to more than the quota, and that a key goes to only one group within its window.
 """
 
 from __future__ import annotations
@@ -27,15 +27,16 @@
 from lab.virtual import scene
 from lab.virtual.scene import InvariantViolation
 
-SEEN_MS, LATE_MS = 250.0, 2_500.0  # how often a process hears who is there; how long a death takes to be seen
+# Interval of membership updates; time until a death is detected.
+MEMBERSHIP_INTERVAL_MS, DEATH_DETECTION_MS = 250.0, 2_500.0
 ZONES = ("linz", "wien", "krems")
 WINDOW_MS = 10_000.0
 QUOTA = 100.0
-SLACK_MS = 1.0  # of rounding
+AGE_TOLERANCE_MS = 1.0  # tolerance for rounding
 
 
 class Process(scene.Process):
-    """A process, with what it counts and the parts that are in force for it."""
+    """A process with its census and its current quota shares."""
 
     def __init__(self, world: World, name: str, rate: float) -> None:
         super().__init__(world, name, rate)
@@ -49,7 +50,7 @@
 
 
 class World(scene.Simulation[Process]):
-    """Processes, links, groups of servers, and the oracle."""
+    """Simulation of processes, links and server groups, with the oracle."""
 
     def __init__(
         self, seed: int, members: int = 6, core: type[SharedState] = SharedState, loss: float = 0.0
@@ -58,10 +59,11 @@
         self.core = core
         self.zones = {name: ZONES[n % len(ZONES)] for n, name in enumerate(self.names)}
         self._cut_ms: dict[tuple[str, str], float] = {}
-        self.hold_ms = 0.0  # datagrams may be held back for so long
-        self.out: dict[str, set[str]] = defaultdict(set)  # by process: groups that it finds out
+        self.hold_ms = 0.0  # maximum additional delay of datagrams
+        # By process: groups whose servers it considers unavailable.
+        self.out: dict[str, set[str]] = defaultdict(set)
         self.written: dict[tuple[int, str, int, int], float] = {}  # when each record was written
-        self.sent: dict[int, tuple[float, str]] = {}  # by key: when it first went out, and to which group
+        self.sent: dict[int, tuple[float, str]] = {}  # by key: time and group of the first request
         self.counts: Counter[str] = Counter()
         for name in self.names:
             self.start(name)
@@ -69,57 +71,57 @@
     # Processes
 
     def start(self, name: str) -> None:
-        """From nothing, with a clock at a rate within the drift."""
+        """Start a process without previous state, with a clock rate within the drift bound."""
         process = self.processes[name] = Process(self, name, 1.0 + self.rng.choice((-0.009, 0.0, 0.009)))
         self._gone_ms.pop(name, None)
         self.do(process, process.core.begin())
-        self._see(process)
+        self._schedule_update(process)
 
-    def sever(self, some: list[str], others: list[str], both: bool = True) -> None:
+    def sever(self, sources: list[str], targets: list[str], both: bool = True) -> None:
         """Cut links."""
-        for a in some:
-            for b in others:
+        for a in sources:
+            for b in targets:
                 for pair in ((a, b), (b, a)) if both else ((a, b),):
                     self.cut.add(pair)
                     self._cut_ms.setdefault(pair, self.now)
 
     def heal(self) -> None:
-        """All links are whole."""
+        """Restore all links."""
         self.cut.clear()
         self._cut_ms.clear()
 
-    def _here(self, process: Process) -> dict[str, int]:
-        """Whom membership would tell it to be there: late, of deaths and of cut links."""
-        found = {}
+    def _visible_members(self, process: Process) -> dict[str, int]:
+        """Return the members that membership would report, with the delay in detecting deaths and cuts."""
+        members_found = {}
         for name, other in self.processes.items():
-            gone = self.now - self._gone_ms.get(name, self.now) >= LATE_MS
-            cut = self.now - self._cut_ms.get((name, process.name), self.now) >= LATE_MS
+            gone = self.now - self._gone_ms.get(name, self.now) >= DEATH_DETECTION_MS
+            cut = self.now - self._cut_ms.get((name, process.name), self.now) >= DEATH_DETECTION_MS
             if name != process.name and not gone and not cut:
-                found[name] = other.life
-        return found
+                members_found[name] = other.life
+        return members_found
 
-    def _see(self, process: Process) -> None:
+    def _schedule_update(self, process: Process) -> None:
         if not process.alive:
             return
-        self.turn(process, self._seen, process)
-        self.after(SEEN_MS / process.rate, self._see, process)
+        self.turn(process, self._update_core, process)
+        self.after(MEMBERSHIP_INTERVAL_MS / process.rate, self._schedule_update, process)
 
-    def _seen(self, process: Process) -> None:
-        here, clock = self._here(process), process.clock()
-        process.census.observe({*here, process.name}, clock)
+    def _update_core(self, process: Process) -> None:
+        visible, clock = self._visible_members(process), process.clock()
+        process.census.observe({*visible, process.name}, clock)
         counted, base = process.census.counted_names(), process.census.total()
         groups = {zone: (0 if zone in self.out[process.name] else 4, 4) for zone in ZONES}
         self.give(process, NodeStatus({}, frozenset(), groups, 5.0, 5.0))
-        self.give(process, MembershipUpdated(process.life, here, counted, base))
+        self.give(process, MembershipUpdated(process.life, visible, counted, base))
 
     def give(self, process: Process, event: Any) -> None:
-        """Give a core an event and do what it says."""
+        """Pass an event to a core and perform the resulting actions."""
         if process.alive:
             self.do(process, process.core.handle(event, process.clock()))
             self._check_ages(process)
 
     def do(self, process: Process, actions: list[Any]) -> None:
-        """What a core says."""
+        """Perform the actions of a core."""
         for action in actions:
             match action:
                 case SendMessage():
@@ -141,52 +143,57 @@
             self.after(delay, self.deliver, name, message, process.name)
 
     def deliver(self, name: str, message: Message, sender: str) -> None:
-        """A message comes to whoever has this name by now."""
+        """Deliver a message to the process that currently has this name."""
         process = self.processes[name]
         self.turn(process, self.give, process, MessageReceived(message, sender))
 
-    # What callers do
+    # Callers
 
-    def ask(self, key: int, name: str, again: bool) -> KeyRoute | None:
-        """A keyed request comes to a process; where it goes, None where nobody takes it.
+    def ask(self, key: int, name: str, is_retry: bool) -> KeyRoute | None:
+        """Send a keyed request to a process and return its route, or None if the process is not running.
 
-        No caller asks again once the window is over.
+        Callers do not retry after the window has ended.
         """
         self.sent = {k: sent for k, sent in self.sent.items() if self.now - sent[0] < WINDOW_MS}
         process = self.processes[name]
         if not process.alive or process.stopped:
             return None
-        place = process.core.route(key, again, process.clock())
+        place = process.core.route(key, is_retry, process.clock())
         if not place.group:
             self.counts[place.refusal] += 1
             return place
         if place.group in self.out[name]:
-            return place  # none of its servers is to be had, so it is not sent
+            return place  # no server of the group is available, so it is not sent
         first = self.sent.setdefault(key, (self.now, place.group))
         if first[1] != place.group:
             what = f"key {key:x} went to {first[1]}, and {self.now - first[0]:.0f} ms later to {place.group}"
             raise InvariantViolation(f"{self.when()}: {what}, at {name}")
-        self.counts["again" if again else "first"] += 1
+        self.counts["again" if is_retry else "first"] += 1
         return place
 
     # The oracle
 
     def _check_ages(self, process: Process) -> None:
-        """No record is taken for younger than it is."""
+        """Check that no record is considered younger than it is."""
         store = process.core.store
         for kind, writer, held in store.all():
             record = kind, writer, held.incarnation, held.version
             if writer == process.name:
                 self.written.setdefault(record, self.now)
                 continue
-            age, true = held.age_ms(process.clock()), self.now - self.written.get(record, self.now)
-            if age < true - SLACK_MS:
-                what = f"{process.name} takes {writer}'s record for {age:.0f} ms old, and it is {true:.0f}"
+            age_ms, true_ms = (
+                held.age_ms(process.clock()),
+                self.now - self.written.get(record, self.now),
+            )
+            if age_ms < true_ms - AGE_TOLERANCE_MS:
+                what = (
+                    f"{process.name} takes {writer}'s record for {age_ms:.0f} ms old, and it is {true_ms:.0f}"
+                )
                 raise InvariantViolation(f"{self.when()}: {what}")
 
-    def check_parts(self, spare: float = 1.05) -> float:
-        """The parts of a quota that are in force add up to no more than it."""
+    def check_parts(self, tolerance: float = 1.05) -> float:
+        """Check that the current quota shares add up to at most the quota; returns their share of it."""
         whole = sum(p.part.quotas.get("t", 0.0) for p in self.processes.values() if p.alive)
-        if whole > QUOTA * spare:
+        if whole > QUOTA * tolerance:
             raise InvariantViolation(f"{self.when()}: parts add up to {whole:.0f} of {QUOTA:.0f}")
         return whole / QUOTA
--- a/tests/test_lab_oracle.py
+++ b/tests/test_lab_oracle.py
@@ -89,19 +89,19 @@
 
     where = "anywhere"
 
-    def _outcome(self, attempt: Attempt, result: api.Result, report: dict[str, float] | None) -> None:
+    def _complete(self, attempt: Attempt, result: api.Result, report: dict[str, float] | None) -> None:
         again = result is api.Result.ERROR and attempt.number == 0 and not attempt.over
         if not again:
-            return super()._outcome(attempt, result, report)
+            return super()._complete(attempt, result, report)
         attempt.over = True
-        other = next(n for n in self._in_service if self._known[n].zone != attempt.server.zone)
+        other = next(n for n in self._in_service if self._servers_by_number[n].zone != attempt.server.zone)
         self.send(attempt.id, other, 1000.0)
 
 
 class Fabricating(VirtualNode):
     """Serves with nothing from a server."""
 
-    def _take(self, order: Order, done: Done) -> None:
+    def _accept(self, order: Order, done: Done) -> None:
         self._host.answer(self.name, order, done, 200, "a1", 0.0)
 
 
@@ -120,7 +120,7 @@
     """Sends all to the server that has just started."""
 
     def send(self, id: str, number: int, timeout_ms: float) -> None:
-        cold = [n for n, server in self._known.items() if server.name == "a2"]
+        cold = [n for n, server in self._servers_by_number.items() if server.name == "a2"]
         super().send(id, cold[0] if self._host.now() > 4500.0 else number, timeout_ms)
 
 
@@ -131,7 +131,7 @@
         kept = [entry for entry in entries if entry.name != "a3"]
         super().tell_list(index, kept, whole)
         server = self._host.servers["a3"]
-        self._known[1], self._host.numbers["a3"] = server, 1
+        self._servers_by_number[1], self._host.numbers["a3"] = server, 1
         self._in_service.add(1)
 
     def send(self, id: str, number: int, timeout_ms: float) -> None:
@@ -141,10 +141,10 @@
 class Stubborn(VirtualNode):
     """Tries again for ever, where a repeat is harmless."""
 
-    def _outcome(self, attempt: Attempt, result: api.Result, report: dict[str, float] | None) -> None:
+    def _complete(self, attempt: Attempt, result: api.Result, report: dict[str, float] | None) -> None:
         live = attempt.request
         if attempt.over or live.order.name != "slot-view" or attempt.number > 7:
-            return super()._outcome(attempt, result, report)
+            return super()._complete(attempt, result, report)
         attempt.over = True
         self.send(attempt.id, self._host.numbers[attempt.server.name], 1000.0)
 
@@ -152,10 +152,10 @@
 class Ending(VirtualNode):
     """Ends by itself."""
 
-    def _take(self, order: Order, done: Done) -> None:
+    def _accept(self, order: Order, done: Done) -> None:
         if self._host.now() > 3000.0:
             return self._host.ended(self)
-        super()._take(order, done)
+        super()._accept(order, done)
 
 
 PLANTED = {
--- a/tests/test_lease_planted_faults.py
+++ b/tests/test_lease_planted_faults.py
@@ -12,7 +12,7 @@
 from dunlinloft.fleet.leases.manager import LeaseManager
 from dunlinloft.fleet.leases.messages import PrepareResponse
 from dunlinloft.fleet.leases.voter import Voter
-from lab.virtual.duties import LATE_SEEN_MS, World
+from lab.virtual.duties import DEATH_DETECTION_MS, World
 from lab.virtual.scene import InvariantViolation
 from tests.lease_world import (
     OUTDATED_TOKEN,
@@ -118,7 +118,7 @@
             partition(
                 world, [holder], [name for name in world.names[3:] if name != holder], both_directions=False
             )
-        world.run(LATE_SEEN_MS / 2.0)
+        world.run(DEATH_DETECTION_MS / 2.0)
         for name in world.voters:
             world.kill(name)
             world.start(name)
