--- a/dunlinloft/cli/handlers/scenarios.py
+++ b/dunlinloft/cli/handlers/scenarios.py
@@ -72,9 +72,9 @@
 def _require_playable(scenario: Scenario, name: str, host: str) -> None:
     """Raise `ScenarioError` if the host can't run the scenario."""
     if host == "processes":
-        from lab.processes.day import unfit
+        from lab.processes.day import unsupported_reason
 
-        if reason := unfit(scenario):
+        if reason := unsupported_reason(scenario):
             raise ScenarioError(f"{name}: {reason}")
 
 
--- a/lab/day.py
+++ b/lab/day.py
@@ -82,8 +82,8 @@
     """Run one seed in virtual time."""
     started = time.perf_counter()
     plan = Plan(scenario, seed)
-    witness = DayObserver(plan, log)
-    world = host(plan, [witness.see])
+    observer = DayObserver(plan, log)
+    world = host(plan, [observer.see])
     with infrequent_gc():
         world.run(step)
-    return witness.result(plan, world.now(), time.perf_counter() - started)
+    return observer.result(plan, world.now(), time.perf_counter() - started)
--- a/lab/processes/admin.py
+++ b/lab/processes/admin.py
@@ -1,4 +1,4 @@
-"""Short calls to a node's admin endpoint and to its readiness, with a limit on each."""
+"""Requests to a node's admin endpoint and readiness check, with a timeout."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def call(address: Address, method: str, path: str) -> tuple[int, Any]:
-    """Make a call; the status (0: none came) and what the answer's JSON says, or None."""
+    """Send a request; returns the status (0 without an answer) and the decoded JSON body or None."""
     writer = None
     try:
         async with asyncio.timeout(CALL_S):
--- a/lab/processes/agent.py
+++ b/lab/processes/agent.py
@@ -1,4 +1,4 @@
-"""The discovery agent on a node's machine, on a socket: whole lists and watches."""
+"""HTTP interface of the discovery agent on a node's machine: full lists and watches."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 if TYPE_CHECKING:
     from lab.processes.host import ProcessHost
 
-MOST_WAIT_MS = 60_000.0
+MAX_WAIT_MS = 60_000.0
 
 
 class AgentConnection(asyncio.Protocol):
-    """One connection to an agent; one call at a time."""
+    """A connection to an agent; handles one request at a time."""
 
     def __init__(self, host: ProcessHost, agent: Agent) -> None:
         self._host, self._agent = host, agent
         self._parser = httptools.HttpRequestParser(self)
         self._url = b""
-        self._turn = 0
-        self._watch: int | None = None  # the version that a watch waits from
+        self._request_number = 0
+        self._watch: int | None = None  # version from which the pending watch waits
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -49,44 +49,44 @@
     def on_message_complete(self) -> None:
         path, _, query = self._url.decode("latin-1").partition("?")
         self._url = b""
-        self._turn += 1
+        self._request_number += 1
         self._parser = httptools.HttpRequestParser(self)
-        asked = {name: values[0] for name, values in parse_qs(query).items()}
+        parameters = {name: values[0] for name, values in parse_qs(query).items()}
         if path != "/api/targets":
             self._host.broke(self._agent.node, f"to discovery: {path!r}")
             return self._write(404, {})
         if self._agent.silent:
             return
-        if "index" not in asked:
-            return self._tell_whole()
+        if "index" not in parameters:
+            return self._send_full_list()
         try:
-            index, wait_ms = int(asked["index"]), float(asked.get("wait", "0"))
+            index, wait_ms = int(parameters["index"]), float(parameters.get("wait", "0"))
         except ValueError:
             self._host.broke(self._agent.node, f"to discovery: {query!r}")
             return self._write(400, {})
         changed = self._agent.after(index)
         if changed is None:
-            return self._tell_whole()
+            return self._send_full_list()
         if changed or not wait_ms:
-            return self._tell(changed)
+            return self._send_list(changed)
         self._watch = index
-        self._host.after(min(wait_ms, MOST_WAIT_MS), self._expire, self._turn)
+        self._host.after(min(wait_ms, MAX_WAIT_MS), self._expire, self._request_number)
 
-    def _expire(self, turn: int) -> None:
-        if turn == self._turn and self._watch is not None and not self._agent.silent:
-            self._tell([])
+    def _expire(self, request_number: int) -> None:
+        if request_number == self._request_number and self._watch is not None and not self._agent.silent:
+            self._send_list([])
 
-    def news(self) -> None:
-        """Something has changed: whoever watches is told."""
+    def notify_watch(self) -> None:
+        """Answer the pending watch, if any, with the changes."""
         if self._watch is not None:
             changed = self._agent.after(self._watch)
             if changed:
-                self._tell(changed)
+                self._send_list(changed)
 
-    def _tell_whole(self) -> None:
-        self._tell(self._agent.full_list(), True)
+    def _send_full_list(self) -> None:
+        self._send_list(self._agent.full_list(), True)
 
-    def _tell(self, entries: list[Entry], whole: bool = False) -> None:
+    def _send_list(self, entries: list[Entry], whole: bool = False) -> None:
         self._watch = None
         now = self._host.now()
         self._host.tell(records.Told(now, self._agent.node, self._agent.index, whole, told_entries(entries)))
@@ -100,7 +100,7 @@
 
 
 def listing(host: ProcessHost, agent: Agent, entries: list[Entry], whole: bool) -> dict[str, Any]:
-    """A list in discovery's form, with the addresses at which this node finds its servers."""
+    """Return a list in the discovery format, with the addresses at which this node reaches its servers."""
     node = host.places[agent.node]
     return {
         "index": agent.index,
--- a/lab/processes/child.py
+++ b/lab/processes/child.py
@@ -1,4 +1,4 @@
-"""One process of a node: its files, signals, and what the kernel says of it."""
+"""Child processes: starting, signals, and resource usage as reported by the kernel."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 def _die_with_parent() -> None:
-    # However the lab ends, none of its processes outlives it.
+    # Kill the child when the lab ends, however that happens.
     _libc.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Child:
-    """A process that the lab has started; `ended` hears its exit status."""
+    """A process started by the lab; `ended` is called with its exit status."""
 
     def __init__(
         self,
@@ -42,29 +42,29 @@
         command: list[str],
         environment: dict[str, str],
         log: Path,
-        hands: tuple[int, ...],
+        inherited_fds: tuple[int, ...],
         ended: Callable[[Child, int], None] = lambda child, code: None,
     ) -> None:
         self._loop, self._ended = loop, ended
         with log.open("ab") as errors:
             self._process = subprocess.Popen(
                 command, stdin=subprocess.DEVNULL, stdout=errors, stderr=errors, cwd=ROOT, env=environment,
-                pass_fds=hands, start_new_session=True, preexec_fn=_die_with_parent,
+                pass_fds=inherited_fds, start_new_session=True, preexec_fn=_die_with_parent,
             )  # fmt: skip
         self.pid = self._process.pid
         self._waited_ns = 0
-        self._watch = os.pidfd_open(self.pid)
-        loop.add_reader(self._watch, self._over)
+        self._pidfd = os.pidfd_open(self.pid)
+        loop.add_reader(self._pidfd, self._on_exit)
 
-    def _over(self) -> None:
-        self._loop.remove_reader(self._watch)
-        os.close(self._watch)
-        self._watch = -1
+    def _on_exit(self) -> None:
+        self._loop.remove_reader(self._pidfd)
+        os.close(self._pidfd)
+        self._pidfd = -1
         self._ended(self, self._process.wait())
 
     def alive(self) -> bool:
-        """Whether it has not ended."""
-        return self._watch >= 0
+        """Return whether the process is running."""
+        return self._pidfd >= 0
 
     def signal(self, what: str) -> None:
         """Send one of `SIGNALS`."""
@@ -72,7 +72,7 @@
             self._process.send_signal(SIGNALS[what])
 
     def waited_ms(self) -> float:
-        """How long it has waited for a core since this was asked last."""
+        """Return the time spent waiting for a core since the previous call."""
         try:
             waited = int(Path(f"/proc/{self.pid}/schedstat").read_bytes().split()[1])
         except (OSError, IndexError, ValueError):
@@ -81,7 +81,7 @@
         return passed / 1e6
 
     def usage(self) -> dict[str, float]:
-        """Its memory and the processor time that it has used."""
+        """Return the memory usage and the CPU time consumed."""
         try:
             pages = int(Path(f"/proc/{self.pid}/statm").read_bytes().split()[1])
             stat = Path(f"/proc/{self.pid}/stat").read_bytes().rsplit(b")", 1)[1].split()
@@ -90,23 +90,23 @@
         return {"memory_mb": pages * _PAGE_MB, "cpu_s": (int(stat[11]) + int(stat[12])) / _TICKS}
 
     def close(self) -> None:
-        """End it at once and wait for it."""
+        """Kill the process and wait for it."""
         if self.alive():
-            self._loop.remove_reader(self._watch)
-            os.close(self._watch)
-            self._watch = -1
+            self._loop.remove_reader(self._pidfd)
+            os.close(self._pidfd)
+            self._pidfd = -1
         with contextlib.suppress(ProcessLookupError):
             self._process.kill()
         self._process.wait()
 
 
 def node_command() -> list[str]:
-    """How a node is started."""
+    """Return the command that starts a node."""
     return [sys.executable, "-B", "-m", "dunlinloft.node"]
 
 
 def hog_command(for_s: float) -> list[str]:
-    """A process that uses a core for so long."""
+    """Return the command of a process that keeps a core busy for `for_s` seconds."""
     return [
         sys.executable,
         "-c",
@@ -114,7 +114,7 @@
     ]
 
 
-def environment(folder: Path, **more: str) -> dict[str, str]:
-    """What a child sees of the environment."""
-    kept = {name: os.environ[name] for name in ("PATH", "LANG", "LC_ALL") if name in os.environ}
-    return kept | {"TMPDIR": str(folder), "PYTHONHASHSEED": "0"} | more
+def environment(folder: Path, **extra: str) -> dict[str, str]:
+    """Return a child's environment."""
+    inherited = {name: os.environ[name] for name in ("PATH", "LANG", "LC_ALL") if name in os.environ}
+    return inherited | {"TMPDIR": str(folder), "PYTHONHASHSEED": "0"} | extra
--- a/lab/processes/day.py
+++ b/lab/processes/day.py
@@ -1,4 +1,4 @@
-"""Plays one seed of a scenario with real processes."""
+"""Runs one seed of a scenario with real processes."""
 
 from __future__ import annotations
 
@@ -20,43 +20,43 @@
 from lab.results import Result
 from lab.scenario import Clock, Scenario
 
-MOST_LATE_MS = 150.0  # a run in which the lab was later than this says nothing of the nodes
+MAX_LATE_MS = 150.0  # with longer scheduling delays of the lab a run is not valid
 
 
-class Impossible(Exception):
-    """What this host can't do."""
+class UnsupportedScenarioError(Exception):
+    """The scenario needs something that this host does not support."""
 
 
-def unfit(scenario: Scenario) -> str | None:
-    """Why a scenario can't be played with processes; None where it can."""
+def unsupported_reason(scenario: Scenario) -> str | None:
+    """Return why a scenario can't run with processes, or None if it can."""
     for n, fault in enumerate(scenario.faults):
         if isinstance(fault, Clock):
-            return f"faults[{n}]: clocks can go wrong on the virtual host only"
+            return f"faults[{n}]: clock faults are supported on the virtual host only"
     return None
 
 
 def play_processes(
     scenario: Scenario, seed: int, step: Step, log: IO[bytes] | None, logs: Path | None
 ) -> Result:
-    """One seed, in real time; all processes and files are gone when this returns or raises."""
-    if why := unfit(scenario):
-        raise Impossible(why)
-    began = time.perf_counter()
+    """Run one seed in real time; all processes and files are removed when this returns or raises."""
+    if reason := unsupported_reason(scenario):
+        raise UnsupportedScenarioError(reason)
+    started = time.perf_counter()
     _raise_limit()
     plan = Plan(scenario, seed)
-    witness = DayObserver(plan, log)
+    observer = DayObserver(plan, log)
     folder = Path(tempfile.mkdtemp(prefix="dunlinloft-lab-"))
     try:
         with infrequent_gc():
-            at = uvloop.run(_day(plan, witness, step, folder, logs))
+            ended_ms = uvloop.run(_run_day(plan, observer, step, folder, logs))
     finally:
         shutil.rmtree(folder, ignore_errors=True)
-    result = witness.result(plan, at, time.perf_counter() - began)
-    result.counted = result.late_ms <= MOST_LATE_MS
+    result = observer.result(plan, ended_ms, time.perf_counter() - started)
+    result.counted = result.late_ms <= MAX_LATE_MS
     return result
 
 
-async def _day(plan: Plan, witness: DayObserver, step: Step, folder: Path, logs: Path | None) -> float:
+async def _run_day(plan: Plan, observer: DayObserver, step: Step, folder: Path, logs: Path | None) -> float:
     loop = asyncio.get_running_loop()
     task = asyncio.current_task()
     assert task is not None
@@ -69,7 +69,7 @@
 
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, interrupt)
-    host = ProcessHost(plan, [witness.see], loop, folder, logs)
+    host = ProcessHost(plan, [observer.see], loop, folder, logs)
     try:
         await host.run(step)
         return host.now()
@@ -80,7 +80,7 @@
     finally:
         host.close()
         with contextlib.suppress(asyncio.CancelledError):
-            await asyncio.sleep(0)  # what was closed is told so
+            await asyncio.sleep(0)  # let closed transports run their callbacks
 
 
 def _raise_limit() -> None:
--- a/lab/processes/gates.py
+++ b/lab/processes/gates.py
@@ -1,6 +1,6 @@
-"""Listening sockets that can refuse, or let connections hang, as the link to them is.
+"""Listening sockets that can refuse connections or let them hang, depending on the state of the link.
 
-Each link from a node to a server has an address of its own, so its state is that of one socket.
+Each link from a node to a server has its own address, so its state is that of one socket.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Gate:
-    """One listening socket; `accepted` gets each connection."""
+    """A listening socket; `accepted` is called with each connection."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, address: Address, accepted: Callable[[socket.socket], None]
@@ -27,7 +27,7 @@
         self.state = SHUT
 
     def set(self, state: str) -> None:
-        """Be open, hang new connections, or refuse them."""
+        """Accept new connections, let them hang, or refuse them."""
         if state == self.state:
             return
         if self._socket is not None and self.state == OPEN:
@@ -47,7 +47,7 @@
             self._loop.add_reader(self._socket, self._accept)
         elif state == HANGING:
             assert self._socket is not None
-            # A queue for none still takes one: with that place filled the kernel drops every handshake.
+            # A backlog of 0 still holds one connection; once it is filled, the kernel drops every handshake.
             self._socket.listen(0)
             self._filler = socket.socket()
             self._filler.setblocking(False)
@@ -67,9 +67,9 @@
         while self._socket is not None and self.state == OPEN:
             try:
                 accepted, peer = self._socket.accept()
-            except OSError:  # none left
+            except OSError:  # no pending connection
                 return
-            if peer[0] == self.address[0]:  # our own, from when it was hanging: nodes have other addresses
+            if peer[0] == self.address[0]:  # the filler of the hanging state; nodes have other addresses
                 accepted.close()
                 continue
             accepted.setblocking(False)
--- a/lab/processes/pipe.py
+++ b/lab/processes/pipe.py
@@ -1,4 +1,4 @@
-"""A stream's bytes on their way over a link, in order, with what the link does to them."""
+"""Delivers a stream's bytes in order over a simulated link."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 
 class Pipe:
-    """One direction of a connection: what is pushed comes out later, and the end last (as None)."""
+    """One direction of a connection: delivers pushed chunks after the link's delay, and None for its end."""
 
-    __slots__ = ("_deliver", "_line", "_waiting")
+    __slots__ = ("_deliver", "_link", "_pending")
 
-    def __init__(self, line: DirectedLink, deliver: Callable[[bytes | None], None]) -> None:
-        self._line, self._deliver = line, deliver
-        self._waiting: deque[bytes | None] = deque()
+    def __init__(self, link: DirectedLink, deliver: Callable[[bytes | None], None]) -> None:
+        self._link, self._deliver = link, deliver
+        self._pending: deque[bytes | None] = deque()
 
     def push(self, data: bytes | None) -> None:
-        """Send a piece, or the end."""
-        self._waiting.append(data)
-        self._line.carry(len(data) if data else 0, self._pop)
+        """Send a chunk, or None for the end."""
+        self._pending.append(data)
+        self._link.carry(len(data) if data else 0, self._deliver_next)
 
-    def _pop(self) -> None:
-        # Whichever timer comes first, the oldest piece goes first: a stream keeps its order.
-        if self._waiting:
-            self._deliver(self._waiting.popleft())
+    def _deliver_next(self) -> None:
+        # Whichever timer fires first, the oldest chunk is delivered: a stream keeps its order.
+        if self._pending:
+            self._deliver(self._pending.popleft())
 
     def drop(self) -> None:
-        """Nobody reads it any more."""
-        self._waiting.clear()
-        self._deliver = _nowhere
+        """Discard pending and future chunks."""
+        self._pending.clear()
+        self._deliver = _discard
 
 
-def _nowhere(data: bytes | None) -> None:
+def _discard(data: bytes | None) -> None:
     pass
--- a/lab/processes/relay.py
+++ b/lab/processes/relay.py
@@ -1,7 +1,7 @@
-"""Between processes that talk to each other: UDP and TCP by the links of the scenario.
+"""Relay for UDP and TCP between processes, applying the scenario's links.
 
-Each process binds an address of its own and tells its peers an alias; the relay listens at all aliases.
-Whoever sends is known by the address it sends from, and the other side sees the sender's alias.
+Each process binds its own address and advertises an alias to its peers; the relay listens at all aliases. A
+sender is identified by its source address, and the receiver sees the sender's alias.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from lab.processes.pipe import Pipe
 from lab.servers import Clock
 
-DIAL_S = 3.0
-RETRY_MS = 50.0  # how often a connection over a cut link is tried again
+CONNECT_TIMEOUT_S = 3.0
+RETRY_MS = 50.0  # interval for retrying a connection over a cut link
 
 
-class _Mouth(asyncio.DatagramProtocol):
-    """The datagram socket at one process's alias."""
+class _AliasSocket(asyncio.DatagramProtocol):
+    """The datagram socket at a process's alias."""
 
     def __init__(self, relay: Relay, name: str) -> None:
         self._relay, self.name = relay, name
@@ -35,21 +35,21 @@
         self._relay.datagram(address[0], self.name, data)
 
 
-class _Half(asyncio.Protocol):
-    """One side of a connection that is passed on."""
+class _RelayedSide(asyncio.Protocol):
+    """One side of a relayed connection."""
 
-    def __init__(self, living: set[_Half]) -> None:
-        self._living = living
+    def __init__(self, open_sides: set[_RelayedSide]) -> None:
+        self._open_sides = open_sides
         self.transport: asyncio.Transport | None = None
-        self.out: Pipe | None = None  # towards the other side
-        self._early: list[bytes | None] = []
+        self.pipe: Pipe | None = None  # to the other side
+        self._buffered: list[bytes | None] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self._living.add(self)
+        self._open_sides.add(self)
 
     def abort(self) -> None:
-        """Break it off."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -61,25 +61,25 @@
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._living.discard(self)
+        self._open_sides.discard(self)
         self.push(None)
 
     def push(self, data: bytes | None) -> None:
-        """Pass on, once there is somebody to pass it on to."""
-        if self.out is not None:
-            self.out.push(data)
+        """Forward data, or buffer it until the other side is connected."""
+        if self.pipe is not None:
+            self.pipe.push(data)
         else:
-            self._early.append(data)
+            self._buffered.append(data)
 
-    def join(self, out: Pipe) -> None:
-        """The other side is there."""
-        self.out = out
-        for data in self._early:
-            out.push(data)
-        self._early.clear()
+    def connect(self, pipe: Pipe) -> None:
+        """Connect the other side and forward the buffered data."""
+        self.pipe = pipe
+        for data in self._buffered:
+            pipe.push(data)
+        self._buffered.clear()
 
     def write(self, data: bytes | None) -> None:
-        """What the other side sent; None is its end."""
+        """Write data from the other side; None closes the connection."""
         if self.transport is None or self.transport.is_closing():
             return
         if data is None:
@@ -88,93 +88,95 @@
             self.transport.write(data)
 
 
-def _same(mouth: _Mouth) -> _Mouth:
-    return mouth
+def _return_protocol(alias_socket: _AliasSocket) -> _AliasSocket:
+    return alias_socket
 
 
 class Relay:
-    """All aliases of a run."""
+    """Relays traffic for all aliases of a run."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Clock,
-        lines: Links,
+        links: Links,
         block: Block,
         places: dict[str, int],
     ) -> None:
-        self._loop, self._clock, self._lines, self._block, self._places = loop, clock, lines, block, places
+        self._loop, self._clock, self._links, self._block, self._places = loop, clock, links, block, places
         self._names = {block.peer(place)[0]: name for name, place in places.items()}
-        self._mouths: dict[str, _Mouth] = {}
+        self._alias_sockets: dict[str, _AliasSocket] = {}
         self._gates: list[Gate] = []
-        self._halves: set[_Half] = set()
+        self._sides: set[_RelayedSide] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.datagrams = self.dropped = self.strangers = 0
+        self.datagrams = self.dropped = self.unknown_senders = 0
 
     async def start(self) -> None:
-        """Listen at every alias."""
+        """Start listening at every alias."""
         for name, place in self._places.items():
             address = self._block.alias(place)
-            mouth = _Mouth(self, name)
-            await self._loop.create_datagram_endpoint(partial(_same, mouth), local_addr=address)
-            self._mouths[name] = mouth
+            alias_socket = _AliasSocket(self, name)
+            await self._loop.create_datagram_endpoint(
+                partial(_return_protocol, alias_socket), local_addr=address
+            )
+            self._alias_sockets[name] = alias_socket
             gate = Gate(self._loop, address, partial(self._accepted, name))
             gate.set(OPEN)
             self._gates.append(gate)
 
     def close(self) -> None:
-        """End all of it."""
+        """Close all sockets and connections."""
         for task in self._tasks:
             task.cancel()
-        for mouth in self._mouths.values():
-            mouth.transport.close()
+        for alias_socket in self._alias_sockets.values():
+            alias_socket.transport.close()
         for gate in self._gates:
             gate.set(SHUT)
-        for half in list(self._halves):
-            half.abort()
+        for side in list(self._sides):
+            side.abort()
 
     def datagram(self, sender: str, target: str, data: bytes) -> None:
-        """Pass a datagram on as the link has it."""
+        """Forward a datagram, subject to the link's loss, delay and duplication."""
         source = self._names.get(sender)
         if source is None:
-            self.strangers += 1
+            self.unknown_senders += 1
             return
         self.datagrams += 1
-        times = self._lines.between(source, target).datagram(len(data))
+        times = self._links.between(source, target).datagram(len(data))
         self.dropped += not times
-        for took in times:
-            self._clock.after(took, self._deliver, source, target, data)
+        for delay_ms in times:
+            self._clock.after(delay_ms, self._deliver, source, target, data)
 
     def _deliver(self, source: str, target: str, data: bytes) -> None:
-        mouth = self._mouths[source].transport
-        if not mouth.is_closing():
-            mouth.sendto(data, self._block.peer(self._places[target]))
+        alias_socket = self._alias_sockets[source].transport
+        if not alias_socket.is_closing():
+            alias_socket.sendto(data, self._block.peer(self._places[target]))
 
     def _accepted(self, target: str, sock: socket.socket) -> None:
         source = self._names.get(sock.getpeername()[0])
         if source is None:
-            self.strangers += 1
+            self.unknown_senders += 1
             return sock.close()
         task = self._loop.create_task(self._join(sock, source, target))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _join(self, sock: socket.socket, source: str, target: str) -> None:
-        there, back = self._lines.between(source, target), self._lines.between(target, source)
-        near, far = _Half(self._halves), _Half(self._halves)
-        await self._loop.connect_accepted_socket(lambda: near, sock)
-        while there.cut or back.cut:  # a handshake needs both ways
+        forward, backward = self._links.between(source, target), self._links.between(target, source)
+        source_side, target_side = _RelayedSide(self._sides), _RelayedSide(self._sides)
+        await self._loop.connect_accepted_socket(lambda: source_side, sock)
+        while forward.cut or backward.cut:  # a handshake needs both directions
             await asyncio.sleep(RETRY_MS / 1000.0)
         try:
-            if there.refuse:
+            if forward.refuse:
                 raise ConnectionRefusedError
-            async with asyncio.timeout(DIAL_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self._loop.create_connection(
-                    lambda: far,
+                    lambda: target_side,
                     *self._block.peer(self._places[target]),
                     local_addr=(self._block.alias(self._places[source])[0], 0),
                 )
         except (OSError, TimeoutError):
-            return near.abort()
-        near.join(Pipe(there, far.write))
-        far.join(Pipe(back, near.write))
+            return source_side.abort()
+        source_side.connect(Pipe(forward, target_side.write))
+        target_side.connect(Pipe(backward, source_side.write))
--- a/lab/scale/nodes.py
+++ b/lab/scale/nodes.py
@@ -51,7 +51,7 @@
         self._late: list[records.Late] = []
         self.started = asyncio.Event()
 
-    def _fleet_object(self, place: int) -> dict[str, Any] | None:
+    def _fleet_section(self, place: int) -> dict[str, Any] | None:
         name = list(self.names.nodes)[place]
         host, port = self.block.peer(place)
         return self._fleet(name, f"{host}:{port}", place) if self._fleet is not None else None
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -16,7 +16,7 @@
 
 from dunlinloft.node import VERSION
 from lab.day import infrequent_gc
-from lab.processes.block import NoBlock
+from lab.processes.block import AddressBlockError
 from lab.scale import talk
 from lab.scale.limits import Refused, check, claim, duration_s, virtual_s
 from lab.scale.plan import Machine, Plan, Results, Sample
@@ -56,7 +56,7 @@
         if not limit.expired():
             raise
         raise Refused(f"{plan.minutes:g} minutes are over, and it was not done") from None
-    except (TooMuchMemory, NoBlock) as problem:
+    except (TooMuchMemory, AddressBlockError) as problem:
         raise Refused(str(problem)) from None
     except asyncio.CancelledError:
         if interrupted:
--- a/tests/test_lab_processes.py
+++ b/tests/test_lab_processes.py
@@ -19,7 +19,7 @@
 from lab.plan import Plan
 from lab.processes import host
 from lab.processes.block import Address, Block
-from lab.processes.day import play_processes, unfit
+from lab.processes.day import play_processes, unsupported_reason
 from lab.processes.relay import Relay
 from lab.scenario import load, parse
 from tests.peers import run, wait_until
@@ -154,8 +154,8 @@
 
 def test_clocks_are_refused_with_processes_and_every_other_shipped_day_is_taken() -> None:
     clock = 'name = "x"\n[[faults]]\nkind = "clock"\nat_s = 1\nnodes = ["n1"]\nwall_ms = 5'
-    assert "virtual host only" in (unfit(parse(clock)) or "")
-    assert unfit(load("herd")) is None
+    assert "virtual host only" in (unsupported_reason(parse(clock)) or "")
+    assert unsupported_reason(load("herd")) is None
 
 
 class LoopClock:
@@ -216,7 +216,7 @@
             assert len(got) == 3
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 stranger.sendto(b"x", block.alias(1))
-            await wait_until(lambda: relay.strangers == 1)
+            await wait_until(lambda: relay.unknown_senders == 1)
             writer.close()
         finally:
             one.close()
