--- a/dunlinloft/cli/handlers/exploration.py
+++ b/dunlinloft/cli/handlers/exploration.py
@@ -12,7 +12,15 @@
 from lab.explore.duties import Duties
 from lab.explore.ledger import LedgerSystem
 from lab.explore.membership import MembershipSystem
-from lab.explore.search import Found, Move, System, exhaustive_search_with, random_walk, replay, shorten
+from lab.explore.search import (
+    Move,
+    SearchResult,
+    System,
+    exhaustive_search_with,
+    random_walk,
+    replay,
+    shorten,
+)
 from lab.explore.voters import VotersSystem
 
 # Bounds are small enough for exhaustive search.
@@ -58,16 +66,16 @@
 
 def _bounds(system: System) -> dict[str, int]:
     """Return how often each kind of event may occur in a system."""
-    limits = getattr(system, "_most", None)
+    limits = getattr(system, "_limits", None)
     return limits if limits is not None else {k: v for k, v in vars(system).items() if isinstance(v, int)}
 
 
-def _rate_text(found: Found) -> str:
+def _rate_text(found: SearchResult) -> str:
     states_per_s = found.states / max(1e-3, found.seconds)
     return f"{found.moves} moves in {found.seconds:.0f} s, {states_per_s:.0f} states/s"
 
 
-def _report_violation(system: System, found: Found, trace_file: str | None) -> ExitCode:
+def _report_violation(system: System, found: SearchResult, trace_file: str | None) -> ExitCode:
     trace = shorten(system, found.trace)
     _print_replay(system, trace)
     if trace_file:
--- a/lab/explore/copying.py
+++ b/lab/explore/copying.py
@@ -1,4 +1,4 @@
-"""Copies of cores, and what tells them apart, by their attributes alone."""
+"""Copies and fingerprints of protocol cores, based on their attributes alone."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 ATOMS = (int, float, str, bytes, bool, type(None), frozenset, tuple, Enum, Struct)
 FUNCTIONS = (FunctionType, MethodType, partial)
-WHOLE = "_core"  # the attribute by which a part knows what it is part of
+CORE_ATTRIBUTE = "_core"  # the attribute with which a component refers to its core
 SHARED = (*ATOMS, random.Random)
-PAST_MS = 1.0  # how long ago a time was that has passed does not matter
-FAR_MS = 60_000.0
+MAX_PAST_MS = 1.0  # times further in the past are equivalent
+MAX_FUTURE_MS = 60_000.0  # times further in the future are equivalent
 
 
-class Even(random.Random):
-    """Chance has no part: what depends on it is tried by orders of events instead."""
+class ConstantRandom(random.Random):
+    """Random source with constant results; randomness is covered by exploring orders of events instead."""
 
     def random(self) -> float:
         return 0.5
@@ -29,54 +29,56 @@
         return 0
 
 
-EVEN = Even()
+CONSTANT_RANDOM = ConstantRandom()
 
 
-def names_of(thing: Any) -> list[str]:
-    """The attributes of an object."""
-    slots = [name for kind in type(thing).__mro__ for name in getattr(kind, "__slots__", ())]
-    return [name for name in (*slots, *getattr(thing, "__dict__", ())) if hasattr(thing, name)]
+def names_of(subject: Any) -> list[str]:
+    """Return the names of an object's attributes."""
+    slots = [name for kind in type(subject).__mro__ for name in getattr(kind, "__slots__", ())]
+    return [name for name in (*slots, *getattr(subject, "__dict__", ())) if hasattr(subject, name)]
 
 
-def clone(thing: Any, made: dict[int, Any] | None = None) -> Any:
-    """A copy that shares nothing that can change; functions are left out, to be set anew."""
-    if isinstance(thing, SHARED):
-        return thing
-    made = {} if made is None else made
-    if isinstance(thing, dict):
-        return {key: clone(value, made) for key, value in thing.items()}
-    if isinstance(thing, list):
-        return [clone(item, made) for item in thing]
-    if isinstance(thing, set | deque):
-        return type(thing)(thing)
-    if id(thing) in made:  # a part that knows the whole
-        return made[id(thing)]
-    copy = made[id(thing)] = object.__new__(type(thing))
-    for name in names_of(thing):
-        value = getattr(thing, name)
+def clone(subject: Any, copies: dict[int, Any] | None = None) -> Any:
+    """Return a copy that shares no mutable state; function attributes are omitted and must be set again."""
+    if isinstance(subject, SHARED):
+        return subject
+    copies = {} if copies is None else copies
+    if isinstance(subject, dict):
+        return {key: clone(value, copies) for key, value in subject.items()}
+    if isinstance(subject, list):
+        return [clone(item, copies) for item in subject]
+    if isinstance(subject, set | deque):
+        return type(subject)(subject)
+    if id(subject) in copies:  # a reference back to an object being copied
+        return copies[id(subject)]
+    copy = copies[id(subject)] = object.__new__(type(subject))
+    for name in names_of(subject):
+        value = getattr(subject, name)
         if not isinstance(value, FUNCTIONS):
-            object.__setattr__(copy, name, clone(value, made))
+            object.__setattr__(copy, name, clone(value, copies))
     return copy
 
 
-def mark(thing: Any, now: float) -> Any:
-    """All that matters of an object, with times counted from now."""
-    if isinstance(thing, Struct):
-        return type(thing).__name__, *(mark(getattr(thing, name), now) for name in thing.__struct_fields__)
-    if isinstance(thing, ATOMS):
-        return thing
-    if isinstance(thing, dict):
-        return tuple(sorted((repr(key), mark(value, now)) for key, value in thing.items()))
-    if isinstance(thing, set):
-        return tuple(sorted(map(repr, thing)))
-    if isinstance(thing, list | deque):
-        return tuple(mark(item, now) for item in thing)
+def mark(subject: Any, now: float) -> Any:
+    """Return an object's relevant state, with times relative to `now`."""
+    if isinstance(subject, Struct):
+        return type(subject).__name__, *(
+            mark(getattr(subject, name), now) for name in subject.__struct_fields__
+        )
+    if isinstance(subject, ATOMS):
+        return subject
+    if isinstance(subject, dict):
+        return tuple(sorted((repr(key), mark(value, now)) for key, value in subject.items()))
+    if isinstance(subject, set):
+        return tuple(sorted(map(repr, subject)))
+    if isinstance(subject, list | deque):
+        return tuple(mark(item, now) for item in subject)
     found = []
-    for name in names_of(thing):
-        value = getattr(thing, name)
-        if name == WHOLE or isinstance(value, (*FUNCTIONS, random.Random)):
+    for name in names_of(subject):
+        value = getattr(subject, name)
+        if name == CORE_ATTRIBUTE or isinstance(value, (*FUNCTIONS, random.Random)):
             continue
         if name.endswith(("_ms", "_until")) and isinstance(value, float | int):
-            value = max(-PAST_MS, min(FAR_MS, round(value - now, 1)))
+            value = max(-MAX_PAST_MS, min(MAX_FUTURE_MS, round(value - now, 1)))
         found.append((name, mark(value, now)))
     return tuple(found)
--- a/lab/explore/duties.py
+++ b/lab/explore/duties.py
@@ -1,8 +1,8 @@
-"""Leases: three voters, two candidates, clocks at the ends of the drift, restarts from nothing.
+"""Leases: three voters, two candidates, clock rates at the limits of the drift, restarts without state.
 
-The cores are the very ones; what repeats a lost message or waits between tries is left out, as messages may
-come late and twice anyway and a try may begin at any time. Who was the holder may act at any time with the
-token that it had, as a process does that stood still in the middle of its work.
+The cores are the production ones. Retransmission and retry delays are left out, since messages may arrive late
+and twice anyway and a try may begin at any time. A former holder may act at any time with its old token, like a
+process that was paused in the middle of its work.
 """
 
 from __future__ import annotations
@@ -23,45 +23,44 @@
     TokensResponse,
 )
 from dunlinloft.fleet.leases.voter import Voter
-from lab.explore.copying import EVEN, clone, mark
-from lab.explore.net import Explored, Net, Told
+from lab.explore.copying import CONSTANT_RANDOM, clone, mark
+from lab.explore.net import Explored, ExploredSystem, Net
 from lab.explore.search import Move
 
-DUTY = "d"
-TERM_MS, DRIFT = 1000.0, 0.35  # a drift so great that what it is for shows in few moves
-JUST_MS = 0.5  # after an instant at which something ends
+ROLE = "d"
+TERM_MS, DRIFT = 1000.0, 0.35  # drift large enough for its effects to show in few moves
+AFTER_MS = 0.5  # added to the time at which a term ends or a timer is due
 VOTERS, CANDIDATES = ("v1", "v2", "v3"), ("a", "b")
 RATES = {"v1": 1.15, "v2": 1.15, "v3": 1.0, "a": 0.85, "b": 1.15}  # within the drift of each other
 
 
 class State(Explored):
-    """All processes at one instant."""
+    """All processes at one point in time."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.voters: dict[str, Voter] = {}
         self.candidates: dict[str, Candidate] = {}
-        self.timers: list[
-            tuple[str, LeaseTimer, float, ProposalNumber]
-        ] = []  # whose, what, when by its clock
+        # Candidate, timer, due time by the candidate's clock, proposal.
+        self.timers: list[tuple[str, LeaseTimer, float, ProposalNumber]] = []
         self.guard = FencingGuard()
         self.tries = self.restarts = self.releases = self.waits = 0
-        self.last = 0  # the greatest token of a tenure
+        self.last = 0  # the highest token of any lease
 
     def copy(self) -> Self:
-        """With a guard of its own."""
+        """Return a copy with its own guard."""
         copy = super().copy()
         copy.guard = clone(self.guard)
         return copy
 
     def clock(self, name: str) -> float:
-        """A process's own time."""
+        """Return the time by a process's own clock."""
         return self.now * RATES[name]
 
 
-class Duties(Told):
-    """The system; bounds are how often each may happen."""
+class Duties(ExploredSystem):
+    """The explored system; the arguments limit how often each kind of move may occur."""
 
     name = "duties"
 
@@ -70,11 +69,11 @@
         waits: int = 6,
     ) -> None:  # fmt: skip
         self._held = held
-        self._most = {"tries": tries, "restarts": restarts, "copies": copies, "releases": releases}
-        self._most["waits"] = waits
+        self._limits = {"tries": tries, "restarts": restarts, "copies": copies, "releases": releases}
+        self._limits["waits"] = waits
 
     def initial(self) -> State:
-        """All voters vote and remember; with `held` the first candidate is the holder."""
+        """Return the state with all voters recovered; with `held` the first candidate is the holder."""
         state = State()
         state.voters = {name: self._voter(name, -10.0 * TERM_MS) for name in VOTERS}
         for name, voter in state.voters.items():
@@ -94,13 +93,13 @@
     def _voter(self, name: str, began: float) -> Voter:
         return Voter(name, list(VOTERS), began, TERM_MS, DRIFT)
 
-    def _candidate(self, name: str, life: int) -> tuple[Any, ...]:
-        return DUTY, name, life, list(VOTERS), EVEN, _no_wall, TERM_MS, DRIFT
+    def _candidate(self, name: str, incarnation: int) -> tuple[Any, ...]:
+        return ROLE, name, incarnation, list(VOTERS), CONSTANT_RANDOM, _zero_wall_clock, TERM_MS, DRIFT
 
     def _bind(self, state: State, name: str) -> None:
         candidate = state.candidates[name]
         candidate.set_timer = partial(self._timer, state, name)
-        candidate._wall_clock_ms = _no_wall
+        candidate._wall_clock_ms = _zero_wall_clock
 
     def _timer(
         self, state: State, name: str, what: LeaseTimer, delay_ms: float, ballot: ProposalNumber
@@ -109,7 +108,7 @@
             state.timers.append((name, what, state.clock(name) + delay_ms, ballot))
 
     def _candidate_of(self, state: State, name: str) -> Candidate:
-        """A candidate that may be changed."""
+        """Return a candidate that may be changed."""
         candidate = state.changing(state.candidates, name)
         self._bind(state, name)
         return candidate
@@ -117,23 +116,23 @@
     # Moves
 
     def moves(self, state: State) -> list[Move]:
-        def spare(what: str) -> bool:
-            return bool(getattr(state, what) < self._most[what])
+        def available(what: str) -> bool:
+            return bool(getattr(state, what) < self._limits[what])
 
-        found = state.net.moves(spare("copies"))
+        found = state.net.moves(available("copies"))
         found += [("fire", n) for n, t in enumerate(state.timers) if t[2] <= state.clock(t[0])]
         for name, candidate in state.candidates.items():
-            if spare("tries") and not candidate.is_leader and candidate.step == ProposalStep.IDLE:
+            if available("tries") and not candidate.is_leader and candidate.step == ProposalStep.IDLE:
                 found.append(("try", name))
-            if spare("releases") and candidate.is_leader:
+            if available("releases") and candidate.is_leader:
                 found.append(("release", name))
             if candidate.token > 0 and (candidate.holds(state.clock(name)) or candidate.token < state.last):
                 found.append(("act", name))
-            if spare("restarts"):
+            if available("restarts"):
                 found.append(("restart", name))
-        if spare("restarts"):
+        if available("restarts"):
             found += [("restart", name) for name in VOTERS]
-        if spare("waits"):
+        if available("waits"):
             found.append(("wait",))
         return found
 
@@ -145,18 +144,18 @@
             case ("fire", n):
                 name, what, _, ballot = state.timers.pop(n)
                 self._candidate_of(state, name).timer_fired(what, ballot, state.clock(name))
-                self._take(state, name)
+                self._perform_actions(state, name)
             case ("try", name):
                 state.tries += 1
                 self._candidate_of(state, name).propose(state.clock(name))
-                self._take(state, name)
+                self._perform_actions(state, name)
             case ("release", name):
                 state.releases += 1
                 self._candidate_of(state, name).release("", state.clock(name))
-                self._take(state, name)
+                self._perform_actions(state, name)
             case ("act", name):
                 token = state.candidates[name].token
-                if state.guard.admits(DUTY, token) and token < max(state.guard.highest_tokens.values()):
+                if state.guard.admits(ROLE, token) and token < max(state.guard.highest_tokens.values()):
                     state.broken = f"an act of {name} with the old token {token} was obeyed"
             case ("restart", name):
                 self._restart(state, name)
@@ -168,22 +167,22 @@
         return state
 
     def _next(self, state: State) -> float:
-        """Just after the next instant at which anything ends or comes due: in between nothing changes."""
-        ends = [at / RATES[name] for name, _, at, _ in state.timers]
+        """Return a time just after the next end of a term or due timer; nothing changes before that."""
+        times = [at / RATES[name] for name, _, at, _ in state.timers]
         for name, voter in state.voters.items():
-            ends += [
+            times += [
                 at / RATES[name]
                 for at in (voter._recovery_until_ms, *(s.expires_ms for s in voter._states.values()))
             ]
-        ends += [
+        times += [
             (c.expires_ms - STOP_MARGIN_MS) / RATES[name]
             for name, c in state.candidates.items()
             if c.is_leader
         ]
-        return min((at for at in ends if at > state.now), default=state.now + TERM_MS) + JUST_MS
+        return min((at for at in times if at > state.now), default=state.now + TERM_MS) + AFTER_MS
 
     def _restart(self, state: State, name: str) -> None:
-        """From nothing: all that it knew is gone."""
+        """Restart a process without its previous state."""
         state.restarts += 1
         state.marks.pop(name, None)
         if name in VOTERS:
@@ -200,7 +199,7 @@
         if to in state.candidates:
             if isinstance(message, PrepareResponse | ProposeResponse):
                 self._candidate_of(state, to).handle_response(message, sender, state.clock(to))
-                self._take(state, to)
+                self._perform_actions(state, to)
             return
         voter = state.changing(state.voters, to)
         if isinstance(message, TokensRequest):
@@ -210,7 +209,7 @@
         elif (answer := voter.handle(message, state.clock(to))) is not None:
             state.net.add(sender, to, answer)
 
-    def _take(self, state: State, name: str) -> None:
+    def _perform_actions(self, state: State, name: str) -> None:
         candidate = state.candidates[name]
         for action in candidate.actions:
             match action:
@@ -220,7 +219,7 @@
                     if action.token <= state.last:
                         state.broken = f"{name} began with token {action.token} after {state.last}"
                     state.last = max(state.last, action.token)
-                    state.guard.admits(DUTY, action.token)
+                    state.guard.admits(ROLE, action.token)
                 case LeaseLost():
                     pass
         candidate.actions = []
@@ -230,17 +229,20 @@
         if len(holders) > 1 and not state.broken:
             state.broken = f"{' and '.join(holders)} hold it at {state.now:.0f} ms"
 
-    # Telling states apart
+    # State fingerprints
 
     def mark(self, state: State) -> bytes:
-        """Voters that were not restarted are alike: only what each knows matters, not which it is."""
+        """Encode the state; voters that were not restarted are interchangeable, so names don't matter."""
         marks = state.marks
         for name, voter in state.voters.items():
             if name not in marks:
                 marks[name] = repr(mark(voter, state.clock(name)))
         for name, candidate in state.candidates.items():
             if name not in marks:
-                known = [self._known(candidate, attribute, state.clock(name)) for attribute in CANDIDATE]
+                known = [
+                    self._encode_attribute(candidate, attribute, state.clock(name))
+                    for attribute in CANDIDATE_ATTRIBUTES
+                ]
                 marks[name] = repr(known)
         timers = sorted((name, what, round(at - state.clock(name)), b) for name, what, at, b in state.timers)
         rest = (
@@ -250,29 +252,31 @@
         if state.restarts:
             answers = [(c._prepare_responses, sorted(c._accepted_by)) for c in state.candidates.values()]
             return repr((rest, answers, [marks[v] for v in VOTERS], state.net.marks())).encode()
-        about = {name: self._about(state, name) for name in VOTERS}
-        return repr((rest, sorted((about["v1"], about["v2"])), about["v3"])).encode()
+        encoded_voters = {name: self._encode_voter(state, name) for name in VOTERS}
+        return repr(
+            (rest, sorted((encoded_voters["v1"], encoded_voters["v2"])), encoded_voters["v3"])
+        ).encode()
 
-    def _about(self, state: State, name: str) -> str:
-        """All that there is of a voter: itself, messages to and from it, what the candidates have of it."""
+    def _encode_voter(self, state: State, name: str) -> str:
+        """Encode a voter: its state, messages to and from it, and what the candidates know of it."""
         sent = [
-            (to == name, sender if to == name else to, mark_.replace(name.encode(), b"v"))
-            for (to, sender, _), mark_ in zip(state.net.sent, state.net.marks(), strict=True)
+            (to == name, sender if to == name else to, encoded_message.replace(name.encode(), b"v"))
+            for (to, sender, _), encoded_message in zip(state.net.sent, state.net.marks(), strict=True)
             if name in (to, sender)
         ]
         known = [(c._prepare_responses.get(name), name in c._accepted_by) for c in state.candidates.values()]
         return repr((state.marks[name].replace(name, "v"), sorted(sent), known))
 
-    def _known(self, candidate: Candidate, attribute: str, now: float) -> Any:
+    def _encode_attribute(self, candidate: Candidate, attribute: str, now: float) -> Any:
         value = getattr(candidate, attribute)
         return round(max(-1.0, value - now), 1) if attribute.endswith("_ms") else value
 
 
-CANDIDATE = (
+CANDIDATE_ATTRIBUTES = (
     "step", "proposal", "_round", "_proposed_at_ms", "expires_ms", "token", "_proposed_token",
     "highest_claimed_token", "is_leader", "_incarnation",
 )  # fmt: skip
 
 
-def _no_wall() -> int:
+def _zero_wall_clock() -> int:
     return 0
--- a/lab/explore/ledger.py
+++ b/lab/explore/ledger.py
@@ -1,8 +1,7 @@
-"""The ledger: three voters, holders one after another that do not know of each other, restarts from nothing.
+"""The state table: three voters, successive holders unaware of each other, restarts without state.
 
-A holder never stops by itself here: the one that was replaced goes on reading and writing with its old
-token, which is all that a fence may rest on. What lost messages are repeated for is left out, as messages
-may come late and twice anyway.
+A holder never stops by itself here: a replaced holder continues to read and write with its old token, so that
+safety rests on fencing alone. Retransmission is left out, since messages may arrive late and twice anyway.
 """
 
 from __future__ import annotations
@@ -21,8 +20,8 @@
 )
 from dunlinloft.fleet.leases.table_primary import TablePrimary, TableStep
 from dunlinloft.fleet.leases.table_replica import TableReplica
-from lab.explore.copying import EVEN, mark
-from lab.explore.net import Explored, Told
+from lab.explore.copying import CONSTANT_RANDOM, mark
+from lab.explore.net import Explored, ExploredSystem
 from lab.explore.search import Move
 
 VOTERS, HOLDERS = ("v1", "v2", "v3"), ("h1", "h2", "h3")
@@ -31,20 +30,20 @@
 
 
 class State(Explored):
-    """All processes at one instant."""
+    """All processes at one point in time."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.keepers: dict[str, TableReplica] = {}
-        self.ledgers: dict[str, TablePrimary] = {}
+        self.replicas: dict[str, TableReplica] = {}
+        self.primaries: dict[str, TablePrimary] = {}
         self.begun = self.writes = self.restarts = 0
-        self.acked = 0  # the latest write that was acknowledged,
-        self.known = 0  # and that which the latest opening found: older ones may never be found again
-        self.gone: frozenset[int] = frozenset()  # writes that an opening did not find: they are no more
+        self.acked = 0  # the latest acknowledged write
+        self.known = 0  # the write found at the latest opening; older ones must never be found again
+        self.gone: frozenset[int] = frozenset()  # writes not found at an opening, which must not reappear
 
 
-class LedgerSystem(Told):
-    """The system; bounds are how often each may happen."""
+class LedgerSystem(ExploredSystem):
+    """The explored system; the arguments limit how often each kind of move may occur."""
 
     name = "ledger"
 
@@ -52,17 +51,17 @@
         self._holders, self._writes, self._restarts, self._copies = holders, writes, restarts, copies
 
     def initial(self) -> State:
-        """All voters are ready, and there is nothing."""
+        """Return the state in which all voters are ready and the table is empty."""
         state = State()
         for name in VOTERS:
-            keeper = state.keepers[name] = TableReplica(name, list(VOTERS), 0)
-            keeper.ready, keeper.reading_peers = True, False
+            replica = state.replicas[name] = TableReplica(name, list(VOTERS), 0)
+            replica.ready, replica.reading_peers = True, False
         return state
 
-    def _ledger(self, state: State, name: str) -> TablePrimary:
-        ledger = state.changing(state.ledgers, name)
-        ledger.set_timer = _no_timer
-        return ledger
+    def _primary(self, state: State, name: str) -> TablePrimary:
+        primary = state.changing(state.primaries, name)
+        primary.set_timer = _no_timer
+        return primary
 
     def moves(self, state: State) -> list[Move]:
         found = state.net.moves(state.copies < self._copies)
@@ -70,10 +69,12 @@
             found.append(("begin", HOLDERS[state.begun]))
         if state.writes < self._writes:
             found += [
-                ("write", name) for name, ledger in state.ledgers.items() if ledger.step == TableStep.OPEN
+                ("write", name) for name, primary in state.primaries.items() if primary.step == TableStep.OPEN
             ]
-        if state.restarts < self._restarts and all(keeper.ready for keeper in state.keepers.values()):
-            found += [("restart", name) for name in VOTERS]  # of three one may have forgotten at a time
+        if state.restarts < self._restarts and all(replica.ready for replica in state.replicas.values()):
+            found += [
+                ("restart", name) for name in VOTERS
+            ]  # of three voters only one may be without state at a time
         return found
 
     def apply(self, state: State, move: Move) -> State:
@@ -83,76 +84,76 @@
                 self._deliver(state, *state.take(move))
             case ("begin", name):
                 state.begun += 1
-                state.ledgers[name] = TablePrimary(list(VOTERS), EVEN)
-                state.ledgers[name].set_timer = _no_timer
-                state.ledgers[name].start(state.begun)
-                self._take(state, name)
+                state.primaries[name] = TablePrimary(list(VOTERS), CONSTANT_RANDOM)
+                state.primaries[name].set_timer = _no_timer
+                state.primaries[name].start(state.begun)
+                self._perform_actions(state, name)
             case ("write", name):
                 state.writes += 1
-                self._ledger(state, name).write(KEY, bytes([state.writes]), state.writes)
-                self._take(state, name)
+                self._primary(state, name).write(KEY, bytes([state.writes]), state.writes)
+                self._perform_actions(state, name)
             case ("restart", name):
                 state.restarts += 1
-                keeper = state.keepers[name] = TableReplica(name, list(VOTERS), state.restarts)
+                replica = state.replicas[name] = TableReplica(name, list(VOTERS), state.restarts)
                 state.marks.pop(name, None)
-                for tell in keeper.recovery_requests():
-                    state.net.add(tell.recipient, name, tell.message)
+                for request in replica.recovery_requests():
+                    state.net.add(request.recipient, name, request.message)
         return state
 
     def _deliver(self, state: State, to: str, sender: str, message: Any) -> None:
         if to in HOLDERS:
-            if to in state.ledgers:
-                self._ledger(state, to).handle(message, sender)
-                self._take(state, to)
+            if to in state.primaries:
+                self._primary(state, to).handle(message, sender)
+                self._perform_actions(state, to)
             return
-        keeper = state.changing(state.keepers, to)
+        replica = state.changing(state.replicas, to)
         match message:
             case TableRead():
-                answer: TablePage | TableWriteAck | None = keeper.handle_read(message)
+                answer: TablePage | TableWriteAck | None = replica.handle_read(message)
             case TableWrite():
-                answer = keeper.handle_write(message)
+                answer = replica.handle_write(message)
             case TablePage():
-                for tell in keeper.handle_recovery_page(message, sender):
-                    state.net.add(tell.recipient, to, tell.message)
+                for request in replica.handle_recovery_page(message, sender):
+                    state.net.add(request.recipient, to, request.message)
                 return
         if answer is not None:
             state.net.add(sender, to, answer)
 
-    def _take(self, state: State, name: str) -> None:
-        ledger = state.ledgers[name]
-        for action in ledger.actions:
+    def _perform_actions(self, state: State, name: str) -> None:
+        primary = state.primaries[name]
+        for action in primary.actions:
             match action:
                 case SendMessage():
                     state.net.add(action.recipient, name, action.message)
                 case TableOpened():
-                    self._opened(state, name, ledger)
+                    self._check_opened(state, name, primary)
                 case WriteCompleted() if action.committed:
                     if action.request_id in state.gone:
                         state.broken = f"write {action.request_id} is acknowledged, and a successor lacks it"
                     state.acked = max(state.acked, action.request_id)
-        ledger.actions = []
+        primary.actions = []
 
-    def _opened(self, state: State, name: str, ledger: TablePrimary) -> None:
-        """A holder says what there is: never less than was acknowledged, and never what was gone."""
-        row = ledger.rows.get(KEY)
+    def _check_opened(self, state: State, name: str, primary: TablePrimary) -> None:
+        """Check the row at an opening: not older than acknowledged, and not one that was gone before."""
+        row = primary.rows.get(KEY)
         found = row.value[0] if row is not None else 0
-        newest = ledger.token == max(other.token for other in state.ledgers.values())
+        newest = primary.token == max(other.token for other in state.primaries.values())
         if not newest:
-            return  # it is being replaced: whatever it writes is refused
+            return  # already replaced: its writes are rejected
         if found < state.acked:
             state.broken = f"{name} finds write {found}, and write {state.acked} was acknowledged"
         elif found in state.gone:
             state.broken = f"{name} finds write {found}, which a former holder did not"
         elif found < state.known:
             state.broken = f"{name} finds write {found}, and a former holder found {state.known}"
-        # A later write of the same key replaces an earlier one; what is later than what is found is no more.
+        # A later write of a key replaces an earlier one; writes later than the one found are gone.
         state.known = max(state.known, found)
         state.gone |= frozenset(range(found + 1, state.writes + 1))
 
     def mark(self, state: State) -> bytes:
-        for name, thing in (*state.keepers.items(), *state.ledgers.items()):
+        for name, core in (*state.replicas.items(), *state.primaries.items()):
             if name not in state.marks:
-                state.marks[name] = repr(mark(thing, 0.0)).encode()
+                state.marks[name] = repr(mark(core, 0.0)).encode()
         budgets = (
             state.begun,
             state.writes,
@@ -162,14 +163,14 @@
             state.known,
             sorted(state.gone),
         )
-        rest = repr((budgets, state.broken)).encode()
+        encoded_rest = repr((budgets, state.broken)).encode()
         if state.restarts:
             order = sorted(state.marks)
-            return rest + b"".join(state.marks[name] for name in order) + b"".join(state.net.marks())
-        # Voters are alike: of all ways to name them the one with the least text stands for all.
-        return rest + min(self._named(state, order) for order in ORDERS)
+            return encoded_rest + b"".join(state.marks[name] for name in order) + b"".join(state.net.marks())
+        # Voters are interchangeable: of all permutations, the smallest encoding represents the state.
+        return encoded_rest + min(self._encode_with_order(state, order) for order in ORDERS)
 
-    def _named(self, state: State, order: tuple[str, ...]) -> bytes:
+    def _encode_with_order(self, state: State, order: tuple[str, ...]) -> bytes:
         names = [(name.encode(), b"#%d" % n) for n, name in enumerate(order)]
 
         def renamed(text: bytes) -> bytes:
@@ -182,4 +183,4 @@
 
 
 def _no_timer(delay_ms: float, tick: int) -> None:
-    """Nothing is repeated."""
+    """Set no timer: nothing is retransmitted."""
--- a/lab/explore/membership.py
+++ b/lab/explore/membership.py
@@ -1,7 +1,7 @@
 """Membership: three members, messages in any order, a kill, a leave and a restart under the same name.
 
-What must hold at every change of any view: keys only rise, so nobody who has died, left or been replaced
-comes back by old news.
+Invariant at every change of any view: precedence keys only increase, so no stale update revives a member that
+has died, left or been replaced.
 """
 
 from __future__ import annotations
@@ -9,18 +9,18 @@
 from dunlinloft.fleet import interface as api
 from dunlinloft.fleet.membership.core import Membership
 from dunlinloft.fleet.messages import DEAD, LEFT
-from lab.explore.copying import EVEN, mark
-from lab.explore.net import Explored, Net, Told
+from lab.explore.copying import CONSTANT_RANDOM, mark
+from lab.explore.net import Explored, ExploredSystem, Net
 from lab.explore.search import Move
 
 NAMES = ("m1", "m2", "m3")
 STEP_MS = 250.0
-MOST_TIMERS = 24  # of a member that are kept; later ones come when those have fired
+MAX_TIMERS = 24  # pending timers kept per member
 Key = tuple[int, bool, int, int]
 
 
 class State(Explored):
-    """All members at one instant."""
+    """All members at one point in time."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -28,12 +28,12 @@
         self.cores: dict[str, Membership] = {}
         self.alive: dict[str, bool] = {}
         self.timers: dict[str, list[tuple[float, int]]] = {}
-        self.keys: dict[tuple[str, str], Key] = {}  # as of each view
+        self.keys: dict[tuple[str, str], Key] = {}  # by viewer and member
         self.waits = self.kills = self.starts = 0
 
 
-class MembershipSystem(Told):
-    """The system; bounds are how often each may happen."""
+class MembershipSystem(ExploredSystem):
+    """The explored system; the arguments limit how often each kind of move may occur."""
 
     name = "membership"
 
@@ -41,28 +41,30 @@
         self._waits, self._kills, self._starts, self._copies = waits, kills, starts, copies
 
     def initial(self) -> State:
-        """All three know each other."""
+        """Return the state in which all three members know each other."""
         state = State()
         for n, name in enumerate(NAMES):
             self._start(state, name, n + 1)
         for a in NAMES:
             for b in NAMES:
                 if a != b:
-                    self._give(state, a, api.PushPullReceived(state.cores[b].state(), f"at {b}", True))
+                    self._handle_event(
+                        state, a, api.PushPullReceived(state.cores[b].state(), f"at {b}", True)
+                    )
         state.net = Net()
         return state
 
-    def _start(self, state: State, name: str, life: int) -> None:
+    def _start(self, state: State, name: str, incarnation: int) -> None:
         seeds = [f"at {NAMES[0]}", f"at {NAMES[1]}"]
-        state.cores[name] = Membership(name, f"at {name}", seeds, life, life, EVEN)
+        state.cores[name] = Membership(name, f"at {name}", seeds, incarnation, incarnation, CONSTANT_RANDOM)
         state.alive[name] = True
         state.timers[name] = []
         state.keys = {pair: key for pair, key in state.keys.items() if pair[0] != name}
         state.marks.pop(name, None)
-        self._give(state, name, api.Started())
+        self._handle_event(state, name, api.Started())
 
     def _core(self, state: State, name: str) -> Membership:
-        """A member that may be changed."""
+        """Return a member that may be changed."""
         return state.changing(state.cores, name)
 
     def moves(self, state: State) -> list[Move]:
@@ -73,7 +75,9 @@
                 if state.kills < self._kills:
                     found += [("kill", name), ("leave", name)]
             if state.starts < self._starts:
-                found.append(("start", name))  # also while it runs: from nothing, under the same name
+                found.append(
+                    ("start", name)
+                )  # also while it runs: a restart without state under the same name
         if state.waits < self._waits:
             found.append(("wait",))
         return found
@@ -85,20 +89,20 @@
                 to, sender, message = state.take(move)
                 if state.alive[to]:
                     self._core(state, to)
-                    self._give(state, to, api.MessageReceived(message, f"at {sender}"))
+                    self._handle_event(state, to, api.MessageReceived(message, f"at {sender}"))
             case ("fire", name, n):
                 timers = list(state.timers[name])
                 _, token = timers.pop(n)
                 state.timers[name] = timers
                 self._core(state, name)
-                self._give(state, name, api.TimerFired(token))
+                self._handle_event(state, name, api.TimerFired(token))
             case ("kill", name):
                 state.kills += 1
                 state.alive[name] = False
             case ("leave", name):
                 state.kills += 1
                 self._core(state, name)
-                self._give(state, name, api.LeaveRequested())
+                self._handle_event(state, name, api.LeaveRequested())
                 state.alive[name] = False
             case ("start", name):
                 state.starts += 1
@@ -108,26 +112,33 @@
                 state.now += STEP_MS
         return state
 
-    def _give(self, state: State, name: str, event: api.Event) -> None:
+    def _handle_event(self, state: State, name: str, event: api.Event) -> None:
         for action in state.cores[name].handle(event, state.now):
             match action:
                 case api.SendDatagram() if action.address.startswith("at "):
                     state.net.add(action.address.removeprefix("at "), name, action.message)
                 case api.SetTimer():
                     due = state.now + action.delay_ms, action.token
-                    state.timers[name] = sorted([*state.timers[name], due])[:MOST_TIMERS]
+                    state.timers[name] = sorted([*state.timers[name], due])[:MAX_TIMERS]
                 case api.MemberChanged():
                     self._changed(state, name, action.name)
 
     def _changed(self, state: State, viewer: str, name: str) -> None:
         member = state.cores[viewer].view.members[name]
-        key, before = member.precedence(), state.keys.get((viewer, name))
-        if before is not None and key < before:
-            state.broken = f"{viewer} goes back on {name}, {before} to {key}"
-        elif before is not None and before[3] in (DEAD, LEFT) and member.is_alive() and key[0] == before[0]:
-            # Only a word of its own, a higher revision, may bring back one that died; none one that left.
-            old = before[1] or key[2] <= before[2]
-            state.broken = f"{name} is back for {viewer} by old news, {before} to {key}" if old else ""
+        key, previous_key = member.precedence(), state.keys.get((viewer, name))
+        if previous_key is not None and key < previous_key:
+            state.broken = f"{viewer} goes back on {name}, {previous_key} to {key}"
+        elif (
+            previous_key is not None
+            and previous_key[3] in (DEAD, LEFT)
+            and member.is_alive()
+            and key[0] == previous_key[0]
+        ):
+            # A dead member may return only by its own higher revision; one that left may not return.
+            is_stale = previous_key[1] or key[2] <= previous_key[2]
+            state.broken = (
+                f"{name} is back for {viewer} by old news, {previous_key} to {key}" if is_stale else ""
+            )
         state.keys[viewer, name] = key
 
     def mark(self, state: State) -> bytes:
--- a/lab/processes/host.py
+++ b/lab/processes/host.py
@@ -339,7 +339,7 @@
         self.tell(records.Process(self.now(), name, "ready"))
 
     async def _watch_ready(self, name: str) -> None:
-        """Poll a node's readiness as the front does; an unreachable node is withdrawn after the notice time."""
+        """Poll a node's readiness as the front does; unreachable ones are withdrawn after the notice time."""
         address = self.block.node(self.places[name])
         unreachable_ms = not_ready_ms = -1.0
         while True:
