--- a/dunlinloft/cli/handlers/scale.py
+++ b/dunlinloft/cli/handlers/scale.py
@@ -17,7 +17,7 @@
 from dunlinloft.cli.tables import PLAIN_STYLE
 from dunlinloft.exceptions import DunlinloftError
 from lab.runner import SeedListError, read_seeds
-from lab.scale.fit import Line
+from lab.scale.fit import FittedLine
 from lab.scale.limits import Refused
 from lab.scale.plan import Plan, Results, Sample
 from lab.scale.run import play, write
@@ -208,7 +208,7 @@
     return table
 
 
-def _fit_table(fits: dict[str, Line], target: float) -> Table:
+def _fit_table(fits: dict[str, FittedLine], target: float) -> Table:
     table = Table("line through it", **PLAIN_STYLE)
     for column in ("a member", "± s.e.", "at 0", "± s.e.", "r²", f"at {target:,.0f}", "± s.e."):
         table.add_column(column, justify="right")
--- a/lab/explore/duties.py
+++ b/lab/explore/duties.py
@@ -1,8 +1,8 @@
 """Leases: three voters, two candidates, clock rates at the limits of the drift, restarts without state.
 
-The cores are the production ones. Retransmission and retry delays are left out, since messages may arrive late
-and twice anyway and a try may begin at any time. A former holder may act at any time with its old token, like a
-process that was paused in the middle of its work.
+The cores are the production ones. Retransmission and retry delays are left out, since messages may arrive
+late and twice anyway and a try may begin at any time. A former holder may act at any time with its old token,
+like a process that was paused in the middle of its work.
 """
 
 from __future__ import annotations
--- a/lab/scale/directory.py
+++ b/lab/scale/directory.py
@@ -1,4 +1,4 @@
-"""The directory's processes of a scale run with cells: real ones, each with an admin endpoint."""
+"""Real directory processes of a scale run with cells, each with an admin endpoint."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from lab.processes.child import Child, environment
 from lab.scale.plan import Plan
 
-READY_S, LOOK_S = 30.0, 0.1
+READY_TIMEOUT_S, POLL_INTERVAL_S = 30.0, 0.1
 SERVICE, REGION = "scale", "one"
-SENT = {"sent": "directory_messages_s", "sent_bytes": "directory_bytes_s"}
+TRAFFIC_FIGURES = {"sent": "directory_messages_s", "sent_bytes": "directory_bytes_s"}
 
 
 class DirectoryProcesses:
-    """So many processes of `python -m dunlinloft.node.fleet.directory`."""
+    """The processes of `python -m dunlinloft.node.fleet.directory`."""
 
     def __init__(self, plan: Plan, block: Block, loop: asyncio.AbstractEventLoop, folder: Path) -> None:
         self._loop, self._folder = loop, folder
@@ -29,29 +29,29 @@
         self._children: list[Child] = []
 
     def addresses(self) -> list[str]:
-        """Where members ask."""
+        """Return the addresses for members' lookups."""
         return [text(place) for place in self._places]
 
     async def start(self, fleet: str) -> None:
-        """Start them; `TimeoutError` where one does not answer within `READY_S`."""
-        for n, at in enumerate(self.addresses()):
+        """Start all processes; raises `TimeoutError` if one does not answer within `READY_TIMEOUT_S`."""
+        for n, address in enumerate(self.addresses()):
             config = {
                 "name": f"d{n + 1}", "seed": f"{n:08x}", "management": text(self._admins[n]),
-                "fleet": {"name": fleet, "bind": at, "seeds": self.addresses()[:3]},
+                "fleet": {"name": fleet, "bind": address, "seeds": self.addresses()[:3]},
             }  # fmt: skip
             path = self._folder / f"directory-{n}.json"
             path.write_text(json.dumps(config))
-            told = environment(self._folder, NODE_CONFIG=str(path))
+            child_environment = environment(self._folder, NODE_CONFIG=str(path))
             command = [sys.executable, "-B", "-m", "dunlinloft.node.fleet.directory"]
             log = self._folder / f"directory-{n}.log"
-            self._children.append(Child(self._loop, command, told, log, ()))
-        async with asyncio.timeout(READY_S):
+            self._children.append(Child(self._loop, command, child_environment, log, ()))
+        async with asyncio.timeout(READY_TIMEOUT_S):
             for admin in self._admins:
                 while (await call(admin, "GET", "/admin/health"))[0] != 200:
-                    await asyncio.sleep(LOOK_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
 
     async def look(self) -> list[dict[str, float]]:
-        """What each has sent and used until now."""
+        """Return each process's message counts and resource usage so far."""
         answers = await asyncio.gather(*(call(admin, "GET", "/admin/fleet") for admin in self._admins))
         counts = [content["counts"] if status == 200 else {} for status, content in answers]
         return [child.usage() | count for child, count in zip(self._children, counts, strict=True)]
@@ -59,19 +59,19 @@
     def figures(
         self, before: list[dict[str, float]], after: list[dict[str, float]], passed_s: float
     ) -> dict[str, float]:
-        """What a process of the directory sent and used, on average."""
+        """Return the mean traffic and resource usage per directory process."""
 
         def rate(what: str) -> float:
             return float(
                 np.mean([b.get(what, 0) - a.get(what, 0) for a, b in zip(before, after, strict=True)])
             )
 
-        found = {name: rate(what) / passed_s for what, name in SENT.items()}
+        found = {name: rate(what) / passed_s for what, name in TRAFFIC_FIGURES.items()}
         memory = float(np.mean([usage.get("memory_mb", 0.0) for usage in after]))
         cpu = 1000.0 * rate("cpu_s") / passed_s
         return found | {"directory_cpu_ms_s": cpu, "directory_memory_mb": memory}
 
     def close(self) -> None:
-        """End them."""
+        """Kill the processes."""
         for child in self._children:
             child.close()
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -1,4 +1,4 @@
-"""A process of hollow members: the node's own fleet part on real sockets, many times, no request path."""
+"""A process with many hollow members: the node's fleet code on real sockets, without a request path."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from dunlinloft.node.fleet.peers import MemberIdentity, Peers
 from lab.scale import talk
 
-TURN_S = 0.05  # how often it is looked whether this process is late
+DELAY_CHECK_S = 0.05  # interval of checking this process's scheduling delay
 
 
 class HollowMember(Peers):
-    """A member that tells whoever watches of deaths in its view."""
+    """A member that records the deaths in its view."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, deaths: list[talk.Death]) -> None:
         assert config.fleet is not None
@@ -34,7 +34,7 @@
         super()._perform(action)
 
     def holds(self, name: str) -> bool:
-        """Whether it takes this member to be there."""
+        """Return whether it considers this member alive."""
         member = self.core.view.get(name)
         return member is not None and member.is_alive()
 
@@ -46,42 +46,42 @@
         self._loop = loop
         self._members: dict[str, HollowMember] = {}
         self._deaths: list[talk.Death] = []
-        self._gone: Counter[str] = Counter()  # what dropped members had counted
+        self._dropped_counts: Counter[str] = Counter()  # counts of dropped members
         self._late_s = 0.0
-        self._watch(loop.time())
+        self._check_delay(loop.time())
 
-    def _watch(self, due_s: float) -> None:
+    def _check_delay(self, due_s: float) -> None:
         self._late_s = max(self._late_s, self._loop.time() - due_s)
-        due_s = self._loop.time() + TURN_S
-        self._loop.call_at(due_s, self._watch, due_s)
+        due_s = self._loop.time() + DELAY_CHECK_S
+        self._loop.call_at(due_s, self._check_delay, due_s)
 
     async def answer(self, command: talk.Command) -> talk.Answer:
-        """Do what is asked."""
+        """Execute a command."""
         match command:
             case talk.Hold():
-                before = self._look()
+                seen_before = self._look()
                 self._hold(command)
-                return before
+                return seen_before
             case talk.Go():
                 for member in self._members.values():
                     member.start()
             case talk.Drop():
                 member = self._members.pop(command.name)
-                self._gone.update(member.counts)
+                self._dropped_counts.update(member.counts)
                 member.leave_fleet(handing_over=True)
             case talk.Holders():
                 return talk.Holding(sum(member.holds(command.name) for member in self._members.values()))
         return self._look()
 
     def _hold(self, command: talk.Hold) -> None:
-        for obj in command.members:
-            config = parse_config(obj)
+        for member_config in command.members:
+            config = parse_config(member_config)
             self._members[config.name] = HollowMember(self._loop, config, self._deaths)
         gc.collect()
         gc.freeze()  # as a node does once it has started
 
     def _look(self) -> talk.Seen:
-        counts = Counter(self._gone)
+        counts = Counter(self._dropped_counts)
         for member in self._members.values():
             counts.update(member.counts)
         late_ms, self._late_s = 1000.0 * self._late_s, 0.0
--- a/lab/scale/judge.py
+++ b/lab/scale/judge.py
@@ -1,4 +1,4 @@
-"""What is made of views and deaths: pure, so that tests can plant what must be caught."""
+"""Evaluation of views and deaths, as pure functions that tests can call with planted faults."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def agreed(views: Iterable[tuple[str, int]], parts: bool) -> bool:
-    """Whether views agree: as many members hold a view as that view has members, and all hold the same one.
+    """Return whether all members hold the same view and their number equals that view's member count.
 
-    With `parts` it may be several views, each agreed upon by those who are in it.
+    With `parts` there may be several views, each held by as many members as it has.
     """
     views = list(views)
     holders = Counter(digest for digest, _ in views)
@@ -21,13 +21,13 @@
 def judge(
     deaths: Iterable[talk.Death], ended: dict[str, float]
 ) -> tuple[list[talk.Death], dict[str, list[float]]]:
-    """Deaths of members that lived, and, of those that had ended, how long until each observer knew."""
-    false: list[talk.Death] = []
+    """Return the false deaths and, for each ended member, the detection time of each observer."""
+    false_deaths: list[talk.Death] = []
     known: dict[str, list[float]] = {name: [] for name in ended}
     for death in deaths:
-        took_s = death.at_s - ended.get(death.name, float("inf"))
-        if took_s < 0.0:
-            false.append(death)
+        detection_s = death.at_s - ended.get(death.name, float("inf"))
+        if detection_s < 0.0:
+            false_deaths.append(death)
         else:
-            known[death.name].append(took_s)
-    return false, known
+            known[death.name].append(detection_s)
+    return false_deaths, known
--- a/lab/scale/limits.py
+++ b/lab/scale/limits.py
@@ -1,6 +1,6 @@
-"""What a machine can't hold is refused before anything is started, with one line that says why.
+"""Checks before a scale run whether the machine has the resources for it, with a one-line reason if not.
 
-The costs are those measured with this program; `docs/lab.md` has the runs. They are rounded up.
+The costs are measured with this program (runs in `docs/lab.md`) and rounded up.
 """
 
 from __future__ import annotations
@@ -9,32 +9,32 @@
 
 from dunlinloft.node.fleet.peers import MAX_INBOUND_STREAMS, MAX_OUTBOUND_STREAMS
 from dunlinloft.node.fleet_config import MIN_CELL_SIZE
-from lab.scale.plan import CELLS_APART_S, Machine, Plan
+from lab.scale.plan import CELL_JOIN_INTERVAL_S, Machine, Plan
 
-LOCK = ("127.15.0.1", 7398)  # whoever listens here is the one scale run of this machine
-MOST_PROCESSES = 300
-MEMORY_SHARE, CPU_SHARE = 0.5, 0.7  # of the machine's
-LEAST_SIZES = 4  # for a slope
+LOCK = ("127.15.0.1", 7398)  # listening here claims the machine's only scale run
+MAX_PROCESSES = 300
+MEMORY_SHARE, CPU_SHARE = 0.5, 0.7  # of the machine
+MIN_SIZES = 4  # different sizes needed for a slope
 LAB_MB, HOST_MB, NODE_MB = 150.0, 32.0, 40.0  # this process, a hollow process, a node
-MEMBER_MB, ENTRY_KB = 0.1, 2.0  # a hollow member, and each that it has in view
-MEMBER_MS, ENTRY_US = 2.0, 2.0  # of a core a second: a member, and each that it has in view
-NODE_MS, REQUEST_MS = 10.0, 1.0  # of a core: a node a second, and each of its requests
+MEMBER_MB, ENTRY_KB = 0.1, 2.0  # a hollow member, and an entry in its view
+MEMBER_MS, ENTRY_US = 2.0, 2.0  # core time per second: a member, and an entry in its view
+NODE_MS, REQUEST_MS = 10.0, 1.0  # core time: a node per second, and a request
 VIRTUAL_ENTRY_KB = 3.0
-VIRTUAL_ENTRY_US, VIRTUAL_MEMBER_MS = 30.0, 0.6  # of a core: an entry at the start, a member and second
-START_S, JOIN_S, KNOWN_S = 2.0, 10.0, 4.0  # about what a start, an agreement and a crash take
-OWN_FILES = 64  # descriptors of a process beside its members' own
+VIRTUAL_ENTRY_US, VIRTUAL_MEMBER_MS = 30.0, 0.6  # core time: an entry at the start; a member per second
+START_S, JOIN_S, KNOWN_S = 2.0, 10.0, 4.0  # approximate durations of a start, a join and a crash detection
+OWN_FILES = 64  # descriptors of a process besides its members'
 MEMBER_FILES = 2 + MAX_INBOUND_STREAMS + MAX_OUTBOUND_STREAMS
 
 
 class Refused(Exception):
-    """What this machine can't hold, in one line."""
+    """The run exceeds the limits of this machine; the message is one line."""
 
 
 def check(plan: Plan, machine: Machine) -> None:
-    """Raise `Refused` for the first thing that can't be."""
+    """Raise `Refused` for the first limit that the plan exceeds."""
     for what, sizes in (("sizes", plan.sizes), ("virtual sizes", plan.virtual_sizes)):
-        if sizes and len(set(sizes)) < LEAST_SIZES:
-            raise Refused(f"{len(set(sizes))} {what}: a slope needs {LEAST_SIZES} different ones or more")
+        if sizes and len(set(sizes)) < MIN_SIZES:
+            raise Refused(f"{len(set(sizes))} {what}: a slope needs {MIN_SIZES} different ones or more")
     if not plan.sizes and not plan.virtual_sizes:
         raise Refused("no sizes: nothing to play")
     for size in sorted(plan.sizes):
@@ -59,10 +59,10 @@
             f"cells of {plan.cells}: a cell takes {MIN_CELL_SIZE} members or more; 0 is one flat fleet"
         )
     processes = len(plan.hosts(size)) + plan.nodes + (plan.directory if plan.cells else 0)
-    if processes > MOST_PROCESSES:
-        least = -(-plan.hollow(size) // (MOST_PROCESSES - plan.nodes))
+    if processes > MAX_PROCESSES:
+        least = -(-plan.hollow(size) // (MAX_PROCESSES - plan.nodes))
         raise Refused(
-            f"size {size}: needs {processes} processes, and {MOST_PROCESSES} are allowed: {least} members a "
+            f"size {size}: needs {processes} processes, and {MAX_PROCESSES} are allowed: {least} members a "
             "process or more"
         )
     files = max(plan.hosts(size)) * MEMBER_FILES + OWN_FILES
@@ -89,44 +89,44 @@
 
 
 def sockets_mb(plan: Plan, size: int) -> float:
-    """What a size takes in memory, about."""
+    """Estimate the memory needed for a size."""
     members = plan.hollow(size) * (MEMBER_MB + plan.seen(size) * ENTRY_KB / 1024.0)
     processes = plan.nodes + (plan.directory if plan.cells else 0)
     return LAB_MB + len(plan.hosts(size)) * HOST_MB + processes * NODE_MB + members
 
 
 def virtual_mb(size: int) -> float:
-    """What a size in virtual time takes in memory, about."""
+    """Estimate the memory needed for a size in virtual time."""
     return LAB_MB + size * (MEMBER_MB + size * VIRTUAL_ENTRY_KB / 1024.0)
 
 
 def cores(plan: Plan, size: int) -> float:
-    """What a size takes of cores in its quiet state, about."""
+    """Estimate the cores used by a size in its steady state."""
     member_s = (MEMBER_MS + plan.seen(size) * ENTRY_US / 1000.0) / 1000.0
     return plan.hollow(size) * member_s + plan.nodes * (NODE_MS + plan.rate_per_s * REQUEST_MS) / 1000.0
 
 
 def size_s(plan: Plan, size: int) -> float:
-    """How long a size takes, about."""
+    """Estimate the duration of a size."""
     crashes = plan.chosen_victims(size) * KNOWN_S if size else 0.0
-    joins = len(plan.hosts(size)) * CELLS_APART_S if size and plan.cells else 0.0
+    joins = len(plan.hosts(size)) * CELL_JOIN_INTERVAL_S if size and plan.cells else 0.0
     return START_S + (JOIN_S if size else 0.0) + joins + plan.settle_s + plan.seconds + crashes
 
 
 def virtual_s(plan: Plan, size: int) -> float:
-    """How long a size in virtual time takes, about."""
+    """Estimate the duration of a size in virtual time."""
     played_s = plan.virtual_settle_s + plan.virtual_seconds + plan.victims * KNOWN_S
     return size * (size * VIRTUAL_ENTRY_US / 1e6 + played_s * VIRTUAL_MEMBER_MS / 1000.0) + 2.0
 
 
 def duration_s(plan: Plan) -> float:
-    """How long the whole run takes, about."""
+    """Estimate the duration of the whole run."""
     real = sum(size_s(plan, size) for size in (0, *plan.sizes)) if plan.sizes else 0.0
     return len(plan.seeds) * (real + sum(virtual_s(plan, size) for size in plan.virtual_sizes))
 
 
 def claim() -> socket.socket:
-    """The one lock of all scale runs on this machine: the kernel ends it however the run ends."""
+    """Claim the machine-wide lock of scale runs; the kernel releases it however the run ends."""
     lock = socket.socket()
     try:
         lock.bind(LOCK)
--- a/lab/scale/nodes.py
+++ b/lab/scale/nodes.py
@@ -1,4 +1,4 @@
-"""Real nodes under load beside hollow members: the lab's processes, stand-ins and callers, no relay."""
+"""Real nodes under load next to hollow members: the process host with servers and callers, without relay."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 def day(nodes: int, rate_per_s: float, length_s: float, fleet: bool) -> Scenario:
-    """What the nodes have to do: so many requests a second each, drawn by the seed, and no fault."""
+    """Return a scenario without faults, with a request rate per node and arrivals drawn from the seed."""
     return parse(
         DAY.format(nodes=nodes, rate_per_s=nodes * rate_per_s, length_s=length_s, fleet=str(fleet).lower())
     )
 
 
 class RealNodes(ProcessHost):
-    """Nodes whose peers are told their own addresses."""
+    """Nodes that advertise their own addresses to their peers."""
 
     def __init__(
         self, plan: DayPlan, loop: asyncio.AbstractEventLoop, folder: Path,
@@ -67,15 +67,15 @@
             self._late.append(record)
 
     def usage(self) -> dict[str, dict[str, float]]:
-        """Memory and processor time of each node."""
+        """Return the memory usage and CPU time of each node."""
         return {name: children[-1].usage() for name, children in self._children.items() if children}
 
     def pids(self) -> list[int]:
-        """Of all processes that run."""
+        """Return the pids of all running processes."""
         return [child.pid for children in self._children.values() for child in children if child.alive()]
 
     async def views(self) -> dict[str, dict[str, Any]]:
-        """What each node tells of its fleet; nothing of those that don't answer."""
+        """Return each node's view of its fleet, without nodes that don't answer."""
         children = {name: children[-1] for name, children in self._children.items() if children}
         answers = await asyncio.gather(
             *(call(self._admins[child.pid], "GET", "/admin/fleet") for child in children.values())
@@ -87,7 +87,7 @@
         }
 
     def served(self, from_ms: float, to_ms: float) -> tuple[dict[str, float], dict[str, int]]:
-        """Latency of what was served in this time, and how all requests ended."""
+        """Return the latency of requests served in an interval, and the outcomes of all requests."""
         closed = [record for record in self._closed if from_ms <= record.at < to_ms]
         outcomes = Counter(record.outcome for record in closed)
         delays = [record.delay_ms for record in closed if record.outcome in ("in_time", "late")]
@@ -97,5 +97,5 @@
         return {"node_p50_ms": p50, "node_p99_ms": p99}, dict(outcomes)
 
     def late_ms(self, from_ms: float, to_ms: float) -> float:
-        """How late the lab itself was at most in this time: above 20 ms it is noted."""
+        """Return the maximum scheduling delay of the lab in an interval; delays above 20 ms are recorded."""
         return max((r.late_ms for r in self._late if r.who == "lab" and from_ms <= r.at < to_ms), default=0.0)
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""Plays a scale run: all sizes one after another, then the slopes. Nothing outlives it, however it ends."""
+"""Executes a scale run: all sizes in sequence, then the fits. All processes end with it, however it ends."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from lab.scale.size import SizeRun, TooMuchMemory
 from lab.scale.worker import Worker
 
-Say = Callable[[str], None]
-SLOWER = 5.0  # than estimated, and a size in virtual time is given up
+ProgressCallback = Callable[[str], None]
+MAX_SLOWDOWN = 5.0  # multiple of the estimated time after which a size in virtual time is aborted
 
 
-def play(plan: Plan, say: Say, keep: Callable[[Results], None]) -> Results:
-    """All of it; `keep` hears the results after each size. Raises `Refused`, `WorkerDied`."""
+def play(plan: Plan, say: ProgressCallback, keep: Callable[[Results], None]) -> Results:
+    """Execute the run; `keep` is called with the results after each size. Raises `Refused`, `WorkerDied`."""
     machine = Machine.here()
     check(plan, machine)
     say(f"about {duration_s(plan) / 60.0:.1f} minutes")
@@ -36,7 +36,9 @@
         return uvloop.run(_interruptible(plan, machine, say, keep))
 
 
-async def _interruptible(plan: Plan, machine: Machine, say: Say, keep: Callable[[Results], None]) -> Results:
+async def _interruptible(
+    plan: Plan, machine: Machine, say: ProgressCallback, keep: Callable[[Results], None]
+) -> Results:
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
     assert task is not None
     interrupted = False
@@ -51,7 +53,7 @@
     folder = Path(tempfile.mkdtemp(prefix="dunlinloft-scale-"))
     try:
         async with asyncio.timeout(60.0 * plan.minutes) as limit:
-            return await _sizes(plan, machine, folder, say, keep)
+            return await _run_sizes(plan, machine, folder, say, keep)
     except TimeoutError:
         if not limit.expired():
             raise
@@ -66,41 +68,45 @@
         shutil.rmtree(folder, ignore_errors=True)
 
 
-async def _sizes(
-    plan: Plan, machine: Machine, folder: Path, say: Say, keep: Callable[[Results], None]
+async def _run_sizes(
+    plan: Plan, machine: Machine, folder: Path, say: ProgressCallback, keep: Callable[[Results], None]
 ) -> Results:
-    began = time.monotonic()
+    started = time.monotonic()
     results = Results(VERSION, sys.argv, machine, plan)
     for seed in plan.seeds:
-        sizes = [0, *plan.sizes] if plan.sizes else []  # first the nodes alone, to compare with
+        sizes = [0, *plan.sizes] if plan.sizes else []  # size 0: the nodes alone, as a baseline
         for size in sizes:
-            results.samples.append(await _on_sockets(plan, size, seed, folder, machine, say))
+            results.samples.append(await _run_on_sockets(plan, size, seed, folder, machine, say))
             keep(results)
         for size in plan.virtual_sizes:
-            results.samples.append(await _in_virtual_time(plan, size, seed, folder, say))
+            results.samples.append(await _run_in_virtual_time(plan, size, seed, folder, say))
             keep(results)
     compare_with_alone(results.samples)
     results.fit_all()
-    results.took_s = round(time.monotonic() - began, 1)
+    results.took_s = round(time.monotonic() - started, 1)
     return results
 
 
-async def _on_sockets(plan: Plan, size: int, seed: int, folder: Path, machine: Machine, say: Say) -> Sample:
+async def _run_on_sockets(
+    plan: Plan, size: int, seed: int, folder: Path, machine: Machine, say: ProgressCallback
+) -> Sample:
     run = SizeRun(plan, size, seed, folder, machine)
     title = f"{size} members" if size else "the nodes alone"
     try:
         return await run.play(lambda text: say(f"{title}, seed {seed}: {text}"))
     finally:
         run.close()
-        await asyncio.sleep(0)  # what was closed is told so
+        await asyncio.sleep(0)  # let closed transports run their callbacks
 
 
-async def _in_virtual_time(plan: Plan, size: int, seed: int, folder: Path, say: Say) -> Sample:
+async def _run_in_virtual_time(
+    plan: Plan, size: int, seed: int, folder: Path, say: ProgressCallback
+) -> Sample:
     say(f"{size} members in virtual time, seed {seed}")
     worker = Worker(asyncio.get_running_loop(), "lab.scale.virtual", f"virtual-{size}-{seed}", folder)
-    what = talk.Simulate(size, seed, plan.virtual_settle_s, plan.virtual_seconds, plan.victims)
+    command = talk.Simulate(size, seed, plan.virtual_settle_s, plan.virtual_seconds, plan.victims)
     try:
-        answer = await worker.ask(what, SLOWER * virtual_s(plan, size) + 60.0)
+        answer = await worker.ask(command, MAX_SLOWDOWN * virtual_s(plan, size) + 60.0)
     finally:
         worker.close()
     assert isinstance(answer, talk.Simulated)
@@ -112,20 +118,20 @@
 
 
 def compare_with_alone(samples: list[Sample]) -> None:
-    """What the fleet's part adds to a node: the same seed's nodes without it are taken off.
+    """Compute the cost that the fleet adds to a node, relative to the nodes alone with the same seed.
 
-    Chance brings each window another number of requests, so processor time is compared a request.
+    The number of requests varies randomly between measurements, so CPU time is compared per request.
     """
     alone = {sample.seed: sample.figures for sample in samples if sample.kind == "alone" and sample.counted()}
     for sample in samples:
-        figures, before = sample.figures, alone.get(sample.seed, {})
-        if sample.kind != "sockets" or not before.get("node_requests_s") or "node_cpu_ms_s" not in figures:
+        figures, baseline = sample.figures, alone.get(sample.seed, {})
+        if sample.kind != "sockets" or not baseline.get("node_requests_s") or "node_cpu_ms_s" not in figures:
             continue
-        requests = figures["node_requests_s"] / before["node_requests_s"]
-        figures["node_added_cpu_ms_s"] = figures["node_cpu_ms_s"] - requests * before["node_cpu_ms_s"]
-        figures["node_added_memory_mb"] = figures["node_memory_mb"] - before["node_memory_mb"]
+        requests = figures["node_requests_s"] / baseline["node_requests_s"]
+        figures["node_added_cpu_ms_s"] = figures["node_cpu_ms_s"] - requests * baseline["node_cpu_ms_s"]
+        figures["node_added_memory_mb"] = figures["node_memory_mb"] - baseline["node_memory_mb"]
 
 
 def write(results: Results, path: Path) -> None:
-    """Save them as JSON."""
+    """Write results as JSON."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1) + b"\n")
--- a/lab/scale/talk.py
+++ b/lab/scale/talk.py
@@ -1,6 +1,6 @@
-"""What a scale run and its processes say to each other: a line of JSON each way, over a pair of sockets.
+"""Messages between a scale run and its processes: one line of JSON each way, over a socket pair.
 
-The processes import this and little else, so that their memory is that of the members.
+The processes import this module and little else, so that their memory is mostly that of the members.
 """
 
 from __future__ import annotations
@@ -14,38 +14,38 @@
 import msgspec
 from msgspec import Struct
 
-MOST_LINE = 64 * 1024 * 1024
+MAX_LINE_BYTES = 64 * 1024 * 1024
 _PAGE_MB = os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
 class Hold(Struct, tag=True):
-    """Make members by these configurations, each as a node's file has it."""
+    """Create members with these configurations, in the format of a node's configuration file."""
 
     members: list[dict[str, Any]]
 
 
 class Go(Struct, tag=True):
-    """Let them join."""
+    """Let the members join."""
 
 
 class Look(Struct, tag=True):
-    """Say how they are."""
+    """Report the state of the members."""
 
 
 class Drop(Struct, tag=True):
-    """End this member without a word: its sockets are closed, as the kernel does for a killed process."""
+    """Crash a member: close its sockets without notice, as the kernel does for a killed process."""
 
     name: str
 
 
 class Holders(Struct, tag=True):
-    """Say how many take this member to be there."""
+    """Report how many members consider this member alive."""
 
     name: str
 
 
 class Simulate(Struct, tag=True):
-    """Play so many members in virtual time, with so many crashes."""
+    """Simulate this many members in virtual time, with this many crashes."""
 
     size: int
     seed: int
@@ -55,7 +55,7 @@
 
 
 class Death(Struct, array_like=True):
-    """A member was called dead in another's view; `at_s` is the machine's monotonic clock."""
+    """A member was declared dead in the view of `by`; `at_s` is the machine's monotonic clock."""
 
     by: str
     name: str
@@ -63,26 +63,26 @@
 
 
 class Seen(Struct, tag=True):
-    """How a process and its members are: `counts` since their start, lateness and deaths since last asked."""
+    """State of a process and its members; `late_ms` and `deaths` since the last report, `counts` in total."""
 
     at_s: float
     members: int
     cpu_s: float
     memory_mb: float
     late_ms: float
-    views: list[tuple[str, int]] = []  # of each member: the digest of its view, and how many it holds alive
+    views: list[tuple[str, int]] = []  # by member: digest of its view and number of live members in it
     counts: dict[str, int] = {}
     deaths: list[Death] = []
 
 
 class Holding(Struct, tag=True):
-    """How many of the members here hold the one asked for."""
+    """The number of members in the process that consider the requested member alive."""
 
     count: int
 
 
 class Simulated(Struct, tag=True):
-    """What virtual time came to."""
+    """The results of a simulation in virtual time."""
 
     figures: dict[str, float]
     false_deaths: list[tuple[float, str, str]]
@@ -92,21 +92,21 @@
 Answer = Seen | Holding | Simulated
 
 encode = msgspec.json.Encoder().encode
-_command = msgspec.json.Decoder(Command)
+_command_decoder = msgspec.json.Decoder(Command)
 read_answer = msgspec.json.Decoder(Answer).decode
 
 
 def memory_mb() -> float:
-    """What this process holds in memory."""
+    """Return the resident memory of this process."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * _PAGE_MB
 
 
 async def answer_all(descriptor: int, answer: Callable[[Command], Awaitable[Answer]]) -> None:
-    """Answer one command after another until whoever asks has gone."""
+    """Answer commands until the connection is closed."""
     sock = socket.socket(fileno=descriptor)
-    reader, writer = await asyncio.open_connection(sock=sock, limit=MOST_LINE)
+    reader, writer = await asyncio.open_connection(sock=sock, limit=MAX_LINE_BYTES)
     while line := await reader.readline():
-        writer.write(encode(await answer(_command.decode(line))) + b"\n")
+        writer.write(encode(await answer(_command_decoder.decode(line))) + b"\n")
         await writer.drain()
     writer.close()
--- a/lab/scale/virtual.py
+++ b/lab/scale/virtual.py
@@ -1,7 +1,7 @@
-"""Sizes that no machine holds as processes: the same cores in virtual time, their cost by the core's time.
+"""Fleet sizes too large for real processes: the same cores in virtual time, with their cost in CPU time.
 
-Views are given whole at the start, as by an exchange: a join of thousands at once is minutes of work that
-says nothing of the quiet state.
+Members start with complete views, as after a state exchange: simulating the join of thousands at once would
+take minutes and is irrelevant to the steady state.
 """
 
 from __future__ import annotations
@@ -22,12 +22,14 @@
 from lab.scale import talk
 from lab.virtual.fleet import Fleet
 
-LIMIT_MS = 60_000.0  # for a crash to be known to all: what takes longer counts as this
-APART_MS = 1_000.0  # between crashes
+CRASH_TIMEOUT_MS = (
+    60_000.0  # longest wait for a crash to be known to all; what takes longer counts as this value
+)
+CRASH_INTERVAL_MS = 1_000.0  # between crashes
 
 
 class TimedMembership(Membership):
-    """The core, with a count of the processor's time that all of them together have used."""
+    """The membership core, with the total CPU time used by all instances."""
 
     used_s = 0.0
 
@@ -39,7 +41,7 @@
 
 
 def introduce(fleet: Fleet) -> None:
-    """Give each member the whole view, and have it know that it has joined."""
+    """Give each member a complete view and complete its join."""
     records = [process.core.own_record() for process in fleet.processes.values()]
     for process in fleet.processes.values():
         for record in records:
@@ -53,7 +55,7 @@
 
 
 def simulate(what: talk.Simulate) -> talk.Simulated:
-    """Play it; the same seed gives the same figures, but for the processor's time and memory."""
+    """Run the simulation; for a seed all figures but CPU time and memory are deterministic."""
     gc.collect()
     base_mb = talk.memory_mb()
     fleet = Fleet(what.size, what.seed, TimedMembership, at_once=True)
@@ -66,12 +68,12 @@
     TimedMembership.used_s = 0.0
     fleet.run(1000.0 * what.seconds)
     used_s, memory_mb = TimedMembership.used_s, talk.memory_mb() - base_mb
-    each = 1.0 / (what.size * what.seconds)
+    per_member_second = 1.0 / (what.size * what.seconds)
     figures = {
-        "messages_s": each * sum(fleet.datagrams.values()),
-        "bytes_s": each * sum(fleet.bytes.values()),
-        "stream_bytes_s": each * sum(fleet.stream_bytes.values()),
-        "cpu_ms_s": 1000.0 * each * used_s,
+        "messages_s": per_member_second * sum(fleet.datagrams.values()),
+        "bytes_s": per_member_second * sum(fleet.bytes.values()),
+        "stream_bytes_s": per_member_second * sum(fleet.stream_bytes.values()),
+        "cpu_ms_s": 1000.0 * per_member_second * used_s,
         "memory_mb": memory_mb / what.size,
         "disagree": float(not agreed),
     } | _crashes(fleet, what.victims)
@@ -80,26 +82,26 @@
 
 
 def _crashes(fleet: Fleet, victims: int) -> dict[str, float]:
-    """How long until a crash is known: to single members, and to all."""
-    took: list[float] = []
-    began: dict[str, float] = {}
+    """Measure the time until a crash is known to each member and to all."""
+    detection_s: list[float] = []
+    crashed_ms: dict[str, float] = {}
 
     def watch(process: object, change: api.MemberChanged) -> None:
-        if change.change is api.MemberChange.DEAD and change.name in began:
-            took.append((fleet.now() - began[change.name]) / 1000.0)
+        if change.change is api.MemberChange.DEAD and change.name in crashed_ms:
+            detection_s.append((fleet.now() - crashed_ms[change.name]) / 1000.0)
 
     fleet.watch = watch
-    whole: list[float] = []
+    known_to_all_s: list[float] = []
     for name in fleet.rng.sample(fleet.names, victims):
-        life, began[name] = fleet.processes[name].core.incarnation, fleet.now()
+        life, crashed_ms[name] = fleet.processes[name].core.incarnation, fleet.now()
         fleet.kill(name)
-        whole.append(fleet.run(LIMIT_MS, partial(fleet.knows_gone, name, life)) / 1000.0)
-        fleet.run(APART_MS)
-    if not took:
+        known_to_all_s.append(fleet.run(CRASH_TIMEOUT_MS, partial(fleet.knows_gone, name, life)) / 1000.0)
+        fleet.run(CRASH_INTERVAL_MS)
+    if not detection_s:
         return {}
-    p50, p99 = (float(np.percentile(took, of, method="higher")) for of in (50.0, 99.0))
-    return {"known_p50_s": p50, "known_p99_s": p99, "known_max_s": max(took), "unknown": float(
-        sum(all_s >= LIMIT_MS / 1000.0 for all_s in whole)
+    p50, p99 = (float(np.percentile(detection_s, of, method="higher")) for of in (50.0, 99.0))
+    return {"known_p50_s": p50, "known_p99_s": p99, "known_max_s": max(detection_s), "unknown": float(
+        sum(all_s >= CRASH_TIMEOUT_MS / 1000.0 for all_s in known_to_all_s)
     )}  # fmt: skip
 
 
