--- a/lab/capacity/added.py
+++ b/lab/capacity/added.py
@@ -1,7 +1,7 @@
-"""What a node adds to a call: a real process, with and without its fleet's part, beside calls without one.
+"""Measures the latency that a real node process adds to a call, with and without a fleet.
 
-One process asks and answers on 127.0.0.0/8; what is added is the difference of the same percentile of calls
-by way of the node and of calls straight to the server. It takes real time and a quiet machine.
+One process sends and answers the calls on 127.0.0.0/8. The added latency is the difference between the same
+percentile of calls through the node and of direct calls to the server. Needs real time and an idle machine.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 from lab.processes.child import Child, environment, node_command
 
 FOR_S, WARM_S, JOIN_S, LIMIT_S = 6.0, 1.5, 3.0, 30.0
-FELLOWS = 3  # members of the node's fleet, itself among them
+FELLOWS = 3  # members of the node's fleet, including itself
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
 
 
 class Answerer(asyncio.Protocol):
-    """A server that answers at once, or discovery's agent, whose watches end with nothing new."""
+    """A server that answers immediately, or a discovery agent whose watches end without changes."""
 
     def __init__(self, listing: bytes | None = None) -> None:
         self._listing = listing
-        self._renew()
+        self._reset_parser()
 
-    def _renew(self) -> None:
+    def _reset_parser(self) -> None:
         self._parser, self._url = httptools.HttpRequestParser(self), b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -48,23 +48,23 @@
 
     def on_message_complete(self) -> None:
         url = self._url
-        self._renew()
+        self._reset_parser()
         if self._listing is None:
             self._transport.write(ANSWER)
         elif b"index=" in url:
             asyncio.get_running_loop().call_later(
-                0.9, self._tell, b'{"index":1,"snapshot":false,"endpoints":[]}'
+                0.9, self._write_body, b'{"index":1,"snapshot":false,"endpoints":[]}'
             )
         else:
-            self._tell(self._listing)
+            self._write_body(self._listing)
 
-    def _tell(self, body: bytes) -> None:
+    def _write_body(self, body: bytes) -> None:
         if not self._transport.is_closing():
             self._transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
 
 class Asker(asyncio.Protocol):
-    """A kept connection of a caller; one call at a time."""
+    """A keep-alive connection of a caller, with one call at a time."""
 
     def __init__(self, calls: Calls) -> None:
         self._calls, self._began = calls, 0.0
@@ -88,21 +88,21 @@
         self._calls.ended(self, status, took_ms)
 
     def close(self) -> None:
-        """Over."""
+        """Close the connection."""
         self._transport.close()
 
 
 class Calls:
-    """Poisson calls to an address, on kept connections."""
+    """Poisson calls to an address, on keep-alive connections."""
 
     def __init__(self, target: Address, rate_s: float, seed: int) -> None:
         self.loop, self._target, self._rate = asyncio.get_running_loop(), target, rate_s
-        self._rng, self._idle, self._all = random.Random(seed), list[Asker](), list[Asker]()
+        self._rng, self._idle, self._connections = random.Random(seed), list[Asker](), list[Asker]()
         self._number, self.out, self.failed = 0, 0, 0
         self.took_ms: list[float] = []
 
     def ended(self, asker: Asker, status: int, took_ms: float) -> None:
-        """An answer."""
+        """Handle an answer."""
         self.out -= 1
         self._idle.append(asker)
         if status == 200:
@@ -111,7 +111,7 @@
             self.failed += 1
 
     async def run(self, for_s: float) -> None:
-        """Call for so long, then wait for what is out."""
+        """Send calls for `for_s` seconds, then wait for pending answers."""
         now = self.loop.time()
         at, end = now, now + for_s
         while at < end:
@@ -125,7 +125,7 @@
     async def _ask(self) -> None:
         if not self._idle:
             _, asker = await self.loop.create_connection(lambda: Asker(self), *self._target)
-            self._all.append(asker)
+            self._connections.append(asker)
             self._idle.append(asker)
         self._number += 1
         self.out += 1
@@ -134,17 +134,17 @@
         self._idle.pop().ask(head.encode())
 
     def close(self) -> None:
-        """All connections."""
-        for asker in self._all:
+        """Close all connections."""
+        for asker in self._connections:
             asker.close()
 
     def percentile(self, percent: float) -> float:
-        """Of the calls that were answered, in ms."""
+        """Return a percentile of the answered calls' latency in ms."""
         return float(np.percentile(self.took_ms, percent))
 
 
 async def _measure(target: Address, rate_s: float, seed: int, usage: Callable[[], float]) -> dict[str, float]:
-    """Percentiles of calls to an address, and what a process spent on each."""
+    """Measure latency percentiles of calls to an address, and the CPU time of a process per call."""
     warm = Calls(target, rate_s, seed)
     await warm.run(WARM_S)
     warm.close()
@@ -158,7 +158,7 @@
 
 
 class Nodes:
-    """Processes of real nodes, and what they are told."""
+    """Processes of real nodes, with their configuration."""
 
     def __init__(self, block: Block, folder: Path, count: int, fleet: bool) -> None:
         self._block, self._folder, self._fleet, self._count = block, folder, fleet, count
@@ -184,19 +184,21 @@
         file.write_text(json.dumps(config))
         temporary = self._folder / name
         temporary.mkdir(exist_ok=True)
-        more = environment(temporary, NODE_CONFIG=str(file), NODE_NAME=name)
-        return Child(asyncio.get_running_loop(), node_command(), more, self._folder / f"{name}.log", ())
+        child_environment = environment(temporary, NODE_CONFIG=str(file), NODE_NAME=name)
+        return Child(
+            asyncio.get_running_loop(), node_command(), child_environment, self._folder / f"{name}.log", ()
+        )
 
     async def ready(self) -> None:
-        """Until all of them take callers; with a fleet some time more, to find each other."""
+        """Wait until all nodes accept connections and, in a fleet, had time to find each other."""
         for n in range(self._count):
             async with asyncio.timeout(LIMIT_S):
-                while not await self._takes(n):
+                while not await self._accepts_connections(n):
                     await asyncio.sleep(0.05)
         if self._fleet:
             await asyncio.sleep(JOIN_S)
 
-    async def _takes(self, n: int) -> bool:
+    async def _accepts_connections(self, n: int) -> bool:
         try:
             _, writer = await asyncio.open_connection(*self._block.node(n))
         except OSError:
@@ -205,13 +207,13 @@
         return True
 
     def close(self) -> None:
-        """End them."""
+        """Kill the processes."""
         for child in self.children:
             child.close()
 
 
 def listing(block: Block) -> bytes:
-    """The list: one server, as four."""
+    """Return the server list: one server, listed four times."""
     endpoints = [
         {
             "name": f"s{n}", "address": text(block.server(0, 0)), "zone": "linz", "type": "slot-front",
@@ -222,8 +224,10 @@
     return json.dumps({"index": 1, "snapshot": True, "endpoints": endpoints}).encode()
 
 
-async def _by_node(block: Block, count: int, fleet: bool, rate_s: float, seed: int) -> dict[str, float]:
-    """Calls by way of the first of so many nodes."""
+async def _measure_through_node(
+    block: Block, count: int, fleet: bool, rate_s: float, seed: int
+) -> dict[str, float]:
+    """Measure calls through the first of `count` nodes."""
     with tempfile.TemporaryDirectory() as folder:
         nodes = Nodes(block, Path(folder), count, fleet)
         first = nodes.children[0]
@@ -237,7 +241,7 @@
             nodes.close()
 
 
-async def _all(rate_s: int, seed: int) -> dict[str, float]:
+async def _measure_all(rate_s: int, seed: int) -> dict[str, float]:
     loop, block = asyncio.get_running_loop(), Block()
     server = await loop.create_server(Answerer, *block.server(0, 0))
     agent = await loop.create_server(lambda: Answerer(listing(block)), *block.discovery(0))
@@ -246,7 +250,7 @@
         direct = await _measure(block.server(0, 0), rate_s, seed, lambda: 0.0)
         found |= {"direct_p50": direct["p50"], "direct_p99": direct["p99"]}
         for name, count, fleet in (("alone", 1, False), ("fleet", FELLOWS, True)):
-            by_node = await _by_node(block, count, fleet, rate_s, seed)
+            by_node = await _measure_through_node(block, count, fleet, rate_s, seed)
             found |= {
                 f"{name}_p50": by_node["p50"] - direct["p50"], f"{name}_p99": by_node["p99"] - direct["p99"],
                 f"{name}_cpu": by_node["cpu"], f"{name}_memory": by_node["memory"],
@@ -259,8 +263,8 @@
 
 
 def _added(rate_s: int, seed: int) -> dict[str, float]:
-    """Calls straight, by way of a node alone, and of one in a fleet; ms that are added, CPU a call."""
-    return asyncio.run(_all(rate_s, seed))
+    """Measure direct calls, and calls through a single node and a fleet: added ms and CPU per call."""
+    return asyncio.run(_measure_all(rate_s, seed))
 
 
 EXPERIMENTS = (
--- a/lab/capacity/control.py
+++ b/lab/capacity/control.py
@@ -1,4 +1,4 @@
-"""What few do for all: the ledger's rows, leases, and the steward of releases with its members' tallies."""
+"""Central functions: the state table, leases, and the release controller with its members' tallies."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from lab.capacity.tools import best_ms, held_bytes
 from lab.virtual.duties import Process, World
 
-VALUE_BYTES = 60  # of a row, as a limit or a release has
+VALUE_BYTES = 60  # size of a row's value, as for a limit or a release
 VOTERS, MEMBERS = 5, 20
 WARM_MS, MEASURED_MS = 10_000.0, 30_000.0
 CLASSES = 3
@@ -32,7 +32,7 @@
 
 
 def _pages(rows: dict[str, TableRow]) -> list[TablePage]:
-    """All pages that a voter answers a reading with."""
+    """Return all pages with which a voter answers a read."""
     found, after, more = list[TablePage](), "", True
     while more:
         part, more = page_after(rows, after)
@@ -49,22 +49,22 @@
 
 
 def _ledger(rows: int, seed: int) -> dict[str, float]:
-    """A voter's rows: memory; and one voter's all read back by a new holder."""
+    """Measure a voter's rows in memory, and a new holder reading all rows of one voter."""
     traced, _ = held_bytes(partial(_rows, rows))
-    kept = _rows(rows)
-    pages = _pages(kept)
+    rows_by_key = _rows(rows)
+    pages = _pages(rows_by_key)
     wire, head = Wire("capacity"), Header(sizes.name(1), sizes.LIFE, 0, 1 << 62, MEMBERS)
     return {
         "traced": traced,
         "pages": float(len(pages)),
         "bytes": float(sum(len(wire.write(ApplicationMessage(head, page, []))) for page in pages)),
-        "told": best_ms(lambda: _pages(kept)),
+        "told": best_ms(lambda: _pages(rows_by_key)),
         "read": best_ms(lambda: _read(pages)),
     }
 
 
-class Loud(World):
-    """Counts bytes as they go out."""
+class ByteCountingWorld(World):
+    """Counts the bytes sent."""
 
     def __init__(self, seed: int, duties: int) -> None:
         self.sent_bytes = 0
@@ -81,8 +81,8 @@
 
 
 def _leases(duties: int, seed: int) -> dict[str, float]:
-    """So many duties held and renewed by quiet members: messages and bytes a second, of all together."""
-    world = Loud(seed, duties)
+    """Measure the total messages and bytes per second for holding and renewing this many leases."""
+    world = ByteCountingWorld(seed, duties)
     world.run(WARM_MS)
     world.messages = world.sent_bytes = 0
     world.run(MEASURED_MS)
@@ -92,7 +92,7 @@
 
 
 def full_tally(order: Order, calls: int) -> Tally:
-    """A member's counts of the most classes and zones that it tells, after so many calls of each."""
+    """Return a tally with the maximum number of classes and zones, after `calls` calls of each."""
     cells = [divmod(n, MAX_COUNTS // CLASSES + 1) for n in range(MAX_COUNTS)]
     eighths = [calls // 8] * 8
     counts = [
@@ -102,31 +102,31 @@
 
 
 def _steward(members: int, seed: int) -> dict[str, float]:
-    """The steward's look at a tally of each member, in the midst of a stage."""
+    """Measure the release controller's evaluation of all members' tallies during a stage."""
     steward = ReleaseController(lambda plan: None, lambda name: 0, lambda: 0)
     steward.start(7, Plan(1, "baking", (0.01, 1.0), 30.0, 0, 0.01, 1e12), 0.0)
     now, calls = 0.0, 100
 
-    def told() -> list[MemberTally]:
+    def tallies() -> list[MemberTally]:
         return [
             MemberTally(sizes.name(n), 1, 10.0, full_tally(steward.order, calls)) for n in range(members)
         ]  # fmt: skip
 
-    for _ in range(3):  # obeyed, and seen once
+    for _ in range(3):  # the order is applied and its effect seen once
         now += LOOK_INTERVAL_MS
-        steward.look(told(), members, now)
-    took = []
+        steward.look(tallies(), members, now)
+    durations_ms = []
     for _ in range(8):
         now, calls = now + LOOK_INTERVAL_MS, calls + 40
-        tellings = told()
-        took.append(best_ms(partial(steward.look, tellings, members, now), 1))
+        current_tallies = tallies()
+        durations_ms.append(best_ms(partial(steward.look, current_tallies, members, now), 1))
     assert not steward.waiting_for, steward.waiting_for
     size = float(len(encode(full_tally(steward.order, 400))))
-    return {"look": min(took), "judged": max(took), "tally": size}
+    return {"look": min(durations_ms), "judged": max(durations_ms), "tally": size}
 
 
-def _figures(*all: tuple[Any, ...]) -> tuple[Figure, ...]:
-    return tuple(Figure(*one) for one in all)
+def _figures(*all_figures: tuple[Any, ...]) -> tuple[Figure, ...]:
+    return tuple(Figure(*one) for one in all_figures)
 
 
 EXPERIMENTS = (
--- a/lab/capacity/lists.py
+++ b/lab/capacity/lists.py
@@ -1,4 +1,4 @@
-"""The list of a service's servers: what a node that calls them pays for it, by how many they are."""
+"""Cost of a service's server list at a node that calls the service, by number of servers."""
 
 from __future__ import annotations
 
@@ -16,13 +16,16 @@
 from lab.capacity.model import TIMED, Experiment, Figure
 from lab.capacity.tools import best_ms, held_bytes, mean_us
 
-REQUESTS, OUT = 400, 8  # that are timed; that are out meanwhile, as 365 a second of 20 ms each are
-TAKES_MS = 20.0
-CALLERS = 100  # nodes that send to the same service
+REQUESTS, CONCURRENT_REQUESTS = (
+    400,
+    8,
+)  # timed requests; concurrent requests, as with 365 per second of 20 ms each
+REQUEST_MS = 20.0
+CALLERS = 100  # nodes that call the same service
 
 
 def endpoint(n: int, since_ms: int = 0) -> dict[str, Any]:
-    """A server as discovery lists it."""
+    """Return a server's entry in the discovery format."""
     return {
         "name": sizes.name(n), "address": sizes.address(n), "zone": f"zone-{n % sizes.ZONES:02}",
         "type": "slot-front", "group": n // 8, "status": "active", "weight": 1.0, "since_ms": since_ms,
@@ -30,9 +33,9 @@
 
 
 def text(servers: range, snapshot: bool, index: int = 1) -> bytes:
-    """A list, or changes to it, as discovery writes them."""
-    told = {"index": index, "snapshot": snapshot, "endpoints": [endpoint(n) for n in servers]}
-    return json.dumps(told, separators=(",", ":")).encode()
+    """Encode a list, or changes to it, in the discovery format."""
+    document = {"index": index, "snapshot": snapshot, "endpoints": [endpoint(n) for n in servers]}
+    return json.dumps(document, separators=(",", ":")).encode()
 
 
 def _read(data: bytes) -> ServerList:
@@ -45,42 +48,42 @@
 
 
 class _Caller:
-    """Requests to the module as they come, each answered a while later."""
+    """Sends requests to a balancer and answers each a while later."""
 
     def __init__(self, balancer: Balancer) -> None:
-        self._balancer, self._out = balancer, list[tuple[str, int]]()
+        self._balancer, self._pending = balancer, list[tuple[str, int]]()
         self.now, self.sent = 0.0, 0
         self._class = next(iter(balancer.classes))
 
     def ask(self, n: int) -> None:
-        """One request, and the end of the one that is out the longest."""
-        self.now += TAKES_MS / OUT
+        """Send a request, and complete the oldest pending one."""
+        self.now += REQUEST_MS / CONCURRENT_REQUESTS
         event = api.Request(f"r{n}", self._class, 2000.0)
         for action in self._balancer.handle(event, self.now):
             if isinstance(action, api.Send):
-                self._out.append((action.id, action.server))
+                self._pending.append((action.id, action.server))
                 self.sent += 1
-        if len(self._out) > OUT:
-            id, server = self._out.pop(0)
-            ended = api.AttemptCompleted(id, 0, server, Result.SERVED, TAKES_MS, True)
+        if len(self._pending) > CONCURRENT_REQUESTS:
+            id, server = self._pending.pop(0)
+            ended = api.AttemptCompleted(id, 0, server, Result.SERVED, REQUEST_MS, True)
             self._balancer.handle(ended, self.now)
 
 
 def _list(servers: int, seed: int) -> dict[str, float]:
-    """A whole list read and taken in, one change of it, and a request, at a node that calls so many."""
+    """Measure parsing and applying a full list and one change, and a request, with this many servers."""
     settings = read_settings(sizes.node_settings(CALLERS))
-    whole, one = text(range(servers), True), text(range(1), False, 2)
-    found = {"bytes": float(len(whole)), "change": float(len(one))}
+    full_list, one = text(range(servers), True), text(range(1), False, 2)
+    found = {"bytes": float(len(full_list)), "change": float(len(one))}
 
     def held() -> tuple[Balancer, dict[int, Address]]:
-        listing, made = _read(whole), Balancer(settings, seed)
-        made.handle(_event(listing), 0.0)
-        return made, listing.addresses
+        listing, balancer = _read(full_list), Balancer(settings, seed)
+        balancer.handle(_event(listing), 0.0)
+        return balancer, listing.addresses
 
     found["memory"], _ = held_bytes(held)
     balancer, _ = held()
-    found["parse"] = best_ms(lambda: _read(whole))
-    event, change = _event(_read(whole)), _event(_read(one))
+    found["parse"] = best_ms(lambda: _read(full_list))
+    event, change = _event(_read(full_list)), _event(_read(one))
     found["apply"] = best_ms(lambda: balancer.handle(event, 0.0))
     found["one"] = best_ms(lambda: (_read(one), balancer.handle(change, 0.0)))
     caller = _Caller(balancer)
--- a/lab/capacity/membership.py
+++ b/lab/capacity/membership.py
@@ -1,4 +1,4 @@
-"""Membership: what a view of n members costs a process, and what n members say to each other."""
+"""Membership: cost of a view of n members to a process, and the traffic between n members."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 from dunlinloft.node.fleet_config import FleetConfig
 from lab.capacity import sizes
 from lab.capacity.model import TIMED, Experiment, Figure
-from lab.capacity.tools import StillLoop, best_ms, held_bytes, mean_us, peak_bytes, rss_bytes
+from lab.capacity.tools import RecordingLoop, best_ms, held_bytes, mean_us, peak_bytes, rss_bytes
 from lab.members import settled_fleet
 from lab.virtual.fleet import Fleet
 
 FLEET = "capacity"
-PREFIX_BYTES = 5  # before every message: the version, and the fleet's name
-CHUNK = 256  # members told at a time, so that what carries them is not taken for what is kept
-QUIET_MS = 30_000.0
+PREFIX_BYTES = 5  # prefix of every message: the version and the fleet's name
+CHUNK = 256  # members per message, so that the messages add little to the measured memory
+MEASURED_MS = 30_000.0
 PINGS = 200
 encode, decode = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(State).decode
 
 
 class Host:
-    """The fleet's part of a node that is `n1`, without sockets, among n members that are there."""
+    """The fleet code of node `n1`, without sockets, in a fleet of n live members."""
 
     def __init__(self, members: int) -> None:
-        self.loop = StillLoop()
+        self.loop = RecordingLoop()
         known = {"index": 1, "snapshot": True, "endpoints": []}
         config = parse_config(
             {
@@ -60,12 +60,12 @@
 
     @property
     def core(self) -> Membership:
-        """Its membership."""
+        """Return the membership core."""
         return self.peers.core
 
 
 def state_of(numbers: range) -> bytes:
-    """These members as a state on the wire, without its prefix."""
+    """Encode these members as a state message, without prefix."""
     return encode(State(_head(1), [sizes.record(n) for n in numbers]))
 
 
@@ -74,14 +74,14 @@
 
 
 def fill(core: Membership, members: int) -> None:
-    """Let a process know so many members, itself among them, as they come off the wire."""
+    """Let a core receive the records of this many members, including itself, decoded from the wire."""
     for first in range(1, members, CHUNK):
         state = decode(state_of(range(first, min(members, first + CHUNK))))
         core.handle(fleet_api.PushPullReceived(state, sizes.address(1), False), time.monotonic() * 1000.0)
 
 
 def _view(members: int, seed: int) -> dict[str, float]:
-    """A view's memory, its bytes on the wire, and what each thing done with the whole of it takes."""
+    """Measure a view's memory, its size on the wire, and the time of each operation on all of it."""
     host = Host(members)
     core = host.core
     before = rss_bytes()
@@ -94,32 +94,34 @@
     found["told"] = float(len(wire.read_state(wire.write_state(core.state())).records))
     found["write"] = best_ms(lambda: encode(core.state()))
     found["read"] = best_ms(lambda: decode(data))
-    found["again"] = best_ms(lambda: core.handle(_met(data), 2.0), 3)
-    found["peak"] = peak_bytes() - before  # of whole exchanges; what follows is for the measurement
-    fresh = [_alone(1) for _ in range(3)]
-    found["merge"] = best_ms(lambda: fresh.pop().handle(_met(data), 1.0), 3)
-    found |= _shown(host.peers)
-    found["traced"] = held_bytes(partial(_alone, members))[0]
+    found["again"] = best_ms(lambda: core.handle(_push_pull(data), 2.0), 3)
+    found["peak"] = (
+        peak_bytes() - before
+    )  # peak of complete exchanges; what follows only serves the measurement
+    fresh = [_core_with_members(1) for _ in range(3)]
+    found["merge"] = best_ms(lambda: fresh.pop().handle(_push_pull(data), 1.0), 3)
+    found |= _status_figures(host.peers)
+    found["traced"] = held_bytes(partial(_core_with_members, members))[0]
     return found
 
 
-def _met(data: bytes) -> fleet_api.PushPullReceived:
+def _push_pull(data: bytes) -> fleet_api.PushPullReceived:
     return fleet_api.PushPullReceived(decode(data), sizes.address(1), False)
 
 
-def _alone(members: int) -> Membership:
+def _core_with_members(members: int) -> Membership:
     core = Host(1).core
     fill(core, members)
     return core
 
 
 def _each_second(host: Host) -> dict[str, float]:
-    """What runs over all members on the loop that answers callers, and how long one message takes."""
+    """Measure operations over all members on the event loop that serves callers, and one message."""
     peers, core = host.peers, host.core
     assert peers.shared is not None
     peers.member_count.observe({sizes.name(0)}, 0.0)
     count = len(core.view.members)
-    # As each second, and at each change of the view.
+    # Runs every second, and at each change of the view.
     found = {"recount": best_ms(partial(peers.on_settings_changed, 0, count + 1))}
     found["shared"] = best_ms(
         lambda: peers.shared and peers.shared.core.handle(membership_update(core, peers.member_count), 0.0)
@@ -133,23 +135,22 @@
     def ping(n: int) -> None:
         peers.on_datagram(pings[n], ("127.0.0.1", 7400))
 
-    found["storm"] = mean_us(ping, PINGS)  # all members are news still
-    core._dissemination = (
-        DisseminationQueue()
-    )  # as when it has all gone out, which would take hours of such pings
+    found["storm"] = mean_us(ping, PINGS)  # all members are still queued for dissemination
+    # As if everything had been disseminated, which would take hours of such pings.
+    core._dissemination = DisseminationQueue()
     found["ping"] = mean_us(ping, PINGS)
     return found
 
 
-def _shown(peers: Peers) -> dict[str, float]:
-    """What operators are told, which the loop makes too."""
+def _status_figures(peers: Peers) -> dict[str, float]:
+    """Measure the status document for operators, which is built on the same event loop."""
     found = {"show": best_ms(lambda: json.dumps(peers.status()[1]), 3)}
     found["shown"] = float(len(json.dumps(peers.status()[1])))
     return found
 
 
 def _join(members: int, seed: int) -> dict[str, float]:
-    """Until a newcomer's host has taken its first whole view in, with all that it does for each change."""
+    """Measure how long a new member takes to process its first full view, including every change event."""
     host = Host(members)
     met = fleet_api.PushPullReceived(decode(state_of(range(1, members))), sizes.address(1), True)
     start = time.perf_counter()
@@ -158,12 +159,12 @@
 
 
 class Timed(Membership):
-    """Adds up the time that all cores of a run take."""
+    """Accumulates the time used by all cores of a run."""
 
     took_ns = 0
 
     def handle(self, event: fleet_api.Event, now: float) -> list[fleet_api.Action]:
-        """As `Membership.handle`."""
+        """Handle an event and add its duration."""
         start = time.perf_counter_ns()
         actions = super().handle(event, now)
         Timed.took_ns += time.perf_counter_ns() - start
@@ -178,36 +179,39 @@
 
 
 def _gossip(members: int, seed: int) -> dict[str, float]:
-    """A quiet fleet in virtual time, per member and second."""
+    """Measure a stable fleet in virtual time, per member and second."""
     fleet = settled_fleet(members, seed, Timed)
     _clear(fleet)
-    fleet.run(QUIET_MS)
-    whole = members * QUIET_MS / 1000.0
+    fleet.run(MEASURED_MS)
+    member_seconds = members * MEASURED_MS / 1000.0
     return {
-        "datagrams": sum(fleet.bytes.values()) / whole,
-        "messages": sum(fleet.datagrams.values()) / whole,
-        "streams": sum(fleet.stream_bytes.values()) / whole,
-        "core": Timed.took_ns / 1e6 / whole,
+        "datagrams": sum(fleet.bytes.values()) / member_seconds,
+        "messages": sum(fleet.datagrams.values()) / member_seconds,
+        "streams": sum(fleet.stream_bytes.values()) / member_seconds,
+        "core": Timed.took_ns / 1e6 / member_seconds,
     }
 
 
-CHURN, CHURN_MS = 10, 3_000.0  # members that are killed and started anew; how far apart
+CHURNED_MEMBERS, CHURN_INTERVAL_MS = 10, 3_000.0  # members that are killed and restarted; time between events
 
 
 def _churn(members: int, seed: int) -> dict[str, float]:
-    """Members that die and come back: what one such event costs each member, beyond the quiet."""
+    """Measure the additional traffic per member for each death and return of a member."""
     fleet = settled_fleet(members, seed, Timed)
     _clear(fleet)
-    fleet.run(CHURN * 2.0 * CHURN_MS)
+    fleet.run(CHURNED_MEMBERS * 2.0 * CHURN_INTERVAL_MS)
     quiet = sum(fleet.bytes.values()), sum(fleet.stream_bytes.values())
     _clear(fleet)
-    for name in fleet.rng.sample(fleet.names, CHURN):
+    for name in fleet.rng.sample(fleet.names, CHURNED_MEMBERS):
         fleet.kill(name)
-        fleet.run(CHURN_MS)
+        fleet.run(CHURN_INTERVAL_MS)
         fleet.start(name)
-        fleet.run(CHURN_MS)
-    more = sum(fleet.bytes.values()) - quiet[0], sum(fleet.stream_bytes.values()) - quiet[1]
-    return {"datagrams": more[0] / CHURN / members, "streams": more[1] / CHURN / members}
+        fleet.run(CHURN_INTERVAL_MS)
+    additional = sum(fleet.bytes.values()) - quiet[0], sum(fleet.stream_bytes.values()) - quiet[1]
+    return {
+        "datagrams": additional[0] / CHURNED_MEMBERS / members,
+        "streams": additional[1] / CHURNED_MEMBERS / members,
+    }
 
 
 MEMBERS = (500, 1000, 2000, 4000, 8000)
--- a/lab/capacity/model.py
+++ b/lab/capacity/model.py
@@ -1,7 +1,7 @@
-"""An experiment: sizes, what is measured at each, and the line that leads from there to the target size.
+"""Experiments: sizes, the figures measured at each, and the linear fit extrapolated to the target size.
 
-Each sample is taken in a fresh process, one at a time, so memory is a process's own and no sample warms the
-next. A fit says what the slope is; a *check* plays one greater size, which the fit has not seen.
+Each sample is taken in a new process, one at a time, so that memory figures are not shared and no sample
+warms up the next. A *check* runs one larger size that is not part of the fit.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 from lab.fit import Fit, line
 
-COUNTED, TIMED = "counted", "timed"  # the same each time for a seed; or by the machine's clock
+COUNTED, TIMED = "counted", "timed"  # deterministic for a seed; measured with the machine's clock
 
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One thing that is measured: its unit, how it is got, and the power of the size that it goes by."""
+    """A measured figure: its unit, how it is obtained, and the power of the size with which it grows."""
 
     name: str
     unit: str
@@ -32,22 +32,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """Something to measure at several sizes; `play(size, seed)` gives a value for each figure."""
+    """An experiment at several sizes; `play(size, seed)` returns a value for each figure."""
 
     name: str
     text: str
-    axis: str  # what the size is a number of
+    axis: str  # what the size counts
     target: float  # the size to design for
     sizes: tuple[int, ...]
     quick: tuple[int, ...]
     seeds: tuple[int, ...]
     figures: tuple[Figure, ...]
     play: Callable[[int, int], dict[str, float]]
-    check: int = 0  # a greater size, played once and not fitted; 0: none
+    check: int = 0  # a larger size, run once and not fitted; 0: none
 
 
 class Sample(Struct, frozen=True):
-    """What one play gave."""
+    """The values of one run."""
 
     experiment: str
     size: int
@@ -56,7 +56,7 @@
 
 
 class Row(Struct, frozen=True):
-    """A figure's line, and what it says at the target."""
+    """The fit of a figure, and its value at the target."""
 
     experiment: str
     figure: str
@@ -75,30 +75,30 @@
     at_target: float
     at_target_error: float
     check_size: int = 0
-    check: float | None = None  # measured there, if anything was,
-    check_fit: float | None = None  # and what the line says
+    check: float | None = None  # measured value at the check size, if any
+    check_fit: float | None = None  # value of the line at the check size
 
 
 class Report(Struct):
-    """All that a call of the command measured."""
+    """All measurements of one invocation of the command."""
 
     quick: bool
     samples: list[Sample] = []
     rows: list[Row] = []
-    failed: list[str] = []  # plays that came to no end, each with its size, seed and error
+    failed: list[str] = []  # failed runs, each with its size, seed and error
 
     def write(self) -> bytes:
-        """As JSON."""
+        """Encode the report as JSON."""
         return msgspec.json.format(msgspec.json.encode(self), indent=1)
 
 
 def read_report(data: bytes) -> Report:
-    """A report that was written."""
+    """Decode a report."""
     return msgspec.json.decode(data, type=Report)
 
 
 def fit(experiment: Experiment, figure: Figure, samples: list[Sample]) -> Row:
-    """The line of one figure."""
+    """Fit one figure."""
     fitted = [s for s in samples if s.size != experiment.check]
     xs = [float(s.size) ** figure.power for s in fitted]
     ys = [s.values[figure.name] for s in fitted]
@@ -109,17 +109,17 @@
     return Row(
         experiment.name, figure.name, figure.unit, figure.how, experiment.axis, figure.power, sizes,
         sorted({s.seed for s in fitted}), means, found.slope, found.slope_error, found.intercept, found.r2,
-        experiment.target, target, error, *_checked(experiment, figure, samples, found),
+        experiment.target, target, error, *_check_values(experiment, figure, samples, found),
     )  # fmt: skip
 
 
-def _checked(
+def _check_values(
     experiment: Experiment, figure: Figure, samples: list[Sample], found: Fit
 ) -> tuple[int, float | None, float | None]:
-    seen = [s.values[figure.name] for s in samples if experiment.check and s.size == experiment.check]
-    if not seen:
+    check_values = [s.values[figure.name] for s in samples if experiment.check and s.size == experiment.check]
+    if not check_values:
         return 0, None, None
-    return experiment.check, _mean(seen), found.at(float(experiment.check) ** figure.power)[0]
+    return experiment.check, _mean(check_values), found.at(float(experiment.check) ** figure.power)[0]
 
 
 def _mean(values: list[float]) -> float:
@@ -128,16 +128,16 @@
 
 @dataclass(slots=True)
 class Plan:
-    """What is to be played: experiments, at quick or whole sizes, with checks or without."""
+    """The experiments to run, at quick or full sizes, with or without checks."""
 
     experiments: list[Experiment]
     quick: bool = False
     checks: bool = True
-    seeds: list[int] = field(default_factory=list)  # instead of each experiment's own
-    sizes: list[int] = field(default_factory=list)  # as well
+    seeds: list[int] = field(default_factory=list)  # replaces each experiment's own
+    sizes: list[int] = field(default_factory=list)  # replaces each experiment's own
 
     def plays(self, experiment: Experiment) -> list[tuple[int, int]]:
-        """Sizes and seeds of an experiment."""
+        """Return the sizes and seeds at which an experiment runs."""
         sizes = self.sizes or (experiment.quick if self.quick else experiment.sizes)
         seeds = self.seeds or (experiment.seeds[:1] if self.quick else experiment.seeds)
         plays = [(size, seed) for size in sizes for seed in seeds]
@@ -146,29 +146,29 @@
 
 
 def run(plan: Plan, step: Callable[[Sample], None] = lambda sample: None) -> Report:
-    """Play all, one after the other, and fit."""
+    """Run all experiments one after the other and fit the figures."""
     report = Report(plan.quick)
     for experiment in plan.experiments:
-        mine = []
-        for found in _play(experiment, plan.plays(experiment)):
+        experiment_samples = []
+        for found in _run_samples(experiment, plan.plays(experiment)):
             if isinstance(found, str):
                 report.failed.append(found)
                 continue
-            mine.append(found)
+            experiment_samples.append(found)
             step(found)
-        report.samples += mine
-        if len({s.size for s in mine if s.size != experiment.check}) > 1:
-            report.rows += [fit(experiment, figure, mine) for figure in experiment.figures]
+        report.samples += experiment_samples
+        if len({s.size for s in experiment_samples if s.size != experiment.check}) > 1:
+            report.rows += [fit(experiment, figure, experiment_samples) for figure in experiment.figures]
     return report
 
 
-def _play(experiment: Experiment, plays: list[tuple[int, int]]) -> Iterator[Sample | str]:
+def _run_samples(experiment: Experiment, plays: list[tuple[int, int]]) -> Iterator[Sample | str]:
     context = get_context("spawn")
     for size, seed in plays:
         with ProcessPoolExecutor(1, mp_context=context) as pool:
             try:
                 values: Any = pool.submit(experiment.play, size, seed).result()
-            except Exception as problem:  # one play that fails is said, and the others go on
+            except Exception as problem:  # a failed run is reported; the others continue
                 yield f"{experiment.name}, size {size}, seed {seed}: {problem!r:.300}"
                 continue
         yield Sample(experiment.name, size, seed, values)
--- a/lab/capacity/peaks.py
+++ b/lab/capacity/peaks.py
@@ -1,4 +1,4 @@
-"""Rare moments of a fleet in virtual time: a zone lost and back, a region cut off, all started anew."""
+"""Rare events in a fleet in virtual time: zone loss and return, a regional partition, a full restart."""
 
 from __future__ import annotations
 
@@ -10,92 +10,96 @@
 from lab.virtual.duties import World
 from lab.virtual.fleet import CORE, Fleet
 
-LIMIT_MS, STEP_MS = 120_000.0, 1_000.0
-CUT_MS = 300_000.0  # of a region; an hour is more of the same, as nothing but asking the dead goes on
-MEMBERS, VOTERS, TAKEN_MS = 54, 5, 60_000.0
+TIMEOUT_MS, STEP_MS = 120_000.0, 1_000.0
+PARTITION_MS = (
+    300_000.0  # partition of a region; longer ones add nothing, as only probes of dead members continue
+)
+MEMBERS, VOTERS, TAKEOVER_TIMEOUT_MS = 54, 5, 60_000.0
 
 
-class Watched:
-    """A fleet, and the most bytes that a member sent in a second on average since this was begun."""
+class PeakMeter:
+    """A fleet with its peak traffic: the most bytes per member, on average over members, in one second."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet, self._before, self.peak, self.passed = fleet, 0, 0.0, 0.0
         self.begin()
 
     def begin(self) -> None:
-        """From now on."""
+        """Start measuring the peak from now on."""
         self._step()
         self.peak = 0.0
 
     def _step(self) -> float:
         fleet = self._fleet
         sent = sum(fleet.bytes.values()) + sum(fleet.stream_bytes.values())
-        grown, self._before = sent - self._before, sent
-        return grown / max(1, len(fleet.living())) / (STEP_MS / 1000.0)
+        sent_in_step, self._before = sent - self._before, sent
+        return sent_in_step / max(1, len(fleet.living())) / (STEP_MS / 1000.0)
 
     def until(self, done: Callable[[], bool]) -> float:
-        """Let time pass until something holds; how long that took, in s. The peak is of whole seconds."""
-        start, took = self.passed, None
-        while self.passed - start < LIMIT_MS:
-            left = self._fleet.run(STEP_MS, done if took is None else None)
-            if took is None and left < STEP_MS:
-                took = self.passed + left - start
-                self._fleet.run(STEP_MS - left)
+        """Run until `done` returns True; returns the time taken in s. The peak covers whole seconds."""
+        start, taken_ms = self.passed, None
+        while self.passed - start < TIMEOUT_MS:
+            passed_ms = self._fleet.run(STEP_MS, done if taken_ms is None else None)
+            if taken_ms is None and passed_ms < STEP_MS:
+                taken_ms = self.passed + passed_ms - start
+                self._fleet.run(STEP_MS - passed_ms)
             self.passed += STEP_MS
             self.peak = max(self.peak, self._step())
-            if took is not None:
+            if taken_ms is not None:
                 break
-        return (LIMIT_MS if took is None else took) / 1000.0
+        return (TIMEOUT_MS if taken_ms is None else taken_ms) / 1000.0
 
 
 def _zone(members: int, seed: int) -> dict[str, float]:
-    """A fifteenth of the members dies at once, and comes back a minute later."""
+    """Kill one fifteenth of the members at once and restart them a minute later."""
     fleet = settled_fleet(members, seed, CORE)
     lost = fleet.names[members // 3 : members // 3 + max(1, members // sizes.ZONES)]
-    lives = {name: fleet.processes[name].core.incarnation for name in lost}
-    watched = Watched(fleet)
+    incarnations = {name: fleet.processes[name].core.incarnation for name in lost}
+    meter = PeakMeter(fleet)
     for name in lost:
         fleet.kill(name)
-    known = watched.until(lambda: all(fleet.knows_gone(name, life) for name, life in lives.items()))
-    gone = watched.peak
+    known = meter.until(
+        lambda: all(fleet.knows_gone(name, incarnation) for name, incarnation in incarnations.items())
+    )
+    known_peak = meter.peak
     fleet.run(60_000.0)
-    watched.begin()
+    meter.begin()
     for name in lost:
         fleet.start(name)
-    back = watched.until(fleet.agreed)
-    return {"known": known, "known_peak": gone, "back": back, "back_peak": watched.peak}
+    back = meter.until(fleet.agreed)
+    return {"known": known, "known_peak": known_peak, "back": back, "back_peak": meter.peak}
 
 
 def _region(members: int, seed: int) -> dict[str, float]:
-    """A fifth of the members is cut off, and the cut ends."""
+    """Partition one fifth of the members, then end the partition."""
     fleet = settled_fleet(members, seed, CORE)
     names = list(fleet.names)
-    ill = fleet.split(names[: members // sizes.REGIONS], names[members // sizes.REGIONS :])
-    fleet.run(CUT_MS)
-    fleet.lines.remove_fault(ill)
-    watched = Watched(fleet)
-    return {"agreed": watched.until(fleet.agreed), "peak": watched.peak}
+    partition = fleet.split(names[: members // sizes.REGIONS], names[members // sizes.REGIONS :])
+    fleet.run(PARTITION_MS)
+    fleet.lines.remove_fault(partition)
+    meter = PeakMeter(fleet)
+    return {"agreed": meter.until(fleet.agreed), "peak": meter.peak}
 
 
 def _restart(members: int, seed: int) -> dict[str, float]:
-    """All members die and start anew at once."""
+    """Kill and restart all members at once."""
     fleet = settled_fleet(members, seed, CORE)
     for name in fleet.names:
         fleet.kill(name)
-    watched = Watched(fleet)
+    meter = PeakMeter(fleet)
     for name in fleet.names:
         fleet.start(name)
-    return {"agreed": watched.until(fleet.agreed), "peak": watched.peak}
+    return {"agreed": meter.until(fleet.agreed), "peak": meter.peak}
 
 
 def _third(duties: int, seed: int) -> dict[str, float]:
-    """Of the control machines a third dies at once, two of five voters and all of the holders it had."""
+    """Kill a third of the control machines at once, including two of five voters and any role holders."""
     world = World(seed, MEMBERS, VOTERS, duties)
     world.run(20_000.0)
     lost = world.names[: VOTERS // 2] + world.names[-(MEMBERS // 3 - VOTERS // 2) :]
     for name in lost:
         world.kill(name)
-    held = world.run(TAKEN_MS, lambda: all(world.holders(duty) for duty in world.duties))
+    held = world.run(TAKEOVER_TIMEOUT_MS, lambda: all(world.holders(duty) for duty in world.duties))
     return {"held": held / 1000.0}
 
 
--- a/lab/capacity/shared.py
+++ b/lab/capacity/shared.py
@@ -1,4 +1,4 @@
-"""SharedState state: what its records cost as members grow in number, and how many keep their bounds."""
+"""Shared state: cost of its records by number of members, and how many stay within their age bounds."""
 
 from __future__ import annotations
 
@@ -26,58 +26,58 @@
 from lab.virtual.host import VirtualHost
 from lab.virtual.shared import Process, World
 
-WARM_MS, MEASURED_MS = 8_000.0, 12_000.0  # until all have heard of all; and then
-ASKED_S = 20.0  # requests of the tenant a second at each member
-DAY = ("tiers=[{servers=60}]", "arrivals.load=0.4", "nodes.fleet=true")  # as docs/shared.md has it
+WARM_MS, MEASURED_MS = 8_000.0, 12_000.0  # warm-up until all members know all records; measurement
+REQUESTS_PER_S = 20.0  # requests of the tenant per second at each member
+DAY = ("tiers=[{servers=60}]", "arrivals.load=0.4", "nodes.fleet=true")  # as in docs/shared.md
 TENANT = 'tenants=[{name="spedition",share=0.6,quota_per_s=160},{name="reederei",share=0.4}]'
-EACH = {
+SHARED_KINDS = {
     "none": (), "verdicts": ("verdicts",), "limits": ("limits",), "affinity": ("affinity",),
     "all": ("verdicts", "limits", "affinity"),
 }  # fmt: skip
 
 
 class Timed(SharedState):
-    """Adds up the time that all cores of a run take."""
+    """Accumulates the time used by all cores of a run."""
 
     took_ns = 0
 
     def handle(self, event: shared.Event, now: float) -> list[shared.Action]:
-        """As `SharedState.handle`."""
+        """Handle an event and add its duration."""
         start = time.perf_counter_ns()
         actions = super().handle(event, now)
         Timed.took_ns += time.perf_counter_ns() - start
         return actions
 
 
-class Limited(Timed):
-    """Shares limits and nothing else."""
+class LimitsOnlyState(Timed):
+    """Shares only limits."""
 
     def __init__(self, *args: Any) -> None:
         name, life, zone, tier, _, *rest = args
         super().__init__(name, life, zone, tier, frozenset((LIMITS,)), *rest)
 
 
-class Counting(ReleaseFollower):
-    """A member whose calls go to so many classes and zones that its tally is full."""
+class FullTallyFollower(ReleaseFollower):
+    """A member with a full tally, of the maximum number of classes and zones."""
 
     def tally(self) -> Tally:
-        """As `ReleaseFollower.tally`."""
+        """Return a full tally."""
         return full_tally(self.order, 400)
 
 
-class Judged(Timed):
-    """Takes part in releases and in nothing else."""
+class ReleasesOnlyState(Timed):
+    """Takes part only in releases."""
 
     def __init__(self, *args: Any) -> None:
         name, life, zone, tier, _, *rest = args
         super().__init__(name, life, zone, tier, frozenset((RELEASES,)), *rest)
-        self.follower = Counting(tier)
+        self.follower = FullTallyFollower(tier)
 
 
-class Loud(World):
-    """Counts bytes as they go out, and leaves the oracle's look at every record out: it grows with them."""
+class ByteCountingWorld(World):
+    """Counts the bytes sent; omits the oracle's check of every record, whose cost grows with them."""
 
-    def __init__(self, seed: int, members: int, core: type[SharedState] = Limited) -> None:
+    def __init__(self, seed: int, members: int, core: type[SharedState] = LimitsOnlyState) -> None:
         self.sent_bytes = 0
         self._wire = Wire("capacity")
         super().__init__(seed, members, core)
@@ -86,57 +86,57 @@
         return sizes.name(n)
 
     def _check_ages(self, process: Process) -> None:
-        """Not here."""
+        """Omit the check."""
 
     def _send(self, process: Process, name: str, message: shared.Message) -> None:
         head = Header(process.name, sizes.LIFE, 0, 1 << 62, len(self.names))
         self.sent_bytes += len(self._wire.write(ApplicationMessage(head, message, [])))
         super()._send(process, name, message)
 
-    def ask_all(self) -> None:
-        """Requests of the tenant, everywhere."""
+    def send_requests(self) -> None:
+        """Send requests of the tenant to all members."""
         for process in self.processes.values():
-            for _ in range(int(ASKED_S / 4.0)):
+            for _ in range(int(REQUESTS_PER_S / 4.0)):
                 self.give(process, shared.RequestReceived("t"))
-        self.after(250.0, self.ask_all)
+        self.after(250.0, self.send_requests)
 
-    def steer(self) -> None:
-        """The first member is the steward of a release, and says so again and again."""
+    def issue_order(self) -> None:
+        """Let the first member control a release and repeat its order periodically."""
         order = Order(7, 1, 1, 0.05, 1e12, (), True)
         self.give(self.processes[self.names[0]], shared.ReleaseOrderIssued(order))
-        self.after(LOOK_INTERVAL_MS, self.steer)
+        self.after(LOOK_INTERVAL_MS, self.issue_order)
 
 
 def _pulse(members: int, seed: int) -> dict[str, float]:
-    """The cores with limits alone: a pulse of each member to all, and nothing of requests."""
-    world = Loud(seed, members)
-    world.ask_all()
+    """Measure the cores sharing only limits: a heartbeat of each member to all."""
+    world = ByteCountingWorld(seed, members)
+    world.send_requests()
     return _measured(world) | _known(world, shared.HEARTBEAT, MAX_DEMAND_AGE_MS)
 
 
 def _tallies(members: int, seed: int) -> dict[str, float]:
-    """A release that goes on: an order to all, a full tally of each to the steward by way of all."""
-    world = Loud(seed, members, Judged)
-    world.steer()
+    """Measure a running release: an order to all, and full tallies of all to the controller."""
+    world = ByteCountingWorld(seed, members, ReleasesOnlyState)
+    world.issue_order()
     return _measured(world) | _known(world, shared.TALLY, MAX_TALLY_AGE_MS)
 
 
-def _measured(world: Loud) -> dict[str, float]:
-    """Bytes, messages and the cores' time, a member and second."""
+def _measured(world: ByteCountingWorld) -> dict[str, float]:
+    """Measure bytes, messages and core time per member and second."""
     members = len(world.processes)
     world.run(WARM_MS)
     world.sent_bytes = world.counts["messages"] = Timed.took_ns = 0
     world.run(MEASURED_MS)
-    whole = members * MEASURED_MS / 1000.0
+    member_seconds = members * MEASURED_MS / 1000.0
     return {
-        "bytes": world.sent_bytes / whole,
-        "messages": world.counts["messages"] / whole,
-        "core": Timed.took_ns / 1e6 / whole,
+        "bytes": world.sent_bytes / member_seconds,
+        "messages": world.counts["messages"] / member_seconds,
+        "core": Timed.took_ns / 1e6 / member_seconds,
     }
 
 
-def _known(world: Loud, kind: int, bound_ms: float) -> dict[str, float]:
-    """Of the others' records the share that a member may act upon; and how old nine in ten are at most."""
+def _known(world: ByteCountingWorld, kind: int, bound_ms: float) -> dict[str, float]:
+    """Measure the share of others' records that are fresh enough to use, and the 90th percentile of ages."""
     fresh, ages = 0, list[float]()
     for process in world.processes.values():
         now = process.clock()
@@ -154,9 +154,9 @@
 
 
 def _day(members: int, seed: int) -> dict[str, float]:
-    """A calm day of 60 servers with one part shared after another: bytes a member and second, and time."""
+    """Measure traffic and time on a calm day with 60 servers, for each kind of shared state."""
     found: dict[str, float] = {}
-    for name, parts in EACH.items():
+    for name, parts in SHARED_KINDS.items():
         found |= _shared_day(name, members, seed, parts)
     return found
 
@@ -165,7 +165,7 @@
     member.CORE = Timed
     host = VirtualHost(Plan(_scenario(members, parts), seed), [])
     assert host.network is not None
-    counts, whole = host.network.bytes, members * MEASURED_MS / 1000.0
+    counts, member_seconds = host.network.bytes, members * MEASURED_MS / 1000.0
     found: dict[str, float] = {}
 
     def clear() -> None:
@@ -173,8 +173,8 @@
         Timed.took_ns = 0
 
     def take() -> None:
-        found[name] = sum(counts.values()) / whole
-        found[f"{name}-core"] = Timed.took_ns / 1e6 / whole
+        found[name] = sum(counts.values()) / member_seconds
+        found[f"{name}-core"] = Timed.took_ns / 1e6 / member_seconds
 
     host.after(WARM_MS, clear)
     host.after(WARM_MS + MEASURED_MS, take)
@@ -183,21 +183,23 @@
 
 
 def _store(members: int, seed: int) -> dict[str, float]:
-    """One process that holds a pulse of each member: memory, and what it does with all of them."""
+    """Measure a process that holds a heartbeat of each member: memory, and operations on all of them."""
     found = {"traced": held_bytes(partial(_full, members))[0]}
     core = _full(members)
-    here = {sizes.name(n): sizes.LIFE + n for n in range(1, members)}
-    event = shared.MembershipUpdated(sizes.LIFE, here, frozenset((*here, sizes.name(0))), members)
+    alive_members = {sizes.name(n): sizes.LIFE + n for n in range(1, members)}
+    event = shared.MembershipUpdated(
+        sizes.LIFE, alive_members, frozenset((*alive_members, sizes.name(0))), members
+    )
     found["seen"] = best_ms(lambda: core.handle(event, 10.0))
-    found["look"] = best_ms(_again(core, core.begin()[-1]))
+    found["look"] = best_ms(_repeated_timer(core, core.begin()[-1]))
     found["held"] = float(sum(1 for _ in core.store.others(shared.HEARTBEAT)))
     pull = shared.MessageReceived(shared.PullRequest(1, sizes.LIFE, 0), sizes.name(1))
-    pours = core.handle(pull, 10.0)
+    responses = core.handle(pull, 10.0)
     found["answer"] = best_ms(lambda: core.handle(pull, 10.0))
     found["told"] = float(
         sum(
             len(p.message.entries)
-            for p in pours
+            for p in responses
             if isinstance(p, shared.SendMessage) and isinstance(p.message, shared.PullResponse)
         )
     )
@@ -222,8 +224,8 @@
     return core
 
 
-def _again(core: SharedState, timer: shared.Action) -> Callable[[], None]:
-    """Let the same timer come due again and again."""
+def _repeated_timer(core: SharedState, timer: shared.Action) -> Callable[[], None]:
+    """Return a function that fires the same timer repeatedly."""
     due = [timer]
 
     def fire() -> None:
@@ -254,8 +256,8 @@
         "day", "shared state on a calm day of 60 servers (virtual time), a member and second", "members",
         sizes.SERVERS, (10, 20, 40, 80), (3, 4, 5), (1, 2, 3),
         (
-            *(Figure(name, "B/s") for name in EACH),
-            *(Figure(f"{name}-core", "ms/s", TIMED) for name in EACH if name != "none"),
+            *(Figure(name, "B/s") for name in SHARED_KINDS),
+            *(Figure(f"{name}-core", "ms/s", TIMED) for name in SHARED_KINDS if name != "none"),
         ),
         _day, 100,
     ),
--- a/lab/capacity/tools.py
+++ b/lab/capacity/tools.py
@@ -1,4 +1,4 @@
-"""Clocks, memory and a node's parts without sockets, for the experiments."""
+"""Time and memory measurement, and an event loop substitute, for the experiments."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 def rss_bytes() -> float:
-    """Memory of this process that is in use now, by the kernel."""
+    """Return the current resident memory of this process."""
     gc.collect()
     return float(int(Path("/proc/self/statm").read_bytes().split()[1]) * _PAGE)
 
 
 def best_ms(do: Callable[[], object], repeats: int = 5) -> float:
-    """The least time that a call takes, in ms: what is beyond it is the machine's."""
+    """Return the minimum duration of a call in ms; anything longer is noise of the machine."""
     times = []
     for _ in range(repeats):
         start = time.perf_counter_ns()
@@ -30,7 +30,7 @@
 
 
 def mean_us(do: Callable[[int], object], calls: int) -> float:
-    """The mean time of so many calls, each given its number, in microseconds."""
+    """Return the mean duration of `calls` calls in microseconds; each call gets its number."""
     start = time.perf_counter_ns()
     for n in range(calls):
         do(n)
@@ -38,7 +38,7 @@
 
 
 def held_bytes(make: Callable[[], object]) -> tuple[float, object]:
-    """What Python allocates for something and keeps, and that something."""
+    """Return the memory that Python allocates and retains for an object, and the object."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -50,43 +50,43 @@
         tracemalloc.stop()
 
 
-class _Never:
-    """A task that is not run."""
+class _IgnoredTask:
+    """A task that never runs."""
 
     def add_done_callback(self, callback: Callable[..., Any]) -> None:
-        """Never called."""
+        """Ignore the callback."""
 
 
-class StillLoop:
-    """Stands for an event loop that calls nothing: whoever measures does, by `due`."""
+class RecordingLoop:
+    """Event loop substitute that runs nothing itself; experiments call the recorded callbacks with `due`."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[float, Callable[..., Any], tuple[Any, ...]]] = []
 
     def time(self) -> float:
-        """In seconds."""
+        """Return the monotonic time in seconds."""
         return time.monotonic()
 
     def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> None:
-        """Kept, and not called."""
+        """Record a callback without calling it."""
         self.calls.append((delay, callback, args))
 
     def call_soon(self, callback: Callable[..., Any], *args: Any) -> None:
-        """Kept as well."""
+        """Record a callback without calling it."""
         self.calls.append((0.0, callback, args))
 
-    def create_task(self, work: Coroutine[Any, Any, Any]) -> _Never:
-        """Not run."""
-        work.close()
-        return _Never()
+    def create_task(self, coroutine: Coroutine[Any, Any, Any]) -> _IgnoredTask:
+        """Close the coroutine without running it."""
+        coroutine.close()
+        return _IgnoredTask()
 
     def due(self, delay_s: float) -> Callable[[], Any]:
-        """What was last to be called after so long."""
+        """Return the callback most recently scheduled with this delay."""
         callback, args = next((c, a) for d, c, a in reversed(self.calls) if d == delay_s)
         return lambda: callback(*args)
 
 
 def peak_bytes() -> float:
-    """The most memory that this process has had in use, by the kernel."""
+    """Return the peak resident memory of this process."""
     lines = Path("/proc/self/status").read_text().splitlines()
     return 1024.0 * next(float(line.split()[1]) for line in lines if line.startswith("VmHWM"))
--- a/lab/scale/size.py
+++ b/lab/scale/size.py
@@ -81,7 +81,7 @@
         return fleet | {key: member_keys(value, name, place) for key, value in self._plan.fleet_keys.items()}
 
     def _config(self, place: int) -> dict[str, Any]:
-        """Return a hollow member's configuration; its tier differs from the nodes', which keep their budgets."""
+        """Return a hollow member's configuration, in its own tier so that the nodes keep their budgets."""
         name, node = f"h{place + 1}", next(iter(self._day.names.nodes))
         zones = self._day.names.zones
         node_settings = settings(self._day, node) | {
@@ -211,7 +211,8 @@
     async def _go(self) -> None:
         """Let all members join: at once or, with cells, one process after another.
 
-        Otherwise the first cell would contain all members before it is split, and memory use stays at its peak.
+        Otherwise the first cell would contain all members before it is split, and memory use would stay at
+        its peak.
         """
         if not self._plan.cells:
             await self._look(talk.Go())
@@ -272,8 +273,9 @@
         base_mb = sum(self.sample.raw["base_mb"].values())
         memory_mb = (sum(seen.memory_mb for seen in after.values()) - base_mb) / members
         self.sample.figures |= {
-            "messages_s": per_member["sent"], "bytes_s": per_member["sent_bytes"], "stream_bytes_s": per_member["stream_bytes"],
-            "streams_s": per_member["streams"], "cpu_ms_s": per_member["cpu"], "memory_mb": memory_mb,
+            "messages_s": per_member["sent"], "bytes_s": per_member["sent_bytes"],
+            "stream_bytes_s": per_member["stream_bytes"], "streams_s": per_member["streams"],
+            "cpu_ms_s": per_member["cpu"], "memory_mb": memory_mb,
         }  # fmt: skip
         rejected = sum(seen.counts["errors"] + seen.counts["refused"] for seen in after.values())
         self.sample.figures["refused"] = float(rejected)
