--- a/lab/capacity/chain.py
+++ b/lab/capacity/chain.py
@@ -1,8 +1,8 @@
 """Retries over many tiers: a chain of real balancers, one per tier, above a faulty last tier.
 
-Each balancer sends to four servers, each of which calls the next tier and answers with the result of that call.
-The last tier serves all calls, fails a share of them, or has capacity for only half of them. Time is virtual. A
-caller that gives up leaves its call running in the tiers below, as can happen on the network.
+Each balancer sends to four servers, each of which calls the next tier and answers with the result of that
+call. The last tier serves all calls, fails a share of them, or has capacity for only half of them. Time is
+virtual. A caller that gives up leaves its call running in the tiers below, as can happen on the network.
 """
 
 from __future__ import annotations
--- a/lab/capacity/lists.py
+++ b/lab/capacity/lists.py
@@ -76,9 +76,9 @@
     found = {"bytes": float(len(full_list)), "change": float(len(one))}
 
     def held() -> tuple[Balancer, dict[int, Address]]:
-        listing, balancer = _read(full_list), Balancer(settings, seed)
-        balancer.handle(_event(listing), 0.0)
-        return balancer, listing.addresses
+        listing, loaded = _read(full_list), Balancer(settings, seed)
+        loaded.handle(_event(listing), 0.0)
+        return loaded, listing.addresses
 
     found["memory"], _ = held_bytes(held)
     balancer, _ = held()
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""What measures capacity: the fit, each experiment at a tiny size, the report, and a cost planted to grow."""
+"""Capacity measurement: the fit, each experiment at a tiny size, the report, and a planted cost increase."""
 
 from __future__ import annotations
 
@@ -25,11 +25,14 @@
     "zone": (15, 20), "region": (10, 15), "restart": (5, 8), "third": (1, 2), "tallies": (3, 4),
     "steward": (3, 6), "chain": (1, 2), "command": (10, 20),
 }  # fmt: skip
-ON_SOCKETS = {"added"}  # takes real time with real processes: looked at by a call of its own below
-MAY_BE_NOTHING = {"streams", "fails100-served"}  # between views that agree; where the bottom fails every call
+ON_SOCKETS = {"added"}  # uses real processes in real time: has its own test below
+MAY_BE_NOTHING = {
+    "streams",
+    "fails100-served",
+}  # no streams between equal views; no request served if every call fails
 
 
-def test_a_line_is_the_one_that_others_find() -> None:
+def test_the_fit_equals_that_of_numpy() -> None:
     draws = random.Random(5)
     x = [50.0, 100.0, 100.0, 200.0, 400.0, 800.0]
     y = [30.0 + 4.9 * at + draws.gauss(0.0, 20.0) for at in x]
@@ -42,7 +45,7 @@
     assert found.reaches(found.at(7000.0)[0]) == pytest.approx(7000.0)
 
 
-def test_a_line_through_points_without_error_says_so() -> None:
+def test_a_fit_of_exact_points_has_no_error() -> None:
     found = line([1.0, 2.0, 3.0], [5.0, 7.0, 9.0])
     assert (found.slope, found.intercept, found.r2) == pytest.approx((2.0, 3.0, 1.0))
     assert found.at(26_000.0) == pytest.approx((52_003.0, 0.0), abs=1e-6)
@@ -50,13 +53,13 @@
 
 
 @pytest.mark.parametrize(("x", "y"), [([1.0], [1.0]), ([2.0, 2.0], [1.0, 3.0]), ([1.0, 2.0], [1.0])])
-def test_no_line_goes_through_too_few_points(x: list[float], y: list[float]) -> None:
+def test_too_few_points_are_rejected(x: list[float], y: list[float]) -> None:
     with pytest.raises(ValueError):
         line(x, y)
 
 
-def test_an_error_bar_holds_what_it_should() -> None:
-    """Of many draws the truth beyond the points is within two errors about as often as it should be."""
+def test_the_error_of_an_extrapolation_covers_the_true_value() -> None:
+    """Over many draws, the true value beyond the points is within the 95% interval as often as expected."""
     draws, x, inside = np.random.default_rng(3), [50.0, 100.0, 200.0, 400.0, 800.0], 0
     for _ in range(400):
         value, error = line(x, [10.0 + 2.0 * at + draws.normal(0.0, 30.0) for at in x]).at(5000.0)
@@ -65,7 +68,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(TINY))
-def test_each_experiment_gives_all_its_figures(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_experiment_returns_all_its_figures(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     experiment = EXPERIMENTS[name]
     monkeypatch.setattr(shared, "WARM_MS", 1_500.0)
     monkeypatch.setattr(shared, "MEASURED_MS", 1_500.0)
@@ -76,26 +79,26 @@
             value = sample.values[figure.name]
             nothing = figure.name in MAY_BE_NOTHING or figure.unit in ("B", "servers")
             assert math.isfinite(value) and (value > 0.0 or (value >= 0.0 and nothing)), (name, figure, value)
-    if name == "day":  # what is shared is on top of membership
+    if name == "day":  # shared state adds to the cost of membership
         assert all(s.values["none"] < s.values["limits"] < s.values["all"] for s in samples)
     for figure in experiment.figures:
         row = fit(experiment, figure, samples)
         assert math.isfinite(row.at_target) and row.target == experiment.target
 
 
-def test_every_experiment_is_looked_at() -> None:
+def test_every_experiment_is_tested() -> None:
     assert set(TINY) | ON_SOCKETS == set(EXPERIMENTS)
 
 
-def test_what_is_counted_is_the_same_each_time() -> None:
+def test_counted_figures_are_deterministic() -> None:
     for name in ("gossip", "pulse", "chain"):
         counted = [f.name for f in EXPERIMENTS[name].figures if f.how == model.COUNTED]
         first, again = (EXPERIMENTS[name].play(TINY[name][0], 7) for _ in range(2))
         assert [first[figure] for figure in counted] == [again[figure] for figure in counted]
 
 
-def test_what_is_one_entry_a_member_grows_by_so_much_a_member() -> None:
-    """The planted cost: a longer address at each member shows in the slope, as many bytes as it is longer."""
+def test_a_longer_entry_per_member_increases_the_slope() -> None:
+    """A planted longer address per member increases the slope by the additional bytes."""
     view = {size: EXPERIMENTS["view"].play(size, 1)["wire"] for size in (50, 100)}
     slope = (view[100] - view[50]) / 50
     made = sizes.address
@@ -111,7 +114,7 @@
     assert (planted[100] - planted[50]) / 50 == pytest.approx(slope + len(".internal"), abs=1.5)
 
 
-def test_a_whole_view_is_cut_off_at_the_cap() -> None:
+def test_a_full_view_is_truncated_at_the_size_limit() -> None:
     most = int(MAX_STATE_BYTES / 120)
     host = membership.Host(most)
     membership.fill(host.core, most)
@@ -124,7 +127,7 @@
     assert shared.EXPERIMENTS[0].play(4, 2)["fresh"] == 1.0
 
 
-def test_a_chain_that_is_well_makes_one_attempt_a_tier() -> None:
+def test_a_healthy_chain_makes_one_attempt_per_tier() -> None:
     well = chain.Chain(3, 1)
     well.run(chain.ILL_MS + 5_000.0)
     assert well.bottom.asked == pytest.approx(well.tiers[0].asked, abs=3)
@@ -158,7 +161,7 @@
     assert unchecked.rows[0].check is None and read_report(unchecked.write()) == unchecked
 
 
-def test_a_play_that_fails_is_said_and_gives_no_line() -> None:
+def test_a_failed_run_is_reported_and_not_fitted() -> None:
     report = run(Plan([_made(_fails)], quick=True))
     assert not report.rows and len(report.failed) == 2 and "nothing at 1" in report.failed[0]
 
@@ -181,15 +184,17 @@
         monkeypatch.setattr(added, name, seconds)
 
 
-def test_a_real_node_between_caller_and_server_answers_them_all(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_real_node_answers_all_calls(monkeypatch: pytest.MonkeyPatch) -> None:
     _soon(monkeypatch)
-    found = EXPERIMENTS["added"].play(20, 1)  # raises where a call fails or is not answered
+    found = EXPERIMENTS["added"].play(20, 1)  # raises if a call fails or is not answered
     assert set(found) == {figure.name for figure in EXPERIMENTS["added"].figures}
     assert all(math.isfinite(value) for value in found.values())
-    assert found["alone_memory"] > 1.0 and found["fleet_memory"] > 1.0  # of processor time 10 ms are a tick
+    assert (
+        found["alone_memory"] > 1.0 and found["fleet_memory"] > 1.0
+    )  # CPU time is counted in ticks of 10 ms
 
 
-def test_calls_that_fail_are_not_measured(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_calls_are_not_measured(monkeypatch: pytest.MonkeyPatch) -> None:
     _soon(monkeypatch)
     monkeypatch.setattr(added, "ANSWER", added.ANSWER.replace(b"200 OK", b"500 No"))
     with pytest.raises(RuntimeError, match="calls failed"):
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""The explorer: it finds faults that are planted in the cores, and none in them as they are."""
+"""The explorer: it finds faults planted in the cores, and none in the unmodified cores."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def writes_before_it_reads(patch: pytest.MonkeyPatch) -> None:
-    """It has voters replace what they have by nothing, whatever it reads."""
+    """Lets a new holder replace the voters' rows by an empty table, whatever it reads."""
 
     def restore(self: TablePrimary) -> None:
         patch.setattr(self._read, "result", lambda: ReadResult(0, 0, False, {}))
@@ -56,7 +56,7 @@
 
 
 def adopted_once(patch: pytest.MonkeyPatch) -> None:
-    """Whoever has adopted new voters is not asked again, though some may have forgotten it meanwhile."""
+    """Does not confirm adopted voter sets, although a voter may have lost its state in the meantime."""
 
     def handle_ack(self: VoterChange, message: VoterSetAck, sender: str, now: float) -> list[SendMessage]:
         found = original(self, message, sender, now)
@@ -89,7 +89,7 @@
         trace = shorten(system, found.trace)
         assert len(trace) <= len(found.trace)
         assert replay(system, trace)[1]
-    assert not replay(system, trace)[1]  # the cores as they are don't break by it
+    assert not replay(system, trace)[1]  # the unmodified cores violate nothing
 
 
 SYSTEMS: list[Callable[[], System]] = [
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("make", SYSTEMS)
-def test_nothing_is_found_in_the_cores_as_they_are(make: Callable[[], System]) -> None:
+def test_no_fault_is_found_in_the_unmodified_cores(make: Callable[[], System]) -> None:
     system = make()
     found = random_walk(system, 7, STEPS, 6_000)
     assert not found.broken and found.depth > STEPS // 2
@@ -106,7 +106,7 @@
     assert not found.broken and found.depth >= 2
 
 
-def test_states_are_never_changed_by_a_move() -> None:
+def test_moves_never_change_a_state() -> None:
     systems: list[System] = [Duties(), LedgerSystem(), MembershipSystem(), VotersSystem()]
     for system in systems:
         state = system.initial()
@@ -118,7 +118,7 @@
             state = after[len(after) // 2]
 
 
-def test_the_command_says_what_it_looked_at_and_replays_a_trace(
+def test_the_command_reports_its_search_and_replays_a_trace(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     from dunlinloft.cli.handlers import exploration
@@ -128,8 +128,8 @@
         half_is_enough(patch)
         assert exploration.explore("duties", 3, 500, 1, 20_000, 1, str(file)) == 1
         assert exploration.replay_file("duties", str(file)) == 1
-    said = capsys.readouterr().out
-    assert "hold it" in said or "began with token" in said
+    output = capsys.readouterr().out
+    assert "hold it" in output or "began with token" in output
     assert exploration.replay_file("duties", str(file)) == 0
     file.write_text("{")
     assert exploration.replay_file("duties", str(file)) == 2
--- a/tests/test_lab_oracle.py
+++ b/tests/test_lab_oracle.py
@@ -1,4 +1,4 @@
-"""Planted breaks: a node that breaks one rule on purpose has to be caught, by that rule's name."""
+"""The oracle: a node that deliberately violates one rule must be reported under that rule's name."""
 
 from __future__ import annotations
 
@@ -47,12 +47,12 @@
 
 
 class Planted(VirtualNode):
-    """A node with one thing wrong; what it does to each of its acts is `twist`'s to say."""
+    """A faulty node; `alter_actions` replaces the balancer's actions."""
 
-    twist: Callable[[Planted, api.Action], list[api.Action]]
+    alter_actions: Callable[[Planted, api.Action], list[api.Action]]
 
     def act(self, action: api.Action) -> None:
-        for each in type(self).twist(self, action):
+        for each in type(self).alter_actions(self, action):
             super().act(each)
 
 
@@ -60,8 +60,8 @@
     return type("PlantedHost", (VirtualHost,), {"node_type": node})
 
 
-def twisted(twist: Callable[[Planted, api.Action], list[api.Action]]) -> type[VirtualHost]:
-    return host_of(type("Node", (Planted,), {"twist": staticmethod(twist)}))
+def twisted(alter_actions: Callable[[Planted, api.Action], list[api.Action]]) -> type[VirtualHost]:
+    return host_of(type("Node", (Planted,), {"alter_actions": staticmethod(alter_actions)}))
 
 
 def second_answer(node: Planted, action: api.Action) -> list[api.Action]:
@@ -75,7 +75,7 @@
 
 def lose(node: Planted, action: api.Action) -> list[api.Action]:
     if isinstance(action, api.Send) and hash(action.server) % 5 == 0:
-        node._open_requests.pop(action.id, None)  # nobody is told
+        node._open_requests.pop(action.id, None)  # without an answer to the caller
         return []
     return [action]
 
@@ -85,7 +85,7 @@
 
 
 class Repeating(VirtualNode):
-    """Sends again whatever came back with an error."""
+    """Resends every attempt that ended with an error."""
 
     where = "anywhere"
 
@@ -99,14 +99,14 @@
 
 
 class Fabricating(VirtualNode):
-    """Serves with nothing from a server."""
+    """Answers 200 without calling a server."""
 
     def _accept(self, order: Order, done: Done) -> None:
         self._host.answer(self.name, order, done, 200, "a1", 0.0)
 
 
-class Deaf(VirtualNode):
-    """Takes servers that drain, or that start anew, for what they were."""
+class UpdateIgnoring(VirtualNode):
+    """Ignores that servers drain or restart."""
 
     def decide(self, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.ServerListUpdate):
@@ -116,16 +116,16 @@
         return super().decide(event)
 
 
-class Pushing(Deaf):
-    """Sends all to the server that has just started."""
+class ColdServerOverloading(UpdateIgnoring):
+    """Sends all requests to a server that has just started."""
 
     def send(self, id: str, number: int, timeout_ms: float) -> None:
         cold = [n for n, server in self._servers_by_number.items() if server.name == "a2"]
         super().send(id, cold[0] if self._host.now() > 4500.0 else number, timeout_ms)
 
 
-class Astray(VirtualNode):
-    """Sends to a server that its list has not named."""
+class UnlistedServerSender(VirtualNode):
+    """Sends to a server that is not in its list."""
 
     def tell_list(self, index: int, entries: list[Any], whole: bool) -> None:
         kept = [entry for entry in entries if entry.name != "a3"]
@@ -138,8 +138,8 @@
         super().send(id, 1 if self._host.now() > 2000.0 else number, timeout_ms)
 
 
-class Stubborn(VirtualNode):
-    """Tries again for ever, where a repeat is harmless."""
+class UnlimitedRetrying(VirtualNode):
+    """Retries without limit where a retry is harmless."""
 
     def _complete(self, attempt: Attempt, result: api.Result, report: dict[str, float] | None) -> None:
         live = attempt.request
@@ -150,7 +150,7 @@
 
 
 class Ending(VirtualNode):
-    """Ends by itself."""
+    """Ends without being told to."""
 
     def _accept(self, order: Order, done: Done) -> None:
         if self._host.now() > 3000.0:
@@ -165,10 +165,10 @@
     "duplicate": host_of(Repeating),
     "group": host_of(Repeating),
     "fabricated": host_of(Fabricating),
-    "drain": host_of(Deaf),
-    "cold": host_of(Pushing),
-    "unlisted": host_of(Astray),
-    "attempts": host_of(Stubborn),
+    "drain": host_of(UpdateIgnoring),
+    "cold": host_of(ColdServerOverloading),
+    "unlisted": host_of(UnlistedServerSender),
+    "attempts": host_of(UnlimitedRetrying),
     "crash": host_of(Ending),
 }
 
@@ -177,26 +177,26 @@
     return play_virtual(parse(text), 1, host=host)
 
 
-def test_a_sound_node_breaks_nothing_on_the_day_on_which_breaks_are_planted() -> None:
+def test_an_unmodified_node_violates_no_rule() -> None:
     result = play()
     assert result.broken == {}
     assert result.figures["requests"] > 300
 
 
 @pytest.mark.parametrize("rule", PLANTED)
-def test_a_planted_break_is_caught_by_name(rule: str) -> None:
+def test_a_planted_violation_is_reported_under_its_rule(rule: str) -> None:
     assert rule in play(PLANTED[rule]).broken
 
 
-def scene() -> tuple[Scenario, Oracle]:
+def scenario_and_oracle() -> tuple[Scenario, Oracle]:
     scenario = parse(DAY)
     oracle = Oracle(Plan(scenario, 1))
     oracle.see(records.Told(0.0, "n1", 1, True, [("a1", "active", 0.0), ("a4", "active", 0.0)]))
     return scenario, oracle
 
 
-def test_a_repeat_after_the_window_is_caught() -> None:
-    scenario, oracle = scene()
+def test_a_retry_after_the_window_is_reported() -> None:
+    scenario, oracle = scenario_and_oracle()
     window = next(cls.window_ms for cls in scenario.classes if cls.effect == "keyed")
     oracle.see(records.Asked(0.0, "x", "n1", "slot-book", 60_000.0, "callers", "k"))
     for at in (10.0, window + 100.0):
@@ -206,9 +206,9 @@
 
 
 @pytest.mark.parametrize(("beyond", "caught"), [(2.0, False), (3.5, True)])
-def test_a_cold_server_may_get_what_is_chance_and_no_more(beyond: float, caught: bool) -> None:
-    """Its budget of N calls, and twice the root of N and two: so is the rule, whoever they came from."""
-    scenario, oracle = scene()
+def test_cold_server_overload_is_reported_beyond_the_chance_allowance(beyond: float, caught: bool) -> None:
+    """The limit is the budget N plus the chance allowance 2 sqrt(N) + 2, over all callers."""
+    scenario, oracle = scenario_and_oracle()
     plan, tier, rules = Plan(scenario, 1), scenario.tiers[0], scenario.rules
     at = 1000.0
     oracle.see(records.Started(at, "a1"))
@@ -221,16 +221,16 @@
     assert oracle.cold_excess == pytest.approx(1.0, abs=0.2)
 
 
-def test_a_ramp_holds_for_thirty_processes_that_know_nothing_of_each_other() -> None:
+def test_thirty_independent_processes_do_not_overload_a_starting_server() -> None:
     for seed in (1, 2):
         result = play_virtual(load("ramp"), seed)
         assert result.broken == {} and result.missed == []
         assert result.figures["cold_excess"] <= 1.0
 
 
-def test_what_the_lab_or_the_process_was_late_is_allowed_for_and_no_more() -> None:
+def test_time_limits_are_extended_by_scheduling_delays_only() -> None:
     for late_ms, caught in ((100.0, True), (400.0, False)):
-        _, oracle = scene()
+        _, oracle = scenario_and_oracle()
         oracle.see(records.Told(1000.0, "n1", 2, False, [("a1", "leaving", 0.0)]))
         oracle.see(records.Late(1500.0, "n1", late_ms))
         oracle.see(records.Arrived(1800.0, "x", "n1", "a1", 1800.0))  # 250 ms beyond the limit
@@ -238,8 +238,8 @@
 
 
 @pytest.mark.parametrize("fault", ["kill", "stop", "link"])
-def test_a_fault_explains_what_it_touches_and_nothing_else(fault: str) -> None:
-    _, oracle = scene()
+def test_a_fault_excuses_missing_answers_of_affected_nodes_only(fault: str) -> None:
+    _, oracle = scenario_and_oracle()
     oracle.see(records.Faulted(100.0, f"0:{fault}", True, ["n1"]))
     for node in ("n1", "n2"):
         oracle.see(records.Asked(50.0, f"of-{node}", node, "slot-view", 500.0, "callers"))
@@ -248,17 +248,17 @@
     assert oracle.excused == 1
 
 
-def test_one_seed_gives_one_run_bit_for_bit() -> None:
+def test_a_seed_determines_the_run_exactly() -> None:
     digests = {play().digest for _ in range(2)}
     other = play_virtual(parse(DAY), 2).digest
     assert len(digests) == 1
     assert other not in digests
 
 
-def test_a_log_holds_every_record_as_a_line_of_its_kind() -> None:
+def test_a_log_contains_every_record_as_a_line_with_its_kind() -> None:
     lines: list[bytes] = []
-    witness = DayObserver(Plan(parse(DAY), 1))
-    host = VirtualHost(witness._plan if hasattr(witness, "_plan") else Plan(parse(DAY), 1), [])
+    observer = DayObserver(Plan(parse(DAY), 1))
+    host = VirtualHost(observer._plan if hasattr(observer, "_plan") else Plan(parse(DAY), 1), [])
     host.sinks.append(lambda record: lines.append(records.line(record)))
     host.run()
     kinds = {line.split(b'"', 4)[3] for line in lines}
--- a/tests/test_lab_processes.py
+++ b/tests/test_lab_processes.py
@@ -1,4 +1,4 @@
-"""The host with real processes: a kill, a clean end, and the relay between processes."""
+"""The host with real processes: a kill, cleanup at the end, and the relay between processes."""
 
 from __future__ import annotations
 
@@ -49,8 +49,8 @@
 """
 
 
-def test_a_day_of_real_processes_with_a_kill_keeps_the_rules(tmp_path: Path) -> None:
-    """Safety always; that most is served, within limits that no busy machine reaches."""
+def test_real_processes_with_a_kill_violate_no_rule(tmp_path: Path) -> None:
+    """Safety rules hold strictly; the limits on served requests are wide enough for a busy machine."""
     with (tmp_path / "log").open("wb") as log:
         result = play_processes(parse(DAY), 1, lambda share: None, log, tmp_path)
     assert result.broken == {}
@@ -81,7 +81,7 @@
         ('b"GET ", b"PUT "', "method"),
     ],
 )
-def test_bytes_that_break_the_protocol_are_caught_by_name(
+def test_protocol_violations_are_reported_with_the_violated_part(
     what: str, seen: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     command = [sys.executable, "-c", PLANTED.format(what=what)]
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGKILL])
-def test_however_the_lab_ends_no_process_and_no_folder_is_left(number: int, tmp_path: Path) -> None:
+def test_a_signal_to_the_lab_leaves_no_process_and_no_folder(number: int, tmp_path: Path) -> None:
     file = tmp_path / "day.toml"
     file.write_text(DAY.replace("length_s = 7", "length_s = 60"))
     folder = tmp_path / "tmp"
@@ -139,7 +139,7 @@
         assert list(folder.iterdir()) == []
 
 
-def test_two_runs_at_once_have_addresses_of_their_own() -> None:
+def test_concurrent_runs_use_different_addresses() -> None:
     first, second = Block(), Block()
     try:
         assert first.number != second.number
@@ -152,7 +152,7 @@
     assert again.number <= freed
 
 
-def test_clocks_are_refused_with_processes_and_every_other_shipped_day_is_taken() -> None:
+def test_only_clock_faults_are_unsupported_with_processes() -> None:
     clock = 'name = "x"\n[[faults]]\nkind = "clock"\nat_s = 1\nnodes = ["n1"]\nwall_ms = 5'
     assert "virtual host only" in (unsupported_reason(parse(clock)) or "")
     assert unsupported_reason(load("herd")) is None
@@ -170,7 +170,7 @@
         self._loop.call_later(delay_ms / 1000.0, do, *args)
 
 
-def test_the_relay_passes_datagrams_and_streams_by_the_links_and_shows_aliases() -> None:
+def test_the_relay_applies_links_and_shows_aliases() -> None:
     async def test() -> None:
         loop, block = asyncio.get_running_loop(), Block()
         plan = Plan(parse('name = "x"\n[nodes]\ncount = 2'), 1)
@@ -208,7 +208,7 @@
             lines.add_fault(cut)
             one.sendto(b"lost", block.alias(1))
             writer.write(b"b")
-            two.sendto(b"still", block.alias(0))  # only the one direction is cut
+            two.sendto(b"still", block.alias(0))  # only one direction is cut
             await wait_until(lambda: got[2:] == [(b"still", block.alias(1))])
             assert heard == [b"a"]
             lines.remove_fault(cut)
--- a/tests/test_lab_scenario.py
+++ b/tests/test_lab_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files and what is drawn from them; links by their statistics."""
+"""Scenario files, the plans drawn from them, and the statistics of simulated links."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         ('name = "x"\n[[faults]]\nkind = "kill"\nat_s = 99\nnodes = ["*"]', "faults[0].at_s", "ends at 20 s"),
     ],
 )
-def test_a_file_that_is_no_good_is_refused_with_its_place_and_what_was_expected(
+def test_an_invalid_file_is_rejected_with_its_place_and_what_was_expected(
     text: str, where: str, what: str, tmp_path: Path
 ) -> None:
     with pytest.raises(ScenarioError) as caught:
@@ -60,7 +60,7 @@
     assert CliRunner().invoke(main, ["lab", "run", str(file)]).exit_code == 2
 
 
-def test_all_shipped_scenarios_are_good_and_the_schema_knows_their_keys() -> None:
+def test_all_shipped_scenarios_are_valid_and_the_schema_has_their_keys() -> None:
     shipped = sorted(SHIPPED_SCENARIOS.glob("*.toml"))
     assert len(shipped) >= 10
     definitions = schema()["$defs"]
@@ -79,7 +79,7 @@
             assert set(fault) <= set(names[0]["properties"])
 
 
-def test_the_plan_has_the_rate_the_mix_and_the_skew_that_the_file_asks_for() -> None:
+def test_the_plan_has_the_rate_mix_and_skew_of_the_scenario() -> None:
     text = 'name = "x"\n[day]\nlength_s = 200\n[nodes]\ncount = 8\n[arrivals]\nrate_per_s = 300\nskew = 3\n'
     plan = Plan(parse(text), 5)
     count = len(plan.arrivals)
@@ -95,7 +95,7 @@
 
 
 class Clock:
-    """A clock that a test moves; what is due is done in order."""
+    """A clock advanced by the test; callbacks run in order of their due time."""
 
     def __init__(self) -> None:
         self.at, self.due = 0.0, list[tuple[float, int, Callable[..., None], tuple[Any, ...]]]()
@@ -116,15 +116,15 @@
 PAIR = frozenset({("n1", "a2")})
 
 
-def ill_line(seed: str = "s", **faults: Any) -> DirectedLink:
+def faulty_link(seed: str = "s", **faults: Any) -> DirectedLink:
     line = DirectedLink(5.0, 0.0, Clock(), seed)
     line.apply_faults([LinkFault(PAIR, **faults)])
     return line
 
 
-def test_each_fault_of_a_link_shows_in_its_statistics_and_follows_its_seed() -> None:
+def test_link_faults_have_the_configured_statistics_and_depend_on_the_seed() -> None:
     def datagrams(**faults: Any) -> list[list[float]]:
-        line = ill_line(**faults)
+        line = faulty_link(**faults)
         return [line.datagram(100) for _ in range(20_000)]
 
     lost = sum(not times for times in datagrams(loss=0.3)) / 20_000
@@ -138,17 +138,22 @@
     overtaken = sum(times[0] > 5.0 for times in datagrams(reorder=0.2)) / 20_000
     assert overtaken == pytest.approx(0.2, abs=0.015)
     assert not any(datagrams(cut=True)) and not any(datagrams(refuse=True))
-    paced = ill_line(rate_kbps=80.0)
+    paced = faulty_link(rate_kbps=80.0)
     assert paced.datagram(1000)[0] == pytest.approx(105.0)
-    assert paced.datagram(1000)[0] == pytest.approx(205.0)  # behind the first
-    repeats = [ill_line(f"{n}", loss=0.5).stream_ms(100) for n in range(2000)]
-    assert {round(took) for took in repeats} >= {5, 205, 605, 1405}  # a stream loses nothing, it waits
-    assert ill_line("a", loss=0.3).datagram(9) == ill_line("a", loss=0.3).datagram(9)
-    first, second = ([ill_line("a", loss=0.3)] for _ in range(2))
+    assert paced.datagram(1000)[0] == pytest.approx(205.0)  # queued behind the first
+    repeats = [faulty_link(f"{n}", loss=0.5).stream_ms(100) for n in range(2000)]
+    assert {round(took) for took in repeats} >= {
+        5,
+        205,
+        605,
+        1405,
+    }  # a stream loses nothing: losses appear as delays
+    assert faulty_link("a", loss=0.3).datagram(9) == faulty_link("a", loss=0.3).datagram(9)
+    first, second = ([faulty_link("a", loss=0.3)] for _ in range(2))
     assert [first[0].datagram(9) for _ in range(99)] == [second[0].datagram(9) for _ in range(99)]
 
 
-def test_a_cut_is_one_way_holds_a_stream_back_and_ends() -> None:
+def test_a_cut_holds_a_stream_back_in_one_direction_until_it_ends() -> None:
     clock, got = Clock(), list[str]()
     names = Names(parse('name = "x"'))
     lines = Links(names, 0.2, 10.0, 0.0, clock, 1)
@@ -165,7 +170,7 @@
     assert clock.at < 1000.0
 
 
-def test_seeds_are_read_or_refused() -> None:
+def test_seed_lists_are_parsed_or_rejected() -> None:
     assert read_seeds("1-3,7,2") == [1, 2, 3, 7]
     for text in ("", "x", "3-1", "1-", "-2"):
         with pytest.raises(SeedListError):
@@ -198,17 +203,17 @@
 
 
 class Still:
-    """A clock that stands still."""
+    """A clock that never advances."""
 
     def now(self) -> float:
         return 0.0
 
     def after(self, delay_ms: float, do: Callable[..., None], *args: Any) -> None:
-        """Nothing happens later."""
+        """Ignore the callback."""
 
 
-def test_what_came_to_a_former_life_of_a_server_can_be_given_up_after_its_restart() -> None:
-    # Seed 293 of `staged`: an attempt was given up just after its server had started anew.
+def test_an_attempt_from_before_a_server_restart_can_be_cancelled_after_it() -> None:
+    # Seed 293 of `staged`: an attempt was cancelled just after its server had restarted.
     ended: list[str] = []
     server = Server("a1", "linz", 0, Tier(), 1.0, Still(), 1, 10.0, (2.5, 3000.0), lambda fallen: None)
     jobs = [Job(f"j{n}", "n1", "slot-view", 10.0, 0, lambda job, how: ended.append(how)) for n in range(2)]
@@ -223,7 +228,7 @@
 
 
 class Steps(Still):
-    """A clock that goes from one thing to the next."""
+    """A clock that advances from one callback to the next."""
 
     def __init__(self) -> None:
         self.at, self.heap = 0.0, list[tuple[float, int, Callable[..., None], tuple[Any, ...]]]()
@@ -236,8 +241,8 @@
 
 
 @pytest.mark.parametrize("seed", ["a", "b", "c"])
-def test_a_watch_that_asks_on_from_its_index_misses_no_change(seed: str) -> None:
-    # Six servers that started half a second apart: the news of the second was overtaken and never told.
+def test_a_watch_that_continues_from_its_index_misses_no_change(seed: str) -> None:
+    # With six servers started half a second apart, the second update was overtaken and never delivered.
     clock = Steps()
     registry = Registry([f"a{n}" for n in range(8)], ["n1"], Discovery(notice_s=[0.3, 2.2]), clock, seed)
     agent, index, known = registry.agents["n1"], 1, dict[str, float]()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""`lab scale`: lines, refusals, small real runs, planted faults, and that nothing is left."""
+"""`lab scale`: fits, rejected plans, small real runs, planted faults, and cleanup."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 from tests.test_lab_processes import alive, children
 from tests.test_wire import ROOT
 
-LIMIT_S = 90.0  # for what takes a few seconds: a busy machine must not change the verdict
+LIMIT_S = 90.0  # for operations that take a few seconds; generous, so that a busy machine changes no result
 LARGE = Machine(cores=64, memory_mb=512_000.0, descriptors=100_000)
-# The program, but with a lock of its own: a scale run elsewhere on this machine must not end a test.
+# The program with its own lock, so that another scale run on this machine does not interfere.
 PROGRAM = """
 import sys
 from lab.scale import limits
@@ -54,11 +54,11 @@
     uvloop.run(limited())
 
 
-# Lines
+# Fits
 
 
 def test_a_fit_is_least_squares_with_its_errors() -> None:
-    """Worked by hand: x 1 to 4, y 2, 4, 5, 7; slope 1.6, what is left 0.2, spread 5."""
+    """Computed by hand: x 1 to 4, y 2, 4, 5, 7; slope 1.6, residual sum of squares 0.2, x spread 5."""
     fitted = fit([1, 2, 3, 4], [2.0, 4.0, 5.0, 7.0], 10.0)
     assert fitted is not None
     assert fitted.slope == pytest.approx(1.6)
@@ -78,13 +78,15 @@
     assert flat is not None and flat.slope == 0.0 and flat.r2 is None and flat.at_target == 4.0
 
 
-# What is made of views and deaths
+# Evaluation of views and deaths
 
 
 def test_views_agree_if_all_are_equal_or_each_side_has_its_own() -> None:
     assert agreed([("a", 3), ("a", 3), ("a", 3)], parts=False)
     assert not agreed([("a", 3), ("a", 3), ("b", 3)], parts=False)
-    assert not agreed([("a", 4), ("a", 4), ("a", 4)], parts=False)  # one is held that is not there
+    assert not agreed(
+        [("a", 4), ("a", 4), ("a", 4)], parts=False
+    )  # the view has a member that does not exist
     islands = [("a", 2), ("a", 2), ("b", 1)]
     assert agreed(islands, parts=True) and not agreed(islands, parts=False)
     assert not agreed([("a", 2), ("b", 2), ("b", 2)], parts=True)
@@ -111,7 +113,7 @@
     assert other.figures == beside
 
 
-# Refusals
+# Rejected plans
 
 
 @pytest.mark.parametrize(
@@ -217,7 +219,7 @@
 
 
 def test_a_small_run_measures_everything_and_leaves_nothing(tmp_path: Path) -> None:
-    """Whether each size counts is the machine's affair; that all is measured and told is not."""
+    """Whether a size is valid depends on the machine, but everything must be measured and reported."""
     file, folder = tmp_path / "out.json", tmp_path / "tmp"
     folder.mkdir()
     done = subprocess.run(
@@ -291,7 +293,7 @@
 
 
 class Planted(SizeRun):
-    """In the quiet time one hollow process is stopped until the others call a member of it dead."""
+    """Stops a hollow process during the steady state until the others declare one of its members dead."""
 
     pauses = 0
 
@@ -329,7 +331,7 @@
     second = simulate(what).figures
     for figures in (first, second):
         assert figures.pop("cpu_ms_s") > 0.0
-        del figures["memory_mb"]  # the machine's, not the seed's
+        del figures["memory_mb"]  # depends on the machine
     assert first == second
     assert first["disagree"] == first["unknown"] == first["false_deaths"] == 0.0
     assert first["messages_s"] > 4.0
@@ -346,7 +348,7 @@
     assert found["plan"]["cells"] == 8, done.stderr
     for sample in found["samples"][1:]:
         if not sample["why"]:
-            assert sample["figures"]["refused"] == 0.0  # members and directory speak one language
+            assert sample["figures"]["refused"] == 0.0  # members and directory accept each other's messages
             assert sample["figures"]["directory_messages_s"] > 0.0
             assert sample["figures"]["directory_memory_mb"] > 1.0
         seen = sample["raw"].get("directory", {"after": []})["after"]
