--- a/lab/capacity/__init__.py
+++ b/lab/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What one process costs as the fleet grows: the real cores and codecs, at a few sizes, with lines."""
+"""Cost of one process as the fleet grows: the production cores and codecs at a few sizes, with fits."""
--- a/lab/capacity/catalogue.py
+++ b/lab/capacity/catalogue.py
@@ -1,4 +1,4 @@
-"""All experiments by name."""
+"""All capacity experiments, by name."""
 
 from __future__ import annotations
 
--- a/lab/explore/__init__.py
+++ b/lab/explore/__init__.py
@@ -1,1 +1,1 @@
-"""Tries all orders of events on the fleet's own cores, within stated bounds, and prints what breaks them."""
+"""Explores orders of events on the fleet's production cores within stated bounds and prints violations."""
--- a/lab/processes/__init__.py
+++ b/lab/processes/__init__.py
@@ -1,1 +1,1 @@
-"""The host with real `python -m dunlinloft.node` processes on loopback, among stand-ins in this process."""
+"""Real-time host: `python -m dunlinloft.node` processes on loopback, with simulated servers and callers."""
--- a/lab/scale/__init__.py
+++ b/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet's cost by its size: hollow members and real nodes on sockets, and cores in virtual time."""
+"""Cost of a fleet by its size: hollow members and real nodes on sockets, and cores in virtual time."""
--- a/lab/virtual/__init__.py
+++ b/lab/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""The host in virtual time: one heap of events, and the same run, bit for bit, for each seed."""
+"""Virtual-time host: a single event heap, with fully deterministic runs for each seed."""
