--- a/dunlinloft/cli/handlers/scale.py
+++ b/dunlinloft/cli/handlers/scale.py
@@ -16,8 +16,8 @@
 from dunlinloft.cli.exit_codes import ExitCode
 from dunlinloft.cli.tables import PLAIN_STYLE
 from dunlinloft.exceptions import DunlinloftError
-from lab.runner import BadSeeds, read_seeds
-from lab.scale.fit import Line
+from lab.runner import SeedListError, read_seeds
+from lab.scale.fit import FittedLine
 from lab.scale.limits import Refused
 from lab.scale.plan import Plan, Results, Sample
 from lab.scale.run import play, write
@@ -118,7 +118,7 @@
     """Measure all sizes; fails if a sample is invalid, a live member was declared dead or a crash missed."""
     try:
         plan = _plan(options)
-    except (BadSeeds, OptionError) as error:
+    except (SeedListError, OptionError) as error:
         return report_invalid_input(error)
     started_s = time.monotonic()
 
@@ -148,7 +148,7 @@
 
 
 def _plan(options: ScaleOptions) -> Plan:
-    """Build the plan from the options. Raises `BadSeeds` or `OptionError`."""
+    """Build the plan from the options. Raises `SeedListError` or `OptionError`."""
     return Plan(
         parse_sizes(options.sizes),
         parse_sizes(options.virtual_sizes),
@@ -208,7 +208,7 @@
     return table
 
 
-def _fit_table(fits: dict[str, Line], target: float) -> Table:
+def _fit_table(fits: dict[str, FittedLine], target: float) -> Table:
     table = Table("line through it", **PLAIN_STYLE)
     for column in ("a member", "± s.e.", "at 0", "± s.e.", "r²", f"at {target:,.0f}", "± s.e."):
         table.add_column(column, justify="right")
--- a/tests/test_cell_directory.py
+++ b/tests/test_cell_directory.py
@@ -12,7 +12,7 @@
 from dunlinloft.fleet.cells.report_replication import ReportReplication
 from dunlinloft.fleet.shared_state.anti_entropy import AntiEntropy
 from dunlinloft.fleet.shared_state.messages import MessageReceived, PullRequest, PullResponse
-from lab.virtual.askers import Askers
+from lab.virtual.askers import DirectoryLoadFleet
 
 
 def directory_with_reports(cells: int) -> Directory:
@@ -72,15 +72,15 @@
 
 def replication_bytes() -> tuple[float, float]:
     """Return the replication bytes per report and receiving process, and the share of reliable responses."""
-    askers = Askers(80, 3.0, 1, 8)
+    askers = DirectoryLoadFleet(80, 3.0, 1, 8)
     askers.run(70_000.0)
     askers.kinds.clear()
-    for cell in askers.mouths:
-        cell.answers = cell.sure = 0
+    for cell in askers.simulated_cells:
+        cell.answers = cell.reliable = 0
     askers.run(20_000.0)
     assert [askers.known(process) for process in askers.directory()] == [80] * 8
     reports = 80 * 20_000.0 / 10_000.0
-    return askers.kinds["PullResponse"] / reports / 8, askers.sure_share()
+    return askers.kinds["PullResponse"] / reports / 8, askers.reliable_share()
 
 
 def test_replication_costs_a_few_times_the_new_data() -> None:
--- a/tests/test_cell_random.py
+++ b/tests/test_cell_random.py
@@ -11,8 +11,8 @@
 import pytest
 
 from dunlinloft.fleet import interface as api
-from lab.lines import Ill
-from lab.virtual.cell_oracle import Watch, by_service, quiet, sums
+from lab.lines import LinkFault
+from lab.virtual.cell_oracle import BudgetWatch, by_service, run_until_stable, sums
 from lab.virtual.cells import CellFleet
 from lab.virtual.meeting import Process
 
@@ -45,8 +45,8 @@
             sizes, seed, regions=self.regions, most=self.rng.choice((4, 6, 8)),
             directory=self.rng.choice((0, 1, 3, 6)), file=CONFIGURED_MEMBERS,
         )  # fmt: skip
-        self.watch = Watch(self.fleet)
-        self.link_faults: list[Ill] = []
+        self.watch = BudgetWatch(self.fleet)
+        self.link_faults: list[LinkFault] = []
         self.absent: list[str] = []
         self.was_partitioned = False
 
@@ -94,12 +94,12 @@
                 self.fleet.cont(name)
 
     def toggle_directory_process(self, living: list[str]) -> None:
-        for name in self.fleet.guides:
+        for name in self.fleet.directory_names:
             if not self.fleet.processes[name].alive:
                 self.fleet.start(name)
                 return
-        if self.fleet.guides:
-            self.fleet.kill(self.rng.choice(self.fleet.guides))
+        if self.fleet.directory_names:
+            self.fleet.kill(self.rng.choice(self.fleet.directory_names))
 
     def partition_region(self, living: list[str]) -> None:
         groups = self.fleet.groups
@@ -122,7 +122,7 @@
 
     def heal(self, living: list[str]) -> None:
         for fault in self.link_faults:
-            self.fleet.lines.recover(fault)
+            self.fleet.lines.remove_fault(fault)
         self.link_faults, self.fleet.is_partitioned = [], False
         self.fleet.tolerated_until_ms = self.fleet.now() + RECOVERY_MS
 
@@ -130,7 +130,7 @@
         """Repair all links, resume all processes, and start the directory, or the seeds if there is none."""
         self.heal([])
         self.resume_all([])
-        for name in self.fleet.guides or [name for name in self.absent if name.endswith(("-0", "-1", "-2"))]:
+        for name in self.fleet.directory_names or [name for name in self.absent if name.endswith(("-0", "-1", "-2"))]:
             if not self.fleet.processes[name].alive:
                 self.fleet.start(name)
 
@@ -142,14 +142,14 @@
     for _ in range(faults.rng.randrange(5, 20)):
         faults.inject_one()
     faults.repair_all()
-    quiet(fleet, 200_000.0)
+    run_until_stable(fleet, 200_000.0)
     assert fleet.false_deaths == []
     # Other cells learn of new members some 12 s late; until then the new members' shares come on top.
     bound = 1.5 if faults.was_partitioned else 1.0 + 1e-9
     assert all(old <= bound for old in faults.watch.old.values()), dict(faults.watch.old)
     assert all(most < 1.5 for most in faults.watch.most.values()), dict(faults.watch.most)
     fleet.run(60_000.0)
-    quiet(fleet, 1_000.0)
+    run_until_stable(fleet, 1_000.0)
     for process in fleet.directory():
         for members in by_service(fleet).values():
             assert sums(fleet, process, members[0].name).service_members >= len(members)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -13,7 +13,7 @@
 from dunlinloft.fleet.cells.service_totals import MAX_REPORT_AGE_MS
 from dunlinloft.fleet.member_count import MISSING_MEMBER_GRACE_MS
 from dunlinloft.fleet.membership.core import Membership
-from lab.virtual.cell_oracle import Watch, amiss, cells, parted, quiet, sums, told_right
+from lab.virtual.cell_oracle import BudgetWatch, cell_problems, cells, budgets_are_settled, run_until_stable, sums, directory_is_correct
 from lab.virtual.cells import CellFleet
 
 HOUR_MS = 3_600_000.0
@@ -22,8 +22,8 @@
 def settled_fleet(sizes: dict[str, int], seed: int, **options: Any) -> CellFleet:
     """Return a fleet that is quiet, and whose directory totals and shares are correct."""
     fleet = CellFleet(sizes, seed, **options)
-    quiet(fleet)
-    run_until(fleet, lambda: told_right(fleet) and ("file" in options or parted(fleet)), 120_000.0)
+    run_until_stable(fleet)
+    run_until(fleet, lambda: directory_is_correct(fleet) and ("file" in options or budgets_are_settled(fleet)), 120_000.0)
     assert fleet.false_deaths == []
     return fleet
 
@@ -36,13 +36,13 @@
 
 def run_until_consistent(fleet: CellFleet, limit_ms: float = 120_000.0) -> None:
     """Run until the fleet is quiet, and the directory's totals and the shares are correct."""
-    quiet(fleet, limit_ms)
-    run_until(fleet, lambda: told_right(fleet) and parted(fleet), limit_ms)
+    run_until_stable(fleet, limit_ms)
+    run_until(fleet, lambda: directory_is_correct(fleet) and budgets_are_settled(fleet), limit_ms)
 
 
 def cell_of(fleet: CellFleet, name: str) -> list[str]:
     """Return the members of a member's cell, according to the oracle."""
-    member, partition = fleet.at(name), fleet.cut_of(name)
+    member, partition = fleet.at(name), fleet.partition_of(name)
     return sorted(m.name for m in cells(fleet)[member.service, member.region, partition])
 
 
@@ -62,23 +62,23 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_a_cell_splits_and_merges_while_members_join_and_die(seed: int) -> None:
     fleet = settled_fleet({"web": 7}, seed, file=40)
-    watch = Watch(fleet)
+    watch = BudgetWatch(fleet)
     assert len(cells(fleet)) == 1
     for n in range(33):
         fleet.start(fleet.add("web", "east"))
         fleet.run(700.0)
         if n % 4 == 3:
             fleet.kill(fleet.rng.choice(fleet.members()).name)
-    quiet(fleet)
-    run_until(fleet, lambda: told_right(fleet), 120_000.0)
+    run_until_stable(fleet)
+    run_until(fleet, lambda: directory_is_correct(fleet), 120_000.0)
     assert len(cells(fleet)) >= 4
     assert watch.most["web"] <= 1.0 + 1e-9
     while len(fleet.members()) > 3:
         fleet.leave(fleet.rng.choice(fleet.members()).name)
         fleet.run(500.0)
-    quiet(fleet, 300_000.0)
+    run_until_stable(fleet, 300_000.0)
     run_until(fleet, lambda: len(cells(fleet)) == 1, 300_000.0)
-    quiet(fleet, 30_000.0)
+    run_until_stable(fleet, 30_000.0)
     assert watch.most["web"] <= 1.0 + 1e-9
     assert fleet.false_deaths == []
 
@@ -86,13 +86,13 @@
 def test_a_service_that_starts_all_at_once_splits_without_delay() -> None:
     fleet = CellFleet({"web": 64}, 23)
     assert fleet.run(6_000.0, lambda: len(cells(fleet)) >= 8, every_ms=250.0) < 6_000.0
-    quiet(fleet, 20_000.0)
+    run_until_stable(fleet, 20_000.0)
     assert fleet.false_deaths == []
 
 
 def test_two_sides_of_a_network_partition_disagree_on_the_split_and_agree_again() -> None:
     fleet = CellFleet({"web": 8}, 5, directory=0)
-    quiet(fleet)
+    run_until_stable(fleet)
     sides = fleet.names[:6], fleet.names[6:]
     fault = fleet.split(*sides)
     fleet.run(15_000.0)
@@ -101,11 +101,11 @@
         fleet.groups[name] = fleet.groups[sides[0][0]]
         fleet.start(name)
     fleet.run(30_000.0)
-    assert fleet.cut_of(sides[0][0]).depth == 1
-    assert fleet.cut_of(sides[1][0]).depth == 0
-    fleet.lines.recover(fault)
-    quiet(fleet)
-    assert fleet.cut_of(sides[1][0]).depth >= 1
+    assert fleet.partition_of(sides[0][0]).depth == 1
+    assert fleet.partition_of(sides[1][0]).depth == 0
+    fleet.lines.remove_fault(fault)
+    run_until_stable(fleet)
+    assert fleet.partition_of(sides[1][0]).depth >= 1
     assert fleet.false_deaths == []
 
 
@@ -129,7 +129,7 @@
         core.actions = []
         core._adopt_partition(partition, fleet.now())
     fleet.run(1_000.0)
-    quiet(fleet, 90_000.0)
+    run_until_stable(fleet, 90_000.0)
     assert fleet.false_deaths == []
 
 
@@ -164,7 +164,7 @@
 
 def test_tiny_cells_are_known_to_the_directory_and_reduce_no_share_permanently() -> None:
     fleet = settled_fleet({"solo": 1, "duo": 2, "web": 4}, 6)
-    watch = Watch(fleet)
+    watch = BudgetWatch(fleet)
     fleet.kill("duo-east-1")
     fleet.kill("solo-east-0")
     fleet.run(60_000.0)
@@ -188,7 +188,7 @@
 def test_a_member_in_the_wrong_cell_finds_its_own_with_the_directory_and_without() -> None:
     for directory in (3, 0):
         fleet = CellFleet({"web": 24}, 7, directory=directory)
-        quiet(fleet)
+        run_until_stable(fleet)
         fleet.run(60_000.0)
         for n, epoch in ((3, 0), (8, 1), (13, 9)):
             name, core = fleet.names[n], fleet.at(fleet.names[n]).core
@@ -203,9 +203,9 @@
             core._adopt_partition(wrong_partition, fleet.now())
             fleet.run(2_000.0)
             assert (
-                not fleet.cut_of(name).includes_path(name_path(name)) or fleet.cut_of(name) == right_partition
+                not fleet.partition_of(name).includes_path(name_path(name)) or fleet.partition_of(name) == right_partition
             )
-        quiet(fleet, 150_000.0)
+        run_until_stable(fleet, 150_000.0)
         assert fleet.false_deaths == []
 
 
@@ -217,14 +217,14 @@
     fleet.run(30_000.0)
     assert len(cells(fleet)) >= 4
     fleet.cont("web-east-2")
-    quiet(fleet, 30_000.0)
+    run_until_stable(fleet, 30_000.0)
     fleet.stop("web-east-2")
     for name in [member.name for member in fleet.members()][3:]:
         fleet.leave(name)
         fleet.run(400.0)
     run_until(fleet, lambda: len(cells(fleet)) == 1, 300_000.0)
     fleet.cont("web-east-2")
-    quiet(fleet, 30_000.0)
+    run_until_stable(fleet, 30_000.0)
     assert len(cells(fleet)) == 1
     assert fleet.false_deaths == []
 
@@ -244,38 +244,38 @@
     returning, other_half = add_members_in_half(fleet, 0, 1), add_members_in_half(fleet, 1, 6)
     for name in (*returning, *other_half):
         fleet.start(name)
-    quiet(fleet)
+    run_until_stable(fleet)
     fleet.stop(returning[0])
     fleet.run(10_000.0)
     for name in add_members_in_half(fleet, 1, 4):
         fleet.start(name)
     fleet.run(20_000.0)
-    assert fleet.cut_of(other_half[0]).depth >= 1
+    assert fleet.partition_of(other_half[0]).depth >= 1
     fleet.cont(returning[0])
-    quiet(fleet)
-    assert fleet.cut_of(returning[0]).depth >= 1
+    run_until_stable(fleet)
+    assert fleet.partition_of(returning[0]).depth >= 1
     assert fleet.false_deaths == []
 
 
 def test_new_members_find_cells_without_seeds_or_directory() -> None:
     fleet = CellFleet({"web": 24}, 20, most=4, directory=0)
-    quiet(fleet)
+    run_until_stable(fleet)
     fleet.run(60_000.0)
-    seed_partitions = {fleet.cut_of(name) for name in fleet.names[:3]}
+    seed_partitions = {fleet.partition_of(name) for name in fleet.names[:3]}
     new_members = [fleet.add("web", "east") for _ in range(8)]
     for name in new_members:
         fleet.start(name)
-    quiet(fleet, 150_000.0)
-    assert {fleet.cut_of(name) for name in new_members} - seed_partitions
+    run_until_stable(fleet, 150_000.0)
+    assert {fleet.partition_of(name) for name in new_members} - seed_partitions
     assert fleet.false_deaths == []
 
 
 def test_two_new_members_that_know_only_each_other_find_their_cell_without_a_directory() -> None:
     fleet = CellFleet({"web": 24}, 22, most=4, directory=0)
-    quiet(fleet)
+    run_until_stable(fleet)
     seeds, others = fleet.names[:3], fleet.names[3:]
-    seed_partitions = [fleet.cut_of(name) for name in seeds]
-    target = next(partition for partition in map(fleet.cut_of, others) if partition not in seed_partitions)
+    seed_partitions = [fleet.partition_of(name) for name in seeds]
+    target = next(partition for partition in map(fleet.partition_of, others) if partition not in seed_partitions)
     new_members: list[str] = []
     while len(new_members) < 2:
         name = fleet.add("web", "east")
@@ -289,8 +289,8 @@
     fleet._exchange(first, second.core.address, first.core.state())
     fleet.run(60_000.0)
     assert [m.name for m in fleet.there(first)] == [second.name]
-    fleet.lines.recover(fault)
-    quiet(fleet, 200_000.0)
+    fleet.lines.remove_fault(fault)
+    run_until_stable(fleet, 200_000.0)
     assert fleet.false_deaths == []
 
 
@@ -301,7 +301,7 @@
     fleet.kill("db-east-0")
     fleet.run(30_000.0)
     assert fleet.refused["foreign"] > 0
-    assert amiss(fleet) == ""
+    assert cell_problems(fleet) == ""
 
 
 # The reporter
@@ -323,7 +323,7 @@
             fleet.cont(name)
         else:
             fleet.start(name)
-        quiet(fleet)
+        run_until_stable(fleet)
     run_until_consistent(fleet)
     assert fleet.false_deaths == []
 
@@ -333,24 +333,24 @@
 
 def test_cells_work_without_a_directory_for_an_hour_and_admit_new_members_by_seeds() -> None:
     fleet = settled_fleet({"web": 3}, 11, most=3, file=6)
-    watch = Watch(fleet)
-    for process in fleet.guides:
+    watch = BudgetWatch(fleet)
+    for process in fleet.directory_names:
         fleet.kill(process)
     fleet.run(MAX_REPORT_AGE_MS + 15_000.0)
     assert all(member.fallback() for member in fleet.members())
     for _ in range(3):
         fleet.start(fleet.add("web", "east"))
         fleet.run(10_000.0)
-    quiet(fleet)
+    run_until_stable(fleet)
     assert len(cells(fleet)) >= 2
     fleet.kill("web-east-1")
     fleet.run(30 * 60_000.0)
-    assert amiss(fleet) == ""
+    assert cell_problems(fleet) == ""
     fleet.start("web-east-1")
     fleet.run(HOUR_MS - fleet.now())
-    assert amiss(fleet) == ""
+    assert cell_problems(fleet) == ""
     assert {member.census.position()[1] for member in fleet.members()} == {6}
-    for process in fleet.guides:
+    for process in fleet.directory_names:
         fleet.start(process)
     run_until_consistent(fleet)
     assert watch.most["web"] <= 1.0 + 1e-9
@@ -359,14 +359,14 @@
 
 def test_a_third_of_the_directory_lost_leaves_all_answers_within_their_bound() -> None:
     fleet = settled_fleet({"web": 20, "db": 3}, 12, directory=6)
-    for process in fleet.guides[::3]:
+    for process in fleet.directory_names[::3]:
         fleet.kill(process)
     for _ in range(60):
         fleet.run(1_000.0)
         assert not [m.name for m in fleet.members() if m.fallback()]
-        assert max(m.told_ms() for m in fleet.members()) <= MAX_REPORT_AGE_MS
+        assert max(m.totals_age_ms() for m in fleet.members()) <= MAX_REPORT_AGE_MS
     run_until_consistent(fleet)
-    for process in fleet.guides[::3]:
+    for process in fleet.directory_names[::3]:
         fleet.start(process)
     fleet.run(1_000.0)
     assert not any(sums(fleet, process, "web-east-0").is_reliable for process in fleet.directory()[::3])
@@ -376,21 +376,21 @@
 
 def test_a_restarted_directory_is_reliable_only_once_it_must_know_all_cells() -> None:
     fleet = settled_fleet({"web": 8}, 18, regions=("east", "west", "south"), directory=1)
-    watch = Watch(fleet)
+    watch = BudgetWatch(fleet)
     west = [name for name in fleet.names if "west" in name]
     fault = fleet.split([name for name in fleet.groups if name not in west], west)
-    for process in fleet.guides:
+    for process in fleet.directory_names:
         fleet.kill(process)
         fleet.start(process)
     fleet.run(WARM_UP_MS - 11_000.0)
-    fleet.lines.recover(fault)
+    fleet.lines.remove_fault(fault)
     run_until_consistent(fleet)
     assert watch.most["web"] <= 1.0 + 1e-9
 
 
 def test_a_new_member_takes_no_greater_share_than_the_others_without_a_directory() -> None:
     fleet = settled_fleet({"web": 24}, 24, file=8)
-    for process in fleet.guides:
+    for process in fleet.directory_names:
         fleet.kill(process)
     former_reporters = {reporter(fleet, name) for name in fleet.names}
     fleet.run(5_000.0)
@@ -400,7 +400,7 @@
     new_members = [fleet.add("web", "east") for _ in range(4)]
     for name in new_members:
         fleet.start(name)
-    quiet(fleet)
+    run_until_stable(fleet)
     fleet.run(5_000.0)
     assert all(
         fleet.at(name).census.position()[1] >= 24 and fleet.at(name).fallback() for name in new_members
@@ -412,13 +412,13 @@
 
 def test_regions_partitioned_for_an_hour_and_back_keep_their_shares() -> None:
     fleet = settled_fleet({"web": 5}, 13, regions=("east", "west"), directory=2)
-    watch = Watch(fleet)
+    watch = BudgetWatch(fleet)
     sides = [[name for name in fleet.groups if region in fleet.groups[name]] for region in ("east", "west")]
     fault = fleet.split(*sides)
     fleet.run(HOUR_MS)
     assert {member.census.position()[1] for member in fleet.members()} == {5}
     assert all(member.fallback() for member in fleet.members())
-    fleet.lines.recover(fault)
+    fleet.lines.remove_fault(fault)
     run_until_consistent(fleet, 60_000.0)
     assert watch.most["web"] <= 1.0 + 1e-9
     assert fleet.false_deaths == []
@@ -426,13 +426,13 @@
 
 def test_a_zone_that_crashes_and_restarts_at_once_rejoins_its_cells() -> None:
     fleet = settled_fleet({"web": 30, "db": 6}, 14)
-    watch = Watch(fleet)
+    watch = BudgetWatch(fleet)
     zone = [member.name for member in fleet.members() if fleet.groups[member.name].endswith("-a")]
     for name in zone:
         fleet.kill(name)
-    fleet.kill(fleet.guides[0])
+    fleet.kill(fleet.directory_names[0])
     fleet.run(40_000.0)
-    for name in [*zone, fleet.guides[0]]:
+    for name in [*zone, fleet.directory_names[0]]:
         fleet.start(name)
     run_until_consistent(fleet)
     assert all(most < 1.5 for most in watch.most.values())
@@ -452,7 +452,7 @@
     fleet.kill("web-east-0")
     fleet.run(3.0 * MISSING_MEMBER_GRACE_MS)
     assert {member.census.position()[1] for member in fleet.members()} == {6}  # no share grows
-    fleet.lines.recover(fault)
+    fleet.lines.remove_fault(fault)
     run_until(fleet, lambda: not any(m.fallback() for m in fleet.members()), 60_000.0)
     run_until(fleet, lambda: {m.census.position()[1] for m in fleet.members()} == {5}, 60_000.0)
 
@@ -498,7 +498,7 @@
         fleet.start(fleet.add("web", "east"))
     fleet.run(60_000.0)
     assert fleet.false_deaths == []
-    fleet.lines.recover(fault)
+    fleet.lines.remove_fault(fault)
     for name in fleet.names[::5]:
         fleet.processes[name].starved = False
-    quiet(fleet)
+    run_until_stable(fleet)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -27,9 +27,9 @@
     Header,
     Record,
 )
-from lab.lines import Ill
+from lab.lines import LinkFault
 from lab.virtual.fleet import Fleet
-from lab.virtual.scene import Broken
+from lab.virtual.scene import InvariantViolation
 
 
 def record(
@@ -191,7 +191,7 @@
     fleet.start(sides[1][2])
     fleet.run(5_000.0)
     assert not fleet.agreed()
-    fleet.lines.recover(partition)
+    fleet.lines.remove_fault(partition)
     assert_agreement(fleet)
 
 
@@ -207,7 +207,7 @@
     fleet = agreed_fleet(15, 6)
     members = [name for name in fleet.names if name != "n2"]
     pairs = frozenset(("n2", name) for name in members)
-    fleet.lines.fall_ill(Ill(pairs, cut=True, datagrams_only=True))
+    fleet.lines.add_fault(LinkFault(pairs, cut=True, datagrams_only=True))
     fleet.run(20_000.0)
     assert not [death for death in fleet.false_deaths if death[2] != "n2"]
     assert fleet.flaps["dead"] == 0
@@ -256,7 +256,7 @@
             fleet.deliver(address, source, message)
     fleet.run(3_000.0)
     for process in fleet.living():
-        assert not {"n3", "n4"} & {member.name for member in fleet.there(process)}
+        assert not {"n3", "n4"} & {member.name for member in fleet.alive_members(process)}
     assert fleet.agreed()
 
 
@@ -345,7 +345,7 @@
     plant_fault: Callable[[str, Any], None],
 ) -> None:
     plant_fault("View", ViewIgnoringIncarnations)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolation):
         test_old_datagrams_replayed_much_later_revive_no_dead_member()
 
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -29,7 +29,7 @@
 from dunlinloft.fleet.shared_state.observations import ServerObservations
 from dunlinloft.fleet.shared_state.quota_shares import QuotaAllocator, quota_share
 from dunlinloft.fleet.shared_state.verdicts import ReceivedReport, VerdictPool
-from lab.virtual.scene import Broken
+from lab.virtual.scene import InvariantViolation
 from lab.virtual.shared import QUOTA, ZONES, World
 
 heartbeat = encode(Heartbeat("linz", 0, {}, 1.0, 1.0, []))
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("inject", [inject_ignored_transit_time, inject_bindings_without_acknowledgement])
 def test_injected_faults_are_detected(inject: Callable[[pytest.MonkeyPatch], None]) -> None:
-    with pytest.MonkeyPatch.context() as patch, pytest.raises(Broken):
+    with pytest.MonkeyPatch.context() as patch, pytest.raises(InvariantViolation):
         inject(patch)
         for seed in range(60):
             run_random_faults(seed)
@@ -172,7 +172,7 @@
     retry_at_isolated_process(world)
     assert world.counts["cut off"] == 30
     assert any(p.core.affinity.counts["elsewhere"] for p in world.processes.values())
-    with pytest.MonkeyPatch.context() as patch, pytest.raises(Broken, match="went to"):
+    with pytest.MonkeyPatch.context() as patch, pytest.raises(InvariantViolation, match="went to"):
         inject_never_isolated(patch)
         retry_at_isolated_process(World(1, members=5))
 
