--- a/lab/observation.py
+++ b/lab/observation.py
@@ -98,7 +98,9 @@
         ),
         ObservedMethod(Cluster, Cluster._arrive, lambda cluster, args, _: (cluster.now, *args)),
         ObservedMethod(
-            QuotaCluster, QuotaCluster._record_spent, lambda world, args, _: (world.now, args[0].name, args[1])
+            QuotaCluster,
+            QuotaCluster._record_spent,
+            lambda world, args, _: (world.now, args[0].name, args[1]),
         ),
         ObservedMethod(
             QuotaOwner,
--- a/tests/test_cell_random.py
+++ b/tests/test_cell_random.py
@@ -130,7 +130,9 @@
         """Repair all links, resume all processes, and start the directory, or the seeds if there is none."""
         self.heal([])
         self.resume_all([])
-        for name in self.fleet.directory_names or [name for name in self.absent if name.endswith(("-0", "-1", "-2"))]:
+        for name in self.fleet.directory_names or [
+            name for name in self.absent if name.endswith(("-0", "-1", "-2"))
+        ]:
             if not self.fleet.processes[name].alive:
                 self.fleet.start(name)
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -13,7 +13,15 @@
 from dunlinloft.fleet.cells.service_totals import MAX_REPORT_AGE_MS
 from dunlinloft.fleet.member_count import MISSING_MEMBER_GRACE_MS
 from dunlinloft.fleet.membership.core import Membership
-from lab.virtual.cell_oracle import BudgetWatch, cell_problems, cells, budgets_are_settled, run_until_stable, sums, directory_is_correct
+from lab.virtual.cell_oracle import (
+    BudgetWatch,
+    budgets_are_settled,
+    cell_problems,
+    cells,
+    directory_is_correct,
+    run_until_stable,
+    sums,
+)
 from lab.virtual.cells import CellFleet
 
 HOUR_MS = 3_600_000.0
@@ -23,7 +31,11 @@
     """Return a fleet that is quiet, and whose directory totals and shares are correct."""
     fleet = CellFleet(sizes, seed, **options)
     run_until_stable(fleet)
-    run_until(fleet, lambda: directory_is_correct(fleet) and ("file" in options or budgets_are_settled(fleet)), 120_000.0)
+    run_until(
+        fleet,
+        lambda: directory_is_correct(fleet) and ("file" in options or budgets_are_settled(fleet)),
+        120_000.0,
+    )
     assert fleet.false_deaths == []
     return fleet
 
@@ -203,7 +215,8 @@
             core._adopt_partition(wrong_partition, fleet.now())
             fleet.run(2_000.0)
             assert (
-                not fleet.partition_of(name).includes_path(name_path(name)) or fleet.partition_of(name) == right_partition
+                not fleet.partition_of(name).includes_path(name_path(name))
+                or fleet.partition_of(name) == right_partition
             )
         run_until_stable(fleet, 150_000.0)
         assert fleet.false_deaths == []
@@ -275,7 +288,9 @@
     run_until_stable(fleet)
     seeds, others = fleet.names[:3], fleet.names[3:]
     seed_partitions = [fleet.partition_of(name) for name in seeds]
-    target = next(partition for partition in map(fleet.partition_of, others) if partition not in seed_partitions)
+    target = next(
+        partition for partition in map(fleet.partition_of, others) if partition not in seed_partitions
+    )
     new_members: list[str] = []
     while len(new_members) < 2:
         name = fleet.add("web", "east")
