--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -303,7 +303,7 @@
     first, second = (fleet.at(name) for name in new_members)
     fleet._exchange(first, second.core.address, first.core.state())
     fleet.run(60_000.0)
-    assert [m.name for m in fleet.there(first)] == [second.name]
+    assert [m.name for m in fleet.alive_members(first)] == [second.name]
     fleet.lines.remove_fault(fault)
     run_until_stable(fleet, 200_000.0)
     assert fleet.false_deaths == []
@@ -488,10 +488,10 @@
     assert fleet.false_deaths == []
     celled = [fleet.at(name) for name in fleet.names[6:]]
     for member in celled:
-        there = {m.name for m in fleet.there(member)}
+        there = {m.name for m in fleet.alive_members(member)}
         assert there <= {other.name for other in celled}
         assert member.census.position()[1] >= 12
-    flat_views = [{m.name for m in fleet.there(fleet.at(name))} | {name} for name in flat]
+    flat_views = [{m.name for m in fleet.alive_members(fleet.at(name))} | {name} for name in flat]
     assert all(view == set(flat) for view in flat_views)
     for name in flat:
         fleet.kill(name)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -94,9 +94,9 @@
     rng = world.rng
     for _ in range(2):
         key = rng.getrandbits(64)
-        world.ask(key, rng.choice(world.names), again=False)
+        world.ask(key, rng.choice(world.names), is_retry=False)
     for key in rng.sample(sorted(world.sent), min(4, len(world.sent))):
-        world.ask(key, rng.choice(world.names), again=True)
+        world.ask(key, rng.choice(world.names), is_retry=True)
 
 
 def run_random_faults(seed: int, core: type[SharedState] = SharedState, steps: int = 14) -> World:
@@ -162,9 +162,9 @@
     world.run(9_000.0)
     for _ in range(30):
         key = world.rng.getrandbits(64)
-        world.ask(key, "m1", again=False)
+        world.ask(key, "m1", is_retry=False)
         world.run(200.0)
-        world.ask(key, "m0", again=True)
+        world.ask(key, "m0", is_retry=True)
 
 
 def test_an_isolated_process_refuses_retries_of_keys_that_may_be_bound_elsewhere() -> None:
