--- a/dunlinloft/fleet/releases/controller.py
+++ b/dunlinloft/fleet/releases/controller.py
@@ -308,7 +308,7 @@
             return self._start_rollback(plan, self._strongest_evidence(), now)
         restarts = self._traffic.restarts
         if restarts >= MAX_RESTARTS:
-            return self._start_rollback(plan, f"new servers restarted {restarts} times", now)
+            return self._start_rollback(plan, f"new servers have started once more, {restarts} times", now)
         if plan.state != ReleaseState.BAKING or self.waiting_for:
             return
         self._applied_ms += elapsed_ms
@@ -318,7 +318,7 @@
         self.waiting_for = self._missing_calls()
         if not self.waiting_for and self._baked_ms >= 1000.0 * plan.bake_s and self._writing is None:
             next_stage = self._next_stage(plan)
-            self._write_or_retry(replace(next_stage, changed_by=CONTROLLER, reason="stage completed"))
+            self._write_or_retry(replace(next_stage, changed_by=CONTROLLER, reason="baked, and seen enough"))
 
     def _missing_calls(self) -> str:
         """Return which calls are still missing in this stage; empty if there were enough."""
