--- a/tests/test_startup_imports.py
+++ b/tests/test_startup_imports.py
@@ -1,6 +1,6 @@
-"""No program imports more of others' modules, before it serves, than those recorded.
+"""Programs import no third-party or standard library module at startup that is not on the recorded list.
 
-The node's start time and memory are priced; `python -m lab.startup_cost` measures them.
+A node's start time and memory have a price; `python -m lab.startup_cost` measures them.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 @pytest.mark.parametrize("program", PROGRAMS)
-def test_a_program_imports_nothing_that_it_did_not(program: str) -> None:
+def test_a_program_imports_only_recorded_modules(program: str) -> None:
     assert sorted(imported(PROGRAMS[program]) - set(RECORDED[program])) == []
 
 
 @pytest.mark.parametrize("program", PROGRAMS)
-def test_no_module_of_the_project_is_on_a_recorded_list(program: str) -> None:
+def test_the_recorded_list_has_no_module_of_the_project(program: str) -> None:
     assert not OWN_PACKAGES & set(RECORDED[program])
