--- a/tests/test_import_contract.py
+++ b/tests/test_import_contract.py
@@ -1,4 +1,4 @@
-"""The import contract of pyproject.toml holds, and a wrong import breaks the contract that forbids it."""
+"""The import contracts in pyproject.toml hold, and a forbidden import breaks the contract that covers it."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 
 def lint_imports(folder: Path) -> tuple[int, str]:
-    """Check the contract on the packages in a folder; the exit status, and the output as one line."""
-    done = subprocess.run(
+    """Check the contracts on the packages in a folder; return the exit status and the output as one line."""
+    result = subprocess.run(
         [LINT_IMPORTS, "--no-cache"], cwd=folder, capture_output=True, text=True, timeout=60
     )
-    return done.returncode, " ".join((done.stdout + done.stderr).split())
+    return result.returncode, " ".join((result.stdout + result.stderr).split())
 
 
 @pytest.fixture
-def tree(tmp_path: Path) -> Path:
-    """A copy of the packages and of their contract."""
+def source_tree(tmp_path: Path) -> Path:
+    """A copy of the packages and their import contracts."""
     shutil.copy(ROOT / "pyproject.toml", tmp_path)
     for package in PACKAGES:
         shutil.copytree(ROOT / package, tmp_path / package, ignore=shutil.ignore_patterns("__pycache__"))
     return tmp_path
 
 
-def test_the_tree_keeps_the_contract() -> None:
+def test_the_source_tree_keeps_all_contracts() -> None:
     status, output = lint_imports(ROOT)
     assert status == 0, output
     assert " 0 broken" in output
@@ -67,18 +67,20 @@
         ("dunlinloft/cli/exit_codes.py", "dunlinloft.cli.root", CLI),
     ],
 )
-def test_a_wrong_import_breaks_the_contract(importer: str, imported: str, broken: str, tree: Path) -> None:
-    with (tree / importer).open("a") as module:
+def test_a_forbidden_import_breaks_its_contract(
+    importer: str, imported: str, broken: str, source_tree: Path
+) -> None:
+    with (source_tree / importer).open("a") as module:
         module.write(f"\nimport {imported}\n")
-    status, output = lint_imports(tree)
+    status, output = lint_imports(source_tree)
     assert status == 1, output
     assert broken in output.partition("Broken contracts")[2]
 
 
-def test_a_circle_of_imports_breaks_the_contract(tree: Path) -> None:
-    package = tree / "dunlinloft" / "controlplane"
+def test_an_import_cycle_breaks_the_acyclic_contract(source_tree: Path) -> None:
+    package = source_tree / "dunlinloft" / "controlplane"
     (package / "first.py").write_text("import dunlinloft.controlplane.second\n")
     (package / "second.py").write_text("import dunlinloft.controlplane.first\n")
-    status, output = lint_imports(tree)
+    status, output = lint_imports(source_tree)
     assert status == 1, output
     assert ACYCLIC in output.partition("Broken contracts")[2]
