--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,9 @@
-"""KNOWN-RED.txt: tests that fail because of a known fault that is not repaired yet.
+"""Pytest plugin for KNOWN-RED.txt, the list of tests that fail because of a known, unfixed fault.
 
-They run and are printed, and their failures alone don't fail the run. The file is a debt with a limit: an
-entry too many, a malformed one, one that names no test or a test that passes fails the run. An intermittent
-failure, whose cause was not found, is listed with a cause that begins with `at times:`; its test may pass.
+Listed tests run and are printed, and their failures alone don't fail the run. The number of entries is
+limited. The run fails if there are too many entries, an entry is malformed or names no test, or a listed
+test passes. An intermittent failure, whose cause was not found, is listed with a cause that begins with
+`at times:`; its test may pass.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 
 
 class KnownRedError(Exception):
-    """The file is invalid; the text names the line and what was expected."""
+    """KNOWN-RED.txt is invalid; the message says what was expected."""
 
 
 @dataclass
-class KnownRed:
-    """An entry, and the outcome of its test."""
+class KnownRedEntry:
+    """An entry of KNOWN-RED.txt and the outcome of its test."""
 
     line: int
     test: str
@@ -40,9 +41,9 @@
         return self.cause.startswith(INTERMITTENT_PREFIX)
 
 
-def read_known_red(text: str) -> dict[str, KnownRed]:
-    """The entries by test; comments and blank lines are skipped. Raises `KnownRedError`."""
-    entries: dict[str, KnownRed] = {}
+def read_known_red(text: str) -> dict[str, KnownRedEntry]:
+    """Parse the entries, keyed by test; skip comments and blank lines. Raises `KnownRedError`."""
+    entries: dict[str, KnownRedEntry] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
@@ -52,29 +53,29 @@
         test, cause, issue = fields
         if test in entries:
             raise KnownRedError(f"line {number}: {test} is named twice")
-        entries[test] = KnownRed(number, test, cause, issue)
+        entries[test] = KnownRedEntry(number, test, cause, issue)
     if len(entries) > MAX_ENTRIES:
         raise KnownRedError(f"{len(entries)} entries, at most {MAX_ENTRIES} are allowed")
     return entries
 
 
 class KnownRedPlugin:
-    """Reports listed failures as expected ones, and any other finding about the entries as an error."""
+    """Reports listed failures as expected, and invalid or outdated entries as errors."""
 
-    def __init__(self, entries: dict[str, KnownRed]) -> None:
+    def __init__(self, entries: dict[str, KnownRedEntry]) -> None:
         self._entries = entries
-        self._all_selected = True  # whether no test was deselected or left out
+        self._all_selected = True  # whether the whole test suite was collected
 
     def pytest_collection_finish(self, session: pytest.Session) -> None:
-        """Note the tests that this process collected."""
-        self._note_collected(session.config, [item.nodeid for item in session.items])
+        """Record which listed tests this process collected."""
+        self._record_collected(session.config, [item.nodeid for item in session.items])
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_xdist_node_collection_finished(self, node: Any, ids: list[str]) -> None:
-        """Note the tests that a worker collected; the process of the summary collects none itself."""
-        self._note_collected(node.config, ids)
+        """Record which listed tests an xdist worker collected; the controller collects none itself."""
+        self._record_collected(node.config, ids)
 
-    def _note_collected(self, config: pytest.Config, ids: list[str]) -> None:
+    def _record_collected(self, config: pytest.Config, ids: list[str]) -> None:
         selection = config.option.keyword or config.option.markexpr or config.option.deselect
         self._all_selected = not selection and set(config.args) <= set(config.getini("testpaths"))
         for nodeid in ids:
@@ -85,7 +86,7 @@
     def pytest_runtest_makereport(
         self, item: pytest.Item
     ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-        """Turn a listed test's failure into an expected one."""
+        """Report the failure of a listed test as an expected failure."""
         report = yield
         entry = self._entries.get(item.nodeid)
         if entry is not None and report.failed:
@@ -94,13 +95,13 @@
         return report
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Note a listed failure; called in the process of the summary, for reports of all workers."""
+        """Record the failure of a listed test; the xdist controller gets the reports of all workers."""
         entry = self._entries.get(report.nodeid)
         if entry is not None and getattr(report, "wasxfail", "").startswith("KNOWN-RED: "):
             entry.failed = True
 
     def _problems(self) -> list[str]:
-        """What is wrong with the entries, a line each."""
+        """Describe each outdated entry in one line."""
         problems = []
         for entry in self._entries.values():
             if entry.collected and not entry.failed and not entry.intermittent:
@@ -110,14 +111,14 @@
         return problems
 
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
-        """Fail a run that would pass where an entry is wrong."""
+        """Fail an otherwise passing run if an entry is outdated."""
         if hasattr(session.config, "workerinput"):
-            return  # a worker of a parallel run knows its own tests alone
+            return  # an xdist worker sees only the outcomes of its own tests
         if self._problems() and session.exitstatus == pytest.ExitCode.OK:
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """Print listed failures, and what is wrong with entries."""
+        """Print the listed failures and the outdated entries."""
         for entry in self._entries.values():
             if entry.failed or (entry.collected and entry.intermittent):
                 passed = "" if entry.failed else " passed this time,"
@@ -127,7 +128,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Register the plugin with the entries of the file at the root, if there is one."""
+    """Register the plugin with the entries of KNOWN-RED.txt in the root directory, if it exists."""
     path = Path(config.rootpath) / "KNOWN-RED.txt"
     try:
         entries = read_known_red(path.read_text(encoding="utf-8") if path.exists() else "")
