--- a/tests/test_behaviour_digests.py
+++ b/tests/test_behaviour_digests.py
@@ -1,6 +1,6 @@
-"""The simulated worlds do what they did when the digests were recorded: a part of the runs of each group.
+"""The simulations behave as recorded: compares digests for a subset of the runs of each group.
 
-`python -m lab.behaviour --check tests/fixtures/behaviour-digests.json --jobs 8` checks them all.
+`python -m lab.behaviour --check tests/fixtures/behaviour-digests.json --jobs 8` checks all runs.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("group", GROUPS)
-def test_a_group_does_what_was_recorded(group: str) -> None:
+def test_a_groups_digests_match_the_recorded_ones(group: str) -> None:
     found = record([(group, run) for run in GROUPS[group].subset], jobs=1)
     assert differences(RECORDED, found) == []
 
@@ -35,7 +35,7 @@
     assert tuple(RECORDED[group]) == GROUPS[group].runs
 
 
-def test_another_digest_or_a_run_without_a_record_is_a_difference() -> None:
+def test_a_changed_digest_and_an_unrecorded_run_are_reported_as_differences() -> None:
     recorded = {"a": {"1": "x"}}
     assert differences(recorded, {"a": {"1": "x"}}) == []
     assert differences(recorded, {"a": {"1": "z"}}) == ["a 1: x recorded, z found"]
@@ -56,12 +56,12 @@
     second: Any
 
 
-class _Couple(NamedTuple):
+class _NamedPair(NamedTuple):
     one: Any
     other: Any
 
 
-class _Told(msgspec.Struct, tag="told"):
+class _RenamedFieldMessage(msgspec.Struct, tag="told"):
     new_name: int = msgspec.field(name="old")
 
 
@@ -71,11 +71,11 @@
         (_Level.LOW, "low"),
         (_Code.LOW, 3),
         (_Pair(1, "a"), (1, "a")),
-        (_Pair(1, "a"), _Couple(1, "a")),
+        (_Pair(1, "a"), _NamedPair(1, "a")),
         (frozenset({"b", "a"}), {"a", "b"}),
     ],
 )
-def test_names_and_shapes_of_plain_data_do_not_count(one: Any, other: Any) -> None:
+def test_type_names_and_container_kinds_do_not_affect_the_encoding(one: Any, other: Any) -> None:
     assert encoded(one) == encoded(other)
 
 
@@ -90,48 +90,48 @@
         (("a", "b"), ("a', 'b",)),
     ],
 )
-def test_values_and_their_order_count(one: Any, other: Any) -> None:
+def test_values_and_their_order_affect_the_encoding(one: Any, other: Any) -> None:
     assert encoded(one) != encoded(other)
 
 
-def test_a_message_counts_as_its_bytes_on_the_wire() -> None:
-    assert encoded(_Told(7)) == b'{"type":"told","old":7}'
+def test_a_message_is_encoded_as_its_bytes_on_the_wire() -> None:
+    assert encoded(_RenamedFieldMessage(7)) == b'{"type":"told","old":7}'
 
 
-def test_an_object_of_unknown_kind_is_refused() -> None:
+def test_an_object_of_an_unsupported_type_is_rejected() -> None:
     with pytest.raises(TypeError, match="no encoding without names"):
         encoded(object())
 
 
-def _swap(actions: list[Any], cluster: Cluster) -> list[Any]:
+def _reverse_actions(actions: list[Any], cluster: Cluster) -> list[Any]:
     return actions[::-1]
 
 
-def _draw(actions: list[Any], cluster: Cluster) -> list[Any]:
+def _consume_random_number(actions: list[Any], cluster: Cluster) -> list[Any]:
     cluster.rng.random()
     return actions
 
 
-@pytest.mark.parametrize("change", [_swap, _draw])
-def test_a_swapped_order_or_one_draw_more_changes_the_digest(
+@pytest.mark.parametrize("change", [_reverse_actions, _consume_random_number])
+def test_a_reversed_action_list_or_an_extra_random_draw_changes_the_digest(
     change: Callable[[list[Any], Cluster], list[Any]],
 ) -> None:
-    def digest(changed_ms: float) -> str:
-        """The digest of two seconds in which one list of actions, after a time, is changed."""
+    def digest(change_after_ms: float) -> str:
+        """Digest a run of two seconds; the first list of several actions after a given time is changed."""
         recorder = Recorder()
         with observing(recorder):
             cluster = Cluster(5)
-            perform, done = cluster._perform, False
+            perform, applied = cluster._perform, False
 
-            def planted(machine: Any, actions: list[Any]) -> None:
-                nonlocal done
-                if not done and cluster.now > changed_ms and len(actions) > 1:
-                    done, actions = True, change(actions, cluster)
+            def perform_changed(machine: Any, actions: list[Any]) -> None:
+                nonlocal applied
+                if not applied and cluster.now > change_after_ms and len(actions) > 1:
+                    applied, actions = True, change(actions, cluster)
                 perform(machine, actions)
 
-            cluster._perform = planted  # type: ignore[method-assign]
+            cluster._perform = perform_changed  # type: ignore[method-assign]
             cluster.run(2_000.0)
-        assert done or changed_ms > 2_000.0
+        assert applied or change_after_ms > 2_000.0
         return recorder.digest()
 
     unchanged = digest(3_000.0)
@@ -139,7 +139,7 @@
     assert digest(1_000.0) != unchanged
 
 
-def test_nothing_is_watched_once_the_recording_is_over() -> None:
+def test_observing_restores_the_observed_methods_on_exit() -> None:
     before = dict(vars(Cluster))
     with observing(Recorder()):
         assert dict(vars(Cluster)) != before
