--- a/dunlinloft/controlplane/stream_session.py
+++ b/dunlinloft/controlplane/stream_session.py
@@ -1,4 +1,4 @@
-"""One accepted stream: dispatches the messages that a data-plane node or another replica sends on it."""
+"""One accepted stream: dispatches the messages of a data-plane node or another replica."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     FetchConfiguration,
     LocalPlacement,
     NodeKeepalive,
+    NodeLivenessUpdate,
     NodeShutdown,
-    NodeSightings,
     PlacementCompleted,
     PlacementQuery,
     PrefillCompleted,
@@ -35,7 +35,7 @@
 
 
 class StreamServices(Struct, frozen=True):
-    """What messages are handed to; shared by all sessions."""
+    """The services that handle messages, shared by all sessions."""
 
     replica_host: ReplicaHost
     nodes: NodeRegistry
@@ -47,19 +47,19 @@
 
 
 class StreamSession:
-    """Dispatches the messages of one stream; made by `StreamServer` for each connection that it accepts.
+    """Dispatches the messages of one stream; `StreamServer` creates one for each accepted connection.
 
-    A node's stream counts as one from its `Subscribe` on, which names the node. Any other message that comes
-    before is handed to the replica, which ignores it.
+    A stream becomes a node's stream with its `Subscribe` message, which names the node. Node messages that
+    arrive earlier are passed to the replica, which ignores them.
 
     Parameters
     ----------
     number:
-        Of the stream, unique in this process: requests placed on a stream are known by it.
+        Number of the stream, unique in this process; identifies the requests placed on this stream.
     """
 
     def __init__(self, number: int, writer: MessageWriter, services: StreamServices) -> None:
-        self._number = number
+        self._stream_number = number
         self._writer = writer
         self._services = services
         self._subscription: NodeSubscription | None = None
@@ -80,19 +80,20 @@
                 self._handle_node(self._subscription, message)
             case PlacementQuery() | LocalPlacement() | PrefillCompleted() | PlacementCompleted():
                 self._handle_placement(message)
-            case ServerHeartbeats() | ServerHeartbeatsAck() | QuotaHandover() | NodeSightings():
+            case ServerHeartbeats() | ServerHeartbeatsAck() | QuotaHandover() | NodeLivenessUpdate():
                 self._handle_peer(message)
             case _:
                 self._services.replica_host.handle(message)
 
     def close(self) -> None:
-        """End what the stream subscribed to and asked for.
+        """Remove the stream's subscription and its placed requests.
 
-        Requests may have been placed on it before it subscribed: a node subscribes late on further streams.
+        Requests may have been placed on the stream without a subscription, because a node subscribes only
+        later on its additional streams.
         """
         if self._subscription is not None:
             self._services.publisher.unsubscribe(self._subscription)
-        self._services.placement.on_stream_closed(self._number)
+        self._services.placement.on_stream_closed(self._stream_number)
 
     def _subscribe(self, message: Subscribe) -> None:
         services = self._services
@@ -108,7 +109,7 @@
         services.nodes.on_message(message.node, False, now)
         services.quotas.on_node_subscribed(message.node, message.uptime_ms, message.quota_holdings)
         services.registrar.publish_changes()
-        ranges = services.registry.digests.differing(message.server_digests)
+        ranges = services.registry.digests.differing_ranges(message.server_digests)
         servers = ServerSnapshot(
             services.registry.is_complete(now), ranges, services.registry.in_ranges(ranges)
         )
@@ -127,7 +128,7 @@
         services = self._services
         match message:
             case FetchConfiguration():
-                services.publisher.resend_after(subscription, message.current)
+                services.publisher.on_fetch(subscription, message.current)
             case ConfigurationApplied():
                 subscription.acknowledged_id = message.id
             case QuotaHoldingsReport():
@@ -145,16 +146,16 @@
         placement = self._services.placement
         match message:
             case PlacementQuery():
-                self._writer.send(placement.choose_server(self._number, message))
+                self._writer.send(placement.choose_server(self._stream_number, message))
             case LocalPlacement():
-                placement.on_local_placement(self._number, message)
+                placement.on_local_placement(self._stream_number, message)
             case PrefillCompleted():
-                placement.on_prefill_completed(self._number, message)
+                placement.on_prefill_completed(self._stream_number, message)
             case PlacementCompleted():
-                placement.on_completed(self._number, message)
+                placement.on_completed(self._stream_number, message)
 
     def _handle_peer(
-        self, message: ServerHeartbeats | ServerHeartbeatsAck | QuotaHandover | NodeSightings
+        self, message: ServerHeartbeats | ServerHeartbeatsAck | QuotaHandover | NodeLivenessUpdate
     ) -> None:
         services = self._services
         match message:
@@ -164,5 +165,5 @@
                 services.registrar.on_replication_acknowledged(message)
             case QuotaHandover():
                 services.quotas.on_handover(message)
-            case NodeSightings():
+            case NodeLivenessUpdate():
                 services.nodes.merge(message.nodes, now_ms())
--- a/dunlinloft/coordination/stream/__init__.py
+++ b/dunlinloft/coordination/stream/__init__.py
@@ -1,8 +1,8 @@
-"""The messages between control plane and data-plane nodes, and of roles between replicas, as JSON lines.
+"""Messages between control planes and data-plane nodes, and between role owners, encoded as JSON lines.
 
-Each module holds the messages of one concern; this one exports them all, and the unions that the two programs
-decode. The encoded form is kept by each class's `tag` and each field's `name`: replicas and nodes of
-different releases run side by side, so neither may change, nor may the order of the fields.
+Each module defines the messages of one concern; this one exports them all, and the unions that the two
+programs decode. Each class's `tag` and each field's `name` determine the encoded form. They must not change,
+nor may the order of the fields, because replicas and nodes of different releases run side by side.
 """
 
 from dunlinloft.coordination.messages import ReplicaMessage
@@ -39,9 +39,9 @@
     ControlKeepalive,
     ControlPlaneView,
     NodeKeepalive,
+    NodeLiveness,
+    NodeLivenessUpdate,
     NodeShutdown,
-    NodeSighting,
-    NodeSightings,
     Subscribe,
 )
 
@@ -70,9 +70,14 @@
     | PlacementReply
     | ControlKeepalive
 )
-# All that a control plane's listener accepts, from replicas and from nodes.
+# Every message that a control plane accepts from replicas and nodes.
 ControlPlaneInbound = (
-    ReplicaMessage | QuotaHandover | ServerHeartbeats | ServerHeartbeatsAck | NodeSightings | NodeToControl
+    ReplicaMessage
+    | QuotaHandover
+    | ServerHeartbeats
+    | ServerHeartbeatsAck
+    | NodeLivenessUpdate
+    | NodeToControl
 )
 
 __all__ = [
@@ -88,9 +93,9 @@
     "FullConfiguration",
     "LocalPlacement",
     "NodeKeepalive",
+    "NodeLiveness",
+    "NodeLivenessUpdate",
     "NodeShutdown",
-    "NodeSighting",
-    "NodeSightings",
     "NodeToControl",
     "PlacementCompleted",
     "PlacementQuery",
--- a/lab/simulation/model_server.py
+++ b/lab/simulation/model_server.py
@@ -1,4 +1,4 @@
-"""Simulated model servers: they beat, drain, leave, crash, and others start at their addresses."""
+"""Simulated model servers, which send heartbeats, drain, deregister and crash; addresses are reused."""
 
 from __future__ import annotations
 
@@ -12,41 +12,41 @@
 
 HEARTBEAT_S = 1.2
 CALL_TIMEOUT_S = 1.0
-MAX_CALLS = 4  # of one heartbeat, each to another control plane
-LIFE_S = (2.5, 9.0)  # until a server that doesn't stay ends
-PLANNED_PROBABILITY = 0.6  # that it drains first, rather than crash
+MAX_CALLS = 4  # per heartbeat, each to another control plane
+INSTANCE_LIFETIME_S = (2.5, 9.0)  # range of the lifetime of an instance that ends
+PLANNED_PROBABILITY = 0.6  # that an instance which ends drains first and does not crash
 DRAIN_S = 2.0  # `drain_timeout_ms`
-LINGER_S = (0.1, 1.0)  # that it goes on serving beyond that
-REUSE_S = (2.0, 3.5)  # until another server starts at the address; `address_reuse_s` at least
-CAPACITY = 8
-SERVICE_S = (0.01, 0.08)  # of one request
+DRAIN_OVERRUN_S = (0.1, 1.0)  # range of the time that it serves after the drain timeout
+ADDRESS_REUSE_S = (2.0, 3.5)  # until another instance starts at the address; not below `address_reuse_s`
+CAPACITY = 8  # concurrent requests
+SERVICE_S = (0.01, 0.08)  # range of the duration of a request
 
 
-class End(Enum):
-    """How a server's life ends."""
+class InstanceEnd(Enum):
+    """How an instance ends."""
 
-    STAYS = auto()
+    NEVER = auto()
     PLANNED = auto()
     CRASH = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """That a control plane acknowledged what a server said."""
+    """The acknowledgement of a server's message by a control plane."""
 
     at_s: float
-    in_touch: bool  # whether the control plane was
+    in_contact: bool  # whether the control plane was in contact
 
 
 @dataclass(slots=True)
-class ServerLife:
-    """One server id, and what is known of it outside."""
+class ServerInstance:
+    """One run of a model server under one server id, as observed from outside."""
 
     id: str
     address: str
-    steady_since_s: float | None = None  # each heartbeat was acknowledged since then
-    last_sent_s: float | None = None  # its last heartbeat, acknowledged or not
-    acknowledged: int = 0  # heartbeats
+    steady_since_s: float | None = None  # each heartbeat since then was acknowledged
+    last_sent_s: float | None = None  # time of the last heartbeat, acknowledged or not
+    acknowledged: int = 0  # number of heartbeats
     draining: Acknowledgement | None = None
     deregistered: Acknowledgement | None = None
     ended_s: float | None = None
@@ -54,23 +54,23 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOutcome:
-    """What became of a call to a control plane."""
+    """The outcome of a call to a control plane."""
 
     acknowledged: bool
-    in_touch: bool  # whether the control plane that was called is in touch
+    in_contact: bool  # whether the called control plane is in contact
 
 
 CallControl = Callable[[str, ServerRecord | None, str], Awaitable[CallOutcome]]
-"""Calls the control plane at a host: a heartbeat with a record, or a deregistration of a server id."""
+"""Calls the control plane at a host: a heartbeat with a record, or the deregistration of an id."""
 
 
 class ModelServer:
-    """One machine that runs model servers one after the other.
+    """A machine that runs one model server instance after the other.
 
     Parameters
     ----------
     control_hosts
-        Returns the hosts that the operator's list names now.
+        Returns the hosts of the configured control planes.
     call
         Calls a control plane.
     """
@@ -84,7 +84,7 @@
         control_hosts: Callable[[], list[str]],
         call: CallControl,
     ) -> None:
-        self.lives: list[ServerLife] = []
+        self.instances: list[ServerInstance] = []
         self.may_end = True
         self._name = name
         self._service = service
@@ -92,67 +92,67 @@
         self._now_s = now_s
         self._control_hosts = control_hosts
         self._call = call
-        self._endpoint: str | None = None  # the control plane that acknowledged last
+        self._endpoint: str | None = None  # the control plane that last acknowledged a call
         self._sequence = 0
 
     @property
-    def life(self) -> ServerLife:
-        """The present server, or the last one while none runs."""
-        return self.lives[-1]
+    def instance(self) -> ServerInstance:
+        """The running instance, or the last one while none runs."""
+        return self.instances[-1]
 
     async def run(self) -> None:
-        """Run servers one after the other, without end."""
+        """Run instances one after the other, forever."""
         while True:
-            life = ServerLife(f"{self._name}.{len(self.lives) + 1}", f"{self._name}:80")
-            self.lives.append(life)
+            instance = ServerInstance(f"{self._name}.{len(self.instances) + 1}", f"{self._name}:80")
+            self.instances.append(instance)
             self._sequence = 0
-            await self._live(life, self._draw_end())
-            life.ended_s = self._now_s()
-            life.steady_since_s = None
-            await asyncio.sleep(self._rng.uniform(*REUSE_S))
+            await self._run_instance(instance, self._draw_end())
+            instance.ended_s = self._now_s()
+            instance.steady_since_s = None
+            await asyncio.sleep(self._rng.uniform(*ADDRESS_REUSE_S))
 
-    def _draw_end(self) -> End:
+    def _draw_end(self) -> InstanceEnd:
         draw = self._rng.random()
         if draw < 0.4:
-            return End.STAYS
-        return End.PLANNED if self._rng.random() < PLANNED_PROBABILITY else End.CRASH
+            return InstanceEnd.NEVER
+        return InstanceEnd.PLANNED if self._rng.random() < PLANNED_PROBABILITY else InstanceEnd.CRASH
 
-    async def _live(self, life: ServerLife, end: End) -> None:
-        ends_s = self._now_s() + self._rng.uniform(*LIFE_S)
-        while end is End.STAYS or self._now_s() < ends_s or not self.may_end:
-            await self._beat(life, "ready")
+    async def _run_instance(self, instance: ServerInstance, end: InstanceEnd) -> None:
+        ends_s = self._now_s() + self._rng.uniform(*INSTANCE_LIFETIME_S)
+        while end is InstanceEnd.NEVER or self._now_s() < ends_s or not self.may_end:
+            await self._send_heartbeat(instance, "ready")
             await asyncio.sleep(HEARTBEAT_S)
-        if end is End.CRASH:
+        if end is InstanceEnd.CRASH:
             return
-        while life.draining is None:
-            await self._beat(life, "draining")
-            if life.draining is None:
+        while instance.draining is None:
+            await self._send_heartbeat(instance, "draining")
+            if instance.draining is None:
                 await asyncio.sleep(HEARTBEAT_S)
-        ends_s = self._now_s() + DRAIN_S + self._rng.uniform(*LINGER_S)
+        ends_s = self._now_s() + DRAIN_S + self._rng.uniform(*DRAIN_OVERRUN_S)
         while self._now_s() < ends_s:
             await asyncio.sleep(min(HEARTBEAT_S, ends_s - self._now_s()))
-            await self._beat(life, "draining")
-        life.steady_since_s = None
-        outcome = await self._call_any(life, None)
+            await self._send_heartbeat(instance, "draining")
+        instance.steady_since_s = None
+        outcome = await self._call_any(instance, None)
         if outcome is not None:
-            life.deregistered = Acknowledgement(self._now_s(), outcome.in_touch)
+            instance.deregistered = Acknowledgement(self._now_s(), outcome.in_contact)
 
-    async def _beat(self, life: ServerLife, state: str) -> None:
-        life.last_sent_s = self._now_s()
-        outcome = await self._call_any(life, state)
+    async def _send_heartbeat(self, instance: ServerInstance, state: str) -> None:
+        instance.last_sent_s = self._now_s()
+        outcome = await self._call_any(instance, state)
         if outcome is None:
-            life.steady_since_s = None
+            instance.steady_since_s = None
             return
-        life.acknowledged += 1
-        if life.steady_since_s is None:
-            life.steady_since_s = self._now_s()
-        if state == "draining" and life.draining is None:
-            life.draining = Acknowledgement(self._now_s(), outcome.in_touch)
+        instance.acknowledged += 1
+        if instance.steady_since_s is None:
+            instance.steady_since_s = self._now_s()
+        if state == "draining" and instance.draining is None:
+            instance.draining = Acknowledgement(self._now_s(), outcome.in_contact)
 
-    async def _call_any(self, life: ServerLife, state: str | None) -> CallOutcome | None:
-        """Call control planes one after the other until one acknowledges; None where none does.
+    async def _call_any(self, instance: ServerInstance, state: str | None) -> CallOutcome | None:
+        """Call control planes in turn until one acknowledges; return None if none does.
 
-        A heartbeat with this state, or a deregistration where `state` is None.
+        Sends a heartbeat with this state, or a deregistration if `state` is None.
         """
         hosts = self._control_hosts()
         self._rng.shuffle(hosts)
@@ -160,16 +160,18 @@
             hosts.remove(self._endpoint)
             hosts.insert(0, self._endpoint)
         for host in hosts[:MAX_CALLS]:
-            outcome = await self._call(host, self._record(life, state), life.id)
+            outcome = await self._call(host, self._record(instance, state), instance.id)
             if outcome.acknowledged:
                 self._endpoint = host
                 return outcome
         self._endpoint = None
         return None
 
-    def _record(self, life: ServerLife, state: str | None) -> ServerRecord | None:
-        """Return the next heartbeat: its sequence number rises with each call."""
+    def _record(self, instance: ServerInstance, state: str | None) -> ServerRecord | None:
+        """Return the next heartbeat, with an incremented sequence number; None for a deregistration."""
         if state is None:
             return None
         self._sequence += 1
-        return ServerRecord(life.id, self._service, life.address, "zone", CAPACITY, state, self._sequence)
+        return ServerRecord(
+            instance.id, self._service, instance.address, "zone", CAPACITY, state, self._sequence
+        )
--- a/lab/simulation/progress.py
+++ b/lab/simulation/progress.py
@@ -1,4 +1,4 @@
-"""Whether everything works again once no fault is left: orders, reads, heartbeats, quotas and placement."""
+"""Checks that changes, reads, heartbeats, quotas and placement make progress after all faults have ended."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class ProgressChecker:
-    """Counts from its making on; all faults have ended by then."""
+    """Measures progress since its creation, which follows the end of all faults."""
 
     def __init__(self, cluster: SimulatedCluster, operators: Sequence[Operator]) -> None:
         self._cluster = cluster
         self._operators = operators
         self._began_ms = cluster.now
         self._acknowledged = sum(operator.acknowledged for operator in operators)
-        self._heartbeats = {server: server.life.acknowledged for server in cluster.servers}
-        self._lives = {server: server.life for server in cluster.servers}
+        self._heartbeats = {server: server.instance.acknowledged for server in cluster.servers}
+        self._instances = {server: server.instance for server in cluster.servers}
         self._granted = {name: node.progress.granted for name, node in cluster.nodes.items()}
         self._placed = {name: node.progress.placed for name, node in cluster.nodes.items()}
         self._served = {name: node.progress.served for name, node in cluster.nodes.items()}
@@ -40,21 +40,24 @@
         self._readable.add(host)
 
     def complete(self) -> bool:
-        """Return whether each of them has got somewhere."""
+        """Return whether everything has made progress."""
         return not self.missing()
 
     def missing(self) -> str:
-        """Say what has not got anywhere yet; empty where all has."""
+        """Return a description of what has made no progress yet; empty if nothing is missing."""
         cluster = self._cluster
         if sum(operator.acknowledged for operator in self._operators) == self._acknowledged:
-            return "no order is acknowledged"
+            return "no change is acknowledged"
         unread = set(cluster.control_hosts()) - self._readable
         if unread:
             return f"{sorted(unread)} answer no read"
         for server in cluster.servers:
-            same = server.life is self._lives[server]
-            if server.life.ended_s is None and server.life.acknowledged <= same * self._heartbeats[server]:
-                return f"no heartbeat of {server.life.id} is acknowledged"
+            same = server.instance is self._instances[server]
+            if (
+                server.instance.ended_s is None
+                and server.instance.acknowledged <= same * self._heartbeats[server]
+            ):
+                return f"no heartbeat of {server.instance.id} is acknowledged"
         for name, node in cluster.nodes.items():
             if node.progress.granted == self._granted[name]:
                 return f"{name} is granted no quota by an owner"
@@ -65,7 +68,7 @@
         return ""
 
     def check_idle(self) -> None:
-        """Raise `InvariantViolation` where an owner counts requests in flight: there are none."""
+        """Raise `InvariantViolation` if an owner counts requests in flight after all have completed."""
         for machine in self._cluster.machines.values():
             if machine.components is None:
                 continue
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -1,4 +1,4 @@
-"""The control plane under the faults that operators fear most, one scenario a test."""
+"""The control plane under the most critical fault scenarios, one per test."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from tests.replicas import (
     ACK_TIMEOUT_MS,
     SYNC_TIMEOUT_MS,
-    acknowledged,
+    acknowledged_count,
     assert_progress,
-    current_view,
+    latest_view,
     running_cluster,
 )
 
@@ -29,19 +29,23 @@
     cluster.run(3_000.0)
     statuses: list[int] = []
 
-    def taker(reply: Reply | None) -> None:
+    def record_status(reply: Reply | None) -> None:
         if reply is not None:
             statuses.append(reply.status)
 
     for number in range(14):
-        cluster.call(address, None, taker)
+        cluster.call(address, None, record_status)
         cluster.call(
-            address, empty_change(9_000 + number, operators[0].version, "at the partitioned one"), taker
+            address,
+            empty_change(9_000 + number, operators[0].version, "at the partitioned one"),
+            record_status,
         )
         cluster.run(1_200.0)
         replica = cluster.machines[address].replica
         assert replica is not None
-        assert replica.view_in_contact(cluster.now) is None, "it acknowledges no heartbeat of servers"
+        assert replica.view_with_majority_contact(cluster.now) is None, (
+            "it acknowledges no heartbeat of servers"
+        )
     assert set(statuses) == {503}
     assert len(statuses) == 28
     cluster.heal()
@@ -52,10 +56,10 @@
     cluster, operators = running_cluster(31)
     for other in cluster.seeds[1:]:
         cluster.disconnect(cluster.seeds[0], other)
-    before = acknowledged(operators)
+    before = acknowledged_count(operators)
     cluster.run(20_000.0)
-    assert acknowledged(operators) - before > 20
-    assert operators[0].worst_ms < ACK_TIMEOUT_MS
+    assert acknowledged_count(operators) - before > 20
+    assert operators[0].max_latency_ms < ACK_TIMEOUT_MS
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -65,16 +69,16 @@
     cluster = Cluster(seed)
     cluster.run(500.0)
     statuses_of: dict[str, list[int]] = {"one": [], "other": []}
-    orders = {name: empty_change(5, 0, name) for name in statuses_of}
-    for name, order in orders.items():
-        cluster.submit(order, statuses_of[name].append)
+    changes_by_name = {name: empty_change(5, 0, name) for name in statuses_of}
+    for name, change in changes_by_name.items():
+        cluster.submit(change, statuses_of[name].append)
     cluster.run(2_000.0)
     assert sorted(status for (status,) in statuses_of.values()) == [200, 412]
     winner = next(name for name, (status,) in statuses_of.items() if status == 200)
     cluster.kill(cluster.seeds[0])
     cluster.run(2_000.0)
-    for name, order in orders.items():
-        cluster.submit(order, statuses_of[name].append)
+    for name, change in changes_by_name.items():
+        cluster.submit(change, statuses_of[name].append)
     cluster.run(3_000.0)
     assert statuses_of[winner] == [200, 200]
     assert [a for name, a in statuses_of.items() if name != winner] == [[412, 412]]
@@ -89,7 +93,7 @@
     cluster.run(500.0)
     cluster.submit(empty_change(4, 0), lambda _: None)
     cluster.run(500.0)
-    cluster.submit(early, statuses.append)  # a copy that arrives late
+    cluster.submit(early, statuses.append)  # a delayed duplicate
     cluster.run(500.0)
     assert statuses == [412, 412]
 
@@ -115,7 +119,7 @@
         cluster.run(2_000.0)
         cluster.add(newcomer)
     cluster.run(rng.uniform(4_000.0, 5_000.0))
-    view = current_view(cluster)
+    view = latest_view(cluster)
     assert {member.address for member in view.roster} == {first, second, newcomer}
     cluster.wipe(second)
     assert_progress(cluster, operators)
@@ -130,11 +134,11 @@
     cluster, operators = running_cluster(51)
     cluster.add("10.0.1.1:7000")
     cluster.run(2_000.0)
-    before = current_view(cluster)
+    before = latest_view(cluster)
     assert len(before.roster) == 3, "a newcomer waits until a member departs"
     cluster.leave(cluster.seeds[1], 8_000.0)
     cluster.run(300.0)
-    after = current_view(cluster)
+    after = latest_view(cluster)
     assert after.epoch == before.epoch + 1
     assert {member.address for member in after.roster} == {
         cluster.seeds[0],
@@ -150,7 +154,7 @@
     head, second, third = cluster.seeds
     cluster.kill(third)
     cluster.run(1_500.0)
-    cluster.wipe(second)  # one loss too many: the head alone has what was acknowledged
+    cluster.wipe(second)  # one loss more than tolerated: only the head holds the acknowledged changes
     cluster.leave(head, 60_000.0)
     cluster.run(3_000.0)
     assert cluster.machines[head].replica is not None, "it stays"
@@ -166,23 +170,23 @@
     for additional, size in ((1, 3), (2, 5), (3, 5), (5, 7)):
         cluster = Cluster(60 + additional, 3, additional=additional)
         cluster.run(3_000.0)
-        assert len(current_view(cluster).roster) == size
+        assert len(latest_view(cluster).roster) == size
     cluster = Cluster(70, 3, additional=2)
     cluster.run(3_000.0)
     for removed in cluster.seeds[:2]:
         cluster.remove(removed)
         cluster.run(4_000.0)
-    assert len(current_view(cluster).roster) == 3
+    assert len(latest_view(cluster).roster) == 3
 
 
-@pytest.mark.parametrize("how", ["kill", "cut", "freeze"])
-def test_a_member_that_missed_hundreds_of_changes_catches_up_before_it_is_head(how: str) -> None:
+@pytest.mark.parametrize("fault", ["kill", "cut", "freeze"])
+def test_a_member_that_missed_hundreds_of_changes_catches_up_before_it_is_head(fault: str) -> None:
     cluster = Cluster(80)
     cluster.run(500.0)
-    away, others = cluster.seeds[0], cluster.seeds[1:]
+    absent, others = cluster.seeds[0], cluster.seeds[1:]
     version = 0
 
-    def changes(number: int) -> None:
+    def submit_changes(number: int) -> None:
         nonlocal version
         for _ in range(number):
             statuses: list[int] = []
@@ -193,26 +197,26 @@
             assert statuses == [200]
             version += 1
 
-    changes(20)
+    submit_changes(20)
     for other in others:
-        cluster.disconnect(away, other)
-    if how == "kill":
-        cluster.kill(away)
-    elif how == "freeze":
-        cluster.freeze(away)
-    changes(380)
+        cluster.disconnect(absent, other)
+    if fault == "kill":
+        cluster.kill(absent)
+    elif fault == "freeze":
+        cluster.freeze(absent)
+    submit_changes(380)
     cluster.heal()
-    if how == "kill":
-        cluster.start(away)
-    elif how == "freeze":
-        cluster.thaw(away)
+    if fault == "kill":
+        cluster.start(absent)
+    elif fault == "freeze":
+        cluster.thaw(absent)
     cluster.run(SYNC_TIMEOUT_MS)
-    disk = cluster.machines[away].durable
+    disk = cluster.machines[absent].durable
     assert disk is not None
     assert disk.state.version == version
-    for other in others:  # at once: the one that was away has to be head
+    for other in others:  # both at once, so that the absent member has to become head
         cluster.kill(other)
     cluster.run(900.0)
     cluster.start(others[1])
     cluster.run(2_000.0)
-    changes(5)
+    submit_changes(5)
--- a/tests/test_lease_planted_faults.py
+++ b/tests/test_lease_planted_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the lease state machines are caught by the oracle of the virtual world."""
+"""The oracle of the simulated world detects faults planted in the lease state machines."""
 
 from __future__ import annotations
 
@@ -12,23 +12,31 @@
 from dunlinloft.fleet.leases.manager import LeaseManager
 from dunlinloft.fleet.leases.messages import PrepareResponse
 from dunlinloft.fleet.leases.voter import Voter
-from lab.virtual.duties import LATE_SEEN_MS, World
-from lab.virtual.scene import Broken
-from tests.lease_world import OLD_TOKEN, TERM_MS, TWO_LEADERS, all_roles_led, partition, settled_world, storm
+from lab.virtual.duties import DEATH_DETECTION_MS, World
+from lab.virtual.scene import InvariantViolation
+from tests.lease_world import (
+    OUTDATED_TOKEN,
+    TERM_MS,
+    TWO_LEADERS,
+    all_roles_led,
+    inject_random_faults,
+    partition,
+    world_with_leaders,
+)
 
 
-class HalfIsEnough(Candidate):
+class CandidateWithHalfQuorum(Candidate):
     def majority(self) -> int:
         return len(self._voters) // 2
 
 
-class VotesWithoutMemory(Voter):
+class VoterWithoutRecovery(Voter):
     def may_vote(self, now: float) -> bool:
         return True
 
 
-class IgnoresDrift(LeaseManager):
-    """Takes all clocks for equally fast."""
+class ManagerIgnoringDrift(LeaseManager):
+    """Assumes that all clocks run at the same rate."""
 
     def __init__(
         self, name: str, incarnation: int, voters: list[str], roles: list[str], rng: random.Random,
@@ -37,8 +45,8 @@
         super().__init__(name, incarnation, voters, roles, rng, wall_clock_ms, now, term_ms, 0.0)
 
 
-class ReusesTokens(Candidate):
-    """Gives a token that has been given before."""
+class CandidateReusingTokens(Candidate):
+    """Issues tokens that were issued before."""
 
     def _handle_prepare_response(self, message: PrepareResponse, sender: str, now: float) -> None:
         message.token = 0
@@ -47,40 +55,42 @@
 
 
 PLANTED_FAULTS: list[tuple[str, str, type, str]] = [
-    ("a majority of n/2", "Candidate", HalfIsEnough, TWO_LEADERS),
-    ("tokens not compared", "Candidate", ReusesTokens, OLD_TOKEN),
+    ("a majority of n/2", "Candidate", CandidateWithHalfQuorum, TWO_LEADERS),
+    ("tokens not compared", "Candidate", CandidateReusingTokens, OUTDATED_TOKEN),
 ]
 
 
-def violations(seeds: int, harsh: bool) -> set[str]:
-    """What storms break, in words."""
+def violations(seeds: int, allow_memory_loss: bool) -> set[str]:
+    """Return the invariants violated under random faults, as parts of the oracle's texts."""
     found = set()
     for seed in range(seeds):
         world = World(seed, members=9, voters=3)
-        world.token_matters = not harsh
+        world.token_matters = not allow_memory_loss
         try:
-            storm(world, 25_000.0, harsh)
-        except Broken as problem:
-            found.add(TWO_LEADERS if TWO_LEADERS in str(problem) else OLD_TOKEN)
+            inject_random_faults(world, 25_000.0, allow_memory_loss)
+        except InvariantViolation as error:
+            found.add(TWO_LEADERS if TWO_LEADERS in str(error) else OUTDATED_TOKEN)
     return found
 
 
 @pytest.mark.parametrize(
-    ("what", "where", "broken", "seen"), PLANTED_FAULTS, ids=[row[0] for row in PLANTED_FAULTS]
+    ("fault", "class_name", "faulty_class", "expected_violation"),
+    PLANTED_FAULTS,
+    ids=[row[0] for row in PLANTED_FAULTS],
 )
 def test_a_planted_fault_of_a_candidate_is_caught(
-    what: str, where: str, broken: type, seen: str, monkeypatch: pytest.MonkeyPatch
+    fault: str, class_name: str, faulty_class: type, expected_violation: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("dunlinloft.fleet.leases.manager." + where, broken)
-    assert seen in violations(50, harsh=seen == TWO_LEADERS)
+    monkeypatch.setattr("dunlinloft.fleet.leases.manager." + class_name, faulty_class)
+    assert expected_violation in violations(50, allow_memory_loss=expected_violation == TWO_LEADERS)
 
 
 def test_where_all_voters_lose_their_memory_at_once_there_are_never_two_leaders() -> None:
-    assert TWO_LEADERS not in violations(50, harsh=True)
+    assert TWO_LEADERS not in violations(50, allow_memory_loss=True)
 
 
 def partition_leaders(core: type[LeaseManager]) -> None:
-    """Holders that lose their voters, among clocks that differ by as much as is stated."""
+    """Partition leaders from their voters while clock rates differ by the configured drift."""
     for seed in range(20):
         world = World(seed, members=6, voters=3, duties=2, drift=0.1, core=core)
         assert world.run(60_000.0, partial(all_roles_led, world)) < 60_000.0
@@ -93,20 +103,22 @@
 
 def test_clock_drift_is_tolerated_and_a_manager_that_ignores_it_is_caught() -> None:
     partition_leaders(LeaseManager)
-    with pytest.raises(Broken, match="is held by"):
-        partition_leaders(IgnoresDrift)
+    with pytest.raises(InvariantViolation, match="is held by"):
+        partition_leaders(ManagerIgnoringDrift)
 
 
 def restart_voters_under_a_lease() -> None:
-    """All voters forget while a holder holds, whom the other candidates take for gone."""
+    """Restart all voters while a leader is active that the other candidates believe to be dead."""
     for seed in range(8):
-        world = settled_world(seed, voters=3)
+        world = world_with_leaders(seed, voters=3)
         world.token_matters = False
         world.hand_over("d0", "m6")
         world.run(2.0 * TERM_MS)
         for holder in world.holders("d0"):
-            partition(world, [holder], [name for name in world.names[3:] if name != holder], both=False)
-        world.run(LATE_SEEN_MS / 2.0)
+            partition(
+                world, [holder], [name for name in world.names[3:] if name != holder], both_directions=False
+            )
+        world.run(DEATH_DETECTION_MS / 2.0)
         for name in world.voters:
             world.kill(name)
             world.start(name)
@@ -117,6 +129,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     restart_voters_under_a_lease()
-    monkeypatch.setattr("dunlinloft.fleet.leases.voting_member.Voter", VotesWithoutMemory)
-    with pytest.raises(Broken, match=TWO_LEADERS):
+    monkeypatch.setattr("dunlinloft.fleet.leases.voting_member.Voter", VoterWithoutRecovery)
+    with pytest.raises(InvariantViolation, match=TWO_LEADERS):
         restart_voters_under_a_lease()
--- a/tests/test_member_count.py
+++ b/tests/test_member_count.py
@@ -1,4 +1,4 @@
-"""Shares of budgets: what processes take by their views while members die, join and are partitioned."""
+"""Shares of budgets that processes use by their views while members die, join and are partitioned."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class PartitionedFleet:
-    """Any number of processes in any partitions: what their shares of a budget add up to."""
+    """Processes in arbitrary partitions, each with its count of members."""
 
     def __init__(self, count: int) -> None:
         self.names = [f"n{n}" for n in range(count)]
         self.counts = {name: MemberCount(name, n, count) for n, name in enumerate(self.names)}
         self.now = 0.0
 
-    def run(self, sides: list[list[str]], for_ms: float) -> None:
-        end = self.now + for_ms
+    def run(self, sides: list[list[str]], duration_ms: float) -> None:
+        end = self.now + duration_ms
         while self.now < end:
             self.now += 500.0
             for side in sides:
--- a/tests/test_membership_parts.py
+++ b/tests/test_membership_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the membership by themselves: queue of updates, pool of names, health, round trips, probes."""
+"""Unit tests of membership components: update queue, name pool, local health, round trips, probes."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 
 
 def record_of(name: str, include_metadata: bool) -> Record | None:
-    """Records of all names but `unknown`."""
+    """Return a record for any name except `unknown`."""
     if name == "unknown":
         return None
     return Record(name, 1, 0, ALIVE, 7, "addr", 1, {"zone": "linz"} if include_metadata else None)
 
 
-# Queue of updates
+# Update queue
 
 
 @pytest.mark.parametrize("members", [1, 10, 200])
@@ -87,7 +87,7 @@
     assert [record.metadata for record in queue.next_records(record_of)] == [None]
 
 
-# Pool of names
+# Name pool
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -163,8 +163,8 @@
 # Probes
 
 
-class Host:
-    """A membership whose timers are fired by hand, among members that answer nothing by themselves."""
+class MembershipDriver:
+    """Drives a membership and its timers; the other members respond only when a test does so."""
 
     def __init__(self, *others: str) -> None:
         self.core = Membership("n1", "addr:n1", [], 5, 5, random.Random(1))
@@ -176,11 +176,11 @@
         self.core.handle(api.PushPullReceived(State(self.header(others[0]), records), "addr", False), 0.0)
 
     def header(self, name: str) -> Header:
-        """A header as a member would send it that agrees with this one."""
+        """Return a header from a member whose view agrees with this one."""
         return Header(name, 1, 0, self.core.digest(), self.core.alive_count())
 
     def perform(self, actions: list[api.Action]) -> None:
-        """Record what is sent, and keep the timers."""
+        """Record sent messages and timers."""
         for action in actions:
             match action:
                 case api.SetTimer():
@@ -192,18 +192,18 @@
                     self.streams.append(action)
 
     def probe(self, name: str) -> int:
-        """Probe a member; the number of the probe."""
+        """Probe a member and return the probe's number."""
         self.core.actions = []
         number = self.core.prober.probe(name, self.now)
         self.perform(self.core.actions)
         return number
 
     def receive(self, message: Message) -> None:
-        """A datagram from the member in its header."""
+        """Deliver a datagram from the member named in its header."""
         self.perform(self.core.handle(api.MessageReceived(message, f"addr:{message.header.name}"), self.now))
 
     def run(self, until_ms: float) -> None:
-        """Fire timers in order, each when it is due."""
+        """Fire timers in order at their due times."""
         while self.timers and min(self.timers)[0] <= until_ms:
             self.now, token = min(self.timers)
             self.timers.remove((self.now, token))
@@ -211,98 +211,98 @@
         self.now = until_ms
 
     def sent_of(self, kind: type[Message]) -> list[str]:
-        """Addresses that messages of a kind were sent to."""
+        """Return the addresses to which messages of a type were sent."""
         return [address for address, message in self.sent if isinstance(message, kind)]
 
 
 def test_a_probe_without_an_ack_tries_other_members_and_a_stream_before_suspicion() -> None:
-    host = Host("n2", "n3", "n4", "n5", "n6")
-    host.probe("n2")
-    assert host.sent_of(Ping) == ["addr:n2"]
-    host.run(MAX_ACK_TIMEOUT_MS)
-    assert host.sent_of(Ping) == ["addr:n2"] * 3
-    assert len(set(host.sent_of(PingRequest)) - {"addr:n2"}) == INDIRECT_PROBERS
-    assert [action.address for action in host.streams] == ["addr:n2"]
-    host.run(600.0)
-    member = host.core.view.members["n2"]
+    driver = MembershipDriver("n2", "n3", "n4", "n5", "n6")
+    driver.probe("n2")
+    assert driver.sent_of(Ping) == ["addr:n2"]
+    driver.run(MAX_ACK_TIMEOUT_MS)
+    assert driver.sent_of(Ping) == ["addr:n2"] * 3
+    assert len(set(driver.sent_of(PingRequest)) - {"addr:n2"}) == INDIRECT_PROBERS
+    assert [action.address for action in driver.streams] == ["addr:n2"]
+    driver.run(600.0)
+    member = driver.core.view.members["n2"]
     assert (member.status, member.suspected_by) == (SUSPECT, ["n1"])
 
 
 def test_the_target_of_a_probe_is_not_requested_to_ping_itself() -> None:
-    host = Host("n2", "n3", "n4")
-    host.probe("n2")
-    host.run(MAX_ACK_TIMEOUT_MS)
-    assert sorted(host.sent_of(PingRequest)) == ["addr:n3", "addr:n4"]
+    driver = MembershipDriver("n2", "n3", "n4")
+    driver.probe("n2")
+    driver.run(MAX_ACK_TIMEOUT_MS)
+    assert sorted(driver.sent_of(PingRequest)) == ["addr:n3", "addr:n4"]
 
 
 @pytest.mark.parametrize(("nacks", "score"), [(0, 2), (1, 1), (2, 1)])
 def test_missing_nacks_lower_local_health(nacks: int, score: int) -> None:
-    host = Host("n2", "n3", "n4")
-    number = host.probe("n2")
-    host.run(150.0)
+    driver = MembershipDriver("n2", "n3", "n4")
+    number = driver.probe("n2")
+    driver.run(150.0)
     for name in ("n3", "n4")[:nacks]:
-        host.receive(Nack(host.header(name), number, []))
-    host.run(600.0)
-    assert host.core.health.score == score
+        driver.receive(Nack(driver.header(name), number, []))
+    driver.run(600.0)
+    assert driver.core.health.score == score
 
 
 def test_an_ack_by_any_path_ends_a_probe() -> None:
-    host = Host("n2", "n3", "n4")
-    number = host.probe("n2")
-    host.run(150.0)
-    assert host.sent_of(PingRequest)
-    host.receive(Ack(host.header("n3"), number, "n2", 1, []))
-    host.run(600.0)
-    assert host.core.view.members["n2"].status == ALIVE
-    assert host.core.health.score == 0
+    driver = MembershipDriver("n2", "n3", "n4")
+    number = driver.probe("n2")
+    driver.run(150.0)
+    assert driver.sent_of(PingRequest)
+    driver.receive(Ack(driver.header("n3"), number, "n2", 1, []))
+    driver.run(600.0)
+    assert driver.core.view.members["n2"].status == ALIVE
+    assert driver.core.health.score == 0
 
 
 def test_an_ack_of_another_incarnation_ends_no_probe() -> None:
-    host = Host("n2", "n3", "n4")
-    number = host.probe("n2")
-    host.receive(Ack(host.header("n3"), number, "n2", 0, []))
-    host.run(600.0)
-    assert host.core.view.members["n2"].status == SUSPECT
+    driver = MembershipDriver("n2", "n3", "n4")
+    number = driver.probe("n2")
+    driver.receive(Ack(driver.header("n3"), number, "n2", 0, []))
+    driver.run(600.0)
+    assert driver.core.view.members["n2"].status == SUSPECT
 
 
 def test_a_ping_request_is_answered_with_a_nack_and_a_later_ack_is_still_forwarded() -> None:
-    host = Host("n2", "n3")
-    host.receive(PingRequest(host.header("n3"), 41, "n2", "addr:n2", []))
-    [(address, ping)] = [(address, sent) for address, sent in host.sent if isinstance(sent, Ping)]
+    driver = MembershipDriver("n2", "n3")
+    driver.receive(PingRequest(driver.header("n3"), 41, "n2", "addr:n2", []))
+    [(address, ping)] = [(address, sent) for address, sent in driver.sent if isinstance(sent, Ping)]
     assert (address, ping.target) == ("addr:n2", "n2")
-    host.run(200.0)
-    assert [(address, sent.number) for address, sent in host.sent if isinstance(sent, Nack)] == [
+    driver.run(200.0)
+    assert [(address, sent.number) for address, sent in driver.sent if isinstance(sent, Nack)] == [
         ("addr:n3", 41)
     ]
-    host.receive(Ack(host.header("n2"), ping.number, "n2", 1, []))
-    [(address, ack)] = [(address, sent) for address, sent in host.sent if isinstance(sent, Ack)]
+    driver.receive(Ack(driver.header("n2"), ping.number, "n2", 1, []))
+    [(address, ack)] = [(address, sent) for address, sent in driver.sent if isinstance(sent, Ack)]
     assert (address, ack.number, ack.target) == ("addr:n3", 41, "n2")
 
 
-# Claims about other members and about oneself
+# Claims about other members and about the process itself
 
 
 def test_a_suspicion_of_oneself_is_refuted_by_a_higher_revision() -> None:
-    host = Host("n2", "n3")
+    driver = MembershipDriver("n2", "n3")
     claim = Record("n1", 5, 0, SUSPECT, 5, "addr:n1", suspected_by=["n2"])
-    host.receive(Gossip(host.header("n2"), [claim]))
-    assert (host.core.revision, host.core.refutations) == (1, 1)
+    driver.receive(Gossip(driver.header("n2"), [claim]))
+    assert (driver.core.revision, driver.core.refutations) == (1, 1)
 
 
 def test_a_sender_of_an_outdated_claim_is_sent_the_newer_record() -> None:
-    host = Host("n2", "n3")
+    driver = MembershipDriver("n2", "n3")
     refuted = Record("n3", 1, 4, ALIVE, 7, "addr:n3", 1)
-    host.receive(Gossip(host.header("n2"), [refuted]))
-    host.sent.clear()
-    host.receive(Gossip(host.header("n2"), [Record("n3", 1, 3, DEAD, 7, "addr:n3", 1)]))
-    corrections = [sent for address, sent in host.sent if isinstance(sent, Gossip) and address == "addr:n2"]
+    driver.receive(Gossip(driver.header("n2"), [refuted]))
+    driver.sent.clear()
+    driver.receive(Gossip(driver.header("n2"), [Record("n3", 1, 3, DEAD, 7, "addr:n3", 1)]))
+    corrections = [sent for address, sent in driver.sent if isinstance(sent, Gossip) and address == "addr:n2"]
     assert [(r.name, r.revision, r.status) for sent in corrections for r in sent.records] == [
         ("n3", 4, ALIVE)
     ]
-    assert host.core.view.members["n3"].status == ALIVE
+    assert driver.core.view.members["n3"].status == ALIVE
 
 
 def test_a_reported_death_of_a_member_that_was_alive_is_a_suspicion() -> None:
-    host = Host("n2", "n3")
-    host.receive(Gossip(host.header("n2"), [Record("n3", 1, 0, DEAD, 7, "addr:n3", 1)]))
-    assert host.core.view.members["n3"].status == SUSPECT
+    driver = MembershipDriver("n2", "n3")
+    driver.receive(Gossip(driver.header("n2"), [Record("n3", 1, 0, DEAD, 7, "addr:n3", 1)]))
+    assert driver.core.view.members["n3"].status == SUSPECT
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -1,4 +1,4 @@
-"""Impossible settings of a node are rejected with their name, or with their path in the file."""
+"""Invalid settings of a node are rejected with their name, or with their path in the file."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 from dunlinloft.balancer import interface as api
 from dunlinloft.balancer.interface import Result
-from dunlinloft.node.config import BadConfig, read_change, read_config
+from dunlinloft.node.config import ConfigFileError, read_config, reread_config
 from tests import peers
-from tests.helpers import SAFE, Node, ends, entries, settings
+from tests.helpers import SAFE, Node, entries, final_answers, settings
 
 
 @pytest.mark.parametrize(
@@ -30,23 +30,23 @@
         ({"tenants": [api.Tenant("t", 0.5, -1.0)]}, "quota_per_s"),
     ],
 )
-def test_impossible_settings_are_rejected_by_name(changes: dict[str, Any], name: str) -> None:
+def test_invalid_settings_are_rejected_by_name(changes: dict[str, Any], name: str) -> None:
     with pytest.raises(ValueError, match=name):
         settings(**changes)
 
 
-def test_a_node_works_with_no_server_one_server_zero_weights_and_a_stopped_clock() -> None:
+def test_node_handles_no_server_one_server_zero_weights_and_a_stopped_clock() -> None:
     empty = Node(servers=0)
     assert not [a for a in empty.request("a") if isinstance(a, api.Send)]
     for servers in ([api.ServerEntry(1)], entries(range(3), share=0.0)):
         node = Node(servers=0)
-        node.list_all(servers)
+        node.set_server_list(servers)
         for n in range(30):
             node.request(f"{n}")
             if f"{n}" in node.sent:
                 node.complete(f"{n}", [Result.SERVED, Result.ERROR, Result.TIMEOUT][n % 3], 0.0)
         assert node.sent or not any(s.share for s in servers)
-        assert not ends(node.do(api.TimerFired(0)))
+        assert not final_answers(node.handle(api.TimerFired(0)))
 
 
 INVALID_VALUES: list[tuple[tuple[str | int, ...], Any, str, str]] = [
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize(
     ("keys", "value", "path", "expected"), INVALID_VALUES, ids=[case[2] for case in INVALID_VALUES]
 )
-def test_an_invalid_value_is_reported_in_one_line_with_its_full_path_and_what_was_expected(
+def test_invalid_value_is_reported_in_one_line_with_its_path_and_the_expected_type(
     keys: tuple[str | int, ...], value: Any, path: str, expected: str, tmp_path: Path
 ) -> None:
     entry = {"name": "s", "address": "127.0.0.1:1", "status": "active"}
@@ -81,7 +81,7 @@
     container[keys[-1]] = value
     file.write_text(json.dumps(config))
     for previous in (None, valid):
-        with pytest.raises(BadConfig) as caught:
-            read_config(str(file)) if previous is None else read_change(str(file), previous)
+        with pytest.raises(ConfigFileError) as caught:
+            read_config(str(file)) if previous is None else reread_config(str(file), previous)
         text = str(caught.value)
         assert text.startswith(f"{file}: {path}: ") and expected in text and "\n" not in text
--- a/tests/test_release_requests.py
+++ b/tests/test_release_requests.py
@@ -1,4 +1,4 @@
-"""Requests to start a release, and the plan that the state table stores."""
+"""Tests of requests to start a release, and of the plan that the state table stores."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "why"),
+    ("parameters", "message"),
     [
         ({}, "names or since"),
         ({"names": "a", "since": "5"}, "names or since"),
         ({"since": "soon"}, "since: 'soon' is not a Unix time"),
-        ({"names": ",".join(map(str, range(99)))}, "99 of them, and 12 at most"),
-        ({"names": "a", "stages": "5,1,100"}, "must rise"),
-        ({"names": "a", "stages": "1,5"}, "must rise, from above 0 to 100"),
+        ({"names": ",".join(map(str, range(99)))}, "99 given, at most 12 allowed"),
+        ({"names": "a", "stages": "5,1,100"}, "must increase"),
+        ({"names": "a", "stages": "1,5"}, "must increase, from above 0 to 100"),
         ({"names": "a", "stages": "1,x,100"}, "stages: 'x'"),
         ({"names": "a", "bake": "0.1"}, "1 s to a day"),
-        ({"names": "a", "backe": "3"}, "backe: not known"),
+        ({"names": "a", "backe": "3"}, "backe: unknown"),
     ],
 )
 def test_an_invalid_request_is_rejected_with_its_parameter_and_reason(
-    asked: dict[str, str], why: str
+    parameters: dict[str, str], message: str
 ) -> None:
-    with pytest.raises(InvalidReleaseRequest, match=why.replace("(", r"\(")):
-        parse_release_request(asked)
+    with pytest.raises(InvalidReleaseRequest, match=message.replace("(", r"\(")):
+        parse_release_request(parameters)
 
 
 def test_the_longest_plan_fits_a_row_of_the_state_table_and_is_decoded() -> None:
